--- /dev/null
+++ b/crates/membership/tests/wire_format.rs
@@ -0,0 +1,83 @@
+//! The bytes of each kind of message between members, as written by commit 604394b: servers of that version and of this
+//! one form one fleet while a new version is rolled out.
+
+use umberloom_membership::wire::{About, Body, Head, Key, Message, Note, Row, LONGEST};
+use umberloom_membership::Standing;
+
+const GOLDEN: &str = include_str!("golden/messages.txt");
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let head =
+        Head { from: "server-a".into(), boot: 1_700_000_000_000_001, to_boot: 77, seq: 300, twice: true };
+    let note = Note {
+        hears_you_ms: 1_234,
+        view: 0x0123_4567_89ab_cdef,
+        standing: Standing::Majority,
+        load: 42,
+        sick: 3,
+        leaving: true,
+    };
+    let about = About {
+        zone: "east".to_owned(),
+        program: "0.2.0".to_owned(),
+        config: u64::MAX - 1,
+        operator: 9,
+        shares: 1 << 40,
+    };
+    let rows = vec![
+        Row { name: "server-a".into(), boot: 5, there: true },
+        Row { name: "server-b".into(), boot: 0, there: false },
+    ];
+    let bodies = [
+        ("hello", Body::Hello(5)),
+        ("welcome", Body::Welcome(6, 7, about.clone())),
+        ("ready", Body::Ready(8, about.clone())),
+        ("superseded", Body::Superseded(9, 250)),
+        ("gossip", Body::Gossip(vec![1, 2, 3, 255])),
+        ("beat", Body::Beat(None)),
+        ("beat-about", Body::Beat(Some(about))),
+        ("matter", Body::Matter(2, vec![9, 8])),
+        ("ask-view", Body::AskView),
+        ("view", Body::View(rows)),
+    ];
+    let message = |body| Message { head: head.clone(), note: Some(note), body };
+    let mut all: Vec<(&str, Message)> =
+        bodies.into_iter().map(|(name, body)| (name, message(body))).collect();
+    let standings =
+        [Standing::Unsure, Standing::Alone, Standing::Minority, Standing::Majority, Standing::Whole];
+    for (name, standing) in ["unsure", "alone", "minority", "majority", "whole"].into_iter().zip(standings) {
+        let note = Some(Note { standing, hears_you_ms: u32::MAX, ..note });
+        all.push((name, Message { head: head.clone(), note, body: Body::AskView }));
+    }
+    all.push(("no-note", Message { head, note: None, body: Body::Hello(1) }));
+    all
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    (0..hex.len()).step_by(2).map(digit).collect()
+}
+
+#[test]
+fn sealed_messages_are_written_byte_for_byte_as_before() {
+    let key = Key::new("harbour", "a secret of twenty bytes");
+    let lines: Vec<String> =
+        messages().iter().map(|(name, message)| format!("{name} {}", hex(&key.seal(message)))).collect();
+    assert_eq!(lines.join("\n"), GOLDEN.trim_end());
+}
+
+#[test]
+fn sealed_messages_of_the_earlier_version_are_read() {
+    let key = Key::new("harbour", "a secret of twenty bytes");
+    let golden: Vec<&str> = GOLDEN.lines().collect();
+    assert_eq!(golden.len(), messages().len());
+    for (line, (name, message)) in golden.into_iter().zip(messages()) {
+        let (golden_name, sealed) = line.split_once(' ').expect("a name and bytes");
+        assert_eq!(golden_name, name);
+        assert_eq!(key.open::<Message>(&bytes(sealed), LONGEST), Ok(message), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/record/tests/stored_format.rs
@@ -0,0 +1,190 @@
+//! What commit 604394b wrote, to a disk, to a file and to other members, is read as it was meant; and what goes to other
+//! members is written byte for byte as it was then.
+
+use std::path::Path;
+
+use umberloom_membership::Name;
+use umberloom_record::entry::{Content, Document, Entry, Envelope, Part};
+use umberloom_record::export::Export;
+use umberloom_record::log::{Image, Manifest, SPACES};
+use umberloom_record::state::{Line, Outcome};
+use umberloom_record::witness::Seen;
+use umberloom_record::words::{self, Status, Word};
+use umberloom_record::State;
+use umberloom_store::disk::RealDisk;
+use umberloom_store::{Config as StoreConfig, Store};
+
+const MESSAGES: &str = include_str!("golden/messages.txt");
+const ENVELOPES: &str = include_str!("golden/envelopes.txt");
+const EXPORT: &[u8] = include_bytes!("golden/export");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    (0..hex.len()).step_by(2).map(digit).collect()
+}
+
+fn messages() -> Vec<(&'static str, Word)> {
+    let seen = Seen { starts: 3, term: 500, last: 70_000 };
+    let status = Status {
+        record: u64::MAX - 2,
+        copy: 77,
+        from: 5,
+        seen,
+        votes: true,
+        applied: 69_999,
+        chain: [7; 16],
+        leader: Some(Name::from("server-b")),
+        reaches: vec![Name::from("server-b"), Name::from("server-c")],
+        of_you: Some(Seen { starts: 1, term: 2, last: 3 }),
+        fetches: true,
+        snapshot: (60_000, Manifest { digest: [9; 16], length: 123_456 }),
+        load: 42,
+    };
+    vec![
+        ("status", Word::Status(Box::new(status))),
+        ("status-empty", Word::Status(Box::default())),
+        ("raft", Word::Raft(300, vec![1, 2, 3])),
+        ("hop", Word::Hop(Name::from("server-c"), vec![4, 5])),
+        ("passed", Word::Passed(Name::from("server-a"), 1_700_000_000_000_001, vec![6])),
+        ("join", Word::Join(77, Name::from("east"))),
+        ("hand", Word::Hand(Name::from("server-b"), true)),
+        ("ask", Word::Ask([1; 16], 400)),
+        ("piece", Word::Piece([1; 16], 400, vec![255, 0])),
+    ]
+}
+
+fn entries() -> Vec<(&'static str, Entry)> {
+    let document = |expect, content| Entry::Document(Document { name: "limits".to_owned(), expect, content });
+    vec![
+        ("note", Entry::Note("a remark".to_owned())),
+        ("part", Entry::Part(Part { whole: [3; 16], number: 2, bytes: vec![1, 2, 3] })),
+        ("document", document(Some(300), Content::Here(b"forty".to_vec()))),
+        ("document-in-parts", document(None, Content::Parts([3; 16], 5))),
+        ("document-removed", document(None, Content::None)),
+    ]
+}
+
+#[test]
+fn messages_are_written_byte_for_byte_as_before() {
+    let lines: Vec<String> =
+        messages().iter().map(|(name, word)| format!("{name} {}", hex(&words::write(word)))).collect();
+    assert_eq!(lines.join("\n"), MESSAGES.trim_end());
+}
+
+#[test]
+fn messages_of_the_earlier_version_are_read() {
+    let golden: Vec<&str> = MESSAGES.lines().collect();
+    assert_eq!(golden.len(), messages().len());
+    for (line, (name, word)) in golden.into_iter().zip(messages()) {
+        let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
+        assert_eq!((golden_name, words::read(&bytes(written))), (name, Some(word)));
+    }
+}
+
+#[test]
+fn log_entries_are_written_byte_for_byte_as_before() {
+    let write = |entry: &Entry| hex(&entry.seal(1 << 100, "server-a", 1_700_000_000_123).bytes());
+    let lines: Vec<String> =
+        entries().iter().map(|(name, entry)| format!("{name} {}", write(entry))).collect();
+    assert_eq!(lines.join("\n"), ENVELOPES.trim_end());
+}
+
+#[test]
+fn log_entries_of_the_earlier_version_are_read() {
+    let golden: Vec<&str> = ENVELOPES.lines().collect();
+    assert_eq!(golden.len(), entries().len());
+    for (line, (name, entry)) in golden.into_iter().zip(entries()) {
+        let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
+        let envelope = Envelope::read(&bytes(written)).expect("an envelope");
+        assert_eq!((golden_name, envelope.open()), (name, Some(entry)));
+        assert_eq!((envelope.id, envelope.by.as_str()), (1 << 100, "server-a"));
+        assert_eq!(envelope.at_ms, 1_700_000_000_123);
+    }
+}
+
+/// The history that the three servers had agreed on when they were stopped, oldest line first.
+fn expected_history() -> Vec<(String, Outcome)> {
+    vec![
+        ("document limits".to_owned(), Outcome::Done(1)),
+        ("document limits".to_owned(), Outcome::Done(2)),
+        ("document routes".to_owned(), Outcome::Done(1)),
+        ("document large".to_owned(), Outcome::Done(1)),
+        ("document retired".to_owned(), Outcome::Done(1)),
+        ("document retired".to_owned(), Outcome::Done(2)),
+        ("document limits".to_owned(), Outcome::Conflict(2)),
+        ("rolled back the spring limits".to_owned(), Outcome::Done(0)),
+    ]
+}
+
+/// Every document with its version and content, and every line of the history.
+fn assert_is_the_earlier_state(state: &State) {
+    let large: Vec<u8> = (0..40_000u32).map(|n| (n % 251) as u8).collect();
+    let held: Vec<(&str, u64, &[u8])> = state
+        .documents()
+        .map(|(name, held)| (name.as_str(), held.version, held.bytes.as_deref().unwrap_or_default()))
+        .collect();
+    let routes = br#"{"billing":["10.0.0.1:80"]}"#;
+    let expected: [(&str, u64, &[u8]); 3] =
+        [("large", 1, &large), ("limits", 2, b"fifty"), ("routes", 1, routes)];
+    assert_eq!(held, expected);
+    let lines: Vec<&Line> = state.history().collect();
+    let found: Vec<(String, Outcome)> = lines.iter().map(|l| (l.what.clone(), l.outcome.clone())).collect();
+    assert_eq!(found, expected_history());
+    assert!(lines.iter().all(|line| line.by.1 > 1_700_000_000_000), "{lines:?}");
+}
+
+/// The rows of a store that a server of the earlier version left behind.
+fn image_of(server: &str) -> Image {
+    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(server);
+    let folder = std::env::temp_dir().join(format!("umberloom-stored-{}-{server}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::copy(golden.join("rows.redb"), folder.join("rows.redb")).expect("copied");
+    let rows = {
+        let store = Store::open(&RealDisk, &StoreConfig::new(&folder)).expect("a sound store");
+        let all = SPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).expect("sound rows")));
+        all.to_vec()
+    };
+    std::fs::remove_dir_all(&folder).expect("removed");
+    Image::read(rows).expect("sound").expect("a copy")
+}
+
+#[test]
+fn stores_of_the_earlier_version_hold_every_document_and_line_of_history() {
+    for (n, name) in ["n1", "n2", "n3"].into_iter().enumerate() {
+        let image = image_of(&format!("store-{n}"));
+        assert_eq!(image.copy.name, name);
+        assert_eq!(image.copy.starts, 1);
+        let mut state = image.state.clone().expect("a snapshot");
+        let (_, last) = image.last();
+        let log = umberloom_record::log::Log::load(image);
+        for (index, kind, bytes) in log.entries_to(last) {
+            match kind {
+                0 => drop(state.apply(index, &bytes)),
+                _ => state.apply_members(index, &bytes, |_| {}),
+            }
+        }
+        assert_is_the_earlier_state(&state);
+    }
+}
+
+#[test]
+fn an_export_of_the_earlier_version_is_sound_and_complete() {
+    let export = Export::read(EXPORT).expect("an export");
+    let verified = export.verify().expect("sound");
+    let documents =
+        [("large".to_owned(), 1, 40_000), ("limits".to_owned(), 2, 5), ("routes".to_owned(), 1, 27)];
+    assert_eq!((verified.documents, verified.unknown), (documents.to_vec(), 0));
+    assert_eq!(export.bytes(), EXPORT);
+    let mut state = State::read(&export.state).expect("a state");
+    for (index, kind, bytes) in &export.entries {
+        match kind {
+            0 => drop(state.apply(*index, bytes)),
+            _ => state.apply_members(*index, bytes, |_| {}),
+        }
+    }
+    assert_is_the_earlier_state(&state);
+}
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -25,3 +25,6 @@
 }
 
 impl std::error::Error for Malformed {}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/server/src/wire/tests.rs
@@ -0,0 +1,238 @@
+//! What operators' commands and servers say to each other, and what `--json` prints, as commit 604394b had it: commands
+//! and servers of that version and of this one understand each other, and scripts go on reading the output.
+
+use std::collections::BTreeMap;
+
+use serde::{de::DeserializeOwned, Serialize};
+use umberloom_allowance::{AllowanceView, Moved};
+use umberloom_membership::wire::{About, Refused};
+use umberloom_membership::{Counts, Evidence, MemberState, MemberView, Standing};
+use umberloom_record::entry::Entry;
+use umberloom_record::state::Line;
+use umberloom_record::{CopyView, Outcome, Role};
+
+use super::fleet::{Answer, FleetView, Question, Reply, What};
+use super::record::{Asked, Told};
+
+const QUESTIONS: &str = include_str!("golden/questions.txt");
+const ANSWERS: &str = include_str!("golden/answers.txt");
+const MEMBERS_JSON: &str = include_str!("golden/members.json");
+const EVIDENCE_JSON: &str = include_str!("golden/evidence.json");
+const STATUS_JSON: &str = include_str!("golden/status.json");
+const HISTORY_JSON: &str = include_str!("golden/history.json");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    (0..hex.len()).step_by(2).map(digit).collect()
+}
+
+/// These values are written as the golden lines are, and the golden lines are read as these values.
+fn assert_golden<T>(values: &[T], golden: &str)
+where
+    T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
+{
+    let write = |value: &T| hex(&postcard::to_allocvec(value).expect("serializable"));
+    assert_eq!(values.iter().map(write).collect::<Vec<_>>().join("\n"), golden.trim_end());
+    for (value, line) in values.iter().zip(golden.lines()) {
+        assert_eq!(postcard::from_bytes::<T>(&bytes(line)).as_ref(), Ok(value));
+    }
+}
+
+fn evidence() -> Vec<Evidence> {
+    vec![
+        Evidence { what: "it said that it leaves".to_owned(), age_ms: Some(1_200) },
+        Evidence { what: "named by the operator".to_owned(), age_ms: None },
+    ]
+}
+
+fn fleet_view() -> FleetView {
+    let states = [
+        MemberState::NeverSeen,
+        MemberState::Present,
+        MemberState::Suspected,
+        MemberState::Failed,
+        MemberState::Leaving,
+        MemberState::Left,
+    ];
+    let standings =
+        [Standing::Unsure, Standing::Alone, Standing::Minority, Standing::Majority, Standing::Whole];
+    let about = About {
+        zone: "east".to_owned(),
+        program: "0.2.0".to_owned(),
+        config: 1 << 60,
+        operator: 9,
+        shares: 1 << 40,
+    };
+    let members = states.into_iter().enumerate().map(|(n, state)| MemberView {
+        name: format!("server-{n}").into(),
+        named: n != 4,
+        state,
+        for_ms: 12_345,
+        boot: 1_700_000_000_000_001,
+        incarnation: 3,
+        renewal: 400,
+        heard_ms: (n != 0).then_some(12),
+        hears_us_ms: (n != 0).then_some(13),
+        reached: n == 1,
+        says: standings.get(n).map(|&standing| (standing, 50, 2)),
+        about: about.clone(),
+        differs_ms: (n == 2).then_some(900),
+    });
+    let moved = [
+        Moved::Started,
+        Moved::Settled,
+        Moved::Lent,
+        Moved::LoanBack,
+        Moved::Borrowed,
+        Moved::LoanOver,
+        Moved::Part,
+        Moved::Silenced,
+    ];
+    let allowance = |moved| AllowanceView {
+        whole: 40,
+        part: 13,
+        wanted: 14,
+        lent: 1,
+        borrowed: 2,
+        used: 3,
+        waiting: 4,
+        moved: (moved, 250),
+        quiet_ms: 500,
+    };
+    FleetView {
+        name: "server-a".to_owned(),
+        boot: 1_700_000_000_000_002,
+        standing: Standing::Majority,
+        sick: 1,
+        silenced: true,
+        members: members.collect(),
+        allowances: moved.map(|moved| (format!("{moved:?}"), allowance(moved))).to_vec(),
+        disagreements: vec![("server-2".to_owned(), vec!["server-3: not there here".to_owned()])],
+        counts: Counts {
+            sent: (500, 70_000),
+            heard: (400, 60_000),
+            refused: BTreeMap::from(Refused::ALL.map(|why| (why, 300 + why as u64))),
+            standstills: 2,
+        },
+    }
+}
+
+fn record_standing() -> umberloom_record::Standing {
+    let copy = |copy, votes, applied| CopyView {
+        copy,
+        name: format!("server-{copy}"),
+        zone: "east".to_owned(),
+        votes,
+        applied,
+        heard_ms: applied,
+    };
+    umberloom_record::Standing {
+        record: u64::MAX - 5,
+        copy: 7,
+        role: Role::Leader,
+        term: 12,
+        leader: Some("server-a".to_owned()),
+        applied: 300,
+        commit: 301,
+        last: 302,
+        leader_heard_ms: Some(20),
+        chain: [5; 16],
+        copies: vec![copy(7, true, Some(300)), copy(8, false, None)],
+        catching_up: Some((3, 9)),
+        unknown: 1,
+        frozen: true,
+    }
+}
+
+fn history() -> Vec<Line> {
+    let outcomes = [
+        Outcome::Done(0),
+        Outcome::Done(2),
+        Outcome::Conflict(2),
+        Outcome::Refused("too large".to_owned()),
+        Outcome::Kept,
+    ];
+    let line = |(index, outcome)| Line {
+        index,
+        by: ("server-a".to_owned(), 1_700_000_000_123),
+        what: "document limits".to_owned(),
+        outcome,
+    };
+    (300..).zip(outcomes).map(line).collect()
+}
+
+fn questions() -> Vec<Question> {
+    let show = |latest| Asked::Show { name: "limits".to_owned(), latest, from: 70_000 };
+    let record = [
+        Asked::Status,
+        show(true),
+        show(false),
+        Asked::History(20),
+        Asked::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
+        Asked::Hand("server-b".to_owned(), true),
+        Asked::Export(65_536),
+        Asked::Adopt,
+    ];
+    let fleet = [What::Members, What::Explain("server-b".to_owned())];
+    let all = fleet.into_iter().chain(record.map(What::Record));
+    all.map(|what| Question { number: 70_000, what }).collect()
+}
+
+fn answers() -> Vec<Answer> {
+    let role = |role| {
+        let standing = umberloom_record::Standing { role, ..record_standing() };
+        Told::Status(Box::new(standing))
+    };
+    let document = Told::Document {
+        version: 2,
+        index: 300,
+        by: "server-a".to_owned(),
+        length: 70_000,
+        part: vec![1, 2, 255],
+        age_ms: Some(40),
+    };
+    let mut record: Vec<Told> =
+        [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(role).to_vec();
+    record.extend([
+        document,
+        Told::Nothing(vec!["limits".to_owned()]),
+        Told::History(history()),
+        Told::Taken,
+        Told::Bytes(vec![1, 2], 70_000),
+        Told::Refused("nobody leads".to_owned()),
+    ]);
+    record.extend(history().into_iter().map(|line| Told::Done(line.outcome)));
+    let fleet = [
+        Reply::Members(fleet_view()),
+        Reply::Explain(evidence()),
+        Reply::Unknown(vec!["server-a".to_owned(), "server-b".to_owned()]),
+    ];
+    let all = fleet.into_iter().chain(record.into_iter().map(Reply::Record));
+    all.map(|reply| Answer { number: 70_000, reply }).collect()
+}
+
+#[test]
+fn questions_of_operators_keep_their_bytes() {
+    assert_golden(&questions(), QUESTIONS);
+}
+
+#[test]
+fn answers_to_operators_keep_their_bytes() {
+    assert_golden(&answers(), ANSWERS);
+}
+
+#[test]
+fn json_output_keeps_its_fields_and_forms() {
+    let text = |value: serde_json::Result<String>| value.expect("serializable");
+    assert_eq!(text(serde_json::to_string_pretty(&fleet_view())), MEMBERS_JSON.trim_end());
+    assert_eq!(text(serde_json::to_string_pretty(&evidence())), EVIDENCE_JSON.trim_end());
+    // `record status` and `record history` print these by way of a `Value`, which orders fields by name.
+    let status = serde_json::json!(record_standing());
+    assert_eq!(text(serde_json::to_string_pretty(&status)), STATUS_JSON.trim_end());
+    let history = serde_json::json!(history());
+    assert_eq!(text(serde_json::to_string_pretty(&history)), HISTORY_JSON.trim_end());
+}
--- a/crates/server/tests/fleet_record.rs
+++ b/crates/server/tests/fleet_record.rs
@@ -577,3 +577,30 @@
     assert_eq!(latest(&fleet, n, "x"), Ok("by the others".to_owned()));
     sound(fleet);
 }
+
+#[test]
+fn record_folders_of_the_earlier_version_are_taken_up_as_they_are() {
+    // Written by three servers of commit 604394b, see `crates/record/tests/stored_format.rs`.
+    let golden = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../record/tests/golden");
+    let mut fleet = keeping(3, 3, true);
+    (0..3).for_each(|n| fleet.servers[n].kill());
+    for n in 0..3 {
+        let rows = std::fs::read(golden.join(format!("store-{n}/rows.redb"))).expect("a fixture");
+        fleet.servers[n].put_disk(&rows).expect("put back");
+        fleet.servers[n].start().expect("a process");
+    }
+    fleet.until_kept(3).done();
+    assert_eq!(latest(&fleet, 0, "limits"), Ok("fifty".to_owned()));
+    assert_eq!(latest(&fleet, 1, "routes"), Ok(r#"{"billing":["10.0.0.1:80"]}"#.to_owned()));
+    // The replicas go on under their numbers, and versions go on where they were.
+    assert_eq!(fleet.kept(0, "record"), Value::from(11_353_357_318_115_222_379_u64));
+    assert_eq!(fleet.kept(0, "copy"), Value::from(4_935_982_442_997_947_715_u64));
+    assert_eq!(put(&fleet, 2, "limits", "sixty"), Ok(3));
+    let history = fleet.record(1, &["history"]).expect("a history");
+    let lines = history.as_array().expect("lines");
+    let about = |line: &Value| line["what"].as_str().unwrap_or_default().to_owned();
+    assert_eq!(lines.len(), 9);
+    assert_eq!(about(&lines[0]), "document limits");
+    assert_eq!(about(&lines[1]), "rolled back the spring limits");
+    sound(fleet);
+}
