--- a/Makefile
+++ b/Makefile
@@ -17,10 +17,10 @@
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
 demo: build
-	target/release/umberloom-lab demo
+	target/release/umberloom-loadtest demo
 
 demo-fleet: build
-	target/release/umberloom-lab fleet --servers 5 --seconds 20 --seed 7
+	target/release/umberloom-loadtest fleet --servers 5 --seconds 20 --seed 7
 
 bench:
 	cargo bench -p umberloom-dependencies
--- a/crates/ajp/tests/standin.rs
+++ b/crates/ajp/tests/standin.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 use umberloom_ajp::callee::{Callee, Event};
-use umberloom_standins::ajp::{AjpRequest, FrontEnd};
+use umberloom_protocol_fakes::ajp::{AjpRequest, FrontEnd};
 
 /// Serves one connection: every request is answered with its body, by the headers and the query it came with. The heads
 /// of the requests that came.
--- a/crates/intake/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -9,7 +9,7 @@
 //! turned away among *requests* is the decision module's alone; this is about what reaches it.
 //!
 //! ```
-//! use umberloom_intake::places::{Lot, Places, Seen};
+//! use umberloom_connection_admission::places::{Lot, Places, Seen};
 //!
 //! // 32 descriptors: 30 places, of which two thirds are the first listener's; 2 at the door.
 //! let places = Places::new(32, &[2, 1]);
--- a/crates/rig/src/check.rs
+++ b/crates/fault-harness/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use umberloom_standins::dependency::{most_in_use, Span};
+use umberloom_protocol_fakes::dependency::{most_in_use, Span};
 
 use crate::history::Event;
 use crate::traffic::{Asked, End};
--- a/crates/rig/src/fleet.rs
+++ b/crates/fault-harness/src/fleet.rs
@@ -12,8 +12,8 @@
 use async_executor::Executor;
 use async_io::Timer;
 use serde_json::{json, Value};
-use umberloom_standins::dependency::{most_in_use, Behaviour, Span};
-use umberloom_standins::Dependency;
+use umberloom_protocol_fakes::dependency::{most_in_use, Behaviour, Span};
+use umberloom_protocol_fakes::Dependency;
 
 use crate::check;
 use crate::history::History;
@@ -124,7 +124,8 @@
     pub fn prepare(options: Options) -> std::io::Result<Fleet> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("umberloom-rig-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("umberloom-fault-harness-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let history = History::default();
         let executor = Arc::new(Executor::new());
--- a/crates/rig/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use umberloom_standins::dependency::Behaviour;
-use umberloom_standins::farm::{Farm, Work};
-use umberloom_standins::{Announce, Balancer, Dependency, Request};
+use umberloom_protocol_fakes::dependency::Behaviour;
+use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
 use crate::history::{Event, History};
 
--- a/crates/rig/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use umberloom_standins::farm::Over;
-use umberloom_standins::{Balancer, Request};
+use umberloom_protocol_fakes::farm::Over;
+use umberloom_protocol_fakes::{Balancer, Request};
 
 use crate::history::{lock, now};
 use crate::server::{BUDGETS_MS, PATIENCE};
--- a/crates/rig/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberloom_membership::Name;
-use umberloom_record::entry::{Content, Document};
-use umberloom_record::log::SPACES;
-use umberloom_record::{Action, Config, Entry, Image, Micros, Outcome, Read, Record, Role, Told};
+use umberloom_replicated_store::entry::{Content, Document};
+use umberloom_replicated_store::log::SPACES;
+use umberloom_replicated_store::{Action, Config, Entry, Image, Micros, Outcome, Read, Record, Role, Told};
 use umberloom_store::simulated::{Faults, SimulatedDisk};
 use umberloom_store::{Batch, Config as StoreConfig, Store};
 
--- a/crates/lab/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use umberloom_dependencies::envelope::Envelope;
-use umberloom_standins::farm::Over;
-use umberloom_standins::{Balancer, Request};
+use umberloom_protocol_fakes::farm::Over;
+use umberloom_protocol_fakes::{Balancer, Request};
 
 use crate::site::BUDGETS_MS;
 
--- a/crates/lab/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
-use umberloom_standins::dependency::Behaviour;
+use umberloom_protocol_fakes::dependency::Behaviour;
 
 use crate::caller::Callers;
 use crate::report;
--- a/crates/lab/src/fleet.rs
+++ b/crates/loadtest/src/fleet.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use comfy_table::{presets, Table};
-use umberloom_rig::script::{Script, KINDS};
-use umberloom_rig::traffic::{Asked, End, Traffic};
-use umberloom_rig::{Fleet, Options as Rig};
-use umberloom_standins::dependency::{most_in_use, Span};
+use umberloom_fault_harness::script::{Script, KINDS};
+use umberloom_fault_harness::traffic::{Asked, End, Traffic};
+use umberloom_fault_harness::{Fleet, Options as Rig};
+use umberloom_protocol_fakes::dependency::{most_in_use, Span};
 
 use crate::fleet_chart;
 
--- a/crates/lab/src/fleet_chart.rs
+++ b/crates/loadtest/src/fleet_chart.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use plotters::prelude::*;
-use umberloom_rig::Options;
-use umberloom_standins::dependency::Span;
+use umberloom_fault_harness::Options;
+use umberloom_protocol_fakes::dependency::Span;
 
 use crate::fleet::Sample;
 
--- a/crates/lab/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use comfy_table::{presets, Table};
+use umberloom_fault_harness::traffic::{End, Traffic};
+use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
+use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_membership::Config;
-use umberloom_rig::traffic::{End, Traffic};
-use umberloom_rig::virtual_fleet::{Network, VirtualFleet};
-use umberloom_rig::{Fleet, Options as Rig};
 
 use crate::record_measures;
 
@@ -86,7 +86,7 @@
     for &share in shares {
         let mut fleet = Fleet::start(usual(server, servers))?;
         fleet.until_all("whole")?;
-        let (last, from) = (servers - 1, umberloom_rig::history::now());
+        let (last, from) = (servers - 1, umberloom_fault_harness::history::now());
         let runs = Duration::from_millis(TURN_MS * share.min(100) as u64 / 100);
         let end = std::time::Instant::now() + Duration::from_secs(seconds);
         while std::time::Instant::now() < end {
@@ -96,11 +96,11 @@
             std::thread::sleep(runs);
         }
         let stands = fleet.standing(last);
-        fleet.servers.iter_mut().for_each(umberloom_rig::server::Server::read_log);
+        fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
         let name = fleet.servers[last].name.clone();
         let count = |by: &str, of_last: bool, to: &str| {
             let said = fleet.history.said(by, "member");
-            let fits = |e: &&umberloom_rig::history::Event| {
+            let fits = |e: &&umberloom_fault_harness::history::Event| {
                 e.at >= from && (e.what["name"] == name.as_str()) == of_last && e.what["to"] == to
             };
             said.iter().filter(fits).count()
@@ -144,17 +144,17 @@
         let (mut first, mut last) = (Vec::new(), Vec::new());
         for kill in 0..kills {
             let n = kill % count;
-            let at = umberloom_rig::history::now();
+            let at = umberloom_fault_harness::history::now();
             fleet.servers[n].kill();
             let others: Vec<usize> = (0..count).filter(|other| *other != n).collect();
             for other in &others {
                 fleet.until_holds(*other, n, "failed")?;
             }
-            fleet.servers.iter_mut().for_each(umberloom_rig::server::Server::read_log);
+            fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
             let name = fleet.servers[n].name.clone();
             let knew = others.iter().filter_map(|other| {
                 let said = fleet.history.said(&fleet.servers[*other].name, "member");
-                let fits = |e: &&umberloom_rig::history::Event| {
+                let fits = |e: &&umberloom_fault_harness::history::Event| {
                     e.at >= at && e.what["name"] == name.as_str() && e.what["to"] == "failed"
                 };
                 said.iter().find(fits).map(|e| (e.at - at) / 1_000)
--- a/crates/lab/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -162,7 +162,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("umberloom-lab: {why}");
+            eprintln!("umberloom-loadtest: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use umberloom_rig::{Fleet, Options as Rig};
+use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_store::disk::RealDisk;
 use umberloom_store::simulated::SimulatedDisk;
 use umberloom_store::{Batch, Config as StoreConfig, Store};
@@ -93,7 +93,7 @@
         for _ in 0..times {
             let leader = fleet.leader().ok_or("nobody leads")?;
             let others: Vec<usize> = (0..5).filter(|n| *n != leader).collect();
-            let at = umberloom_rig::history::now();
+            let at = umberloom_fault_harness::history::now();
             match what {
                 "killed" => fleet.servers[leader].kill(),
                 "stopped" => fleet.servers[leader].stop(true),
@@ -102,7 +102,7 @@
             }
             fleet
                 .until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader"))?;
-            fleet.servers.iter_mut().for_each(umberloom_rig::server::Server::read_log);
+            fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
             let said = others.iter().flat_map(|n| fleet.history.said(&fleet.servers[*n].name, "record role"));
             let first = said.filter(|e| e.at >= at && e.what["to"] == "leader").map(|e| e.at - at).min();
             took.extend(first.map(|span| span / 1_000));
@@ -144,18 +144,19 @@
         std::thread::sleep(Duration::from_secs(3));
         fleet.servers[returns].kill();
         fleet.servers[returns].lose_disk();
-        let from = umberloom_rig::history::now();
+        let from = umberloom_fault_harness::history::now();
         fleet.servers[returns].start().map_err(|e| e.to_string())?;
         fleet.until_kept(3)?;
-        let until = umberloom_rig::history::now();
+        let until = umberloom_fault_harness::history::now();
         fleet.servers[returns].read_log();
         let said = fleet.history.said(&fleet.servers[returns].name, "record caught up");
         let line = said.iter().filter(|e| e.at >= from).max_by_key(|e| e.what["bytes"].as_u64());
         let line = line.ok_or("it did not catch up by a snapshot")?;
         let (bytes, ms) = (line.what["bytes"].as_u64().unwrap_or(0), line.what["ms"].as_u64().unwrap_or(1));
-        let asked = fleet.traffic.take().map(umberloom_rig::traffic::Traffic::finish).unwrap_or_default();
+        let asked =
+            fleet.traffic.take().map(umberloom_fault_harness::traffic::Traffic::finish).unwrap_or_default();
         let late = |inside: bool| {
-            let fits = |a: &&umberloom_rig::traffic::Asked| {
+            let fits = |a: &&umberloom_fault_harness::traffic::Asked| {
                 a.server != returns && (a.at >= from) == inside && a.at < until
             };
             let mut took: Vec<u64> = asked.iter().filter(fits).map(|a| a.took.as_millis() as u64).collect();
--- a/crates/lab/src/site.rs
+++ b/crates/loadtest/src/site.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use umberloom_standins::dependency::Behaviour;
-use umberloom_standins::farm::{Farm, Work};
-use umberloom_standins::{Announce, Balancer, Dependency, Request};
+use umberloom_protocol_fakes::dependency::Behaviour;
+use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
 /// What the records service and each dependency answers with.
 const REPLY: &[u8] = b"{\"well\":true}";
@@ -45,7 +45,7 @@
         };
         let (farm, announce) = (Farm::start(work), Announce::start());
         let listen = free_address()?;
-        let folder = std::env::temp_dir().join(format!("umberloom-lab-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("umberloom-loadtest-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let config = config(listen, &farm, &announce, &records);
         let operator = operator(&billing, &equipment, &notes);
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
+use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
 use umberloom_membership::{Config, MemberState, Standing, Told};
-use umberloom_rig::virtual_fleet::{Network, VirtualFleet};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use kdl::{KdlDocument, KdlNode};
-use umberloom_allowance as allowance;
 use umberloom_dependencies::config::Config as Dependencies;
 use umberloom_membership::config::{Config, Peer, Timing, MOST_PEERS};
+use umberloom_quota as allowance;
 
 use crate::node::Reader;
 use crate::record::Record;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -13,10 +13,10 @@
 //!         stage { needs "billing"; }
 //!     }
 //! "#;
-//! let operator = umberloom_operator::parse("operator.kdl", text, None).expect("no mistakes");
+//! let operator = umberloom_operator_config::parse("operator.kdl", text, None).expect("no mistakes");
 //! assert_eq!(operator.services[0].path, "/billing");
 //!
-//! let faults = umberloom_operator::parse("operator.kdl", "plan 7\n", None).expect_err("a number");
+//! let faults = umberloom_operator_config::parse("operator.kdl", "plan 7\n", None).expect_err("a number");
 //! assert!(faults.to_string().contains("operator.kdl:1:6: found 7, expected a text"));
 //! ```
 
--- a/crates/operator/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use kdl::KdlNode;
-use umberloom_record::Config;
+use umberloom_replicated_store::Config;
 
 use crate::node::Reader;
 
--- a/crates/allowance/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -26,7 +26,7 @@
 //! gives messages for other servers.
 //!
 //! ```
-//! use umberloom_allowance::{Allowance, Config};
+//! use umberloom_quota::{Allowance, Config};
 //!
 //! let config = Config::new(10, &["a", "b", "c"], "a");
 //! let quiet = config.quiet();
--- a/crates/allowance/tests/whole.rs
+++ b/crates/quota/tests/whole.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umberloom_allowance::{Allowance, Config, Message, Micros, Name};
+use umberloom_quota::{Allowance, Config, Message, Micros, Name};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 /// Steps of true time.
--- a/crates/allowance/tests/wire_format.rs
+++ b/crates/quota/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of each kind of message about loans, as written by commit 604394b: servers of that version and of this one
 //! share one allowance while a new version is rolled out.
 
-use umberloom_allowance::Message;
+use umberloom_quota::Message;
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
--- a/crates/record/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -4,13 +4,13 @@
 use std::path::Path;
 
 use umberloom_membership::Name;
-use umberloom_record::entry::{Content, Document, Entry, Envelope, Part};
-use umberloom_record::export::Export;
-use umberloom_record::log::{Image, Manifest, SPACES};
-use umberloom_record::state::{Line, Outcome};
-use umberloom_record::witness::Seen;
-use umberloom_record::words::{self, Status, Word};
-use umberloom_record::State;
+use umberloom_replicated_store::entry::{Content, Document, Entry, Envelope, Part};
+use umberloom_replicated_store::export::Export;
+use umberloom_replicated_store::log::{Image, Manifest, SPACES};
+use umberloom_replicated_store::state::{Line, Outcome};
+use umberloom_replicated_store::witness::Seen;
+use umberloom_replicated_store::words::{self, Status, Word};
+use umberloom_replicated_store::State;
 use umberloom_store::disk::RealDisk;
 use umberloom_store::{Config as StoreConfig, Store};
 
@@ -160,7 +160,7 @@
         assert_eq!(image.copy.starts, 1);
         let mut state = image.state.clone().expect("a snapshot");
         let (_, last) = image.last();
-        let log = umberloom_record::log::Log::load(image);
+        let log = umberloom_replicated_store::log::Log::load(image);
         for (index, kind, bytes) in log.entries_to(last) {
             match kind {
                 0 => drop(state.apply(index, &bytes)),
--- a/crates/record/tests/virtual_records.rs
+++ b/crates/replicated-store/tests/virtual_records.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
-use umberloom_record::{Config, Role, Told};
-use umberloom_rig::linear::breaches;
-use umberloom_rig::virtual_record::VirtualRecord;
+use umberloom_fault_harness::linear::breaches;
+use umberloom_fault_harness::virtual_record::VirtualRecord;
+use umberloom_replicated_store::{Config, Role, Told};
 
 const SECOND: u64 = 1_000_000;
 
@@ -348,7 +348,8 @@
     fleet.kill(behind, false);
     let leader = fleet.leader().expect("a leader");
     for n in 0..30 {
-        let whole = umberloom_record::Entry::document(&format!("big{n}"), vec![n as u8; 30_000], None);
+        let whole =
+            umberloom_replicated_store::Entry::document(&format!("big{n}"), vec![n as u8; 30_000], None);
         fleet.propose(leader, whole);
         fleet.run(fleet.now + 50_000).expect("sound");
     }
--- a/crates/server/src/exchange/calls.rs
+++ b/crates/server/src/exchange/calls.rs
@@ -58,7 +58,7 @@
     /// The mailbox of each dependency, by its name.
     pub mailboxes: BTreeMap<Rc<str>, Sender<Order>>,
     /// What is shared with other servers, by dependency.
-    pub shares: Vec<(Rc<str>, umberloom_allowance::Config)>,
+    pub shares: Vec<(Rc<str>, umberloom_quota::Config)>,
     /// The memory of kept results.
     pub charge: Charge,
 }
--- a/crates/server/src/exchange/fleet.rs
+++ b/crates/server/src/exchange/fleet.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use umberloom_allowance::AllowanceView;
 use umberloom_membership::wire::About;
 use umberloom_membership::{Config, Name};
-use umberloom_operator::Record;
+use umberloom_operator_config::Record;
+use umberloom_quota::AllowanceView;
 
 /// The matter of shared allowances.
 pub const ALLOWANCE: u8 = 1;
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -8,7 +8,7 @@
 use slog::Logger;
 use umberloom::interface::Settings;
 use umberloom_membership::wire::{digest, About};
-use umberloom_operator::{Fleet as Told, Operator, Record};
+use umberloom_operator_config::{Fleet as Told, Operator, Record};
 
 use super::config::Config;
 use super::PEERS_SHARE;
@@ -142,7 +142,8 @@
             assert!(text.contains(part), "{part}");
             text = text.replacen(part, other, 1);
         }
-        let operator = umberloom_operator::parse("fleet.kdl", &text, None).unwrap_or_else(|f| panic!("{f}"));
+        let operator =
+            umberloom_operator_config::parse("fleet.kdl", &text, None).unwrap_or_else(|f| panic!("{f}"));
         operator.fleet.expect("a fleet")
     }
 
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -23,8 +23,8 @@
 use futures_lite::future;
 use slog::{error, info, warn, Logger};
 use umberloom::interface::Micros;
-use umberloom_intake::places::Places;
-use umberloom_operator::{Known, Operator};
+use umberloom_connection_admission::places::Places;
+use umberloom_operator_config::{Known, Operator};
 
 use crate::exchange::caller::Hint;
 use crate::exchange::calls::Wanted;
@@ -98,7 +98,7 @@
 
 /// Reads the operator's file, against the platform's configuration where that is known.
 pub fn load_operator(path: &Path, config: Option<&Config>) -> Result<Operator, String> {
-    let operator = umberloom_operator::load(path, known(config)).map_err(|e| e.to_string())?;
+    let operator = umberloom_operator_config::load(path, known(config)).map_err(|e| e.to_string())?;
     let Some(config) = config else { return Ok(operator) };
     let (asked, most) = (operator.dependencies.kept.bytes, config.limits.memory / PEERS_SHARE / KEPT_PART);
     let name = path.display();
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -16,10 +16,10 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
-use umberloom_allowance::AllowanceView;
 use umberloom_membership::wire::{About, Key, LONGEST_DATAGRAM};
 use umberloom_membership::{Action, Config, Membership, Micros, Name, Told, Via};
-use umberloom_operator::Record;
+use umberloom_operator_config::Record;
+use umberloom_quota::AllowanceView;
 
 use crate::exchange::fleet::{News, Order, Present, RECORD};
 use crate::exchange::Message;
--- a/crates/server/src/peers/front.rs
+++ b/crates/server/src/peers/front.rs
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use slog::{debug, warn, Logger};
 use umberloom::interface::Micros;
-use umberloom_intake::places::{Lot, Places, Seen};
+use umberloom_connection_admission::places::{Lot, Places, Seen};
 
 use super::balancer::{Connection, Shared};
 use crate::exchange::caller::{Activity, Word};
--- a/crates/server/src/peers/front/tests.rs
+++ b/crates/server/src/peers/front/tests.rs
@@ -204,7 +204,7 @@
 fn a_place_that_is_coming_is_waited_for() {
     with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
         let mut first = bench.idle().await;
-        Timer::after(Duration::from_micros(2 * umberloom_intake::places::SETTLED)).await;
+        Timer::after(Duration::from_micros(2 * umberloom_connection_admission::places::SETTLED)).await;
         let _second = bench.idle().await;
         // The table is full; the first is told to go, and this one comes into its place.
         let mut third = bench.connect().await;
--- a/crates/server/src/questions.rs
+++ b/crates/server/src/questions.rs
@@ -11,7 +11,7 @@
 use bpaf::{construct, long, positional, Parser};
 use umberloom_membership::wire::Key;
 use umberloom_membership::{Evidence, MemberView};
-use umberloom_operator::Fleet;
+use umberloom_operator_config::Fleet;
 
 use crate::lifecycle::load_operator;
 use crate::wire::fleet::{frame, head, Answer, FleetView, Kind, Question, Reply, What, HEAD};
--- a/crates/server/src/questions/record.rs
+++ b/crates/server/src/questions/record.rs
@@ -7,10 +7,10 @@
 
 use bpaf::{construct, long, positional, Parser};
 use serde_json::json;
-use umberloom_operator::Fleet;
-use umberloom_record::entry::{Content, Document, Entry, LONGEST_DOCUMENT};
-use umberloom_record::state::Line;
-use umberloom_record::{Export, Outcome, Standing};
+use umberloom_operator_config::Fleet;
+use umberloom_replicated_store::entry::{Content, Document, Entry, LONGEST_DOCUMENT};
+use umberloom_replicated_store::state::Line;
+use umberloom_replicated_store::{Export, Outcome, Standing};
 
 use super::{age, columns, question};
 use crate::wire::fleet::{Reply, What};
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/shares.rs
@@ -1,4 +1,4 @@
-//! Allowances that this server shares with others: what `crates/allowance` decides, between the plans' engine, which
+//! Allowances that this server shares with others: what `crates/quota` decides, between the plans' engine, which
 //! has calls to make, and the fleet's actor, which carries messages.
 //!
 //! Its clock is the system's monotonic one, not the Unix clock that requests are timed by: that one may be set
@@ -10,8 +10,8 @@
 
 use async_channel::Sender;
 use slog::{info, warn, Logger};
-use umberloom_allowance::{Allowance, AllowanceView, CallId, Config, Message, Micros};
 use umberloom_dependencies::Demand;
+use umberloom_quota::{Allowance, AllowanceView, CallId, Config, Message, Micros};
 
 use crate::exchange::fleet::{News, Order, Present, ALLOWANCE};
 
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -4,8 +4,8 @@
 //! than [`LONGEST`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
 
 use serde::{Deserialize, Serialize};
-use umberloom_allowance::AllowanceView;
 use umberloom_membership::{Counts, Evidence, MemberView, Standing};
+use umberloom_quota::AllowanceView;
 
 use crate::wire::record::{self, Asked};
 
--- a/crates/server/src/wire/record.rs
+++ b/crates/server/src/wire/record.rs
@@ -1,8 +1,8 @@
 //! What operators ask of the record, and what comes back, over the fleet's own port.
 
 use serde::{Deserialize, Serialize};
-use umberloom_record::state::Line;
-use umberloom_record::{Entry, EntryId, Outcome, Standing};
+use umberloom_replicated_store::state::Line;
+use umberloom_replicated_store::{Entry, EntryId, Outcome, Standing};
 
 /// The longest part of a document or an export in one answer.
 pub const PART: usize = 32 << 10;
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 use serde::{de::DeserializeOwned, Serialize};
-use umberloom_allowance::{AllowanceView, Moved};
 use umberloom_membership::wire::{About, Refused};
 use umberloom_membership::{Counts, Evidence, MemberState, MemberView, Standing};
-use umberloom_record::entry::Entry;
-use umberloom_record::state::Line;
-use umberloom_record::{CopyView, Outcome, Role};
+use umberloom_quota::{AllowanceView, Moved};
+use umberloom_replicated_store::entry::Entry;
+use umberloom_replicated_store::state::Line;
+use umberloom_replicated_store::{CopyView, Outcome, Role};
 
 use super::fleet::{Answer, FleetView, Question, Reply, What};
 use super::record::{Asked, Told};
@@ -121,7 +121,7 @@
     }
 }
 
-fn record_standing() -> umberloom_record::Standing {
+fn record_standing() -> umberloom_replicated_store::Standing {
     let copy = |copy, votes, applied| CopyView {
         copy,
         name: format!("server-{copy}"),
@@ -130,7 +130,7 @@
         applied,
         heard_ms: applied,
     };
-    umberloom_record::Standing {
+    umberloom_replicated_store::Standing {
         record: u64::MAX - 5,
         copy: 7,
         role: Role::Leader,
@@ -184,7 +184,7 @@
 
 fn answers() -> Vec<Answer> {
     let role = |role| {
-        let standing = umberloom_record::Standing { role, ..record_standing() };
+        let standing = umberloom_replicated_store::Standing { role, ..record_standing() };
         Told::Status(Box::new(standing))
     };
     let document = Told::Document {
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -238,7 +238,7 @@
 
 #[test]
 fn a_dependency_over_ajp_has_the_same_outcomes() {
-    use umberloom_standins::{AjpBehaviour, AjpServer};
+    use umberloom_protocol_fakes::{AjpBehaviour, AjpServer};
     let server = AjpServer::start(AjpBehaviour::Answer(200, vec![b'n'; 20_000]));
     let more = "transport \"ajp\" secret=\"s\"\n retry most=0 share=0\n no-breaker";
     let file = operator(&[], more).replace("endpoints ", &format!("endpoints \"{}\"", server.address));
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -6,11 +6,11 @@
 
 use common::{program, rest};
 use serde_json::json;
-use umberloom_rig::history::History;
-use umberloom_rig::server::Server;
-use umberloom_rig::traffic::Traffic;
-use umberloom_standins::dependency::Behaviour;
-use umberloom_standins::Dependency;
+use umberloom_fault_harness::history::History;
+use umberloom_fault_harness::server::Server;
+use umberloom_fault_harness::traffic::Traffic;
+use umberloom_protocol_fakes::dependency::Behaviour;
+use umberloom_protocol_fakes::Dependency;
 
 const SERVERS: usize = 24;
 /// Calls at once that the service survives, of all servers: less than one for each.
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -7,7 +7,7 @@
 
 use common::{options, rest, sound, whole, OrPanic};
 use serde_json::Value;
-use umberloom_rig::{Faults, Fleet};
+use umberloom_fault_harness::{Faults, Fleet};
 
 /// What a server says of another.
 fn member(fleet: &Fleet, n: usize, other: usize) -> Value {
@@ -271,8 +271,9 @@
     let mut fleet = whole(4);
     (1..4).for_each(|n| fleet.servers[n].kill());
     fleet.until_stands(0, "alone").done();
-    let served =
-        |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_rig::traffic::End::Served));
+    let served = |fleet: &Fleet| {
+        fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::End::Served))
+    };
     let before = served(&fleet);
     fleet.until("more to be served", |fleet| served(fleet) > before + 20).done();
     for n in 1..4 {
--- a/crates/server/tests/fleet_allowance.rs
+++ b/crates/server/tests/fleet_quota.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{options, rest, sound, OrPanic};
-use umberloom_rig::{script, Faults, Fleet, Script};
+use umberloom_fault_harness::{script, Faults, Fleet, Script};
 
 /// A fleet whose first server has nearly all of the need, each with a part of four.
 fn uneven(servers: usize) -> Fleet {
--- a/crates/server/tests/fleet_record.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -9,8 +9,8 @@
 
 use common::{options, rest, sound, OrPanic};
 use serde_json::Value;
-use umberloom_rig::linear::{breaches, Operation};
-use umberloom_rig::Fleet;
+use umberloom_fault_harness::linear::{breaches, Operation};
+use umberloom_fault_harness::Fleet;
 
 /// So many servers that keep a record with short times; with disks, or without.
 fn keeping(servers: usize, voters: usize, disk: bool) -> Fleet {
@@ -406,7 +406,7 @@
     assert!(fleet.servers[leader].ended().is_none(), "it ended before another led");
     let status = fleet.servers[leader].wait_until_ended().expect("it ends");
     assert!(status.success(), "{status}");
-    fleet.servers.iter_mut().for_each(umberloom_rig::server::Server::read_log);
+    fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
     let found: Vec<usize> = others.iter().copied().filter(|n| fleet.kept(*n, "role") == "Leader").collect();
     assert_eq!(found.len(), 1);
     assert_eq!(latest(&fleet, found[0], "x"), Ok("kept".to_owned()));
@@ -580,8 +580,8 @@
 
 #[test]
 fn record_folders_of_the_earlier_version_are_taken_up_as_they_are() {
-    // Written by three servers of commit 604394b, see `crates/record/tests/stored_format.rs`.
-    let golden = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../record/tests/golden");
+    // Written by three servers of commit 604394b, see `crates/replicated-store/tests/stored_format.rs`.
+    let golden = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../replicated-store/tests/golden");
     let mut fleet = keeping(3, 3, true);
     (0..3).for_each(|n| fleet.servers[n].kill());
     for n in 0..3 {
--- a/crates/wirehost/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -76,7 +76,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("umberloom-wirehost: {why}");
+            eprintln!("umberloom-sim-adapter: {why}");
             ExitCode::FAILURE
         }
     }
