--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -201,7 +201,7 @@
         let Some((class, spec)) = self.specs.get_key_value(ask.class) else { return };
         let (class, spec) = (class.clone(), spec.clone());
         if self.plans.len() >= PLANS {
-            out.push(Action::Done { plan: ask.plan, outcome: Outcome::Refused, envelope: None });
+            out.push(Action::Done { plan: ask.plan, outcome: Outcome::Rejected, envelope: None });
             return;
         }
         let left = ask.due.saturating_sub(now);
@@ -408,7 +408,7 @@
     fn fail(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         self.counts.failed += 1;
         let touched = self.remove(now, id, out);
-        let outcome = if touched { Outcome::Stopped } else { Outcome::Refused };
+        let outcome = if touched { Outcome::Aborted } else { Outcome::Rejected };
         out.push(Action::Done { plan: id, outcome, envelope: None });
     }
 
@@ -561,7 +561,7 @@
         let run = &mut plan.runs[place];
         let service = &mut self.services[run.service];
         let settings = service.config.retry;
-        let harmless = (outcome.never_ran() && outcome != Outcome::Moot) || service.config.repeatable;
+        let harmless = (outcome.never_ran() && outcome != Outcome::NotStarted) || service.config.repeatable;
         let allowed = harmless && run.further < settings.most && service.breaker.allows(now);
         let wait = retry::back_off(&settings, run.further, &mut self.random);
         let until = if run.needed { plan.needed_until } else { plan.stage_until };
@@ -680,10 +680,10 @@
 
 fn why(outcome: Outcome) -> Why {
     match outcome {
-        Outcome::Refused => Why::Refused,
+        Outcome::Rejected => Why::Refused,
         Outcome::Unreachable => Why::Unreachable,
         Outcome::TimedOut => Why::OutOfTime,
-        Outcome::Cut => Why::Cut,
-        Outcome::Ok | Outcome::Error | Outcome::Stopped | Outcome::Moot => Why::Failed,
+        Outcome::ConnectionLost => Why::Cut,
+        Outcome::Ok | Outcome::Error | Outcome::Aborted | Outcome::NotStarted => Why::Failed,
     }
 }
--- a/crates/dependencies/src/service.rs
+++ b/crates/dependencies/src/service.rs
@@ -155,11 +155,13 @@
         let (sample, failed) = match outcome {
             Some(Outcome::Ok) => (Sample::Answered(took), Some(false)),
             // Turned away: crowded, and neither down nor well.
-            Some(Outcome::Refused) => (Sample::Dropped, None),
+            Some(Outcome::Rejected) => (Sample::Dropped, None),
             Some(Outcome::TimedOut) => (Sample::Dropped, Some(true)),
             // How fast it fails says nothing about load.
-            Some(Outcome::Error | Outcome::Unreachable | Outcome::Cut) => (Sample::Silent, Some(true)),
-            Some(Outcome::Moot | Outcome::Stopped) | None => (Sample::Silent, None),
+            Some(Outcome::Error | Outcome::Unreachable | Outcome::ConnectionLost) => {
+                (Sample::Silent, Some(true))
+            }
+            Some(Outcome::NotStarted | Outcome::Aborted) | None => (Sample::Silent, None),
         };
         if outcome == Some(Outcome::Ok) {
             self.latency.add(now, took);
--- a/crates/dependencies/tests/engine/hard_cases.rs
+++ b/crates/dependencies/tests/engine/hard_cases.rs
@@ -82,7 +82,7 @@
     });
     world.ask(1, "book", 300 * MS);
     let end = world.end_of(1);
-    assert_eq!((end.at, end.outcome), (5 * MS, Outcome::Stopped));
+    assert_eq!((end.at, end.outcome), (5 * MS, Outcome::Aborted));
     assert_eq!(world.engine.under_way(), (0, 0));
 }
 
@@ -94,7 +94,7 @@
         if call.dependency == "a" {
             (200 * MS, Outcome::Ok)
         } else {
-            (MS, Outcome::Cut)
+            (MS, Outcome::ConnectionLost)
         }
     });
     world.ask(1, "book", 300 * MS);
@@ -108,7 +108,7 @@
     let mut world = in_turn(|call| (if call.dependency == "a" { 200 * MS + 1 } else { MS }, Outcome::Ok));
     world.ask(1, "book", 300 * MS);
     let end = world.end_of(1);
-    assert_eq!((end.at, end.outcome), (200 * MS, Outcome::Stopped));
+    assert_eq!((end.at, end.outcome), (200 * MS, Outcome::Aborted));
     world.run_until(400 * MS);
     assert_eq!(world.ended(1).map(|e| e.at), Some(200 * MS));
     assert_eq!(world.engine.under_way(), (0, 0));
@@ -134,12 +134,12 @@
 fn what_may_have_run_is_repeated_only_where_that_is_declared_safe() {
     for (repeatable, outcome, calls) in [
         (false, Outcome::Error, 1),
-        (false, Outcome::Cut, 1),
+        (false, Outcome::ConnectionLost, 1),
         (false, Outcome::Unreachable, 3),
-        (false, Outcome::Refused, 3),
-        (false, Outcome::Moot, 1),
+        (false, Outcome::Rejected, 3),
+        (false, Outcome::NotStarted, 1),
         (true, Outcome::Error, 3),
-        (true, Outcome::Cut, 3),
+        (true, Outcome::ConnectionLost, 3),
     ] {
         let retry = Retry { back_off: 5 * MS, ..Retry::default() };
         let dependency = Dependency { repeatable, retry, ..Dependency::new("a", &["x", "y", "z"]) };
@@ -160,20 +160,20 @@
     // The first stage's call went well, the second's never ran.
     let mut world = in_turn(|call| match call.dependency.as_str() {
         "a" => (MS, Outcome::Ok),
-        _ => (MS, Outcome::Refused),
+        _ => (MS, Outcome::Rejected),
     });
     world.ask(1, "book", 300 * MS);
-    assert_eq!(world.end_of(1).outcome, Outcome::Stopped);
+    assert_eq!(world.end_of(1).outcome, Outcome::Aborted);
     let mut world = in_turn(|_| (MS, Outcome::Unreachable));
     world.ask(1, "book", 300 * MS);
-    assert_eq!(world.end_of(1).outcome, Outcome::Refused);
+    assert_eq!(world.end_of(1).outcome, Outcome::Rejected);
 }
 
 #[test]
 fn a_request_that_comes_again_pays_for_all_its_calls() {
     let retry = Retry { burst: 1.0, share: 0.0, most: 0, ..Retry::default() };
     let dependency = Dependency { retry, ..Dependency::new("a", &["x"]) };
-    let mut world = World::new(two_stages_of_one(dependency, true), |_| (MS, Outcome::Refused));
+    let mut world = World::new(two_stages_of_one(dependency, true), |_| (MS, Outcome::Rejected));
     for (id, calls) in [(1, 1), (2, 1), (3, 1)] {
         world.ask_as(id, "book", 300 * MS, 1, None, id > 1);
         world.end_of(id);
@@ -232,7 +232,7 @@
         world.run_until(world.now + 5 * MS);
     }
     // While it is down nearly all is told in the moment it is asked.
-    let at_once = world.all_ended().filter(|(_, e)| e.outcome == Outcome::Refused).count();
+    let at_once = world.all_ended().filter(|(_, e)| e.outcome == Outcome::Rejected).count();
     assert!(at_once as u64 > id * 9 / 10, "{at_once} of {id}");
     assert!(world.started.len() < 120, "{} calls", world.started.len());
     down.set(false);
@@ -291,7 +291,7 @@
     world.end_of(1);
     let from = world.now;
     (2..40).for_each(|id| world.ask(id, "book", 120 * MS));
-    let told = world.all_ended().filter(|(_, e)| e.at == from && e.outcome == Outcome::Refused).count();
+    let told = world.all_ended().filter(|(_, e)| e.at == from && e.outcome == Outcome::Rejected).count();
     assert!(told > 30, "{told} of 38 were told at once");
     world.run_until(from + 200 * MS);
     assert!(world.all_ended().filter(|(_, e)| e.outcome == Outcome::Ok).count() >= 4);
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -98,10 +98,10 @@
         }
         let outcomes = [
             Outcome::Error,
-            Outcome::Refused,
+            Outcome::Rejected,
             Outcome::Unreachable,
-            Outcome::Cut,
-            Outcome::Moot,
+            Outcome::ConnectionLost,
+            Outcome::NotStarted,
             Outcome::TimedOut,
         ];
         let outcome = match moods[place] {
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde_json::Value;
-use umberloom::interface::{Below, Settings};
+use umberloom::interface::{Downstream, Settings};
 
 use super::keys_known;
 use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object, Read};
@@ -111,7 +111,7 @@
             // The next tier too is reached there, through a balancer of the platform's: guards against refusing to start
             // for a customer who has one.
             (
-                set.below == Below::Nothing || self.records.is_some(),
+                set.downstream == Downstream::None || self.records.is_some(),
                 "calls are made, but `records` is absent",
             ),
             (self.classes.iter().all(named), "a class has no name, or one that is no part of a path"),
@@ -130,7 +130,7 @@
     /// compared, as it says nothing of a process that has started.
     pub fn can_become(&self, new: &Config) -> Read<()> {
         let mut settings = new.settings.clone();
-        (settings.seed, settings.cold) = (self.settings.seed, self.settings.cold);
+        (settings.seed, settings.starts_cold) = (self.settings.seed, self.settings.starts_cold);
         let same = [
             (self.name == new.name, "name"),
             (self.listen == new.listen, "listen"),
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -53,7 +53,7 @@
 
 /// What the server says that it is made of. Files of two servers differ in names and addresses, which are left out.
 pub fn about(config: &Config, operator: &Operator) -> About {
-    let settings = Settings { seed: 0, cold: false, ..config.settings.clone() };
+    let settings = Settings { seed: 0, starts_cold: false, ..config.settings.clone() };
     let wanted = (&operator.dependencies, &operator.services);
     let shares = operator.fleet.as_ref().map_or_else(String::new, Told::basis);
     About {
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -241,7 +241,7 @@
             log: log.clone(),
         };
         let from = (listener, Places::new(parts.connections, &[1]));
-        let idle = config.settings.idle_max;
+        let idle = config.settings.idle_timeout_max;
         let connections =
             executor.spawn(Front::new(executor.clone(), from, shared, front_orders, idle).run());
         let told = (config.settings.clone(), config.shape, config.gauges.clone());
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -69,7 +69,7 @@
     let config = &told.0;
     let level = if verbose { Level::Debug } else { Level::Info };
     let (log, _guard) = lifecycle::log::start(&config.name, level, form);
-    info!(log, "start"; "cold" => config.settings.cold, "version" => env!("CARGO_PKG_VERSION"), "listen" => %config.listen);
+    info!(log, "start"; "cold" => config.settings.starts_cold, "version" => env!("CARGO_PKG_VERSION"), "listen" => %config.listen);
     config.warnings.iter().for_each(|said| warn!(log, "configuration"; "said" => said));
     if let Some(operator) = &told.1 {
         let (dependencies, plans) = (operator.services.len(), operator.dependencies.plans.len());
--- a/crates/server/src/module.rs
+++ b/crates/server/src/module.rs
@@ -9,9 +9,9 @@
 use slog::{debug, error, warn, Logger};
 use std::time::{Duration, Instant};
 use umberloom::interface::{
-    Action, Arrival, Effect, Event, Gauges, Halt, Micros, Outcome, RequestId, Settings,
+    Action, Arrival, Event, Gauges, Idempotency, Micros, Outcome, Preemption, RequestId, Settings,
 };
-use umberloom::Server;
+use umberloom::AdmissionController;
 use umberloom_settings::shape::Shape;
 use umberloom_settings::GaugeNames;
 
@@ -58,7 +58,7 @@
     settings: Settings,
     shape: Shape,
     /// There from the greeting on: a server begins to warm up when its agent starts.
-    server: Option<Server>,
+    server: Option<AdmissionController>,
     gauges: GaugeNames,
     mail: Receiver<Message>,
     others: Others,
@@ -88,7 +88,7 @@
 
 /// The notice to leave as it is at `now`.
 fn leave(noticed_at: Micros, now: Micros, stop_at: Micros) -> Event {
-    Event::Leave { left: stop_at.saturating_sub(now), ago: now.saturating_sub(noticed_at) }
+    Event::Drain { time_left: stop_at.saturating_sub(now), notified_ago: now.saturating_sub(noticed_at) }
 }
 
 impl Module {
@@ -219,7 +219,7 @@
         // The process may have stood still since the notice was taken in: the stop has come nearer by that.
         if let Some(stop_at) = self.stop_at {
             let told = leave(self.noticed_at, now, stop_at);
-            events.iter_mut().filter(|e| matches!(e, Event::Leave { .. })).for_each(|e| *e = told.clone());
+            events.iter_mut().filter(|e| matches!(e, Event::Drain { .. })).for_each(|e| *e = told.clone());
         }
         server.step(now, events, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(now, action));
@@ -234,7 +234,7 @@
         for id in self.open.overdue(now.saturating_sub(slack)) {
             error!(self.log, "not answered by the module"; "request" => &*id);
             self.finish(&id, Answer::Failed);
-            self.later.push_back(Event::Gone(id));
+            self.later.push_back(Event::Cancelled(id));
         }
     }
 
@@ -292,7 +292,7 @@
         // Tries of a keyed request are linked by the caller's idempotency key alone; one without it could
         // run twice, so it is refused as malformed before anything is done. Keys of two tenants that happen to be
         // alike are two keys: none may get the other's answer.
-        let keyed = self.settings.classes.get(class).filter(|c| c.effect == Effect::Keyed);
+        let keyed = self.settings.classes.get(class).filter(|c| c.idempotency == Idempotency::WithKey);
         if keyed.is_some() {
             let Some(key) = work.idempotency_key.take() else { return reply_to.answer(Answer::Senseless) };
             work.key = Some(if self.settings.tenants.is_empty() { key } else { format!("{tenant}/{key}") });
@@ -318,7 +318,8 @@
         let repeats = kept.map(|(id, ..)| id);
         // Two tries may be read before the module's word on the first: from its arrival on it holds the key. Without room for
         // it nothing would keep a repeat from running: it is turned away.
-        let binds = keyed.filter(|_| repeats.is_none()).map(|class| now + class.window).zip(subject);
+        let binds =
+            keyed.filter(|_| repeats.is_none()).map(|class| now + class.idempotency_window).zip(subject);
         if binds.is_some() && !self.keys.make_room(now, |id| self.open.has(id)) {
             return reply_to.answer(Answer::Refused { stay_away: 0, terminal: false });
         }
@@ -328,13 +329,13 @@
             tenant,
             caller: work.sender,
             // Time in socket buffers counts: the caller's wait began when the request reached the machine.
-            waits,
-            queued,
-            held_kb: work.held_kb,
+            caller_timeout: waits,
+            read_delay: queued,
+            queued_kb: work.held_kb,
             rank: work.rank,
             cost: work.cost,
-            repeats,
-            retry: self.shape.marks_retry && work.again,
+            duplicate_of: repeats,
+            is_retry: self.shape.marks_retry && work.again,
         };
         let open = Open {
             id,
@@ -349,7 +350,7 @@
             call: None,
             planned: false,
             delivered: None,
-            repeats: arrival.repeats.clone(),
+            repeats: arrival.duplicate_of.clone(),
             joined: false,
             _charge: charge,
         };
@@ -373,7 +374,7 @@
         let Some(id) = self.open.get(id).filter(meant).map(|open| open.id.clone()) else { return };
         self.answer(&id, Answer::Aborted);
         self.stop_call(&id);
-        self.events.push(Event::Gone(id.clone()));
+        self.events.push(Event::Cancelled(id.clone()));
         self.sweep(&id);
     }
 
@@ -383,7 +384,7 @@
             return;
         }
         // The settings were checked when they were read.
-        self.server = Server::new(now.saturating_sub(since), self.settings.clone()).ok();
+        self.server = AdmissionController::new(now.saturating_sub(since), self.settings.clone()).ok();
         // A fresh server may have something to do before anything happens.
         self.events = vec![Event::Timer(Gauges::default())];
         // A notice to drain that came before the agent was up counts from when it came, and nobody is asked to come to a
@@ -442,22 +443,22 @@
                 Outcome::Ok
             }
             RunEnd::Fault => Outcome::Error,
-            RunEnd::BrokenOff => Outcome::Stopped,
-            RunEnd::Late => Outcome::Moot,
+            RunEnd::BrokenOff => Outcome::Aborted,
+            RunEnd::Late => Outcome::NotStarted,
         };
         self.stop_call(&id);
         if let Some(open) = self.open.get(&id) {
             open.halting = false;
             // A stop that we asked for leaves the request in our hands, unless it is answered.
-            let halted = outcome == Outcome::Stopped && asked && open.reply_to.is_some();
-            let paused = halted && self.settings.halt == Halt::Pause;
+            let halted = outcome == Outcome::Aborted && asked && open.reply_to.is_some();
+            let paused = halted && self.settings.preemption == Preemption::Pause;
             open.run = if paused { Run::Paused } else { Run::None };
             if !halted {
                 // A run that was ended by others, or failed, still owes its answer.
                 self.answer(&id, Answer::Failed);
             }
         }
-        self.events.push(Event::Ended(id.clone(), outcome, took));
+        self.events.push(Event::RunEnded(id.clone(), outcome, took));
         self.sweep(&id);
     }
 
@@ -478,7 +479,7 @@
             None => (Answer::Failed, Outcome::Error),
         };
         self.answer(id, answer);
-        self.later.push_back(Event::Ended(id.clone(), outcome, 0));
+        self.later.push_back(Event::RunEnded(id.clone(), outcome, 0));
         self.sweep(id);
     }
 
@@ -496,7 +497,7 @@
             if let Some(open) = self.open.get(id) {
                 open.ran = false;
             }
-            self.end_unheard(id, Outcome::Moot);
+            self.end_unheard(id, Outcome::NotStarted);
         }
     }
 
@@ -507,7 +508,7 @@
         open.run = Run::None;
         self.stop_call(&id);
         self.answer(&id, Answer::Failed);
-        self.events.push(Event::Ended(id.clone(), outcome, 0));
+        self.events.push(Event::RunEnded(id.clone(), outcome, 0));
         self.sweep(&id);
     }
 
@@ -520,7 +521,7 @@
             open.delivered = Some(self.clock.now());
             self.order(Order::Deliver(id.clone(), body));
         }
-        self.events.push(Event::Called(id, outcome, took));
+        self.events.push(Event::CallEnded(id, outcome, took));
     }
 
     /// Each plan that is over is the end of the one call that the decision module knows.
@@ -606,8 +607,8 @@
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Admit(id) => self.admit(&id),
-            Action::Halt(id) => self.halt(&id),
-            Action::Refuse { id, stay_away, terminal } => {
+            Action::Preempt(id) => self.halt(&id),
+            Action::Reject { id, retry_after: stay_away, terminal } => {
                 let begun = self.open.get(&id).is_some_and(|open| open.ran);
                 // What has run may have had its effect: its failure is never a refusal.
                 let refused = Answer::Refused { stay_away, terminal };
@@ -616,19 +617,19 @@
             Action::Fail(id) => self.finish(&id, Answer::Failed),
             Action::Call(id, until) => self.call(now, &id, until),
             Action::SkipCall(id) => self.skip_call(&id),
-            Action::Keep(id, span) => self.keep(now, &id, now + span),
-            Action::Forget(id) => self.forget(&id),
-            Action::Join(id) => self.join(&id),
-            Action::Ready(word) => {
+            Action::RetainKey(id, span) => self.keep(now, &id, now + span),
+            Action::ReleaseKey(id) => self.forget(&id),
+            Action::AwaitDuplicate(id) => self.join(&id),
+            Action::SetReady(word) => {
                 self.ready = Some(word);
                 self.tell_list(word);
             }
-            Action::Signal(value) => self.others.hint.set(Some(value)),
+            Action::SetLoadHint(value) => self.others.hint.set(Some(value)),
             Action::CloseIdle(span) => {
                 self.idle = Some(span);
                 self.tell_front();
             }
-            Action::Wake(span) => self.wake_at = Some(now + span),
+            Action::WakeAfter(span) => self.wake_at = Some(now + span),
             Action::Log(text) => debug!(self.log, "module"; "says" => text),
         }
     }
@@ -636,7 +637,7 @@
     fn admit(&mut self, id: &RequestId) {
         let Some(open) = self.open.get(id) else { return };
         if open.reply_to.is_none() && open.run != Run::Going {
-            self.later.push_back(Event::Ended(id.clone(), Outcome::Moot, 0));
+            self.later.push_back(Event::RunEnded(id.clone(), Outcome::NotStarted, 0));
             return;
         }
         let order = match open.run {
@@ -657,7 +658,7 @@
         (open.run, open.ran) = before;
         if open.run == Run::None {
             self.answer(id, Answer::Failed);
-            self.later.push_back(Event::Ended(id.clone(), Outcome::Moot, 0));
+            self.later.push_back(Event::RunEnded(id.clone(), Outcome::NotStarted, 0));
             self.sweep(id);
         }
     }
@@ -688,7 +689,7 @@
         let order = calls::Order::Call(calls::Call { id: id.clone(), address: None, body, until });
         if self.others.records.try_send(order).is_err() {
             call.under_way = false;
-            self.later.push_back(Event::Called(id.request, Outcome::Unreachable, 0));
+            self.later.push_back(Event::CallEnded(id.request, Outcome::Unreachable, 0));
         }
     }
 
@@ -707,7 +708,8 @@
             return;
         };
         let body = self.keys.digest(body);
-        let binding = self.settings.classes.get(subject.0).is_some_and(|c| c.effect == Effect::Keyed);
+        let binding =
+            self.settings.classes.get(subject.0).is_some_and(|c| c.idempotency == Idempotency::WithKey);
         if self.keys.make_room(now, |id| self.open.has(id)) {
             self.keys.keep(subject, (id.clone(), body), until, binding);
         }
--- a/crates/server/src/module/tests.rs
+++ b/crates/server/src/module/tests.rs
@@ -19,13 +19,13 @@
 
 const NOW: Micros = 1_764_576_000_000_000;
 
-fn settings(halt: Halt) -> Settings {
+fn settings(halt: Preemption) -> Settings {
     let text = include_str!("../../../../deploy/example.json");
     let config = crate::lifecycle::config::Config::parse(text.as_bytes()).expect("a sound example");
-    Settings { halt, ..config.settings }
+    Settings { preemption: halt, ..config.settings }
 }
 
-fn bench(halt: Halt) -> Bench {
+fn bench(halt: Preemption) -> Bench {
     bench_with(settings(halt))
 }
 
@@ -145,16 +145,16 @@
 
 #[test]
 fn an_arrival_counts_the_time_it_spent_unread() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", None);
     let [Event::Arrived(arrival)] = bench.module.events.as_slice() else { panic!("one event") };
-    assert!(arrival.queued >= 1_000_000 && arrival.caller == 4);
-    assert_eq!(arrival.waits.map(|waits| waits + arrival.queued), Some(500_000_000));
+    assert!(arrival.read_delay >= 1_000_000 && arrival.caller == 4);
+    assert_eq!(arrival.caller_timeout.map(|waits| waits + arrival.read_delay), Some(500_000_000));
 }
 
 #[test]
 fn a_run_that_went_well_is_answered_and_told() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
     assert_eq!(bench.answers(), [(1, Answer::Served(b"r".to_vec()))]);
@@ -164,13 +164,13 @@
 
 #[test]
 fn what_has_run_is_failed_where_it_would_be_refused() {
-    let mut bench = bench(Halt::Drop);
+    let mut bench = bench(Preemption::Abort);
     bench.request("held", None);
-    bench.act(Action::Refuse { id: "held".into(), stay_away: 5, terminal: true });
+    bench.act(Action::Reject { id: "held".into(), retry_after: 5, terminal: true });
     bench.launched("ran");
-    bench.act(Action::Halt("ran".into()));
+    bench.act(Action::Preempt("ran".into()));
     bench.hear(outcome("ran", RunEnd::BrokenOff));
-    bench.act(Action::Refuse { id: "ran".into(), stay_away: 0, terminal: false });
+    bench.act(Action::Reject { id: "ran".into(), retry_after: 0, terminal: false });
     let refused = Answer::Refused { stay_away: 5, terminal: true };
     assert_eq!(bench.answers(), [(1, refused), (2, Answer::Failed)]);
     assert_eq!(bench.module.open.len(), 0);
@@ -179,12 +179,12 @@
 #[test]
 fn a_paused_run_goes_on_and_a_dropped_one_begins_again() {
     for (halt, again) in [
-        (Halt::Pause, Order::Thaw("a".into())),
-        (Halt::Drop, Order::Launch("a".into(), "desk-search".into(), b"body".to_vec())),
+        (Preemption::Pause, Order::Thaw("a".into())),
+        (Preemption::Abort, Order::Launch("a".into(), "desk-search".into(), b"body".to_vec())),
     ] {
         let mut bench = bench(halt);
         bench.launched("a");
-        bench.act(Action::Halt("a".into()));
+        bench.act(Action::Preempt("a".into()));
         assert_eq!(bench.orders(), [Order::Freeze("a".into())]);
         // While the stop is not confirmed it still runs.
         bench.act(Action::Admit("a".into()));
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_run_that_others_stopped_is_failed() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     bench.hear(outcome("a", RunEnd::BrokenOff));
     assert_eq!(bench.answers(), [(1, Answer::Failed)]);
@@ -208,10 +208,10 @@
 
 #[test]
 fn work_goes_on_after_a_final_answer_until_its_outcome() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     bench.act(Action::Fail("a".into()));
-    bench.act(Action::Halt("a".into()));
+    bench.act(Action::Preempt("a".into()));
     assert_eq!((bench.orders(), bench.module.open.len()), (vec![Order::Freeze("a".into())], 1));
     bench.hear(outcome("a", RunEnd::Fine(b"late".to_vec())));
     assert_eq!(bench.answers(), [(1, Answer::Failed)]);
@@ -220,7 +220,7 @@
 
 #[test]
 fn what_the_module_lost_sight_of_is_answered_when_overdue() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", None);
     let due = bench.module.open.get("a").expect("open").due;
     bench.module.answer_overdue(due);
@@ -232,7 +232,7 @@
 
 #[test]
 fn calls_are_made_delivered_given_up_and_left_out() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     let word = |order: calls::Order| match order {
         calls::Order::Call(call) => {
@@ -245,7 +245,7 @@
     bench.hear(Message::NeedsCall("a".into(), 7, b"c".to_vec()));
     bench.act(Action::Call("a".into(), 50));
     assert_eq!(calls(&bench), [r#"Call("a", [99], 50)"#]);
-    bench.hear(Message::Called(CallId::plain("a".into()), Outcome::Cut, 3, vec![]));
+    bench.hear(Message::Called(CallId::plain("a".into()), Outcome::ConnectionLost, 3, vec![]));
     bench.act(Action::Call("a".into(), 60));
     bench.hear(Message::Called(CallId::plain("a".into()), Outcome::Ok, 3, b"reply".to_vec()));
     assert_eq!(bench.orders(), [Order::Deliver("a".into(), b"reply".to_vec())]);
@@ -268,19 +268,19 @@
 
 #[test]
 fn repeats_are_answered_from_kept_results() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", Some("k"));
-    bench.act(Action::Keep("a".into(), 1_000_000));
+    bench.act(Action::RetainKey("a".into(), 1_000_000));
     bench.act(Action::Admit("a".into()));
     bench.request("b", Some("k"));
     let Some(Event::Arrived(arrival)) = bench.module.events.last() else { panic!("an arrival") };
-    assert_eq!(arrival.repeats.as_deref(), Some("a"));
-    bench.act(Action::Join("b".into()));
+    assert_eq!(arrival.duplicate_of.as_deref(), Some("a"));
+    bench.act(Action::AwaitDuplicate("b".into()));
     assert_eq!(bench.answers(), []);
     bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
     // And one that comes after it has ended.
     bench.request("c", Some("k"));
-    bench.act(Action::Join("c".into()));
+    bench.act(Action::AwaitDuplicate("c".into()));
     let served = |serial| (serial, Answer::Served(b"r".to_vec()));
     assert_eq!(bench.answers(), [served(2), served(1), served(3)]);
     assert!(bench.events().contains(&r#"Ended("c", Ok, 0)"#.to_owned()));
@@ -289,35 +289,35 @@
 
 #[test]
 fn repeats_of_what_never_ran_or_was_forgotten_fail_or_start_anew() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", Some("k"));
-    bench.act(Action::Keep("a".into(), 1_000_000));
+    bench.act(Action::RetainKey("a".into(), 1_000_000));
     bench.request("b", Some("k"));
-    bench.act(Action::Join("b".into()));
-    bench.act(Action::Refuse { id: "a".into(), stay_away: 0, terminal: false });
+    bench.act(Action::AwaitDuplicate("b".into()));
+    bench.act(Action::Reject { id: "a".into(), retry_after: 0, terminal: false });
     assert_eq!(bench.answers().last(), Some(&(2, Answer::Failed)));
     assert!(bench.events().contains(&r#"Ended("b", Error, 0)"#.to_owned()));
     bench.request("c", Some("k2"));
-    bench.act(Action::Keep("c".into(), 1_000_000));
-    bench.act(Action::Forget("c".into()));
+    bench.act(Action::RetainKey("c".into(), 1_000_000));
+    bench.act(Action::ReleaseKey("c".into()));
     bench.request("d", Some("k2"));
     let Some(Event::Arrived(arrival)) = bench.module.events.last() else { panic!("an arrival") };
-    assert_eq!(arrival.repeats, None);
+    assert_eq!(arrival.duplicate_of, None);
 }
 
 #[test]
 fn of_requests_that_have_ended_nothing_is_left() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", Some("k"));
     bench.act(Action::Admit("a".into()));
-    bench.act(Action::Keep("a".into(), 1_000_000));
+    bench.act(Action::RetainKey("a".into(), 1_000_000));
     for id in ["b", "c", "d"] {
         bench.request(id, Some("k"));
-        bench.act(Action::Join(id.into()));
+        bench.act(Action::AwaitDuplicate(id.into()));
     }
     // One gives up waiting, one is refused; the last gets the other's result.
     bench.hear(Message::Gone("b".into(), 2));
-    bench.act(Action::Refuse { id: "c".into(), stay_away: 0, terminal: false });
+    bench.act(Action::Reject { id: "c".into(), retry_after: 0, terminal: false });
     assert!(!bench.module.open.is_clear());
     bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
     let served = |serial| (serial, Answer::Served(b"r".to_vec()));
@@ -329,11 +329,11 @@
 
 #[test]
 fn words_for_the_list_never_displace_its_new_address() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     let address = list::Word::Address(([127, 0, 0, 1], 9).into());
     bench.module.others.list.try_send(address).expect("room");
     for word in [true, false, true, false, true, false] {
-        bench.act(Action::Ready(word));
+        bench.act(Action::SetReady(word));
     }
     let words = all(&bench.list);
     assert!(words.contains(&address) && words.contains(&list::Word::Accepting(false)), "{words:?}");
@@ -341,10 +341,10 @@
 
 #[test]
 fn outward_words_reach_the_list_the_front_and_checks() {
-    let mut bench = bench(Halt::Pause);
-    bench.act(Action::Ready(false));
-    bench.act(Action::Ready(true));
-    bench.act(Action::Ready(false));
+    let mut bench = bench(Preemption::Pause);
+    bench.act(Action::SetReady(false));
+    bench.act(Action::SetReady(true));
+    bench.act(Action::SetReady(false));
     // In order: the list heeds the newest.
     assert_eq!(bench.list(), [false, true, false]);
     bench.act(Action::CloseIdle(70));
@@ -356,8 +356,8 @@
 
 #[test]
 fn a_timer_asks_for_gauges_and_comes_without_them_in_the_end() {
-    let mut bench = bench(Halt::Pause);
-    bench.act(Action::Wake(20_000));
+    let mut bench = bench(Preemption::Pause);
+    bench.act(Action::WakeAfter(20_000));
     bench.module.pass_time(NOW + 19_999);
     assert_eq!(bench.orders(), []);
     // However late it is looked at, it comes once.
@@ -368,7 +368,7 @@
     bench.hear(Message::Sampled(tag, vec![]));
     bench.module.pass_time(NOW + 990_000);
     assert_eq!(bench.events().len(), 1);
-    bench.act(Action::Wake(20_000));
+    bench.act(Action::WakeAfter(20_000));
     bench.module.pass_time(NOW + 20_000);
     bench.module.pass_time(NOW + 20_000 + GAUGE_WAIT);
     assert_eq!(bench.events().len(), 1);
@@ -376,7 +376,7 @@
 
 #[test]
 fn deep_checks_end_with_their_work_their_time_or_their_link() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     let check = |bench: &mut Bench, serial| {
         let reply_to = ReplyTo::new(bench.me.clone(), 1, serial);
         bench.hear(Message::Check(Check { full: true, reply_to }));
@@ -395,7 +395,7 @@
 
 #[test]
 fn a_refused_launch_ends_its_request_as_not_begun_and_no_other_refusal_does() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     for command in ["freeze", "thaw", "deliver", "forgo"] {
         bench.hear(Message::AgentRefused(command.into(), "a".into()));
@@ -408,7 +408,7 @@
 
 #[test]
 fn only_the_one_who_waits_can_give_a_request_up() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     bench.hear(Message::Gone("a".into(), 99));
     assert_eq!((bench.answers(), bench.events().len()), (vec![], 0));
@@ -419,7 +419,7 @@
 
 #[test]
 fn a_notice_that_comes_before_the_agent_is_not_forgotten() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.module.server = None;
     bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     bench.module.greet(NOW + 400_000, 0);
@@ -430,22 +430,22 @@
 /// one that comes without it is refused as malformed before the module hears of it.
 #[test]
 fn tries_of_a_keyed_class_are_linked_by_their_idempotency_key() {
-    let mut set = settings(Halt::Never);
-    (set.classes[0].effect, set.classes[0].window) = (Effect::Keyed, 12_309_000);
+    let mut set = settings(Preemption::Never);
+    (set.classes[0].idempotency, set.classes[0].idempotency_window) = (Idempotency::WithKey, 12_309_000);
     let mut bench = bench_with(set);
     bench.request_with("bare", Some("resource"), None);
     assert_eq!(bench.answers(), [(1, Answer::Senseless)]);
     assert!(bench.module.events.is_empty(), "the module never hears of it");
     bench.request_with("a", None, Some("tally-1"));
-    bench.act(Action::Keep("a".into(), 12_309_000));
+    bench.act(Action::RetainKey("a".into(), 12_309_000));
     bench.act(Action::Admit("a".into()));
     // The same key under another resource key is the same request; another key is not.
     bench.request_with("b", Some("resource"), Some("tally-1"));
     let Some(Event::Arrived(arrival)) = bench.module.events.last() else { panic!("an arrival") };
-    assert_eq!(arrival.repeats.as_deref(), Some("a"));
+    assert_eq!(arrival.duplicate_of.as_deref(), Some("a"));
     bench.request_with("c", None, Some("tally-2"));
     let Some(Event::Arrived(arrival)) = bench.module.events.last() else { panic!("an arrival") };
-    assert_eq!(arrival.repeats, None);
+    assert_eq!(arrival.duplicate_of, None);
 }
 
 /// The new shape: a try is marked by its attempt and states no wait; what it states all the same is no part of
@@ -453,7 +453,7 @@
 #[test]
 fn what_a_request_says_of_itself_counts_as_the_shape_has_it() {
     let arrival = |shape: Shape, again: bool| {
-        let mut bench = bench(Halt::Never);
+        let mut bench = bench(Preemption::Never);
         bench.module.shape = shape;
         let work = Work { again, ..bench.work("a", None, None) };
         let (reply_to, charge) =
@@ -462,7 +462,7 @@
             Request { id: "a".into(), class: 0, tenant: 0, work, body: Vec::new(), reply_to, charge };
         bench.module.arrived(NOW, request);
         match bench.module.events.pop() {
-            Some(Event::Arrived(arrival)) => (arrival.waits.is_some(), arrival.retry),
+            Some(Event::Arrived(arrival)) => (arrival.caller_timeout.is_some(), arrival.is_retry),
             other => panic!("{other:?}"),
         }
     };
@@ -476,8 +476,8 @@
 
 /// A keyed class with a window of 3 s.
 fn keyed() -> Bench {
-    let mut set = settings(Halt::Never);
-    (set.classes[0].effect, set.classes[0].window) = (Effect::Keyed, 3_000_000);
+    let mut set = settings(Preemption::Never);
+    (set.classes[0].idempotency, set.classes[0].idempotency_window) = (Idempotency::WithKey, 3_000_000);
     bench_with(set)
 }
 
@@ -491,7 +491,7 @@
         let request = Request { id: id.into(), class: 0, tenant, work, body: Vec::new(), reply_to, charge };
         self.module.take(now, Message::Request(Box::new(request)));
         match self.module.events.last() {
-            Some(Event::Arrived(arrival)) if &*arrival.id == id => arrival.repeats.clone(),
+            Some(Event::Arrived(arrival)) if &*arrival.id == id => arrival.duplicate_of.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -505,7 +505,7 @@
     assert_eq!(bench.keyed_try(NOW, "a", (0, "k")), None);
     assert_eq!(bench.keyed_try(NOW, "b", (0, "k")).as_deref(), Some("a"));
     // The first is turned away and never ran: the key is free.
-    bench.act(Action::Refuse { id: "a".into(), stay_away: 0, terminal: false });
+    bench.act(Action::Reject { id: "a".into(), retry_after: 0, terminal: false });
     assert_eq!(bench.keyed_try(NOW + 1, "c", (0, "k")), None);
 }
 
@@ -514,7 +514,7 @@
 fn a_try_is_known_while_it_is_open_though_its_window_is_over() {
     let mut bench = keyed();
     bench.keyed_try(NOW, "a", (0, "k"));
-    bench.act(Action::Keep("a".into(), 3_000_000));
+    bench.act(Action::RetainKey("a".into(), 3_000_000));
     bench.act(Action::Admit("a".into()));
     assert_eq!(bench.keyed_try(NOW + 3_500_000, "b", (0, "k")).as_deref(), Some("a"));
     bench.module.wake_at = Some(NOW + 9_000_000);
@@ -542,7 +542,7 @@
             Request { id: id.into(), class: 0, tenant: 0, work, body: Vec::new(), reply_to, charge };
         bench.module.take(NOW + 3_200_000, Message::Request(Box::new(request)));
         match bench.module.events.last() {
-            Some(Event::Arrived(arrival)) => arrival.repeats.clone(),
+            Some(Event::Arrived(arrival)) => arrival.duplicate_of.clone(),
             other => panic!("{other:?}"),
         }
     };
@@ -553,8 +553,8 @@
 /// Guards against one tenant's answer given to another: keys that happen to be alike are two keys.
 #[test]
 fn keys_of_two_tenants_are_two_keys() {
-    let mut set = settings(Halt::Never);
-    (set.classes[0].effect, set.classes[0].window) = (Effect::Keyed, 3_000_000);
+    let mut set = settings(Preemption::Never);
+    (set.classes[0].idempotency, set.classes[0].idempotency_window) = (Idempotency::WithKey, 3_000_000);
     set.tenants = vec![umberloom::interface::Tenant { quota_per_s: 5.0 }; 2];
     let mut bench = bench_with(set);
     bench.keyed_try(NOW, "a", (0, "k"));
@@ -564,10 +564,10 @@
 
 #[test]
 fn the_free_value_is_there_for_all_connections() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     let hint = bench.module.others.hint.clone();
     assert_eq!(hint.get(), None);
-    bench.act(Action::Signal(0.25));
+    bench.act(Action::SetLoadHint(0.25));
     assert_eq!(hint.get(), Some(0.25));
 }
 
@@ -629,7 +629,7 @@
 /// Guards against callers that are asked to come to a server that is about to leave: the agent came up after the notice.
 #[test]
 fn a_leaving_server_whose_agent_comes_up_is_never_listed_as_taking_work() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     (bench.module.server, bench.module.ready) = (None, None);
     bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     bench.module.greet(NOW + 400_000, 0);
@@ -640,7 +640,7 @@
 /// which the module took it in.
 #[test]
 fn a_notice_taken_in_late_moves_neither_the_stop_nor_the_grace() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.hear(Message::Leave { noticed_at: NOW - 700_000, stop_at: NOW + 300_000 });
     assert_eq!(bench.events(), ["Leave { left: 300000, ago: 700000 }"]);
 }
@@ -649,7 +649,7 @@
 /// step that tells the decisions of it. What is open then is answered at once, and nothing starts.
 #[test]
 fn a_notice_is_told_as_it_is_at_the_step() {
-    let mut bench = bench(Halt::Pause);
+    let mut bench = bench(Preemption::Pause);
     bench.request("a", None);
     // Both were taken in at `NOW`; by the clock, at which the step is, the stop is long past.
     bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
--- a/crates/server/src/peers/dependency.rs
+++ b/crates/server/src/peers/dependency.rs
@@ -206,7 +206,7 @@
         let address = call.address.or(self.target.platform);
         let (Some(address), Some(taken)) = (address, self.sockets.take()) else {
             debug!(self.log, "too many calls at once"; "request" => &*call.id.request);
-            let refused = Message::Called(call.id, Outcome::Refused, 0, Vec::new());
+            let refused = Message::Called(call.id, Outcome::Rejected, 0, Vec::new());
             return self.module.send(refused).await.is_ok();
         };
         let id = call.id.clone();
@@ -283,7 +283,7 @@
     match stream::within(left, made).await {
         // Given up: dropping the stream closes the connection.
         None => (Outcome::TimedOut, Vec::new()),
-        Some(Err(_)) => (Outcome::Cut, Vec::new()),
+        Some(Err(_)) => (Outcome::ConnectionLost, Vec::new()),
         Some(Ok(reply)) => {
             if reply.keep {
                 pool.borrow_mut().put(address, stream);
@@ -327,8 +327,8 @@
     let not_begun = reply.header("op-not-begun") == Some("1");
     match reply.status {
         200 => Outcome::Ok,
-        503 if not_begun => Outcome::Refused,
-        409 if not_begun => Outcome::Moot,
+        503 if not_begun => Outcome::Rejected,
+        409 if not_begun => Outcome::NotStarted,
         504 => Outcome::TimedOut,
         _ => Outcome::Error,
     }
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -71,9 +71,9 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         assert!(heard(&mut stream).await);
         orders.send(call("b", far())).await.expect("taken");
-        assert_eq!(called(&mail).await, ("b".to_owned(), Outcome::Refused));
+        assert_eq!(called(&mail).await, ("b".to_owned(), Outcome::Rejected));
         drop(stream);
-        assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::Cut));
+        assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::ConnectionLost));
     });
 }
 
@@ -120,7 +120,7 @@
             assert!(heard(&mut stream).await);
             stream::write_all(&stream, text.as_bytes()).await.expect("written");
             stream.get_ref().shutdown(std::net::Shutdown::Write).expect("shut");
-            assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::Cut), "{text}");
+            assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::ConnectionLost), "{text}");
         }
     });
 }
@@ -147,8 +147,8 @@
         outcome(&http::reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
     };
     assert_eq!(read("200 OK"), Outcome::Ok);
-    assert_eq!(read("503 No\r\nOp-Not-Begun: 1"), Outcome::Refused);
-    assert_eq!(read("409 No\r\nOp-Not-Begun: 1"), Outcome::Moot);
+    assert_eq!(read("503 No\r\nOp-Not-Begun: 1"), Outcome::Rejected);
+    assert_eq!(read("409 No\r\nOp-Not-Begun: 1"), Outcome::NotStarted);
     assert_eq!(read("504 Late"), Outcome::TimedOut);
     for text in ["500 Error", "503 No", "409 No", "404 What", "503 No\r\nOp-Not-Begun: 0"] {
         assert!(!read(text).never_ran(), "{text}");
--- a/crates/server/src/plans.rs
+++ b/crates/server/src/plans.rs
@@ -209,7 +209,7 @@
                     if !started {
                         self.shares.end(attempt, true);
                         let mut more = Vec::new();
-                        self.engine.ended(now, attempt, Outcome::Refused, Vec::new(), &mut more);
+                        self.engine.ended(now, attempt, Outcome::Rejected, Vec::new(), &mut more);
                         actions.extend(more);
                     }
                 }
--- a/crates/sim-adapter/src/decode.rs
+++ b/crates/sim-adapter/src/decode.rs
@@ -50,12 +50,12 @@
     match whole(o, "disposition")? {
         0 => Ok(Outcome::Ok),
         5 => Ok(Outcome::Error),
-        11 => Ok(Outcome::Refused),
+        11 => Ok(Outcome::Rejected),
         110 => Ok(Outcome::TimedOut),
         111 => Ok(Outcome::Unreachable),
-        104 => Ok(Outcome::Cut),
-        125 => Ok(Outcome::Stopped),
-        114 => Ok(Outcome::Moot),
+        104 => Ok(Outcome::ConnectionLost),
+        125 => Ok(Outcome::Aborted),
+        114 => Ok(Outcome::NotStarted),
         _ => wrong("disposition", "one of 0, 5, 11, 104, 110, 111, 114, 125"),
     }
 }
@@ -84,11 +84,11 @@
         }
         "crash_now" => return Ok(News::Stop),
         "ingress" => Event::Arrived(arrival(o)?),
-        "completed" => Event::Ended(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
+        "completed" => Event::RunEnded(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
         "stalled_on_call" => Event::NeedsCall(id(o)?),
-        "call_result" => Event::Called(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
-        "left" => Event::Gone(id(o)?),
-        "notice" => Event::Leave { left: whole(o, "grace_us")?, ago: 0 },
+        "call_result" => Event::CallEnded(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
+        "left" => Event::Cancelled(id(o)?),
+        "notice" => Event::Drain { time_left: whole(o, "grace_us")?, notified_ago: 0 },
         "bell" => Event::Timer(gauges(o, layouts.0.get(&who))?),
         _ => return wrong("op", "an event of the wire"),
     };
@@ -101,13 +101,13 @@
         class: whole(o, "tier_class")? as usize,
         tenant: whole_or(o, "billing", 0)? as usize,
         caller: whole_or(o, "author", 0)?,
-        waits: Some(whole_or(o, "grace_us", 0)?).filter(|&w| w > 0),
-        queued: whole_or(o, "queued_for_us", 0)?,
-        held_kb: number_or(o, "footprint", 0.0)?,
+        caller_timeout: Some(whole_or(o, "grace_us", 0)?).filter(|&w| w > 0),
+        read_delay: whole_or(o, "queued_for_us", 0)?,
+        queued_kb: number_or(o, "footprint", 0.0)?,
         rank: number_or(o, "precedence", 0.0)?,
         cost: optional(o, "cost_us", "a whole number of 0 or more", Value::as_u64)?.filter(|&c| c > 0),
-        repeats: repeats(o)?,
-        retry: flag(o, "retry")?,
+        duplicate_of: repeats(o)?,
+        is_retry: flag(o, "retry")?,
     })
 }
 
--- a/crates/sim-adapter/src/encode.rs
+++ b/crates/sim-adapter/src/encode.rs
@@ -30,20 +30,20 @@
     fn of(who: u64, action: &'a Action) -> Line<'a> {
         match action {
             Action::Admit(txn) => Line::Admit { who, txn },
-            Action::Halt(txn) => Line::Interrupt { who, txn },
-            Action::Refuse { id, stay_away, terminal } => {
+            Action::Preempt(txn) => Line::Interrupt { who, txn },
+            Action::Reject { id, retry_after: stay_away, terminal } => {
                 Line::Deny { who, txn: id, backoff_us: *stay_away, terminal: *terminal }
             }
             Action::Fail(txn) => Line::Lose { who, txn },
             Action::Call(txn, until) => Line::CallDep { who, txn, expire_at_us: *until },
             Action::SkipCall(txn) => Line::Bypass { who, txn },
-            Action::Keep(txn, span) => Line::Remember { who, txn, span_us: *span },
-            Action::Forget(txn) => Line::ReleaseKey { who, txn },
-            Action::Join(txn) => Line::Attach { who, txn },
-            Action::Ready(good) => Line::Readiness { who, enable: *good, from_state: true },
-            Action::Signal(x) => Line::Say { who, x: *x },
+            Action::RetainKey(txn, span) => Line::Remember { who, txn, span_us: *span },
+            Action::ReleaseKey(txn) => Line::ReleaseKey { who, txn },
+            Action::AwaitDuplicate(txn) => Line::Attach { who, txn },
+            Action::SetReady(good) => Line::Readiness { who, enable: *good, from_state: true },
+            Action::SetLoadHint(x) => Line::Say { who, x: *x },
             Action::CloseIdle(span) => Line::Idle { who, span_us: *span },
-            Action::Wake(wait) => Line::Arm { who, wait_us: *wait, nonce: TIMER },
+            Action::WakeAfter(wait) => Line::Arm { who, wait_us: *wait, nonce: TIMER },
             Action::Log(text) => Line::Debug { who, text },
         }
     }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -9,12 +9,12 @@
 
 use decode::{Batch, News};
 use umberloom::interface::{Action, Event};
-use umberloom::Server;
+use umberloom::AdmissionController;
 
 /// The instances of this process. They share nothing.
 #[derive(Default)]
 struct Host {
-    servers: BTreeMap<u64, Server>,
+    servers: BTreeMap<u64, AdmissionController>,
 }
 
 impl Host {
@@ -27,7 +27,7 @@
                 News::Start(settings) => {
                     events.remove(&who);
                     self.servers.remove(&who);
-                    match Server::new(now, settings) {
+                    match AdmissionController::new(now, settings) {
                         Ok(server) => {
                             self.servers.insert(who, server);
                             events.insert(who, Vec::new());
--- a/crates/sim-adapter/src/tests.rs
+++ b/crates/sim-adapter/src/tests.rs
@@ -45,12 +45,25 @@
     let batch = decode::batch(&line, &mut layouts).expect("a sound line");
     let Some((3, decode::News::Start(set))) = batch.news.first() else { panic!("a start of instance 3") };
     assert_eq!((batch.now, set.seed, set.cores, set.tier, set.servers, set.callers), (9, 5, 6, 1, 10, 3));
-    assert_eq!((set.halt, set.below, set.signal), (Halt::Pause, Below::Common, Signal::MinRank));
-    assert_eq!((set.classes[0].effect, set.classes[1].effect), (Effect::Safe, Effect::Keyed));
-    assert_eq!((set.classes[0].calls, set.classes[0].skip_worth, set.classes[1].calls), (true, 0.3, false));
-    assert_eq!((set.classes[1].late_worth, set.classes[1].window), (0.2, 4_000_000));
-    assert_eq!((set.tenants[0].quota_per_s, set.over_share_worth, set.cold), (36.5, 0.1, true));
-    assert_eq!((set.crowd, set.answer_slack, set.advice_max), (8.0, 60_000, 1_000_000));
+    assert_eq!(
+        (set.preemption, set.downstream, set.load_hint),
+        (Preemption::Pause, Downstream::Shared, LoadHintKind::MinRank)
+    );
+    assert_eq!(
+        (set.classes[0].idempotency, set.classes[1].idempotency),
+        (Idempotency::Idempotent, Idempotency::WithKey)
+    );
+    assert_eq!(
+        (
+            set.classes[0].calls_downstream,
+            set.classes[0].degraded_weight_share,
+            set.classes[1].calls_downstream
+        ),
+        (true, 0.3, false)
+    );
+    assert_eq!((set.classes[1].late_weight_share, set.classes[1].idempotency_window), (0.2, 4_000_000));
+    assert_eq!((set.tenants[0].quota_per_s, set.over_quota_weight_share, set.starts_cold), (36.5, 0.1, true));
+    assert_eq!((set.overload_per_core, set.answer_slack, set.retry_after_max), (8.0, 60_000, 1_000_000));
 }
 
 #[test]
@@ -59,12 +72,18 @@
         "queued_for_us":1850,"billing":2,"subject":45,"forerunner":"rq_a","precedence":0.625,"tier_class":1,
         "cost_us":12000,"retry":true}"#;
     let Event::Arrived(a) = event(&full.replace('\n', "")) else { panic!("an arrival") };
-    assert_eq!((&*a.id, a.caller, a.waits, a.held_kb, a.queued), ("rq_b", 17, Some(240_000), 24.5, 1850));
-    assert_eq!((a.tenant, a.rank, a.class, a.cost, a.retry), (2, 0.625, 1, Some(12_000), true));
-    assert_eq!(a.repeats.as_deref(), Some("rq_a"));
+    assert_eq!(
+        (&*a.id, a.caller, a.caller_timeout, a.queued_kb, a.read_delay),
+        ("rq_b", 17, Some(240_000), 24.5, 1850)
+    );
+    assert_eq!((a.tenant, a.rank, a.class, a.cost, a.is_retry), (2, 0.625, 1, Some(12_000), true));
+    assert_eq!(a.duplicate_of.as_deref(), Some("rq_a"));
     let bare = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"forerunner":0,"grace_us":0}"#;
     let Event::Arrived(a) = event(bare) else { panic!("an arrival") };
-    assert_eq!((a.waits, a.repeats, a.cost, a.retry, a.tenant), (None, None, None, false, 0));
+    assert_eq!(
+        (a.caller_timeout, a.duplicate_of, a.cost, a.is_retry, a.tenant),
+        (None, None, None, false, 0)
+    );
 }
 
 #[test]
@@ -103,21 +122,21 @@
     let id: RequestId = "a".into();
     let cases = [
         (Action::Admit(id.clone()), r#"{"op":"admit","who":3,"txn":"a"}"#),
-        (Action::Halt(id.clone()), r#"{"op":"interrupt","who":3,"txn":"a"}"#),
+        (Action::Preempt(id.clone()), r#"{"op":"interrupt","who":3,"txn":"a"}"#),
         (
-            Action::Refuse { id: id.clone(), stay_away: 9, terminal: true },
+            Action::Reject { id: id.clone(), retry_after: 9, terminal: true },
             r#"{"op":"deny","who":3,"txn":"a","backoff_us":9,"terminal":true}"#,
         ),
         (Action::Fail(id.clone()), r#"{"op":"lose","who":3,"txn":"a"}"#),
         (Action::Call(id.clone(), 8), r#"{"op":"call_dep","who":3,"txn":"a","expire_at_us":8}"#),
         (Action::SkipCall(id.clone()), r#"{"op":"bypass","who":3,"txn":"a"}"#),
-        (Action::Keep(id.clone(), 7), r#"{"op":"remember","who":3,"txn":"a","span_us":7}"#),
-        (Action::Forget(id.clone()), r#"{"op":"release_key","who":3,"txn":"a"}"#),
-        (Action::Join(id), r#"{"op":"attach","who":3,"txn":"a"}"#),
-        (Action::Ready(false), r#"{"op":"readiness","who":3,"enable":false,"from_state":true}"#),
-        (Action::Signal(0.25), r#"{"op":"say","who":3,"x":0.25}"#),
+        (Action::RetainKey(id.clone(), 7), r#"{"op":"remember","who":3,"txn":"a","span_us":7}"#),
+        (Action::ReleaseKey(id.clone()), r#"{"op":"release_key","who":3,"txn":"a"}"#),
+        (Action::AwaitDuplicate(id), r#"{"op":"attach","who":3,"txn":"a"}"#),
+        (Action::SetReady(false), r#"{"op":"readiness","who":3,"enable":false,"from_state":true}"#),
+        (Action::SetLoadHint(0.25), r#"{"op":"say","who":3,"x":0.25}"#),
         (Action::CloseIdle(70), r#"{"op":"idle","who":3,"span_us":70}"#),
-        (Action::Wake(500), r#"{"op":"arm","who":3,"wait_us":500,"nonce":"wake"}"#),
+        (Action::WakeAfter(500), r#"{"op":"arm","who":3,"wait_us":500,"nonce":"wake"}"#),
         (Action::Log("hi".into()), r#"{"op":"debug","who":3,"text":"hi"}"#),
     ];
     for (action, wanted) in cases {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -8,8 +8,8 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::interface::{
-    Action, Arrival, BadSettings, Below, Class, Effect, Event, Gauges, Halt, Micros, Outcome, RequestId,
-    Settings, Signal,
+    Action, Arrival, Class, Downstream, Event, Gauges, Idempotency, InvalidSettings, LoadHintKind, Micros,
+    Outcome, Preemption, RequestId, Settings,
 };
 
 /// Places of the hold that one search looks at.
@@ -174,7 +174,7 @@
 }
 
 /// The decisions of one server.
-pub struct Server {
+pub struct AdmissionController {
     set: Settings,
     born: Micros,
     next: u64,
@@ -250,14 +250,14 @@
     (whole - share).max(0.0)
 }
 
-impl Server {
+impl AdmissionController {
     /// A server that has just started.
-    pub fn new(now: Micros, set: Settings) -> Result<Server, BadSettings> {
+    pub fn new(now: Micros, set: Settings) -> Result<AdmissionController, InvalidSettings> {
         set.check()?;
-        let mut worths: Vec<f64> = set.classes.iter().map(|c| c.worth).collect();
+        let mut worths: Vec<f64> = set.classes.iter().map(|c| c.priority_weight).collect();
         worths.sort_by(f64::total_cmp);
         let limit = Limit { slots: set.cores as usize, step: -1, done: 0, before: 0.0 };
-        let server = Server {
+        let server = AdmissionController {
             born: now,
             next: 0,
             all: BTreeMap::new(),
@@ -269,7 +269,7 @@
             crowding: 0.0,
             calls: Calls {
                 seen: now,
-                bound: set.call_share * SAFE_SHARE,
+                bound: set.call_quota * SAFE_SHARE,
                 eased_until: now + set.call_window,
                 ..Calls::default()
             },
@@ -285,11 +285,11 @@
             stepped: now,
             stood: now,
             awake: false,
-            idle: set.idle_max,
+            idle: set.idle_timeout_max,
             set,
         };
         let probe_at = server.next_probe(now);
-        Ok(Server { calls: Calls { probe_at, ..server.calls }, ..server })
+        Ok(AdmissionController { calls: Calls { probe_at, ..server.calls }, ..server })
     }
 
     /// Takes in what happened and adds what is to be done about it.
@@ -308,7 +308,7 @@
         self.start(now, out);
         if !self.awake {
             self.awake = true;
-            out.push(Action::Wake(self.sweep()));
+            out.push(Action::WakeAfter(self.sweep()));
         }
     }
 
@@ -320,11 +320,13 @@
     fn take(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.arrive(now, arrival, out),
-            Event::Ended(id, outcome, took) => self.ended(now, &id, outcome, took),
+            Event::RunEnded(id, outcome, took) => self.ended(now, &id, outcome, took),
             Event::NeedsCall(id) => self.set_stage(&id, Stage::Running, Stage::AtCall(now)),
-            Event::Called(id, outcome, took) => self.called(now, &id, outcome, took),
-            Event::Gone(id) => self.names.get(&id).copied().into_iter().for_each(|seq| self.let_go(seq, out)),
-            Event::Leave { left, ago } => {
+            Event::CallEnded(id, outcome, took) => self.called(now, &id, outcome, took),
+            Event::Cancelled(id) => {
+                self.names.get(&id).copied().into_iter().for_each(|seq| self.let_go(seq, out))
+            }
+            Event::Drain { time_left: left, notified_ago: ago } => {
                 let end = now + left.saturating_sub(self.set.answer_slack.max(3 * self.sweep()));
                 self.leave = Some((now.saturating_sub(ago), end));
                 self.all.values_mut().for_each(|r| r.due = r.due.min(end));
@@ -341,19 +343,19 @@
             out.push(Action::Fail(a.id));
             return;
         };
-        let reached = now.saturating_sub(a.queued);
-        let mut due = a.waits.map_or((reached + class.deadline).max(now), |w| now + w);
+        let reached = now.saturating_sub(a.read_delay);
+        let mut due = a.caller_timeout.map_or((reached + class.deadline).max(now), |w| now + w);
         due = due.min(self.leave.map_or(due, |(_, end)| end));
         self.meet(now, a.caller);
         let age = self.age(&a, &class, reached, now);
-        let again = a.retry || age as f64 > SAME_WAIT * class.deadline as f64;
+        let again = a.is_retry || age as f64 > SAME_WAIT * class.deadline as f64;
         self.health.again = blend(Some(self.health.again), f64::from(u8::from(again)));
-        let stretch = class.aim_stretch * a.cost.unwrap_or(0) as f64;
-        let aim = (class.aim + stretch as Micros).min(class.deadline);
+        let stretch = class.objective_per_cost * a.cost.unwrap_or(0) as f64;
+        let aim = (class.latency_objective + stretch as Micros).min(class.deadline);
         let need = due.min((reached + aim).saturating_sub(age));
         // What came while the process stood still waited for that, not for this server to read.
         if reached >= self.stood {
-            self.health.unread = blend(Some(self.health.unread), a.queued as f64);
+            self.health.unread = blend(Some(self.health.unread), a.read_delay as f64);
         }
         self.health.heard = true;
         let seq = self.next;
@@ -364,7 +366,7 @@
             class: a.class,
             tenant: a.tenant,
             worth: self.worths[place.min(self.worths.len() - 1)],
-            held_kb: a.held_kb,
+            held_kb: a.queued_kb,
             hint: a.cost.map(|c| c as f64),
             reached,
             due,
@@ -377,28 +379,28 @@
         // Drain: what reached the machine after the grace is never run, so it goes elsewhere at once.
         if self.leave.is_some_and(|(notice, _)| reached > notice + self.set.drain_grace) {
             self.give_up(now, seq, out);
-        } else if a.repeats.is_some() && class.effect != Effect::Unsafe {
+        } else if a.duplicate_of.is_some() && class.idempotency != Idempotency::NotIdempotent {
             // Once a try is known here no other may run: this one takes the other's answer.
             self.hold.pop();
             self.set_stage(&a.id, Stage::Held, Stage::Joined);
-            out.push(Action::Join(a.id));
-        } else if class.effect == Effect::Keyed {
-            self.keys.insert(a.id.clone(), now + class.window);
-            out.push(Action::Keep(a.id, class.window));
+            out.push(Action::AwaitDuplicate(a.id));
+        } else if class.idempotency == Idempotency::WithKey {
+            self.keys.insert(a.id.clone(), now + class.idempotency_window);
+            out.push(Action::RetainKey(a.id, class.idempotency_window));
         }
     }
 
     /// How old a try is at least, by its stated wait. Behind the first tier waits tell nothing: each is
     /// what its caller's own request has left.
     fn age(&mut self, a: &Arrival, class: &Class, reached: Micros, now: Micros) -> Micros {
-        let Some(waits) = a.waits.filter(|_| self.set.tier == 0) else {
+        let Some(waits) = a.caller_timeout.filter(|_| self.set.tier == 0) else {
             // No wait is told: a further try was turned away somewhere, as this server turns away.
-            return if a.retry && a.waits.is_none() { self.health.turned as Micros } else { 0 };
+            return if a.is_retry && a.caller_timeout.is_none() { self.health.turned as Micros } else { 0 };
         };
         // Nobody waits for longer than a client does; who says so must not become a habit.
         let share = ((now + waits - reached) as f64 / class.deadline as f64).min(1.0);
         if reached >= self.stood {
-            note_wait(&mut self.waits, share, !a.retry);
+            note_wait(&mut self.waits, share, !a.is_retry);
         }
         (passed(&self.waits, share) * class.deadline as f64) as Micros
     }
@@ -407,9 +409,9 @@
     fn meet(&mut self, now: Micros, caller: u64) {
         let seen = self.callers.insert(caller, now);
         let here = seen.is_some_and(|seen| seen + self.idle >= now);
-        let returns = seen.is_some_and(|seen| seen + self.set.idle_max >= now);
+        let returns = seen.is_some_and(|seen| seen + self.set.idle_timeout_max >= now);
         self.health.returns = blend(Some(self.health.returns), f64::from(u8::from(returns)));
-        let strange = self.set.connect_price > 0.0 && !here;
+        let strange = self.set.connection_cost > 0.0 && !here;
         self.health.strangers = blend(Some(self.health.strangers), f64::from(u8::from(strange)));
     }
 
@@ -437,8 +439,8 @@
     /// The level of a request: how many class worths its own value reaches. Over quota or late it
     /// is downgraded to a lower level.
     fn level(&self, now: Micros, r: &Request) -> usize {
-        let late = if r.late { self.set.classes[r.class].late_worth } else { 1.0 };
-        let over = if self.over_quota(now, r) { self.set.over_share_worth } else { 1.0 };
+        let late = if r.late { self.set.classes[r.class].late_weight_share } else { 1.0 };
+        let over = if self.over_quota(now, r) { self.set.over_quota_weight_share } else { 1.0 };
         let value = r.worth * late * over * 1.000_001;
         self.worths.iter().filter(|&&w| w <= value).count()
     }
@@ -481,7 +483,8 @@
 
     /// Expected time of a run. While nothing is known a fresh server may be slow: a share of the aim.
     fn expected(&self, r: &Request) -> f64 {
-        let mean = self.pace[r.class].unwrap_or(self.set.classes[r.class].aim as f64 * PATIENCE);
+        let mean =
+            self.pace[r.class].unwrap_or(self.set.classes[r.class].latency_objective as f64 * PATIENCE);
         r.hint.and_then(|hint| self.line.at(hint)).unwrap_or(mean)
     }
 
@@ -499,16 +502,16 @@
 
     /// Running requests that this server survives, fewer while it is cold.
     fn crowd(&self, now: Micros) -> f64 {
-        let warmed = (now - self.born) as f64 / self.set.cold_for.max(1) as f64;
-        let warmed = if self.set.cold { warmed.min(1.0) } else { 1.0 };
-        let speed = self.set.cold_from + (1.0 - self.set.cold_from) * warmed;
-        f64::from(self.set.cores) * (1.0 + (self.set.crowd - 1.0) * speed)
+        let warmed = (now - self.born) as f64 / self.set.warm_up_time.max(1) as f64;
+        let warmed = if self.set.starts_cold { warmed.min(1.0) } else { 1.0 };
+        let speed = self.set.warm_up_initial_speed + (1.0 - self.set.warm_up_initial_speed) * warmed;
+        f64::from(self.set.cores) * (1.0 + (self.set.overload_per_core - 1.0) * speed)
     }
 
     fn memory(&self) -> f64 {
         let one = |r: &Request| match r.stage {
             Stage::Held | Stage::Joined => r.held_kb,
-            _ => r.held_kb * self.set.run_factor,
+            _ => r.held_kb * self.set.run_memory_factor,
         };
         self.all.values().map(one).sum::<f64>() + self.keys.len() as f64 * self.set.key_kb
     }
@@ -520,7 +523,7 @@
         }
         self.read_at = now + READ_EVERY;
         self.keys.retain(|_, end| *end > now);
-        self.callers.retain(|_, seen| *seen + self.set.idle_max > now);
+        self.callers.retain(|_, seen| *seen + self.set.idle_timeout_max > now);
         // Without new evidence the old fades: nothing stays marked bad for good.
         if !std::mem::take(&mut self.health.heard) {
             self.health.errors *= FADE;
@@ -539,9 +542,9 @@
         used.sort_by(f64::total_cmp);
         self.typical_use = used.get(used.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
         // A stop asked for while the cores stood still had no effect: ask again.
-        if self.set.halt != Halt::Never {
+        if self.set.preemption != Preemption::Never {
             let stray = self.all.values().filter(|r| r.over && r.stage == Stage::Running);
-            out.extend(stray.map(|r| Action::Halt(r.id.clone())));
+            out.extend(stray.map(|r| Action::Preempt(r.id.clone())));
         }
         let (running, cores) = (self.running(), self.set.cores as usize);
         let most = ((self.crowd(now) * SAFE_SHARE) as usize).max(cores);
@@ -594,11 +597,12 @@
                 return;
             }
             let room = self.set.memory_kb * SAFE_SHARE - self.memory();
-            let grows = self.set.run_factor - 1.0;
+            let grows = self.set.run_memory_factor - 1.0;
             // Those at calls have a bound of their own: beyond it only what makes no call starts.
             let calls_full = at_calls >= self.set.cores as usize * 4;
-            let may_start =
-                |r: &Request| r.held_kb * grows <= room && !(calls_full && self.set.classes[r.class].calls);
+            let may_start = |r: &Request| {
+                r.held_kb * grows <= room && !(calls_full && self.set.classes[r.class].calls_downstream)
+            };
             let Some(seq) = self.pick(now, may_start) else { return };
             self.hold.retain(|&s| s != seq);
             if let Some(r) = self.all.get_mut(&seq) {
@@ -617,8 +621,9 @@
     fn answer_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (sweep, classes) = (self.sweep(), &self.set.classes);
         let end = self.all.iter_mut().filter(|(_, r)| !r.over).filter_map(|(&seq, r)| {
-            r.late |= classes[r.class].late_worth > 0.0 && now >= r.need;
-            let unsafe_run = r.stage == Stage::Running && classes[r.class].effect == Effect::Unsafe;
+            r.late |= classes[r.class].late_weight_share > 0.0 && now >= r.need;
+            let unsafe_run =
+                r.stage == Stage::Running && classes[r.class].idempotency == Idempotency::NotIdempotent;
             let goes_on = r.late || unsafe_run;
             (now + sweep > r.due || (now >= r.need && !goes_on)).then_some(seq)
         });
@@ -637,7 +642,8 @@
         let stay_away = self.stay_away(r.need as f64 - now as f64 - unread - expected);
         let id = r.id.clone();
         // A safe run may be turned away: the refusal names a time to come back; its work goes on.
-        let safe_run = r.stage == Stage::Running && self.set.classes[r.class].effect == Effect::Safe;
+        let safe_run =
+            r.stage == Stage::Running && self.set.classes[r.class].idempotency == Idempotency::Idempotent;
         if r.stage == Stage::Held || safe_run {
             // Elsewhere it would wait to be read as here, then run: no use to walk on without the time.
             let terminal = jam || now as f64 + unread + expected * START_AT > r.need as f64;
@@ -646,7 +652,7 @@
             let (stay_away, terminal) = if over { (0, true) } else { (stay_away, terminal) };
             let again = (now.saturating_sub(r.reached) + stay_away) as f64;
             self.health.turned = blend(Some(self.health.turned), again);
-            out.push(Action::Refuse { id, stay_away, terminal });
+            out.push(Action::Reject { id, retry_after: stay_away, terminal });
         } else {
             out.push(Action::Fail(id));
         }
@@ -666,13 +672,13 @@
         let Some(r) = self.all.get_mut(&seq) else { return };
         if matches!(r.stage, Stage::Held | Stage::Joined) {
             if self.keys.remove(&r.id).is_some() {
-                out.push(Action::Forget(r.id.clone()));
+                out.push(Action::ReleaseKey(r.id.clone()));
             }
             return self.remove(seq);
         }
         r.over = true;
-        if r.stage == Stage::Running && self.set.halt != Halt::Never {
-            out.push(Action::Halt(r.id.clone()));
+        if r.stage == Stage::Running && self.set.preemption != Preemption::Never {
+            out.push(Action::Preempt(r.id.clone()));
         }
     }
 
@@ -681,12 +687,12 @@
     /// none where advice is passed on, so that every refusal names a time to come back.
     fn stay_away(&self, spare: f64) -> Micros {
         if self.health.sick || self.leave.is_some() {
-            return self.set.advice_max;
+            return self.set.retry_after_max;
         }
         let work: f64 = self.hold.iter().map(|s| self.expected(&self.all[s])).sum();
         let span = (work / self.limit.slots as f64).max(self.health.unread);
         let span = if spare > 0.0 { span.min(spare * PATIENCE) } else { span };
-        (span as Micros).max(PROBE_EVERY).min(self.set.advice_max)
+        (span as Micros).max(PROBE_EVERY).min(self.set.retry_after_max)
     }
 
     /// Refuses early what, in the order of the search, can't be done in time: the answer comes while
@@ -753,11 +759,11 @@
     fn close_idle(&mut self, open: f64, out: &mut Vec<Action>) {
         // Where most callers come again before their connections would end, each place kept saves more.
         let kept = if self.health.returns > RETURNING { 2.0 } else { 0.5 };
-        let useful = f64::from(self.set.cores) * self.set.crowd * kept;
+        let useful = f64::from(self.set.cores) * self.set.overload_per_core * kept;
         let keep = open < useful / 2.0;
         // Behind the first tier callers are the servers before it: counted, and they come again and again.
         let sooner = if open > useful && self.set.tier == 0 { self.idle / 2 } else { self.idle };
-        let span = (if keep { self.idle * 2 } else { sooner }).max(READ_EVERY).min(self.set.idle_max);
+        let span = (if keep { self.idle * 2 } else { sooner }).max(READ_EVERY).min(self.set.idle_timeout_max);
         if span != self.idle {
             self.idle = span;
             out.push(Action::CloseIdle(span));
@@ -773,16 +779,16 @@
         let first = self.health.told.is_none() && self.crowding > f64::from(self.set.cores);
         if self.health.told.unwrap_or(false) != unwell || first {
             self.health.told = Some(unwell);
-            out.push(Action::Ready(!unwell));
+            out.push(Action::SetReady(!unwell));
             // The free value says the same, for as long as callers keep it.
-            let value = match self.set.signal {
-                Signal::Silent => return,
-                Signal::MinRank => f64::from(u8::from(unwell)),
-                Signal::Weight => f64::from(u8::from(!unwell)),
-                Signal::Tokens if unwell => 1.0,
-                Signal::Tokens => f64::from(self.set.cores) * self.set.crowd,
+            let value = match self.set.load_hint {
+                LoadHintKind::None => return,
+                LoadHintKind::MinRank => f64::from(u8::from(unwell)),
+                LoadHintKind::Weight => f64::from(u8::from(!unwell)),
+                LoadHintKind::Tokens if unwell => 1.0,
+                LoadHintKind::Tokens => f64::from(self.set.cores) * self.set.overload_per_core,
             };
-            out.push(Action::Signal(value));
+            out.push(Action::SetLoadHint(value));
         }
     }
 
@@ -808,20 +814,20 @@
     /// How long one more call may take within this server's share of what the dependency survives, 0: none.
     /// A share under 1 is kept in the mean, half of it as old calls still count, though calls hang.
     fn call_time(&self) -> Micros {
-        let (share, in_hand) = (self.set.call_share * SAFE_SHARE, self.in_hand() as f64);
+        let (share, in_hand) = (self.set.call_quota * SAFE_SHARE, self.in_hand() as f64);
         let spare = (if share < 1.0 { share / 2.0 } else { share }) - self.calls.mean;
         let room = spare > 0.0 && in_hand + 1.0 <= share.min(self.calls.bound).max(1.0);
-        if self.set.below != Below::Common || (room && share >= 1.0) {
+        if self.set.downstream != Downstream::Shared || (room && share >= 1.0) {
             return Micros::MAX;
         }
         let time = if room { spare * self.set.call_window as f64 } else { 0.0 };
-        (time as Micros).saturating_sub(self.set.call_linger)
+        (time as Micros).saturating_sub(self.set.abandoned_call_lifetime)
     }
 
     /// A crowded dependency does less the more it holds, long before it falls: when calls take much
     /// longer than at best this server has fewer in hand, and more again by and by once they are quick.
     fn ease_calls(&mut self, took: f64) {
-        let most = (self.set.call_share * SAFE_SHARE).max(1.0);
+        let most = (self.set.call_quota * SAFE_SHARE).max(1.0);
         let calls = &mut self.calls;
         calls.heard = true;
         let typical = blend(calls.typical, took);
@@ -846,11 +852,11 @@
         r.call_spent |= !outcome.never_ran();
         r.stage = Stage::AtCall(now + ((PROBE_EVERY / 4) << r.call_tries.min(4)));
         if outcome == Outcome::TimedOut {
-            self.calls.lingering.push(now + self.set.call_linger);
+            self.calls.lingering.push(now + self.set.abandoned_call_lifetime);
         }
         // What turns calls away is crowded, not down, and of several services one that failed is not all:
         // each is tried again by itself, the others go on.
-        if !matches!(outcome, Outcome::Refused | Outcome::Stopped) {
+        if !matches!(outcome, Outcome::Rejected | Outcome::Aborted) {
             self.calls.failures += 1;
             self.calls.eased_until = now + self.set.call_window;
         }
@@ -861,7 +867,8 @@
     /// others than its own share of what it survives: together they try it no oftener than that allows, each
     /// at times of its own.
     fn next_probe(&self, now: Micros) -> Micros {
-        let share = if self.set.below == Below::Common { self.set.call_share * SAFE_SHARE } else { 1.0 };
+        let share =
+            if self.set.downstream == Downstream::Shared { self.set.call_quota * SAFE_SHARE } else { 1.0 };
         let least = if self.calls.failures >= CALL_TRIES { PROBE_EVERY } else { 0 };
         let lasts = self.calls.typical.map_or(PROBE_EVERY as f64, |typical| typical.max(least as f64));
         let every = (lasts / if share < 1.0 { share / 2.0 } else { 1.0 }).min(self.set.call_window as f64);
@@ -881,8 +888,8 @@
         let down = self.calls.failures >= CALL_TRIES && now < self.calls.probe_at;
         // Servers that start or find it back together have nothing in the mean yet that would keep them
         // apart: where one call is more than the share, calls are as far apart as it asks until they have.
-        let eased = self.set.call_share * SAFE_SHARE < 1.0 && now < self.calls.eased_until;
-        let early = eased && self.set.below == Below::Common && now < self.calls.probe_at;
+        let eased = self.set.call_quota * SAFE_SHARE < 1.0 && now < self.calls.eased_until;
+        let early = eased && self.set.downstream == Downstream::Shared && now < self.calls.probe_at;
         let typical = self.calls.typical.unwrap_or(0.0) as Micros;
         let next_probe = self.next_probe(now);
         // After the call there is work to do yet.
@@ -891,8 +898,8 @@
         let class = &self.set.classes[r.class];
         let until = if r.late { r.due } else { r.need };
         self.calls.spurned |= now + typical + rest >= until;
-        let can_skip = class.skip_worth > 0.0;
-        let barred = r.call_spent && class.effect != Effect::Safe;
+        let can_skip = class.degraded_weight_share > 0.0;
+        let barred = r.call_spent && class.idempotency != Idempotency::Idempotent;
         let hopeless = barred || r.call_tries >= CALL_TRIES || now + typical >= until;
         if can_skip && (hopeless || down || now + typical + rest >= until) {
             r.stage = Stage::Running;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,36 +14,36 @@
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Running it again does no harm.
-    Safe,
+    Idempotent,
     /// Repeats carry a key; it must run once only within its window.
-    Keyed,
+    WithKey,
     /// It must not run again once it may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this span of the first try earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub objective_per_cost: f64,
     /// How long a client waits in all, over all its tries.
     pub deadline: Micros,
     /// Worth of a request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: how long after its arrival a request may come again.
-    pub window: Micros,
+    pub idempotency_window: Micros,
     /// Its requests may call below.
-    pub calls: bool,
+    pub calls_downstream: bool,
     /// Share of the worth that an answer without the call earns; 0: the call can't be left out.
-    pub skip_worth: f64,
+    pub degraded_weight_share: f64,
 }
 
 /// A tenant and its quota over the whole fleet.
@@ -55,31 +55,31 @@
 
 /// What requests call while they run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Below {
+pub enum Downstream {
     /// Nothing.
-    Nothing,
+    None,
     /// One dependency that all servers share.
-    Common,
+    Shared,
     /// A next tier of servers that run this code too.
     NextTier,
 }
 
 /// What can be done with running work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halt {
+pub enum Preemption {
     /// It can't be stopped.
     Never,
     /// Stopped work is lost.
-    Drop,
+    Abort,
     /// Stopped work keeps its progress and its memory.
     Pause,
 }
 
 /// How callers understand the value sent with every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum LoadHintKind {
     /// No value is sent.
-    Silent,
+    None,
     /// Callers send nothing of lower rank.
     MinRank,
     /// Each caller has at most so many requests out here.
@@ -98,17 +98,17 @@
     /// Its memory in kilobytes.
     pub memory_kb: f64,
     /// Memory of a running request over that of a held one.
-    pub run_factor: f64,
+    pub run_memory_factor: f64,
     /// Memory of a kept key.
     pub key_kb: f64,
     /// It has just been started and is cold.
-    pub cold: bool,
+    pub starts_cold: bool,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight_share: f64,
     /// Place of this server's tier, 0 for the one that clients' callers reach.
     pub tier: u32,
     /// Servers of this tier.
@@ -116,74 +116,77 @@
     /// Callers of this tier.
     pub callers: u32,
     /// What requests call.
-    pub below: Below,
+    pub downstream: Downstream,
     /// For [`Below::Common`]: this server's share of the calls that the dependency survives.
-    pub call_share: f64,
+    pub call_quota: f64,
     /// The span over which calls in hand are averaged.
     pub call_window: Micros,
     /// How long at most an abandoned call stays in the dependency's hands.
-    pub call_linger: Micros,
+    pub abandoned_call_lifetime: Micros,
     /// What can be done with running work.
-    pub halt: Halt,
+    pub preemption: Preemption,
     /// How the free value is understood.
-    pub signal: Signal,
+    pub load_hint: LoadHintKind,
     /// How long an answer to a read may serve other reads of its key; 0: never.
-    pub shared_reads: Micros,
+    pub shared_read_ttl: Micros,
     /// The longest advice to stay away that is heeded; 0: none is passed on.
-    pub advice_max: Micros,
+    pub retry_after_max: Micros,
     /// Callers close connections that have carried nothing for this long.
-    pub idle_max: Micros,
+    pub idle_timeout_max: Micros,
     /// Price of a new connection, in points of the result for one a request; 0: none.
-    pub connect_price: f64,
+    pub connection_cost: f64,
     /// After its due time an answer is still valid for this long.
     pub answer_slack: Micros,
     /// What arrives later than this after the notice to leave must not run.
     pub drain_grace: Micros,
     /// Requests on the cores, for each core, that a warm server survives.
-    pub crowd: f64,
+    pub overload_per_core: f64,
     /// The span over which that crowd is averaged.
-    pub crowd_window: Micros,
+    pub overload_window: Micros,
     /// Share of its speed at which a cold server starts, at least.
-    pub cold_from: f64,
+    pub warm_up_initial_speed: f64,
     /// After this a cold server is warm.
-    pub cold_for: Micros,
+    pub warm_up_time: Micros,
     /// Events come at most this often.
     pub tick: Micros,
 }
 
 /// Settings that make no sense.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadSettings(pub &'static str);
+pub struct InvalidSettings(pub &'static str);
 
-impl fmt::Display for BadSettings {
+impl fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "settings make no sense: {}", self.0)
     }
 }
 
-impl std::error::Error for BadSettings {}
+impl std::error::Error for InvalidSettings {}
 
 impl Settings {
     /// Refuses settings under which no decision could be right.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), InvalidSettings> {
         let positive = |v: f64| v.is_finite() && v > 0.0;
         let share = |v: f64| v.is_finite() && v >= 0.0;
         let rules = [
             (self.cores > 0, "a server needs at least one core"),
             (!self.classes.is_empty(), "there is no request class"),
             (positive(self.memory_kb), "memory must be above 0"),
-            (positive(self.run_factor), "the memory factor of running work must be above 0"),
+            (positive(self.run_memory_factor), "the memory factor of running work must be above 0"),
             (share(self.key_kb), "memory of a key must not be negative"),
             (self.servers > 0, "the tier has no server"),
-            (share(self.connect_price), "the price of a connection must not be negative"),
-            (share(self.call_share), "the share of calls must not be negative"),
-            (self.crowd.is_finite() && self.crowd >= 1.0, "the survivable crowd is under one a core"),
-            ((0.0..=1.0).contains(&self.cold_from), "the cold share of speed is outside 0 to 1"),
+            (share(self.connection_cost), "the price of a connection must not be negative"),
+            (share(self.call_quota), "the share of calls must not be negative"),
+            (
+                self.overload_per_core.is_finite() && self.overload_per_core >= 1.0,
+                "the survivable crowd is under one a core",
+            ),
+            ((0.0..=1.0).contains(&self.warm_up_initial_speed), "the cold share of speed is outside 0 to 1"),
             (self.classes.iter().all(|c| c.deadline > 0), "a class has no deadline"),
-            (self.classes.iter().all(|c| share(c.worth)), "a class has a negative worth"),
+            (self.classes.iter().all(|c| share(c.priority_weight)), "a class has a negative worth"),
             (self.tenants.iter().all(|t| share(t.quota_per_s)), "a quota is negative"),
         ];
-        rules.iter().find(|(holds, _)| !holds).map_or(Ok(()), |(_, why)| Err(BadSettings(why)))
+        rules.iter().find(|(holds, _)| !holds).map_or(Ok(()), |(_, why)| Err(InvalidSettings(why)))
     }
 }
 
@@ -199,19 +202,19 @@
     /// Number of the calling party.
     pub caller: u64,
     /// How long its caller still waits, where that is told.
-    pub waits: Option<Micros>,
+    pub caller_timeout: Option<Micros>,
     /// Time since it reached the machine.
-    pub queued: Micros,
+    pub read_delay: Micros,
     /// Memory while held, in kilobytes.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Its place from 0 to under 1 among all requests, the least worth first.
     pub rank: f64,
     /// Expected work, where that is told.
     pub cost: Option<Micros>,
     /// The kept request that this one repeats.
-    pub repeats: Option<RequestId>,
+    pub duplicate_of: Option<RequestId>,
     /// Marked as a further try.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// How a run or a call ended.
@@ -222,24 +225,24 @@
     /// Failed; a call may have taken effect.
     Error,
     /// A call was turned away without being looked at.
-    Refused,
+    Rejected,
     /// A call was given up; it may have taken effect.
     TimedOut,
     /// What lies below was not reached.
     Unreachable,
     /// A call was cut off; it may have taken effect.
-    Cut,
+    ConnectionLost,
     /// A run was stopped, or ended at a call. Of a call that covers several services: it ended without what was
     /// needed and may have had effects, which says nothing of the others.
-    Stopped,
+    Aborted,
     /// Nothing was begun.
-    Moot,
+    NotStarted,
 }
 
 impl Outcome {
     /// Proves that the call never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Refused | Outcome::Unreachable | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotStarted)
     }
 }
 
@@ -262,19 +265,19 @@
     /// A request was read and is held.
     Arrived(Arrival),
     /// A run or a shared answer has concluded.
-    Ended(RequestId, Outcome, Micros),
+    RunEnded(RequestId, Outcome, Micros),
     /// A running request can't go on without a call.
     NeedsCall(RequestId),
     /// A call ended.
-    Called(RequestId, Outcome, Micros),
+    CallEnded(RequestId, Outcome, Micros),
     /// Nobody waits for the request any more.
-    Gone(RequestId),
+    Cancelled(RequestId),
     /// Notice to leave.
-    Leave {
+    Drain {
         /// The process is stopped after this span.
-        left: Micros,
+        time_left: Micros,
         /// So long ago the notice came: its grace counts from then, however late a host could tell.
-        ago: Micros,
+        notified_ago: Micros,
     },
     /// A timer is due.
     Timer(Gauges),
@@ -286,13 +289,13 @@
     /// Start a held request, or go on with a paused one.
     Admit(RequestId),
     /// Stop running work. Not an answer.
-    Halt(RequestId),
+    Preempt(RequestId),
     /// Turn the request away; this try never ran.
-    Refuse {
+    Reject {
         /// Which request.
         id: RequestId,
         /// How long the caller should stay away; 0: no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// Ask the caller not to try elsewhere.
         terminal: bool,
     },
@@ -303,19 +306,19 @@
     /// Go on without the call.
     SkipCall(RequestId),
     /// Keep the request's key for this span.
-    Keep(RequestId, Micros),
+    RetainKey(RequestId, Micros),
     /// Forget the request's key.
-    Forget(RequestId),
+    ReleaseKey(RequestId),
     /// Answer by the result of the request that this one repeats.
-    Join(RequestId),
+    AwaitDuplicate(RequestId),
     /// Set what health checks are told, from store.
-    Ready(bool),
+    SetReady(bool),
     /// Set the free value.
-    Signal(f64),
+    SetLoadHint(f64),
     /// Close connections that have carried nothing for this long.
     CloseIdle(Micros),
     /// Come back with a timer after this span.
-    Wake(Micros),
+    WakeAfter(Micros),
     /// A line for the log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,4 +6,4 @@
 pub mod choice;
 pub mod interface;
 
-pub use choice::Server;
+pub use choice::AdmissionController;
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,21 +3,23 @@
 mod common;
 use common::*;
 use umberloom::interface::*;
-use umberloom::Server;
+use umberloom::AdmissionController;
 
-fn server(set: Settings) -> Server {
-    Server::new(0, set).expect("sound settings")
+fn server(set: Settings) -> AdmissionController {
+    AdmissionController::new(0, set).expect("sound settings")
 }
 
 fn refusal(actions: &[Action], name: &str) -> Option<(Micros, bool)> {
     actions.iter().find_map(|a| match a {
-        Action::Refuse { id, stay_away, terminal } if **id == *name => Some((*stay_away, *terminal)),
+        Action::Reject { id, retry_after: stay_away, terminal } if **id == *name => {
+            Some((*stay_away, *terminal))
+        }
         _ => None,
     })
 }
 
 /// A server that knows that runs take `run`, with both cores taken from `now` on.
-fn warm(set: Settings, run: Micros) -> (Server, Micros) {
+fn warm(set: Settings, run: Micros) -> (AdmissionController, Micros) {
     let mut server = server(set);
     let mut now = 0;
     for n in 0..8 {
@@ -55,7 +57,7 @@
     for tick in 1..120 {
         let at = now + tick * 20 * MS;
         // Any event will do; a reading might raise the limit.
-        let out = step(&mut server, at, vec![Event::Gone(id("nobody"))]);
+        let out = step(&mut server, at, vec![Event::Cancelled(id("nobody"))]);
         if refused(&out).contains(&"held".to_string()) {
             seen = Some(at - now);
             break;
@@ -68,7 +70,7 @@
 #[test]
 fn an_idle_server_tries_even_what_looks_hopeless() {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.aim = 6 * SEC);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut server = server(set);
     send(&mut server, 0, &[("slow", 0)]);
     step(&mut server, 5_900 * MS, vec![ended("slow", 5_900 * MS)]);
@@ -93,7 +95,7 @@
 }
 
 /// Sends tries that state `waits`, one at a time, each served at once.
-fn habit(server: &mut Server, from: Micros, count: usize, waits: Micros) -> Micros {
+fn habit(server: &mut AdmissionController, from: Micros, count: usize, waits: Micros) -> Micros {
     for n in 0..count {
         let name = format!("{from}-{n}");
         step(server, from + n as u64 * 10 * MS, vec![Event::Arrived(arrival(&name, 0, waits))]);
@@ -141,7 +143,8 @@
 #[test]
 fn refusals_are_terminal_while_arrivals_are_mostly_further_tries() {
     let (mut server, now) = warm(settings(), 600 * MS);
-    let again = |n: usize| Event::Arrived(Arrival { retry: true, ..arrival(&format!("t{n}"), 0, 6 * SEC) });
+    let again =
+        |n: usize| Event::Arrived(Arrival { is_retry: true, ..arrival(&format!("t{n}"), 0, 6 * SEC) });
     let out = step(&mut server, now, (0..12).map(again).collect());
     assert_eq!(refusal(&out, "t11").map(|r| r.1), Some(true));
     // First tries again: within some arrivals the sign is gone.
@@ -161,7 +164,7 @@
 }
 
 /// A server on which tenant 0 has had far more than its part of one start a second.
-fn flooded() -> (Server, Micros) {
+fn flooded() -> (AdmissionController, Micros) {
     let mut server = server(two_tenants());
     for n in 0..40 {
         let name = format!("flood{n}");
@@ -201,17 +204,17 @@
 fn a_server_that_fails_quickly_refuses_and_probes_until_it_is_well() {
     let mut server = server(settings());
     let mut ready = Vec::new();
-    let mut run = |server: &mut Server, n: u64, outcome: Outcome| {
+    let mut run = |server: &mut AdmissionController, n: u64, outcome: Outcome| {
         let name = format!("r{n}");
         let out = step(server, n * 200 * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
         let started = admitted(&out).contains(&name);
         let more = if started {
-            step(server, n * 200 * MS + 10 * MS, vec![Event::Ended(id(&name), outcome, 10 * MS)])
+            step(server, n * 200 * MS + 10 * MS, vec![Event::RunEnded(id(&name), outcome, 10 * MS)])
         } else {
             Vec::new()
         };
         ready.extend(out.iter().chain(&more).filter_map(|a| {
-            if let Action::Ready(r) = a {
+            if let Action::SetReady(r) = a {
                 Some(*r)
             } else {
                 None
@@ -234,7 +237,7 @@
     for n in 0..4 {
         let name = format!("r{n}");
         step(&mut server, n * 200 * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
-        step(&mut server, n * 200 * MS + MS, vec![Event::Ended(id(&name), Outcome::Error, MS)]);
+        step(&mut server, n * 200 * MS + MS, vec![Event::RunEnded(id(&name), Outcome::Error, MS)]);
     }
     let out = send(&mut server, SEC, &[("a", 0), ("b", 0), ("c", 0), ("d", 0)]);
     let last = refusal(&out, "d").expect("refused");
@@ -243,10 +246,10 @@
 
 fn calling(skip: f64) -> Settings {
     let mut set = settings();
-    set.below = Below::Common;
+    set.downstream = Downstream::Shared;
     set.classes.iter_mut().for_each(|c| {
-        c.calls = true;
-        c.skip_worth = skip;
+        c.calls_downstream = true;
+        c.degraded_weight_share = skip;
     });
     set
 }
@@ -259,7 +262,7 @@
         let name = format!("r{n}");
         send(&mut server, now, &[(&name, 0)]);
         step(&mut server, now + MS, vec![Event::NeedsCall(id(&name))]);
-        step(&mut server, now + 2 * MS, vec![Event::Called(id(&name), Outcome::Unreachable, MS)]);
+        step(&mut server, now + 2 * MS, vec![Event::CallEnded(id(&name), Outcome::Unreachable, MS)]);
         step(&mut server, now + 3 * MS, vec![ended(&name, MS)]);
         now += 5 * MS;
     }
@@ -269,7 +272,11 @@
     send(&mut server, now + 300 * MS, &[("probe", 0)]);
     let out = step(&mut server, now + 301 * MS, vec![Event::NeedsCall(id("probe"))]);
     assert!(out.iter().any(|a| matches!(a, Action::Call(r, _) if *r == id("probe"))), "{out:?}");
-    step(&mut server, now + 302 * MS, vec![Event::Called(id("probe"), Outcome::Ok, MS), ended("skips", MS)]);
+    step(
+        &mut server,
+        now + 302 * MS,
+        vec![Event::CallEnded(id("probe"), Outcome::Ok, MS), ended("skips", MS)],
+    );
     send(&mut server, now + 303 * MS, &[("well", 0)]);
     let out = step(&mut server, now + 304 * MS, vec![Event::NeedsCall(id("well"))]);
     assert!(out.iter().any(|a| matches!(a, Action::Call(_, _))), "one success opens it again: {out:?}");
@@ -283,7 +290,7 @@
         send(&mut server, now, &[(&name, 0)]);
         let out = step(&mut server, now + MS, vec![Event::NeedsCall(id(&name))]);
         assert!(out.iter().any(|a| matches!(a, Action::Call(r, _) if *r == id(&name))), "{n}: {out:?}");
-        let out = step(&mut server, now + 2 * MS, vec![Event::Called(id(&name), Outcome::Refused, MS)]);
+        let out = step(&mut server, now + 2 * MS, vec![Event::CallEnded(id(&name), Outcome::Rejected, MS)]);
         // It is tried again by itself, after a while.
         assert!(!out.contains(&Action::SkipCall(id(&name))), "{n}: {out:?}");
         step(&mut server, now + 3 * MS, vec![ended(&name, MS)]);
@@ -300,7 +307,7 @@
     // Its aim is 2 s away.
     let first = until(&out).expect("a call");
     assert!(first < SEC, "{first}");
-    step(&mut server, first, vec![Event::Called(id("a"), Outcome::TimedOut, first)]);
+    step(&mut server, first, vec![Event::CallEnded(id("a"), Outcome::TimedOut, first)]);
     let out = step(&mut server, first + 100 * MS, vec![busy()]);
     assert!(until(&out).is_some_and(|second| second < 1_600 * MS), "{out:?}");
 }
@@ -308,8 +315,8 @@
 #[test]
 fn a_slow_dependency_that_is_far_from_crowded_gets_no_fewer_calls() {
     let mut set = calling(0.0);
-    (set.cores, set.call_share) = (6, 24.0);
-    set.classes.iter_mut().for_each(|c| c.aim = 6 * SEC);
+    (set.cores, set.call_quota) = (6, 24.0);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut server = server(set);
     let mut now = 0;
     for round in 0..60 {
@@ -320,7 +327,7 @@
         let calls = out.iter().filter(|a| matches!(a, Action::Call(_, _))).count();
         assert_eq!(calls, 4, "round {round}");
         now += took;
-        let called = |n: &String| [Event::Called(id(n), Outcome::Ok, took), ended(n, took)];
+        let called = |n: &String| [Event::CallEnded(id(n), Outcome::Ok, took), ended(n, took)];
         step(&mut server, now, names.iter().flat_map(called).collect());
     }
 }
@@ -335,7 +342,7 @@
         now += 20 * MS;
         let mut events = vec![busy()];
         if calls > 0 {
-            events.push(Event::Called(id("a"), Outcome::Refused, MS));
+            events.push(Event::CallEnded(id("a"), Outcome::Rejected, MS));
         }
         let out = step(&mut server, now, events);
         calls += out.iter().filter(|a| matches!(a, Action::Call(_, _))).count();
@@ -377,7 +384,7 @@
 }
 
 /// Readings of half a second, in each of which this many want a core and nothing ends.
-fn crowded_readings(server: &mut Server, from: Micros, count: u64, on_cores: f64) -> Micros {
+fn crowded_readings(server: &mut AdmissionController, from: Micros, count: u64, on_cores: f64) -> Micros {
     let look = Event::Timer(Gauges { cpu: Some(1.0), on_cores: Some(on_cores), ..Gauges::default() });
     for n in 1..=25 * count {
         step(server, from + n * 20 * MS, vec![look.clone()]);
@@ -388,8 +395,8 @@
 #[test]
 fn a_limit_that_crowds_the_cores_comes_back_by_a_part_of_the_crowd() {
     let mut set = settings();
-    (set.cores, set.crowd, set.memory_kb) = (4, 32.0, 1e9);
-    set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (50 * SEC, 100 * SEC));
+    (set.cores, set.overload_per_core, set.memory_kb) = (4, 32.0, 1e9);
+    set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (50 * SEC, 100 * SEC));
     let mut server = taught(set);
     let names: Vec<String> = (0..80).map(|n| format!("r{n}")).collect();
     let arrivals = names.iter().map(|n| Event::Arrived(arrival(n, 0, 100 * SEC))).collect();
@@ -411,10 +418,10 @@
 fn a_slow_dependency_gets_fewer_calls_at_once_and_more_when_it_is_quick_again() {
     let mut set = calling(0.0);
     set.cores = 6;
-    set.classes.iter_mut().for_each(|c| c.aim = 6 * SEC);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut server = server(set);
     let (mut now, mut n) = (0, 0);
-    let mut round = |server: &mut Server, took: Micros| {
+    let mut round = |server: &mut AdmissionController, took: Micros| {
         let names: Vec<String> = (0..5).map(|i| format!("c{n}-{i}")).collect();
         n += 1;
         let events = names.iter().map(|name| Event::Arrived(arrival(name, 0, 6 * SEC))).collect();
@@ -432,8 +439,11 @@
             }
             most = most.max(called.len());
             now += took;
-            out =
-                step(server, now, called.into_iter().map(|r| Event::Called(r, Outcome::Ok, took)).collect());
+            out = step(
+                server,
+                now,
+                called.into_iter().map(|r| Event::CallEnded(r, Outcome::Ok, took)).collect(),
+            );
         }
         step(server, now, names.iter().map(|name| ended(name, MS)).collect());
         most
@@ -449,8 +459,8 @@
 #[test]
 fn what_makes_no_call_goes_on_while_calls_hang() {
     let mut set = calling(0.0);
-    set.classes[1].calls = false;
-    set.classes.iter_mut().for_each(|c| c.aim = 6 * SEC);
+    set.classes[1].calls_downstream = false;
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut server = taught(set);
     let mut started = Vec::new();
     for n in 0..20 {
@@ -481,11 +491,11 @@
 }
 
 fn class_of(worth: f64) -> Class {
-    Class { aim: 2 * SEC, ..class(worth) }
+    Class { latency_objective: 2 * SEC, ..class(worth) }
 }
 
 fn told(actions: &[Action]) -> Vec<bool> {
-    actions.iter().filter_map(|a| if let Action::Ready(r) = a { Some(*r) } else { None }).collect()
+    actions.iter().filter_map(|a| if let Action::SetReady(r) = a { Some(*r) } else { None }).collect()
 }
 
 /// Guards against a cascade at size: where the list follows readiness, servers that left it together because
@@ -495,7 +505,7 @@
     let mut server = server(settings());
     let mut said = Vec::new();
     for n in 0..20 {
-        let late = Arrival { queued: 3 * SEC, ..arrival(&format!("r{n}"), 0, 500 * MS) };
+        let late = Arrival { read_delay: 3 * SEC, ..arrival(&format!("r{n}"), 0, 500 * MS) };
         said.extend(told(&step(&mut server, n * 100 * MS, vec![Event::Arrived(late), busy()])));
     }
     assert_eq!(said, [], "what it reads is older than any aim, yet it is no less ready");
@@ -504,9 +514,9 @@
 #[test]
 fn a_standstill_teaches_nothing_about_runs_or_calls() {
     let mut set = calling(0.0);
-    set.classes.iter_mut().for_each(|c| c.aim = 400 * MS);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 400 * MS);
     let mut server = server(set);
-    let round = |server: &mut Server, now: Micros, name: &str| {
+    let round = |server: &mut AdmissionController, now: Micros, name: &str| {
         step(server, now, vec![Event::Arrived(arrival(name, 0, SEC))]);
         let out = step(server, now, vec![Event::NeedsCall(id(name))]);
         out.iter().any(|a| matches!(a, Action::Call(..)))
@@ -514,11 +524,11 @@
     for n in 0..20 {
         let (now, name) = (n * 100 * MS, format!("a{n}"));
         assert!(round(&mut server, now, &name));
-        step(&mut server, now + 20 * MS, vec![Event::Called(id(&name), Outcome::Ok, 20 * MS)]);
+        step(&mut server, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, 20 * MS)]);
         step(&mut server, now + 40 * MS, vec![ended(&name, 40 * MS)]);
     }
     assert!(round(&mut server, 2 * SEC, "stood"));
-    let reply = Event::Called(id("stood"), Outcome::Ok, 10 * SEC);
+    let reply = Event::CallEnded(id("stood"), Outcome::Ok, 10 * SEC);
     step(&mut server, 12 * SEC, vec![reply]);
     assert!(round(&mut server, 12 * SEC + 10 * MS, "next"), "a call is as quick as it was");
 }
@@ -526,7 +536,7 @@
 #[test]
 fn calls_that_seem_too_slow_to_be_made_are_made_again_by_and_by() {
     let mut set = calling(0.0);
-    set.classes.iter_mut().for_each(|c| c.aim = 400 * MS);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 400 * MS);
     let mut server = server(set);
     let mut calls = 0;
     for n in 0..60 {
@@ -538,7 +548,7 @@
         let took = if now < 2 * SEC { 900 * MS } else { 20 * MS };
         calls += u32::from(called && now >= 10 * SEC);
         if called {
-            step(&mut server, now + 20 * MS, vec![Event::Called(id(&name), Outcome::Ok, took)]);
+            step(&mut server, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, took)]);
         }
         step(&mut server, now + 40 * MS, vec![ended(&name, 40 * MS)]);
     }
@@ -548,21 +558,23 @@
 #[test]
 fn one_service_of_several_that_fails_does_not_stop_the_calls_of_others() {
     let mut set = calling(0.0);
-    set.classes.iter_mut().for_each(|c| (c.aim, c.effect) = (6 * SEC, Effect::Unsafe));
+    set.classes
+        .iter_mut()
+        .for_each(|c| (c.latency_objective, c.idempotency) = (6 * SEC, Idempotency::NotIdempotent));
     let mut server = server(set);
-    for (from, outcome, goes_on) in [(0, Outcome::Stopped, true), (10, Outcome::Error, false)] {
+    for (from, outcome, goes_on) in [(0, Outcome::Aborted, true), (10, Outcome::Error, false)] {
         for n in from..from + 4 {
             let name = format!("{outcome:?}{n}");
             step(&mut server, n * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
             step(&mut server, n * MS, vec![Event::NeedsCall(id(&name))]);
-            step(&mut server, n * MS, vec![Event::Called(id(&name), outcome, MS)]);
-            step(&mut server, n * MS, vec![Event::Ended(id(&name), Outcome::Stopped, MS)]);
+            step(&mut server, n * MS, vec![Event::CallEnded(id(&name), outcome, MS)]);
+            step(&mut server, n * MS, vec![Event::RunEnded(id(&name), Outcome::Aborted, MS)]);
         }
         let name = format!("after {outcome:?}");
         step(&mut server, (from + 5) * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
         let out = step(&mut server, (from + 5) * MS, vec![Event::NeedsCall(id(&name))]);
         assert_eq!(out.iter().any(|a| matches!(a, Action::Call(..))), goes_on, "{outcome:?}");
-        step(&mut server, (from + 6) * MS, vec![Event::Ended(id(&name), Outcome::Stopped, MS)]);
+        step(&mut server, (from + 6) * MS, vec![Event::RunEnded(id(&name), Outcome::Aborted, MS)]);
     }
 }
 
@@ -573,8 +585,11 @@
     for n in 0..6 {
         let name = format!("r{n}");
         step(&mut server, n * 200 * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
-        let out =
-            step(&mut server, n * 200 * MS + MS, vec![Event::Ended(id(&name), Outcome::Error, MS), busy()]);
+        let out = step(
+            &mut server,
+            n * 200 * MS + MS,
+            vec![Event::RunEnded(id(&name), Outcome::Error, MS), busy()],
+        );
         said.extend(told(&out));
     }
     for n in 0..40 {
@@ -632,23 +647,29 @@
 
 #[test]
 fn the_free_value_follows_health_in_every_mode() {
-    let modes = [(Signal::MinRank, [1.0, 0.0]), (Signal::Weight, [0.0, 1.0]), (Signal::Tokens, [1.0, 16.0])];
+    let modes = [
+        (LoadHintKind::MinRank, [1.0, 0.0]),
+        (LoadHintKind::Weight, [0.0, 1.0]),
+        (LoadHintKind::Tokens, [1.0, 16.0]),
+    ];
     for (signal, wanted) in modes {
         let mut set = settings();
-        set.signal = signal;
+        set.load_hint = signal;
         let mut server = server(set);
         let mut said = Vec::new();
         for n in 0..60 {
             let now = n * 500 * MS;
             // Runs that fail quickly make it sick; then nothing comes and the evidence fades.
             let events = if n < 20 {
-                let failing = Event::Ended(id(&format!("r{}", n.max(1) - 1)), Outcome::Error, 10 * MS);
+                let failing = Event::RunEnded(id(&format!("r{}", n.max(1) - 1)), Outcome::Error, 10 * MS);
                 vec![Event::Arrived(arrival(&format!("r{n}"), 0, 3 * SEC)), failing, busy()]
             } else {
                 vec![idle()]
             };
             let out = step(&mut server, now + 3 * SEC, events);
-            said.extend(out.iter().filter_map(|a| if let Action::Signal(x) = a { Some(*x) } else { None }));
+            said.extend(
+                out.iter().filter_map(|a| if let Action::SetLoadHint(x) = a { Some(*x) } else { None }),
+            );
         }
         assert_eq!(said, wanted, "{signal:?}");
     }
@@ -660,7 +681,12 @@
 fn a_marked_try_without_a_told_wait_is_as_old_as_those_turned_away() {
     let (mut server, now) = warm(settings(), 600 * MS);
     let untold = |name: &str, queued: Micros, retry: bool| {
-        Event::Arrived(Arrival { waits: None, queued, retry, ..arrival(name, 1, 0) })
+        Event::Arrived(Arrival {
+            caller_timeout: None,
+            read_delay: queued,
+            is_retry: retry,
+            ..arrival(name, 1, 0)
+        })
     };
     let old = (0..30).map(|n| untold(&format!("o{n}"), 1_900 * MS, false)).collect();
     assert_eq!(refused(&step(&mut server, now, old)).len(), 30, "no time for any");
@@ -677,7 +703,7 @@
     // The hold takes 0.6 s to empty; of 2 s the run takes 0.6 s.
     assert!((300 * MS..=350 * MS).contains(&stay_away), "{stay_away}");
     // Who has no time left is not told to hurry.
-    let old = Event::Arrived(Arrival { queued: 1_900 * MS, ..arrival("d", 1, 6 * SEC) });
+    let old = Event::Arrived(Arrival { read_delay: 1_900 * MS, ..arrival("d", 1, 6 * SEC) });
     let out = step(&mut server, now + MS, vec![old]);
     assert!(refusal(&out, "d").expect("no time").0 >= 590 * MS, "{out:?}");
 }
@@ -687,7 +713,7 @@
 #[test]
 fn checks_are_answered_from_store_once_more_wants_a_core_than_there_are() {
     let mut set = settings();
-    set.signal = Signal::MinRank;
+    set.load_hint = LoadHintKind::MinRank;
     let mut quiet = server(set.clone());
     let quiet: Vec<bool> =
         (1..100).flat_map(|n| told(&step(&mut quiet, n * 100 * MS, vec![busy()]))).collect();
@@ -697,7 +723,10 @@
     let looks = (1..100).map(|n| step(&mut crowded, n * 100 * MS, vec![Event::Timer(wants)]));
     let said: Vec<Action> = looks.flatten().collect();
     assert_eq!(told(&said), [true], "once");
-    assert!(said.iter().any(|a| matches!(a, Action::Signal(value) if *value == 0.0)), "nobody is kept away");
+    assert!(
+        said.iter().any(|a| matches!(a, Action::SetLoadHint(value) if *value == 0.0)),
+        "nobody is kept away"
+    );
 }
 
 fn open_connections(open: f64) -> Event {
@@ -765,7 +794,7 @@
     let same = |n: u64| Event::Arrived(arrival(&format!("f{n}"), 0, 6 * SEC));
     let out = step(&mut priced, now + MS, (0..30).map(same).collect());
     assert_eq!(refusal(&out, "f29").map(|r| r.1), Some(false), "known callers have a connection");
-    let (mut free, now) = warm(Settings { connect_price: 0.0, ..settings() }, 600 * MS);
+    let (mut free, now) = warm(Settings { connection_cost: 0.0, ..settings() }, 600 * MS);
     let out = step(&mut free, now, (0..12).map(stranger).collect());
     assert_eq!(refusal(&out, "s11").map(|r| r.1), Some(false));
 }
@@ -798,13 +827,13 @@
     let past_aim = step(&mut server, 2 * SEC, vec![busy()]);
     let (stay_away, terminal) = refusal(&past_aim, "long").expect("answered at its aim");
     assert!(stay_away > 0 && terminal, "a time to come back, and nowhere else: {past_aim:?}");
-    assert!(past_aim.contains(&Action::Halt(id("long"))));
+    assert!(past_aim.contains(&Action::Preempt(id("long"))));
 }
 
-fn with_effect(effect: Effect) -> Settings {
+fn with_effect(effect: Idempotency) -> Settings {
     let mut set = settings();
-    set.halt = Halt::Never;
-    set.classes[0].effect = effect;
+    set.preemption = Preemption::Never;
+    set.classes[0].idempotency = effect;
     set
 }
 
@@ -812,19 +841,19 @@
 /// held to its deadline: it is failed at its aim, and its repeat will join it.
 #[test]
 fn a_keyed_run_past_its_aim_is_failed_at_once_never_refused() {
-    let mut server = server(with_effect(Effect::Keyed));
+    let mut server = server(with_effect(Idempotency::WithKey));
     send(&mut server, 0, &[("write", 0)]);
     let past_aim = step(&mut server, 2 * SEC, vec![busy()]);
     assert_eq!(failed(&past_aim), ["write"]);
     assert!(refusal(&past_aim, "write").is_none());
-    assert!(!past_aim.iter().any(|a| matches!(a, Action::Halt(_))), "it can't be stopped here");
+    assert!(!past_aim.iter().any(|a| matches!(a, Action::Preempt(_))), "it can't be stopped here");
 }
 
 /// Guards against failing an unsafe write while it runs, which invites a second, unmarked one: it goes on
 /// to its end, and is failed only at its due time.
 #[test]
 fn an_unsafe_run_goes_on_past_its_aim_until_it_ends_or_is_due() {
-    let mut server = server(with_effect(Effect::Unsafe));
+    let mut server = server(with_effect(Idempotency::NotIdempotent));
     send(&mut server, 0, &[("sale", 0)]);
     let past_aim = step(&mut server, 3 * SEC, vec![busy()]);
     assert!(failed(&past_aim).is_empty() && refusal(&past_aim, "sale").is_none(), "{past_aim:?}");
@@ -848,7 +877,7 @@
 }
 
 /// A server on which runs of the lowest class, one at a time, have taken this long; nothing runs now.
-fn alone(run: Micros) -> (Server, Micros) {
+fn alone(run: Micros) -> (AdmissionController, Micros) {
     let (mut server, mut now) = (server(settings()), 0);
     for n in 0..8 {
         let name = format!("a{n}");
@@ -901,11 +930,11 @@
 /// worth nothing, and it is failed at once, never refused.
 #[test]
 fn a_joined_repeat_past_its_aim_is_failed_at_once() {
-    let mut server = server(with_effect(Effect::Keyed));
+    let mut server = server(with_effect(Idempotency::WithKey));
     send(&mut server, 0, &[("a", 0)]);
-    let again = Arrival { repeats: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
+    let again = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
     let out = step(&mut server, 10 * MS, vec![Event::Arrived(again)]);
-    assert!(out.contains(&Action::Join(id("b"))), "{out:?}");
+    assert!(out.contains(&Action::AwaitDuplicate(id("b"))), "{out:?}");
     let before_aim = step(&mut server, 2 * SEC - 20 * MS, vec![busy()]);
     assert!(failed(&before_aim).is_empty(), "{before_aim:?}");
     let past_aim = step(&mut server, 2 * SEC + 10 * MS, vec![busy()]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,22 +5,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use umberloom::interface::*;
-use umberloom::Server;
+use umberloom::AdmissionController;
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
 
 pub fn class(worth: f64) -> Class {
     Class {
-        aim: 2 * SEC,
-        aim_stretch: 0.0,
+        latency_objective: 2 * SEC,
+        objective_per_cost: 0.0,
         deadline: 6 * SEC,
-        worth,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        window: 5 * SEC,
-        calls: false,
-        skip_worth: 0.0,
+        priority_weight: worth,
+        late_weight_share: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 5 * SEC,
+        calls_downstream: false,
+        degraded_weight_share: 0.0,
     }
 }
 
@@ -30,31 +30,31 @@
         seed: 7,
         cores: 2,
         memory_kb: 100_000.0,
-        run_factor: 16.0,
+        run_memory_factor: 16.0,
         key_kb: 100.0,
-        cold: false,
+        starts_cold: false,
         classes: vec![class(1.0), class(3.0)],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
+        over_quota_weight_share: 0.1,
         tier: 0,
         servers: 4,
         callers: 2,
-        below: Below::Nothing,
-        call_share: 6.0,
+        downstream: Downstream::None,
+        call_quota: 6.0,
         call_window: 5 * SEC,
-        call_linger: 200 * MS,
-        halt: Halt::Pause,
-        signal: Signal::Silent,
-        shared_reads: 0,
-        advice_max: SEC,
-        connect_price: 0.02,
-        idle_max: 30 * SEC,
+        abandoned_call_lifetime: 200 * MS,
+        preemption: Preemption::Pause,
+        load_hint: LoadHintKind::None,
+        shared_read_ttl: 0,
+        retry_after_max: SEC,
+        connection_cost: 0.02,
+        idle_timeout_max: 30 * SEC,
         answer_slack: 60 * MS,
         drain_grace: 2_500 * MS,
-        crowd: 8.0,
-        crowd_window: 1_500 * MS,
-        cold_from: 0.2,
-        cold_for: 17 * SEC,
+        overload_per_core: 8.0,
+        overload_window: 1_500 * MS,
+        warm_up_initial_speed: 0.2,
+        warm_up_time: 17 * SEC,
         tick: 4 * MS,
     }
 }
@@ -65,13 +65,13 @@
         class,
         tenant: 0,
         caller: 1,
-        waits: Some(waits),
-        queued: 0,
-        held_kb: 20.0,
+        caller_timeout: Some(waits),
+        read_delay: 0,
+        queued_kb: 20.0,
         rank: if class == 0 { 0.2 } else { 0.8 },
         cost: None,
-        repeats: None,
-        retry: false,
+        duplicate_of: None,
+        is_retry: false,
     }
 }
 
@@ -80,21 +80,21 @@
 }
 
 /// One step; returns the actions.
-pub fn step(server: &mut Server, now: Micros, events: Vec<Event>) -> Vec<Action> {
+pub fn step(server: &mut AdmissionController, now: Micros, events: Vec<Event>) -> Vec<Action> {
     let mut out = Vec::new();
     server.step(now, events, &mut out);
     out
 }
 
 /// One step with one request of each given name and class.
-pub fn send(server: &mut Server, now: Micros, names: &[(&str, usize)]) -> Vec<Action> {
+pub fn send(server: &mut AdmissionController, now: Micros, names: &[(&str, usize)]) -> Vec<Action> {
     let events = names.iter().map(|(n, c)| Event::Arrived(arrival(n, *c, 6 * SEC))).collect();
     step(server, now, events)
 }
 
 /// A server that knows from two runs that work is short.
-pub fn taught(set: Settings) -> Server {
-    let mut server = Server::new(0, set).expect("sound settings");
+pub fn taught(set: Settings) -> AdmissionController {
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     for (name, class) in [("v", 0), ("w", 1)] {
         send(&mut server, 0, &[(name, class)]);
         step(&mut server, 0, vec![ended(name, MS)]);
@@ -111,7 +111,7 @@
 }
 
 pub fn ended(name: &str, took: Micros) -> Event {
-    Event::Ended(id(name), Outcome::Ok, took)
+    Event::RunEnded(id(name), Outcome::Ok, took)
 }
 
 pub fn admitted(actions: &[Action]) -> Vec<String> {
@@ -122,7 +122,7 @@
 
 pub fn refused(actions: &[Action]) -> Vec<String> {
     let names = actions.iter().filter_map(|a| match a {
-        Action::Refuse { id, .. } => Some(id.to_string()),
+        Action::Reject { id, .. } => Some(id.to_string()),
         _ => None,
     });
     names.collect()
@@ -179,7 +179,7 @@
 /// Carries out actions and checks each of the four rules after every step.
 pub struct Host {
     pub set: Settings,
-    pub server: Server,
+    pub server: AdmissionController,
     pub now: Micros,
     pub notice: Option<(Micros, Micros)>,
     pub most_running: usize,
@@ -195,7 +195,7 @@
 
 impl Host {
     pub fn new(set: Settings) -> Host {
-        let server = Server::new(0, set.clone()).expect("the settings make sense");
+        let server = AdmissionController::new(0, set.clone()).expect("the settings make sense");
         Host {
             set,
             server,
@@ -235,7 +235,7 @@
     }
 
     pub fn may_call(&self, id: &RequestId) -> bool {
-        self.items.get(id).is_some_and(|i| self.set.classes[i.class].calls && !i.answered)
+        self.items.get(id).is_some_and(|i| self.set.classes[i.class].calls_downstream && !i.answered)
     }
 
     fn at(&self, at: At) -> Vec<RequestId> {
@@ -264,13 +264,13 @@
         match event {
             Event::Arrived(a) => {
                 let class = &self.set.classes[a.class];
-                let reached = self.now - a.queued;
-                let due = a.waits.map_or((reached + class.deadline).max(self.now), |w| self.now + w);
+                let reached = self.now - a.read_delay;
+                let due = a.caller_timeout.map_or((reached + class.deadline).max(self.now), |w| self.now + w);
                 let item = Item {
                     class: a.class,
                     reached,
                     due,
-                    kb: a.held_kb,
+                    kb: a.queued_kb,
                     at: At::Held,
                     answered: false,
                     ran: false,
@@ -280,7 +280,7 @@
                 };
                 assert!(self.items.insert(a.id.clone(), item).is_none(), "ids are new");
             }
-            Event::Ended(id, outcome, _) => {
+            Event::RunEnded(id, outcome, _) => {
                 if let Some(item) = self.items.remove(id) {
                     let answers = matches!(outcome, Outcome::Ok | Outcome::Error);
                     assert!(answers || item.answered || item.gone, "{id} ended without an answer");
@@ -288,14 +288,14 @@
                 }
             }
             Event::NeedsCall(id) => self.move_to(id, At::Below),
-            Event::Called(id, outcome, _) => {
+            Event::CallEnded(id, outcome, _) => {
                 let ok = *outcome == Outcome::Ok;
                 if let Some(item) = self.items.get_mut(id) {
                     item.call_may_have_run = !outcome.never_ran() && !ok;
                 }
                 self.move_to(id, if ok { At::Running } else { At::Below });
             }
-            Event::Gone(id) => {
+            Event::Cancelled(id) => {
                 let drop = self.items.get_mut(id).is_some_and(|item| {
                     item.gone = true;
                     matches!(item.at, At::Held | At::Joined)
@@ -304,7 +304,9 @@
                     self.items.remove(id);
                 }
             }
-            Event::Leave { left, ago } => self.notice = Some((self.now - ago, self.now + left)),
+            Event::Drain { time_left: left, notified_ago: ago } => {
+                self.notice = Some((self.now - ago, self.now + left))
+            }
             Event::Timer(_) => self.wake = None,
         }
     }
@@ -318,9 +320,9 @@
     fn obey(&mut self, action: &Action) {
         match action {
             Action::Admit(id) => self.admit(id),
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let item = self.items.get(id).expect("refuses what is here");
-                let safe = self.set.classes[item.class].effect == Effect::Safe;
+                let safe = self.set.classes[item.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || !item.ran, "rule 2: {id} ran and is turned away");
                 self.refused += 1;
                 self.answer(id);
@@ -332,31 +334,34 @@
             Action::Call(id, _) => {
                 let item = self.items.get_mut(id).expect("calls for what is here");
                 assert_eq!(item.at, At::Below);
-                let safe = self.set.classes[item.class].effect == Effect::Safe;
+                let safe = self.set.classes[item.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || !item.call_may_have_run, "rule 2: the call of {id} is made again");
                 item.at = At::Calling;
             }
             Action::SkipCall(id) => {
                 let item = self.items.get_mut(id).expect("skips for what is here");
-                assert!(self.set.classes[item.class].skip_worth > 0.0, "that call can't be left out");
+                assert!(
+                    self.set.classes[item.class].degraded_weight_share > 0.0,
+                    "that call can't be left out"
+                );
                 item.at = At::Running;
             }
-            Action::Keep(id, span) => {
+            Action::RetainKey(id, span) => {
                 self.keys.insert(id.clone(), self.now + span);
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 self.keys.remove(id);
             }
-            Action::Join(id) => self.move_to(id, At::Joined),
-            Action::Halt(id) => {
-                assert!(self.set.halt != Halt::Never, "nothing can be stopped here");
+            Action::AwaitDuplicate(id) => self.move_to(id, At::Joined),
+            Action::Preempt(id) => {
+                assert!(self.set.preemption != Preemption::Never, "nothing can be stopped here");
                 assert!(self.items.get(id).is_none_or(|i| i.answered || i.gone), "stops only what is over");
             }
-            Action::Wake(after) => self.wake = Some(self.now + after),
-            Action::Signal(x) => {
-                assert!(self.set.signal != Signal::Silent && *x >= 0.0, "no value is sent here");
+            Action::WakeAfter(after) => self.wake = Some(self.now + after),
+            Action::SetLoadHint(x) => {
+                assert!(self.set.load_hint != LoadHintKind::None && *x >= 0.0, "no value is sent here");
             }
-            Action::Ready(_) | Action::CloseIdle(_) | Action::Log(_) => {}
+            Action::SetReady(_) | Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
 
@@ -393,7 +398,7 @@
         }
         let kb = |i: &Item| match i.at {
             At::Held | At::Joined => i.kb,
-            _ => i.kb * self.set.run_factor,
+            _ => i.kb * self.set.run_memory_factor,
         };
         let memory = self.items.values().map(kb).sum::<f64>() + self.keys.len() as f64 * self.set.key_kb;
         assert!(memory <= self.set.memory_kb, "rule 4: {memory} kB of {}", self.set.memory_kb);
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -9,22 +9,24 @@
 fn drawn(random: &mut Random) -> Settings {
     let mut set = settings();
     set.cores = 1 + random.below(8) as u32;
-    set.halt = [Halt::Never, Halt::Drop, Halt::Pause][random.below(3) as usize];
-    set.below = [Below::Nothing, Below::Common, Below::NextTier][random.below(3) as usize];
-    set.signal = [Signal::Silent, Signal::MinRank, Signal::Tokens, Signal::Weight][random.below(4) as usize];
-    set.call_share = [0.4, 1.5, 6.0][random.below(3) as usize];
+    set.preemption = [Preemption::Never, Preemption::Abort, Preemption::Pause][random.below(3) as usize];
+    set.downstream = [Downstream::None, Downstream::Shared, Downstream::NextTier][random.below(3) as usize];
+    set.load_hint = [LoadHintKind::None, LoadHintKind::MinRank, LoadHintKind::Tokens, LoadHintKind::Weight]
+        [random.below(4) as usize];
+    set.call_quota = [0.4, 1.5, 6.0][random.below(3) as usize];
     set.memory_kb = 320.0 * f64::from(set.cores) * (4 + random.below(16)) as f64;
-    set.crowd = (2 + random.below(7)) as f64;
-    set.cold = random.chance(40);
-    set.shared_reads = if random.chance(30) { SEC } else { 0 };
+    set.overload_per_core = (2 + random.below(7)) as f64;
+    set.starts_cold = random.chance(40);
+    set.shared_read_ttl = if random.chance(30) { SEC } else { 0 };
     if random.chance(30) {
         set.tenants = vec![Tenant { quota_per_s: 8.0 }, Tenant { quota_per_s: 40.0 }];
     }
     for class in &mut set.classes {
-        class.effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][random.below(3) as usize];
-        class.calls = set.below != Below::Nothing && random.chance(70);
-        class.skip_worth = if random.chance(50) { 0.4 } else { 0.0 };
-        class.late_worth = if random.chance(30) { 0.2 } else { 0.0 };
+        class.idempotency = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent]
+            [random.below(3) as usize];
+        class.calls_downstream = set.downstream != Downstream::None && random.chance(70);
+        class.degraded_weight_share = if random.chance(50) { 0.4 } else { 0.0 };
+        class.late_weight_share = if random.chance(30) { 0.2 } else { 0.0 };
     }
     set
 }
@@ -32,16 +34,16 @@
 fn fresh(host: &Host, random: &mut Random, n: usize) -> Event {
     let waits = if random.chance(80) { Some(1 + random.below(4 * SEC)) } else { None };
     let class = random.below(2) as usize;
-    let keyed = host.set.classes[class].effect == Effect::Keyed;
+    let keyed = host.set.classes[class].idempotency == Idempotency::WithKey;
     Event::Arrived(Arrival {
-        waits,
-        queued: random.below(300 * MS).min(host.now),
+        caller_timeout: waits,
+        read_delay: random.below(300 * MS).min(host.now),
         tenant: random.below(2) as usize,
         caller: random.below(3),
-        held_kb: 5.0 + random.below(40) as f64,
+        queued_kb: 5.0 + random.below(40) as f64,
         cost: if random.chance(50) { Some(random.below(SEC)) } else { None },
-        repeats: if keyed && random.chance(30) { host.kept() } else { None },
-        retry: random.chance(10),
+        duplicate_of: if keyed && random.chance(30) { host.kept() } else { None },
+        is_retry: random.chance(10),
         ..arrival(&format!("g{n}"), class, 1)
     })
 }
@@ -64,14 +66,20 @@
     used.push(id.clone());
     Some(match kind {
         0 if host.may_call(&id) && random.chance(40) => Event::NeedsCall(id),
-        0 if random.chance(5) => Event::Ended(id, Outcome::Error, 50 * MS),
-        0 => Event::Ended(id, Outcome::Ok, 50 * MS),
+        0 if random.chance(5) => Event::RunEnded(id, Outcome::Error, 50 * MS),
+        0 => Event::RunEnded(id, Outcome::Ok, 50 * MS),
         1 => {
-            let ways =
-                [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Refused, Outcome::TimedOut, Outcome::Cut];
-            Event::Called(id, ways[random.below(6) as usize], 20 * MS)
+            let ways = [
+                Outcome::Ok,
+                Outcome::Ok,
+                Outcome::Error,
+                Outcome::Rejected,
+                Outcome::TimedOut,
+                Outcome::ConnectionLost,
+            ];
+            Event::CallEnded(id, ways[random.below(6) as usize], 20 * MS)
         }
-        _ => Event::Ended(id, Outcome::Ok, 5 * MS),
+        _ => Event::RunEnded(id, Outcome::Ok, 5 * MS),
     })
 }
 
@@ -89,7 +97,7 @@
             events.push(Event::Timer(Gauges { cpu, on_cores: Some(3.0), ..Gauges::default() }));
         }
         if n == 1_000 {
-            events.push(Event::Leave { left: 2_400 * MS, ago: 0 });
+            events.push(Event::Drain { time_left: 2_400 * MS, notified_ago: 0 });
         }
         for extra in 0..random.below(1 + load) as usize {
             if host.notice.is_none_or(|(_, stop)| host.now < stop) {
@@ -101,7 +109,7 @@
             events.extend(happening(&host, &mut random, &mut used));
         }
         if let Some(id) = host.held().first().filter(|_| random.chance(2)) {
-            events.push(Event::Gone(id.clone()));
+            events.push(Event::Cancelled(id.clone()));
         }
         host.step(events);
     }
@@ -114,10 +122,10 @@
     for seed in 1..=80 {
         let host = play(seed);
         assert_eq!(host.open(), 0, "seed {seed}: all is answered at the stop");
-        let crowd = f64::from(host.set.cores) * host.set.crowd;
+        let crowd = f64::from(host.set.cores) * host.set.overload_per_core;
         assert!(host.most_running as f64 <= crowd, "seed {seed}: {} run", host.most_running);
-        if host.set.below == Below::Common {
-            let calls = host.set.call_share.max(1.0);
+        if host.set.downstream == Downstream::Shared {
+            let calls = host.set.call_quota.max(1.0);
             assert!(host.most_calling as f64 <= calls, "seed {seed}: {} calls", host.most_calling);
         }
         served += host.served;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 use umberloom::interface::*;
-use umberloom::Server;
+use umberloom::AdmissionController;
 
 /// A server whose two slots are taken by requests of the low class, and that knows runs to be short.
-fn taken(set: Settings) -> Server {
+fn taken(set: Settings) -> AdmissionController {
     let mut server = taught(set);
     let out = send(&mut server, 0, &[("x", 0), ("y", 0)]);
     assert_eq!(admitted(&out), ["x", "y"]);
@@ -50,7 +50,7 @@
 
 #[test]
 fn the_limit_starts_at_the_cores() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
     assert_eq!(admitted(&send(&mut server, 0, &[("a", 0), ("b", 0), ("c", 0)])), ["a", "b"]);
 }
 
@@ -65,7 +65,7 @@
 #[test]
 fn filling_stays_within_the_survivable_crowd() {
     let mut set = settings();
-    set.crowd = 2.0;
+    set.overload_per_core = 2.0;
     let mut server = taught(set);
     let names: Vec<String> = (0..30).map(|n| format!("r{n}")).collect();
     let all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
@@ -85,7 +85,7 @@
     }
     for n in 0..done {
         let first = host.running().first().cloned().expect("something runs");
-        host.step(vec![Event::Ended(first, Outcome::Ok, MS), fresh(format!("{tag}+{n}"))]);
+        host.step(vec![Event::RunEnded(first, Outcome::Ok, MS), fresh(format!("{tag}+{n}"))]);
     }
     host.now += 500 * MS;
     let gauges = Gauges { cpu: Some(1.0), on_cores: Some(on_cores), ..Gauges::default() };
@@ -96,7 +96,7 @@
     let running = host.running().len();
     // What is left over is served, so that it does not grow old.
     while let Some(first) = host.running().first().cloned() {
-        host.step(vec![Event::Ended(first, Outcome::Ok, MS)]);
+        host.step(vec![Event::RunEnded(first, Outcome::Ok, MS)]);
     }
     running
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use umberloom::interface::*;
-use umberloom::Server;
+use umberloom::AdmissionController;
 
 fn one_class(change: impl Fn(&mut Class)) -> Settings {
     let mut set = settings();
@@ -12,11 +12,11 @@
 }
 
 /// Steps until `until`, collecting all actions; no reading, which might raise the limit.
-fn wait(server: &mut Server, from: Micros, until: Micros) -> Vec<(Micros, Action)> {
+fn wait(server: &mut AdmissionController, from: Micros, until: Micros) -> Vec<(Micros, Action)> {
     let mut all = Vec::new();
     let mut now = from;
     while now <= until {
-        all.extend(step(server, now, vec![Event::Gone(id("nobody"))]).into_iter().map(|a| (now, a)));
+        all.extend(step(server, now, vec![Event::Cancelled(id("nobody"))]).into_iter().map(|a| (now, a)));
         now += 20 * MS;
     }
     all
@@ -24,37 +24,37 @@
 
 /// A final answer to the named request: a failure, or a refusal where the run was safe.
 fn is_answer(action: &Action, name: &str) -> bool {
-    matches!(action, Action::Fail(who) | Action::Refuse { id: who, .. } if **who == *name)
+    matches!(action, Action::Fail(who) | Action::Reject { id: who, .. } if **who == *name)
 }
 
 #[test]
 fn running_work_is_answered_by_its_due_time_and_stopped() {
-    let set = one_class(|c| c.aim = 6 * SEC);
-    let mut server = Server::new(0, set).expect("sound settings");
+    let set = one_class(|c| c.latency_objective = 6 * SEC);
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     step(&mut server, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let all = wait(&mut server, 20 * MS, 2 * SEC);
     let fail = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
     assert!((800 * MS..=960 * MS).contains(&fail), "answered at {fail}");
-    assert!(all.contains(&(fail, Action::Halt(id("a")))));
+    assert!(all.contains(&(fail, Action::Preempt(id("a")))));
     assert_eq!(all.iter().filter(|(_, a)| is_answer(a, "a")).count(), 1, "one answer");
 }
 
 #[test]
 fn work_that_can_not_be_stopped_is_answered_all_the_same() {
     let mut set = settings();
-    set.halt = Halt::Never;
-    let mut server = Server::new(0, set).expect("sound settings");
+    set.preemption = Preemption::Never;
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     step(&mut server, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let all = wait(&mut server, 20 * MS, 2 * SEC);
     assert_eq!(all.iter().filter(|(_, a)| is_answer(a, "a")).count(), 1);
-    assert!(!all.iter().any(|(_, a)| matches!(a, Action::Halt(_))));
+    assert!(!all.iter().any(|(_, a)| matches!(a, Action::Preempt(_))));
 }
 
 #[test]
 fn a_request_at_a_call_is_answered_by_its_due_time() {
-    let mut set = one_class(|c| c.calls = true);
-    set.below = Below::Common;
-    let mut server = Server::new(0, set).expect("sound settings");
+    let mut set = one_class(|c| c.calls_downstream = true);
+    set.downstream = Downstream::Shared;
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     step(&mut server, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let out = step(&mut server, 10 * MS, vec![Event::NeedsCall(id("a"))]);
     assert!(out.iter().any(|a| matches!(a, Action::Call(_, _))));
@@ -65,9 +65,9 @@
 
 #[test]
 fn without_a_stated_wait_the_deadline_of_the_class_counts_from_the_arrival() {
-    let set = one_class(|c| c.aim = c.deadline);
-    let mut server = Server::new(10 * SEC, set).expect("sound settings");
-    let late = Arrival { waits: None, queued: 5 * SEC, ..arrival("a", 0, 1) };
+    let set = one_class(|c| c.latency_objective = c.deadline);
+    let mut server = AdmissionController::new(10 * SEC, set).expect("sound settings");
+    let late = Arrival { caller_timeout: None, read_delay: 5 * SEC, ..arrival("a", 0, 1) };
     step(&mut server, 10 * SEC, vec![Event::Arrived(late)]);
     let all = wait(&mut server, 10 * SEC + 20 * MS, 12 * SEC);
     let fail = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
@@ -76,9 +76,9 @@
 
 #[test]
 fn what_reached_the_machine_after_the_grace_never_runs() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
-    step(&mut server, 0, vec![Event::Leave { left: 20 * SEC, ago: 0 }]);
-    let early = Arrival { queued: 600 * MS, ..arrival("early", 0, 6 * SEC) };
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
+    step(&mut server, 0, vec![Event::Drain { time_left: 20 * SEC, notified_ago: 0 }]);
+    let early = Arrival { read_delay: 600 * MS, ..arrival("early", 0, 6 * SEC) };
     let out =
         step(&mut server, 3 * SEC, vec![Event::Arrived(early), Event::Arrived(arrival("late", 0, 6 * SEC))]);
     assert_eq!(admitted(&out), ["early"]);
@@ -88,9 +88,9 @@
 /// Guards against a grace that begins anew when a host could tell of the notice only later, as its agent came up late.
 #[test]
 fn the_grace_counts_from_the_notice_however_late_it_is_told() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
-    step(&mut server, 10 * SEC, vec![Event::Leave { left: 20 * SEC, ago: 2 * SEC }]);
-    let early = Arrival { queued: 600 * MS, ..arrival("early", 0, 6 * SEC) };
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
+    step(&mut server, 10 * SEC, vec![Event::Drain { time_left: 20 * SEC, notified_ago: 2 * SEC }]);
+    let early = Arrival { read_delay: 600 * MS, ..arrival("early", 0, 6 * SEC) };
     let late = arrival("late", 0, 6 * SEC);
     let out = step(&mut server, 11 * SEC, vec![Event::Arrived(early), Event::Arrived(late)]);
     assert_eq!((admitted(&out), refused(&out)), (vec!["early".to_owned()], vec!["late".to_owned()]));
@@ -98,9 +98,9 @@
 
 #[test]
 fn all_is_answered_before_the_stop() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
     send(&mut server, 0, &[("a", 0), ("b", 1), ("c", 0)]);
-    step(&mut server, 10 * MS, vec![Event::Leave { left: SEC, ago: 0 }]);
+    step(&mut server, 10 * MS, vec![Event::Drain { time_left: SEC, notified_ago: 0 }]);
     let all: Vec<Action> = wait(&mut server, 20 * MS, SEC).into_iter().map(|(_, a)| a).collect();
     let mut answered = failed(&all);
     answered.extend(refused(&all));
@@ -112,13 +112,13 @@
 
 #[test]
 fn a_repeat_of_a_keyed_request_joins_it() {
-    let set = one_class(|c| c.effect = Effect::Keyed);
-    let mut server = Server::new(0, set).expect("sound settings");
+    let set = one_class(|c| c.idempotency = Idempotency::WithKey);
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     let out = send(&mut server, 0, &[("a", 0)]);
-    assert!(out.contains(&Action::Keep(id("a"), 5 * SEC)), "kept while it is here: {out:?}");
-    let again = Arrival { repeats: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
+    assert!(out.contains(&Action::RetainKey(id("a"), 5 * SEC)), "kept while it is here: {out:?}");
+    let again = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
     let out = step(&mut server, 10 * MS, vec![Event::Arrived(again)]);
-    assert!(out.contains(&Action::Join(id("b"))));
+    assert!(out.contains(&Action::AwaitDuplicate(id("b"))));
     let later: Vec<Action> = wait(&mut server, 20 * MS, 7 * SEC).into_iter().map(|(_, a)| a).collect();
     assert!(admitted(&later).is_empty());
     assert!(refused(&later).is_empty(), "it may share an effect, so it is never denied");
@@ -127,29 +127,31 @@
 
 #[test]
 fn a_keyed_request_refused_before_it_ran_is_forgotten() {
-    let mut set = one_class(|c| c.effect = Effect::Keyed);
+    let mut set = one_class(|c| c.idempotency = Idempotency::WithKey);
     set.cores = 1;
     let mut server = taught(set);
     send(&mut server, 0, &[("a", 0), ("b", 0)]);
     let all: Vec<Action> = wait(&mut server, 20 * MS, 7 * SEC).into_iter().map(|(_, a)| a).collect();
     assert_eq!(refused(&all), ["b"]);
-    assert!(all.contains(&Action::Forget(id("b"))));
+    assert!(all.contains(&Action::ReleaseKey(id("b"))));
     assert_eq!(failed(&all), ["a"], "what ran is failed, not denied");
-    assert!(!all.contains(&Action::Forget(id("a"))), "and stays known");
+    assert!(!all.contains(&Action::ReleaseKey(id("a"))), "and stays known");
 }
 
 #[test]
 fn a_call_that_may_have_run_is_not_made_again_for_unsafe_work() {
     let mut set = one_class(|c| {
-        c.effect = Effect::Unsafe;
-        c.calls = true;
+        c.idempotency = Idempotency::NotIdempotent;
+        c.calls_downstream = true;
     });
-    set.below = Below::Common;
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Cut, Outcome::Refused, Outcome::Unreachable] {
-        let mut server = Server::new(0, set.clone()).expect("sound settings");
+    set.downstream = Downstream::Shared;
+    for outcome in
+        [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Rejected, Outcome::Unreachable]
+    {
+        let mut server = AdmissionController::new(0, set.clone()).expect("sound settings");
         send(&mut server, 0, &[("a", 0)]);
         step(&mut server, 10 * MS, vec![Event::NeedsCall(id("a"))]);
-        step(&mut server, 20 * MS, vec![Event::Called(id("a"), outcome, 10 * MS)]);
+        step(&mut server, 20 * MS, vec![Event::CallEnded(id("a"), outcome, 10 * MS)]);
         let all = wait(&mut server, 40 * MS, SEC);
         let again = all.iter().any(|(_, a)| matches!(a, Action::Call(_, _)));
         assert_eq!(again, outcome.never_ran(), "{outcome:?}");
@@ -176,8 +178,8 @@
 fn a_cold_server_survives_a_smaller_crowd() {
     let count = |cold: bool| {
         let mut set = settings();
-        set.cold = cold;
-        set.crowd = 4.0;
+        set.starts_cold = cold;
+        set.overload_per_core = 4.0;
         let mut server = taught(set);
         let names: Vec<String> = (0..40).map(|n| format!("r{n}")).collect();
         let all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
@@ -194,17 +196,17 @@
 
 #[test]
 fn calls_in_hand_stay_within_the_share() {
-    let mut set = one_class(|c| c.calls = true);
-    set.below = Below::Common;
-    set.call_share = 2.5;
+    let mut set = one_class(|c| c.calls_downstream = true);
+    set.downstream = Downstream::Shared;
+    set.call_quota = 2.5;
     set.cores = 6;
-    let mut server = Server::new(0, set).expect("sound settings");
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     let names = ["a", "b", "c", "d", "e", "f"];
     send(&mut server, 0, &names.map(|n| (n, 0)));
     let out = step(&mut server, MS, names.iter().map(|n| Event::NeedsCall(id(n))).collect());
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 2);
     // One given up lingers in the dependency's hands and keeps its place.
-    let out = step(&mut server, 2 * MS, vec![Event::Called(id("a"), Outcome::TimedOut, MS)]);
+    let out = step(&mut server, 2 * MS, vec![Event::CallEnded(id("a"), Outcome::TimedOut, MS)]);
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 0);
     let out = step(&mut server, 300 * MS, vec![busy()]);
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 1);
@@ -212,10 +214,10 @@
 
 #[test]
 fn a_share_under_one_is_kept_in_the_mean() {
-    let mut set = one_class(|c| c.calls = true);
-    set.below = Below::Common;
-    set.call_share = 0.5;
-    let mut server = Server::new(0, set).expect("sound settings");
+    let mut set = one_class(|c| c.calls_downstream = true);
+    set.downstream = Downstream::Shared;
+    set.call_quota = 0.5;
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     let mut busy_for = 0;
     let mut now = 0;
     // Always a request at a call; each call takes 100 ms.
@@ -227,14 +229,14 @@
             now += 20 * MS;
             out = step(&mut server, now, vec![busy()]);
             if failed(&out).contains(&name) {
-                step(&mut server, now, vec![Event::Ended(id(&name), Outcome::Stopped, 0)]);
+                step(&mut server, now, vec![Event::RunEnded(id(&name), Outcome::Aborted, 0)]);
                 break;
             }
         }
         if out.iter().any(|a| matches!(a, Action::Call(_, _))) {
             now += 100 * MS;
             busy_for += 100 * MS;
-            step(&mut server, now, vec![Event::Called(id(&name), Outcome::Ok, 100 * MS)]);
+            step(&mut server, now, vec![Event::CallEnded(id(&name), Outcome::Ok, 100 * MS)]);
             step(&mut server, now, vec![ended(&name, 100 * MS)]);
         }
     }
@@ -244,18 +246,18 @@
 
 #[test]
 fn events_about_what_is_concluded_change_nothing() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
     send(&mut server, 0, &[("a", 0)]);
     step(&mut server, MS, vec![ended("a", MS)]);
     let stale = vec![
         ended("a", MS),
         Event::NeedsCall(id("a")),
-        Event::Called(id("a"), Outcome::Ok, MS),
-        Event::Gone(id("a")),
+        Event::CallEnded(id("a"), Outcome::Ok, MS),
+        Event::Cancelled(id("a")),
         ended("never-seen", MS),
     ];
     let out = step(&mut server, 2 * MS, stale);
-    assert!(out.iter().all(|a| matches!(a, Action::Wake(_))), "{out:?}");
+    assert!(out.iter().all(|a| matches!(a, Action::WakeAfter(_))), "{out:?}");
 }
 
 #[test]
@@ -263,31 +265,31 @@
     let spoil: [fn(&mut Settings); 5] = [
         |s| s.cores = 0,
         |s| s.memory_kb = -1.0,
-        |s| s.crowd = -2.0,
+        |s| s.overload_per_core = -2.0,
         |s| s.classes.clear(),
-        |s| s.call_share = f64::NAN,
+        |s| s.call_quota = f64::NAN,
     ];
     for change in spoil {
         let mut set = settings();
         change(&mut set);
-        assert!(Server::new(0, set).is_err());
+        assert!(AdmissionController::new(0, set).is_err());
     }
 }
 
 #[test]
 fn a_leaving_server_is_not_ready() {
-    let mut server = Server::new(0, settings()).expect("sound settings");
-    let out = step(&mut server, SEC, vec![Event::Leave { left: 5 * SEC, ago: 0 }]);
-    assert!(out.contains(&Action::Ready(false)), "{out:?}");
+    let mut server = AdmissionController::new(0, settings()).expect("sound settings");
+    let out = step(&mut server, SEC, vec![Event::Drain { time_left: 5 * SEC, notified_ago: 0 }]);
+    assert!(out.contains(&Action::SetReady(false)), "{out:?}");
 }
 
 /// A share of 0 allows no call at all, not one; what can go on without does so, the rest is answered.
 #[test]
 fn a_share_of_none_makes_no_call() {
     for skip_worth in [0.0, 0.5] {
-        let mut set = one_class(|c| (c.calls, c.skip_worth) = (true, skip_worth));
-        (set.below, set.call_share) = (Below::Common, 0.0);
-        let mut server = Server::new(0, set).expect("sound settings");
+        let mut set = one_class(|c| (c.calls_downstream, c.degraded_weight_share) = (true, skip_worth));
+        (set.downstream, set.call_quota) = (Downstream::Shared, 0.0);
+        let mut server = AdmissionController::new(0, set).expect("sound settings");
         send(&mut server, 0, &[("a", 0)]);
         let mut all = step(&mut server, MS, vec![Event::NeedsCall(id("a"))]);
         all.extend(wait(&mut server, 20 * MS, 7 * SEC).into_iter().map(|(_, action)| action));
@@ -303,7 +305,7 @@
 #[test]
 fn two_cold_cores_with_the_least_crowd_run_no_more_than_they_survive() {
     let mut set = settings();
-    (set.cold, set.crowd, set.cold_from) = (true, 1.5, 0.1);
+    (set.starts_cold, set.overload_per_core, set.warm_up_initial_speed) = (true, 1.5, 0.1);
     let mut server = taught(set);
     let names: Vec<String> = (0..20).map(|n| format!("r{n}")).collect();
     let all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
@@ -318,9 +320,9 @@
 /// Guards a dependency that did not grow with the fleet: calls that hang keep a small share in the mean too.
 #[test]
 fn a_hanging_call_is_given_up_within_a_share_under_one() {
-    let mut set = one_class(|c| c.calls = true);
-    (set.below, set.call_share) = (Below::Common, 0.2);
-    let mut server = Server::new(0, set).expect("sound settings");
+    let mut set = one_class(|c| c.calls_downstream = true);
+    (set.downstream, set.call_quota) = (Downstream::Shared, 0.2);
+    let mut server = AdmissionController::new(0, set).expect("sound settings");
     send(&mut server, 0, &[("a", 0)]);
     // The first one waits for a moment that each server draws by itself: all may have started at once.
     step(&mut server, 0, vec![Event::NeedsCall(id("a"))]);
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -4,23 +4,24 @@
 use common::*;
 use std::collections::VecDeque;
 use umberloom::interface::*;
-use umberloom::Server;
+use umberloom::AdmissionController;
 
 /// A server with its part of the `whole` calls that what they all call survives.
-fn server(number: u32, servers: u32, whole: f64) -> Server {
+fn server(number: u32, servers: u32, whole: f64) -> AdmissionController {
     let mut set = settings();
     set.classes.iter_mut().for_each(|c| {
-        (c.calls, c.skip_worth) = (true, 0.0);
-        (c.aim, c.deadline) = (100 * SEC, 100 * SEC);
+        (c.calls_downstream, c.degraded_weight_share) = (true, 0.0);
+        (c.latency_objective, c.deadline) = (100 * SEC, 100 * SEC);
     });
-    (set.below, set.call_share, set.seed) = (Below::Common, whole / f64::from(servers), u64::from(number));
+    (set.downstream, set.call_quota, set.seed) =
+        (Downstream::Shared, whole / f64::from(servers), u64::from(number));
     (set.servers, set.memory_kb) = (servers, 1e9);
-    Server::new(0, set).expect("sound settings")
+    AdmissionController::new(0, set).expect("sound settings")
 }
 
 /// A fleet of which each server always has requests at a call.
 struct Fleet {
-    all: Vec<Server>,
+    all: Vec<AdmissionController>,
     /// Calls under way, in the order in which they end: when, whose, and which.
     under_way: VecDeque<(Micros, usize, RequestId)>,
     begun: VecDeque<Micros>,
@@ -39,9 +40,9 @@
         let mut events: Vec<Vec<Event>> = self.all.iter().map(|_| vec![busy()]).collect();
         while self.under_way.front().is_some_and(|(end, ..)| *end <= now) {
             let (_, n, name) = self.under_way.pop_front().expect("one");
-            events[n].push(Event::Called(name.clone(), outcome, took));
+            events[n].push(Event::CallEnded(name.clone(), outcome, took));
             if outcome == Outcome::Ok {
-                events[n].push(Event::Ended(name, Outcome::Ok, took));
+                events[n].push(Event::RunEnded(name, Outcome::Ok, took));
             }
         }
         for (n, mut events) in events.into_iter().enumerate() {
@@ -56,8 +57,8 @@
                     match action {
                         Action::Admit(name) => events.push(Event::NeedsCall(name)),
                         // A run at a call ends with its request, one that is stopped as it is told.
-                        Action::Halt(name) | Action::Fail(name) => {
-                            events.push(Event::Ended(name, Outcome::Stopped, 0));
+                        Action::Preempt(name) | Action::Fail(name) => {
+                            events.push(Event::RunEnded(name, Outcome::Aborted, 0));
                         }
                         Action::Call(name, _) => {
                             self.under_way.push_back((now + took, n, name));
