--- a/crates/connection-admission/src/places.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -10,13 +10,13 @@
 /// Part of its guaranteed places that nobody may borrow from a listener, one in so many: a surge starts there.
 const UNLENT: usize = 16;
 /// A connection that carried something within this time may be about to carry more.
-pub const SETTLED: Micros = 100_000;
+pub const SETTLE_TIME: Micros = 100_000;
 /// A connection that was told to close is gone within this time, if it closes at all.
 const LEAVES: Micros = 300_000;
 
 /// What is seen of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ConnectionState {
     /// Its name; later ones have higher ones.
     pub id: u64,
     /// The listener that it came by.
@@ -33,10 +33,10 @@
     pub at_door: bool,
 }
 
-impl Seen {
+impl ConnectionState {
     /// A connection that has just come.
-    pub fn new(id: u64, listener: usize, now: Micros) -> Seen {
-        Seen { id, listener, open: 0, asked: false, last: now, told: None, at_door: false }
+    pub fn new(id: u64, listener: usize, now: Micros) -> ConnectionState {
+        ConnectionState { id, listener, open: 0, asked: false, last: now, told: None, at_door: false }
     }
 
     fn is_leaving(&self, now: Micros) -> bool {
@@ -50,7 +50,7 @@
 
 /// What becomes of a connection that has just come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lot {
+pub enum Admission {
     /// It is served.
     Served,
     /// It may ask, and is told to go elsewhere.
@@ -61,20 +61,20 @@
 
 /// The places of one server and how they are shared.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Places {
+pub struct ConnectionTable {
     table: usize,
     door: usize,
     guaranteed: Vec<usize>,
 }
 
-impl Places {
+impl ConnectionTable {
     /// Parts so many descriptors among listeners with these weights.
-    pub fn new(descriptors: usize, weights: &[u32]) -> Places {
+    pub fn new(descriptors: usize, weights: &[u32]) -> ConnectionTable {
         let door = descriptors.div_ceil(DOOR).min(descriptors / 2);
         let table = descriptors - door;
         let sum: usize = weights.iter().map(|&w| w as usize).sum();
         let part = |&weight: &u32| table * weight as usize / sum.max(1);
-        Places { table, door, guaranteed: weights.iter().map(part).collect() }
+        ConnectionTable { table, door, guaranteed: weights.iter().map(part).collect() }
     }
 
     /// Places in the table.
@@ -95,27 +95,27 @@
     /// Where a new connection of `listener` finds its place, and which connection is to be closed for it at once. One
     /// that has never asked gives up its place to one that comes: peers connect when they have something to send, so
     /// what says nothing is likely to go on so.
-    pub fn lot(&self, now: Micros, listener: usize, all: &[Seen]) -> (Lot, Option<u64>) {
+    pub fn admit(&self, now: Micros, listener: usize, all: &[ConnectionState]) -> (Admission, Option<u64>) {
         if self.has_room(now, listener, all) {
-            return (Lot::Served, None);
+            return (Admission::Served, None);
         }
         if all.len() >= self.all() {
-            return (Lot::Closed, None);
+            return (Admission::Closed, None);
         }
-        let may_go = |s: &&Seen| s.is_idle() && !s.asked && !s.is_leaving(now);
+        let may_go = |s: &&ConnectionState| s.is_idle() && !s.asked && !s.is_leaving(now);
         let taken = self.taken(all);
         // Within its part a listener may take the place of any that has more than its own; beyond it only of its own.
-        let over = |s: &&Seen| taken[s.listener] > self.guaranteed(s.listener);
+        let over = |s: &&ConnectionState| taken[s.listener] > self.guaranteed(s.listener);
         let within = taken.get(listener).copied().unwrap_or(0) < self.guaranteed(listener);
         let lent = all.iter().filter(may_go).find(|s| s.listener != listener && within && over(s));
         match lent.or_else(|| all.iter().filter(may_go).find(|s| s.listener == listener)) {
-            Some(silent) => (Lot::Served, Some(silent.id)),
-            None => (Lot::TurnedAway, None),
+            Some(silent) => (Admission::Served, Some(silent.id)),
+            None => (Admission::TurnedAway, None),
         }
     }
 
     /// Whether there is a place that this listener may take: its own, or one that others leave.
-    fn has_room(&self, now: Micros, listener: usize, all: &[Seen]) -> bool {
+    fn has_room(&self, now: Micros, listener: usize, all: &[ConnectionState]) -> bool {
         let leaving = all.iter().filter(|s| s.is_leaving(now)).count();
         let taken = self.taken(all);
         let in_table: usize = taken.iter().sum();
@@ -134,7 +134,7 @@
         others.map(|other| kept(other).min(self.guaranteed[other].saturating_sub(taken[other]))).sum()
     }
 
-    fn taken(&self, all: &[Seen]) -> Vec<usize> {
+    fn taken(&self, all: &[ConnectionState]) -> Vec<usize> {
         let mut taken = vec![0; self.guaranteed.len()];
         for seen in all.iter().filter(|s| !s.at_door) {
             if let Some(count) = taken.get_mut(seen.listener) {
@@ -146,15 +146,15 @@
 
     /// Whether nothing is to be accepted for now, as a place is about to be free: who waits for that is read within
     /// 0.3 s. Where nothing leaves, nobody is let wait.
-    pub fn is_coming(&self, now: Micros, all: &[Seen]) -> bool {
+    pub fn is_coming(&self, now: Micros, all: &[ConnectionState]) -> bool {
         all.len() >= self.table && all.iter().any(|s| s.is_leaving(now))
     }
 
     /// Connections that are to close for having been idle, each listener with a span of its own, and for a fifth of the
     /// places to be free: those that never asked first, then those idle longest, none that has only just carried
     /// something. Of listeners that have more than their part come the first.
-    pub fn to_close(&self, now: Micros, spans: &[Micros], all: &[Seen]) -> Vec<u64> {
-        let span = |s: &Seen| spans.get(s.listener).copied().unwrap_or(Micros::MAX);
+    pub fn to_close(&self, now: Micros, spans: &[Micros], all: &[ConnectionState]) -> Vec<u64> {
+        let span = |s: &ConnectionState| spans.get(s.listener).copied().unwrap_or(Micros::MAX);
         let idle = all.iter().filter(|s| s.is_idle());
         let mut close: Vec<u64> =
             idle.clone().filter(|s| now.saturating_sub(s.last) >= span(s)).map(|s| s.id).collect();
@@ -162,9 +162,10 @@
         let in_table: usize = taken.iter().sum();
         let keep = self.table - self.table.div_ceil(SPARE);
         let excess = in_table.saturating_sub(keep).saturating_sub(close.len());
-        let young = |s: &&Seen| now < s.last + SETTLED;
-        let mut more: Vec<&Seen> = idle.clone().filter(|s| !young(s) && !close.contains(&s.id)).collect();
-        let within = |s: &Seen| taken[s.listener] <= self.guaranteed(s.listener);
+        let young = |s: &&ConnectionState| now < s.last + SETTLE_TIME;
+        let mut more: Vec<&ConnectionState> =
+            idle.clone().filter(|s| !young(s) && !close.contains(&s.id)).collect();
+        let within = |s: &ConnectionState| taken[s.listener] <= self.guaranteed(s.listener);
         more.sort_by_key(|s| (s.asked, within(s), s.last));
         // Places kept free are for who has just come. A crowd beyond them that says nothing goes once it has
         // settled; until then nobody who has asked leaves for it, and none of it is closed before it could ask.
@@ -177,7 +178,7 @@
 
     /// Connections with something open that are to close after it, so that a listener under its part finds the places
     /// that were lent: as many as are missing, of those that have most beyond their part, the latest first.
-    pub fn to_give_back(&self, all: &[Seen]) -> Vec<u64> {
+    pub fn to_give_back(&self, all: &[ConnectionState]) -> Vec<u64> {
         let mut taken = self.taken(all);
         let in_table: usize = taken.iter().sum();
         if in_table < self.table {
@@ -202,68 +203,68 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn busy(id: u64, listener: usize) -> Seen {
-        Seen { open: 1, asked: true, ..Seen::new(id, listener, 0) }
+    fn busy(id: u64, listener: usize) -> ConnectionState {
+        ConnectionState { open: 1, asked: true, ..ConnectionState::new(id, listener, 0) }
     }
 
-    fn idle(id: u64, listener: usize, last: Micros) -> Seen {
-        Seen { asked: true, ..Seen::new(id, listener, last) }
+    fn idle(id: u64, listener: usize, last: Micros) -> ConnectionState {
+        ConnectionState { asked: true, ..ConnectionState::new(id, listener, last) }
     }
 
     #[test]
     fn one_listener_has_all_places() {
-        let places = Places::new(312, &[1]);
+        let places = ConnectionTable::new(312, &[1]);
         assert_eq!((places.table(), places.all(), places.guaranteed(0)), (292, 312, 292));
-        let mut all: Vec<Seen> = (0..291).map(|id| busy(id, 0)).collect();
-        assert_eq!(places.lot(0, 0, &all), (Lot::Served, None));
+        let mut all: Vec<ConnectionState> = (0..291).map(|id| busy(id, 0)).collect();
+        assert_eq!(places.admit(0, 0, &all), (Admission::Served, None));
         all.push(busy(291, 0));
-        assert_eq!(places.lot(0, 0, &all), (Lot::TurnedAway, None));
-        all.extend((292..312).map(|id| Seen { at_door: true, ..busy(id, 0) }));
-        assert_eq!(places.lot(0, 0, &all), (Lot::Closed, None));
+        assert_eq!(places.admit(0, 0, &all), (Admission::TurnedAway, None));
+        all.extend((292..312).map(|id| ConnectionState { at_door: true, ..busy(id, 0) }));
+        assert_eq!(places.admit(0, 0, &all), (Admission::Closed, None));
     }
 
     #[test]
     fn what_one_leaves_the_other_borrows_but_for_a_start() {
-        let places = Places::new(34, &[1, 1]);
+        let places = ConnectionTable::new(34, &[1, 1]);
         assert_eq!((places.table(), places.guaranteed(0)), (31, 15));
-        let all: Vec<Seen> = (0..30).map(|id| busy(id, 0)).collect();
-        assert_eq!(places.lot(0, 0, &all).0, Lot::TurnedAway, "the last place is the other's");
-        assert_eq!(places.lot(0, 1, &all).0, Lot::Served);
-        assert_eq!(places.lot(0, 0, &all[..29]).0, Lot::Served);
+        let all: Vec<ConnectionState> = (0..30).map(|id| busy(id, 0)).collect();
+        assert_eq!(places.admit(0, 0, &all).0, Admission::TurnedAway, "the last place is the other's");
+        assert_eq!(places.admit(0, 1, &all).0, Admission::Served);
+        assert_eq!(places.admit(0, 0, &all[..29]).0, Admission::Served);
     }
 
     #[test]
     fn borrowed_places_come_back() {
-        let places = Places::new(34, &[1, 1]);
-        let mut all: Vec<Seen> = (0..31).map(|id| busy(id, 0)).collect();
-        assert_eq!(places.lot(0, 1, &all).0, Lot::TurnedAway);
+        let places = ConnectionTable::new(34, &[1, 1]);
+        let mut all: Vec<ConnectionState> = (0..31).map(|id| busy(id, 0)).collect();
+        assert_eq!(places.admit(0, 1, &all).0, Admission::TurnedAway);
         // The latest of those that were lent, as many as the other has a right to.
         let back = places.to_give_back(&all);
         assert_eq!(back, (16..31).rev().collect::<Vec<u64>>());
         all.retain(|s| !back.contains(&s.id));
-        assert_eq!(places.lot(0, 1, &all), (Lot::Served, None));
+        assert_eq!(places.admit(0, 1, &all), (Admission::Served, None));
         assert_eq!(places.to_give_back(&all), []);
     }
 
     #[test]
     fn a_thousand_silent_ones_do_not_keep_a_surge_out() {
-        let places = Places::new(34, &[1, 1]);
-        let mut all: Vec<Seen> = (0..31).map(|id| Seen::new(id, 1, 0)).collect();
+        let places = ConnectionTable::new(34, &[1, 1]);
+        let mut all: Vec<ConnectionState> = (0..31).map(|id| ConnectionState::new(id, 1, 0)).collect();
         for id in 100..115 {
-            let (lot, closed) = places.lot(0, 0, &all);
-            assert_eq!(lot, Lot::Served);
+            let (lot, closed) = places.admit(0, 0, &all);
+            assert_eq!(lot, Admission::Served);
             let closed = closed.expect("one that never asked");
             all.retain(|s| s.id != closed);
             all.push(busy(id, 0));
         }
         // Its part is reached: from here on only its own silent ones would give way.
-        assert_eq!(places.lot(0, 0, &all).0, Lot::TurnedAway);
+        assert_eq!(places.admit(0, 0, &all).0, Admission::TurnedAway);
     }
 
     #[test]
     fn a_place_that_is_coming_is_waited_for_but_not_for_long() {
-        let places = Places::new(4, &[1]);
-        let mut all = vec![busy(0, 0), Seen { told: Some(10), ..idle(1, 0, 5) }, busy(2, 0)];
+        let places = ConnectionTable::new(4, &[1]);
+        let mut all = vec![busy(0, 0), ConnectionState { told: Some(10), ..idle(1, 0, 5) }, busy(2, 0)];
         assert!(places.is_coming(20, &all) && !places.is_coming(10 + LEAVES, &all));
         all[1].last = 11;
         assert!(!places.is_coming(20, &all), "it has carried something since");
@@ -271,42 +272,42 @@
 
     #[test]
     fn a_fifth_is_kept_free_and_what_never_asked_goes_first() {
-        let places = Places::new(11, &[1]);
+        let places = ConnectionTable::new(11, &[1]);
         assert_eq!(places.table(), 10);
-        let mut all: Vec<Seen> = (0..9).map(|id| idle(id, 0, id * 10)).collect();
+        let mut all: Vec<ConnectionState> = (0..9).map(|id| idle(id, 0, id * 10)).collect();
         all[5].asked = false;
-        all[8].last = SETTLED;
-        let now = SETTLED + 80;
+        all[8].last = SETTLE_TIME;
+        let now = SETTLE_TIME + 80;
         assert_eq!(places.to_close(now, &[Micros::MAX], &all), [5]);
         all.push(busy(9, 0));
         assert_eq!(places.to_close(now, &[Micros::MAX], &all), [5, 0]);
-        assert_eq!(places.to_close(now, &[SETTLED + 70], &all), [0, 1]);
+        assert_eq!(places.to_close(now, &[SETTLE_TIME + 70], &all), [0, 1]);
     }
 
     /// Guards against closing a caller that has asked before, for a crowd of silent ones that has only just
     /// come (bad_clients: peers that connect and say nothing), and against closing who could not ask yet.
     #[test]
     fn a_silent_crowd_that_just_came_goes_once_settled_and_nobody_for_it() {
-        let places = Places::new(11, &[1]);
+        let places = ConnectionTable::new(11, &[1]);
         let mut all = vec![idle(0, 0, 0)];
-        all.extend((1..10).map(|id| Seen::new(id, 0, SETTLED)));
-        assert_eq!(places.to_close(SETTLED + 10, &[Micros::MAX], &all), [] as [u64; 0]);
+        all.extend((1..10).map(|id| ConnectionState::new(id, 0, SETTLE_TIME)));
+        assert_eq!(places.to_close(SETTLE_TIME + 10, &[Micros::MAX], &all), [] as [u64; 0]);
         // A fifth of ten is kept free, by those of the crowd that came first.
-        assert_eq!(places.to_close(2 * SETTLED, &[Micros::MAX], &all), [1, 2]);
+        assert_eq!(places.to_close(2 * SETTLE_TIME, &[Micros::MAX], &all), [1, 2]);
     }
 
     /// Guards the other side: who has just come into the free places is no crowd, and idle ones make room again.
     #[test]
     fn for_those_that_came_into_the_free_places_idle_ones_leave() {
-        let places = Places::new(11, &[1]);
-        let mut all: Vec<Seen> = (0..8).map(|id| idle(id, 0, id)).collect();
-        all.extend((8..10).map(|id| Seen::new(id, 0, SETTLED)));
-        assert_eq!(places.to_close(SETTLED + 10, &[Micros::MAX], &all), [0, 1]);
+        let places = ConnectionTable::new(11, &[1]);
+        let mut all: Vec<ConnectionState> = (0..8).map(|id| idle(id, 0, id)).collect();
+        all.extend((8..10).map(|id| ConnectionState::new(id, 0, SETTLE_TIME)));
+        assert_eq!(places.to_close(SETTLE_TIME + 10, &[Micros::MAX], &all), [0, 1]);
     }
 
     #[test]
     fn the_span_of_one_listener_is_not_that_of_another() {
-        let places = Places::new(40, &[1, 1]);
+        let places = ConnectionTable::new(40, &[1, 1]);
         let all = [idle(0, 0, 0), idle(1, 1, 0)];
         assert_eq!(places.to_close(1_000, &[500, 5_000], &all), [0]);
     }
@@ -322,18 +323,18 @@
         fn places_are_kept_and_given_back(
             descriptors in 8usize..100, weights in prop::collection::vec(1u32..5, 1..4), steps in connections(3),
         ) {
-            let places = Places::new(descriptors, &weights);
-            let mut all: Vec<Seen> = Vec::new();
+            let places = ConnectionTable::new(descriptors, &weights);
+            let mut all: Vec<ConnectionState> = Vec::new();
             for (id, (listener, open, asked, now)) in steps.into_iter().enumerate() {
                 let listener = listener % weights.len();
-                let (lot, closed) = places.lot(now, listener, &all);
+                let (lot, closed) = places.admit(now, listener, &all);
                 if let Some(closed) = closed {
                     prop_assert!(all.iter().any(|s| s.id == closed && s.open == 0 && !s.asked));
                     all.retain(|s| s.id != closed);
                 }
-                if lot != Lot::Closed {
-                    let at_door = lot == Lot::TurnedAway;
-                    all.push(Seen { open, asked, at_door, ..Seen::new(id as u64, listener, now) });
+                if lot != Admission::Closed {
+                    let at_door = lot == Admission::TurnedAway;
+                    all.push(ConnectionState { open, asked, at_door, ..ConnectionState::new(id as u64, listener, now) });
                 }
                 prop_assert!(all.len() <= places.all());
                 prop_assert!(all.iter().filter(|s| !s.at_door).count() <= places.table());
@@ -345,7 +346,7 @@
             for listener in 0..weights.len() {
                 let taken = all.iter().filter(|s| s.listener == listener).count();
                 if taken < places.guaranteed(listener) {
-                    prop_assert_eq!(places.lot(0, listener, &all).0, Lot::Served);
+                    prop_assert_eq!(places.admit(0, listener, &all).0, Admission::Served);
                 }
             }
         }
--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -20,5 +20,5 @@
 //! assert_eq!(places.to_give_back(&all).len(), 10);
 //! ```
 
-pub mod places;
-pub mod reading;
+pub mod connection_table;
+pub mod read_scheduler;
--- a/crates/connection-admission/src/reading.rs
+++ b/crates/connection-admission/src/read_scheduler.rs
@@ -6,7 +6,7 @@
 /// listeners take turns by weight (deficit round robin, Shreedhar and Varghese 1995, with one request as the unit), and
 /// what one leaves the others use.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct ReadScheduler {
     most: usize,
     listeners: Vec<Listener>,
     on_the_way: usize,
@@ -24,16 +24,16 @@
     on_the_way: usize,
 }
 
-impl Reading {
+impl ReadScheduler {
     /// At most `most` on their way, shared by these weights, each at least 1.
-    pub fn new(most: usize, weights: &[u32]) -> Reading {
+    pub fn new(most: usize, weights: &[u32]) -> ReadScheduler {
         let listener = |&weight: &u32| Listener {
             weight: weight.max(1),
             credit: 0,
             waiting: VecDeque::new(),
             on_the_way: 0,
         };
-        Reading {
+        ReadScheduler {
             most: most.max(1),
             listeners: weights.iter().map(listener).collect(),
             on_the_way: 0,
@@ -121,7 +121,7 @@
 
     #[test]
     fn who_is_alone_passes_at_once() {
-        let mut reading = Reading::new(2, &[1, 1]);
+        let mut reading = ReadScheduler::new(2, &[1, 1]);
         assert!(reading.ask(0, 1) && reading.ask(0, 2) && !reading.ask(0, 3));
         assert_eq!(reading.next_up(), None);
         reading.arrived(0);
@@ -130,7 +130,7 @@
 
     #[test]
     fn a_flood_of_one_does_not_keep_the_other_waiting() {
-        let mut reading = Reading::new(1, &[1, 1]);
+        let mut reading = ReadScheduler::new(1, &[1, 1]);
         assert!(reading.ask(0, 0));
         (1..1_000).for_each(|caller| assert!(!reading.ask(0, caller)));
         assert!(!reading.ask(1, 5_000));
@@ -144,7 +144,7 @@
 
     #[test]
     fn turns_are_by_weight_while_both_wait() {
-        let mut reading = Reading::new(1, &[3, 1]);
+        let mut reading = ReadScheduler::new(1, &[3, 1]);
         assert!(reading.ask(0, 0));
         for caller in 1..400 {
             reading.ask((caller % 2) as usize, caller);
@@ -161,7 +161,7 @@
 
     #[test]
     fn who_is_gone_is_not_named() {
-        let mut reading = Reading::new(1, &[1]);
+        let mut reading = ReadScheduler::new(1, &[1]);
         assert!(reading.ask(0, 1) && !reading.ask(0, 2) && !reading.ask(0, 3));
         reading.gone(0, 2);
         reading.arrived(0);
@@ -175,7 +175,7 @@
             most in 1usize..5, weights in prop::collection::vec(0u32..4, 1..4),
             steps in prop::collection::vec((0usize..3, 0u8..3), 0..300),
         ) {
-            let mut reading = Reading::new(most, &weights);
+            let mut reading = ReadScheduler::new(most, &weights);
             let (mut flying, mut passed, mut asked) = (Vec::new(), Vec::new(), 0u64);
             for (listener, what) in steps {
                 let listener = listener % weights.len();
--- a/crates/dependencies/benches/decision.rs
+++ b/crates/dependencies/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use umberloom::interface::Outcome;
 use umberloom_dependencies::config::{Bounds, Call, Config, Dependency, Hedge, Plan, Stage};
-use umberloom_dependencies::{Action, Ask, Engine};
+use umberloom_dependencies::{Action, Engine, PlanRequest};
 
 fn main() {
     divan::main();
@@ -53,14 +53,21 @@
         next.set(next.get() + 1);
         let mut out = Vec::with_capacity(32);
         let due = now.get() + 1_000_000;
-        let ask =
-            Ask { plan: next.get(), class: &class, level: 1, key: Some("k"), until: due, due, again: false };
-        engine.begin(now.get(), &ask, &mut out);
+        let ask = PlanRequest {
+            plan: next.get(),
+            class: &class,
+            level: 1,
+            key: Some("k"),
+            until: due,
+            due,
+            again: false,
+        };
+        engine.start_plan(now.get(), &ask, &mut out);
         while flying.len() > 32 * calls {
             let Some(attempt) = flying.pop_front() else { break };
-            engine.ended(now.get(), attempt, Outcome::Ok, Vec::new(), &mut out);
+            engine.handle_attempt_end(now.get(), attempt, Outcome::Ok, Vec::new(), &mut out);
         }
-        engine.pass(now.get(), &mut out);
+        engine.handle_timeout(now.get(), &mut out);
         for action in out {
             if let Action::Start { attempt, .. } = action {
                 flying.push_back(attempt);
--- a/crates/dependencies/src/envelope.rs
+++ b/crates/dependencies/src/aggregation.rs
@@ -25,7 +25,7 @@
 /// Why a part has no fresh reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum MissingReason {
     /// Its share of the time ended first.
     OutOfTime,
     /// There was no time to begin it.
@@ -56,7 +56,7 @@
     /// The operator's constant.
     Constant(Rc<[u8]>),
     /// Nothing.
-    LeftOut(Why),
+    LeftOut(MissingReason),
 }
 
 impl Part {
@@ -68,7 +68,7 @@
 
 /// All parts of a plan, by the names of their dependencies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Envelope {
+pub struct AggregateResponse {
     /// The parts, in the order of the plan.
     pub parts: Vec<(Rc<str>, Part)>,
 }
@@ -89,16 +89,16 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     age_ms: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    why: Option<Why>,
+    why: Option<MissingReason>,
 }
 
 /// Bytes that are no envelope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unreadable(pub String);
 
-impl Envelope {
+impl AggregateResponse {
     /// Whether every part is fresh.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.parts.iter().all(|(_, part)| matches!(part, Part::Fresh(_)))
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Reads what [`Envelope::encode`] wrote, as a run would.
-    pub fn decode(bytes: &[u8]) -> Result<Envelope, Unreadable> {
+    pub fn decode(bytes: &[u8]) -> Result<AggregateResponse, Unreadable> {
         let bad = |what: &str| Unreadable(what.to_owned());
         let form: Form = serde_json::from_slice(bytes).map_err(|e| Unreadable(e.to_string()))?;
         if form.version != VERSION {
@@ -148,7 +148,7 @@
             Ok((Rc::from(part.name), made))
         };
         let parts = form.parts.into_iter().map(read).collect::<Result<_, _>>()?;
-        Ok(Envelope { parts })
+        Ok(AggregateResponse { parts })
     }
 }
 
@@ -162,9 +162,9 @@
             ("billing".into(), Part::Fresh(b"ok"[..].into())),
             ("notes".into(), Part::Kept(b"n"[..].into(), 1_001)),
             ("tax".into(), Part::Constant(b"0"[..].into())),
-            ("photos".into(), Part::LeftOut(Why::BreakerOpen)),
+            ("photos".into(), Part::LeftOut(MissingReason::BreakerOpen)),
         ];
-        let envelope = Envelope { parts };
+        let envelope = AggregateResponse { parts };
         let text = concat!(
             r#"{"version":1,"parts":[{"name":"billing","state":"fresh","body":"b2s="},"#,
             r#"{"name":"notes","state":"kept","body":"bg==","age_ms":2},"#,
@@ -172,8 +172,8 @@
             r#"{"name":"photos","state":"left-out","why":"breaker-open"}]}"#,
         );
         assert_eq!(String::from_utf8(envelope.encode()).as_deref(), Ok(text));
-        assert!(!envelope.is_whole());
-        let mut read = Envelope::decode(text.as_bytes()).expect("its own form");
+        assert!(!envelope.is_complete());
+        let mut read = AggregateResponse::decode(text.as_bytes()).expect("its own form");
         assert_eq!(read.parts[1].1, Part::Kept(b"n"[..].into(), 2_000));
         read.parts[1] = envelope.parts[1].clone();
         assert_eq!(read, envelope);
@@ -188,7 +188,7 @@
             r#"{"version":1,"parts":[{"name":"a","state":"kept","body":""}]}"#,
             r#"{"version":1,"parts":[{"name":"a","state":"fresh","body":"?"}]}"#,
         ] {
-            assert!(Envelope::decode(text.as_bytes()).is_err(), "{text}");
+            assert!(AggregateResponse::decode(text.as_bytes()).is_err(), "{text}");
         }
     }
 }
--- a/crates/dependencies/src/breaker.rs
+++ b/crates/dependencies/src/breaker.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::Micros;
 
 use crate::config::Breaker as Settings;
-use crate::pace;
+use crate::probe_pacing;
 
 /// Probes in a row that must go well before it closes.
 const WELL: u32 = 3;
@@ -121,7 +121,7 @@
         let Some(settings) = self.settings else { return };
         let span = settings.open * Micros::from((1 << self.opened.min(16)).min(LONGEST));
         self.opened += 1;
-        self.state = State::Open(now + pace::spread(servers, span, random));
+        self.state = State::Open(now + probe_pacing::spread(servers, span, random));
         self.forget();
     }
 
--- a/crates/dependencies/src/config.rs
+++ b/crates/dependencies/src/config.rs
@@ -15,7 +15,7 @@
     /// What runs of each class ask of them.
     pub plans: Vec<Plan>,
     /// Bounds on kept results.
-    pub kept: KeptBounds,
+    pub kept: FallbackCacheLimits,
 }
 
 /// One service, behind one or more endpoints.
@@ -165,16 +165,16 @@
 
 /// Bounds on kept results, over all dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptBounds {
+pub struct FallbackCacheLimits {
     /// Results at most.
     pub entries: usize,
     /// Bytes at most, keys included.
     pub bytes: usize,
 }
 
-impl Default for KeptBounds {
-    fn default() -> KeptBounds {
-        KeptBounds { entries: 4_096, bytes: 1 << 20 }
+impl Default for FallbackCacheLimits {
+    fn default() -> FallbackCacheLimits {
+        FallbackCacheLimits { entries: 4_096, bytes: 1 << 20 }
     }
 }
 
@@ -226,7 +226,7 @@
 
 /// One thing that is wrong, and what would be right.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ConfigError {
     /// Where.
     pub at: At,
     /// What was found and what was expected.
@@ -240,17 +240,17 @@
 
 impl Config {
     /// All that is wrong with it, in the order of the file.
-    pub fn mistakes(&self) -> Vec<Mistake> {
+    pub fn validate(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         if self.kept.entries > 1 << 20 {
-            found.push(Mistake {
+            found.push(ConfigError {
                 at: At::Kept,
                 what: format!("{} kept results, at most 1048576", self.kept.entries),
             });
         }
         let mut names = BTreeSet::new();
         for (place, dependency) in self.dependencies.iter().enumerate() {
-            let mut say = |what: String| found.push(Mistake { at: At::Dependency(place), what });
+            let mut say = |what: String| found.push(ConfigError { at: At::Dependency(place), what });
             if !names.insert(dependency.name.as_str()) {
                 say(format!("a second dependency {:?}; each has a name of its own", dependency.name));
             }
@@ -258,13 +258,13 @@
         }
         if self.dependencies.len() > MOST {
             let what = format!("{} dependencies, at most {MOST}", self.dependencies.len());
-            found.push(Mistake { at: At::Dependency(MOST), what });
+            found.push(ConfigError { at: At::Dependency(MOST), what });
         }
         let mut classes = BTreeSet::new();
         for (place, plan) in self.plans.iter().enumerate() {
             if !classes.insert(plan.class.as_str()) {
                 let what = format!("a second plan for the class {:?}", plan.class);
-                found.push(Mistake { at: At::Plan(place), what });
+                found.push(ConfigError { at: At::Plan(place), what });
             }
             plan.check(place, &names, &mut found);
         }
@@ -338,14 +338,14 @@
 }
 
 impl Plan {
-    fn check(&self, place: usize, names: &BTreeSet<&str>, found: &mut Vec<Mistake>) {
+    fn check(&self, place: usize, names: &BTreeSet<&str>, found: &mut Vec<ConfigError>) {
         if self.stages.is_empty() || self.stages.len() > MOST {
             let what = format!("{} stages, 1 to {MOST} are expected", self.stages.len());
-            found.push(Mistake { at: At::Plan(place), what });
+            found.push(ConfigError { at: At::Plan(place), what });
         }
         let mut seen = BTreeSet::new();
         for (number, stage) in self.stages.iter().enumerate() {
-            let mut say = |what: String| found.push(Mistake { at: At::Stage(place, number), what });
+            let mut say = |what: String| found.push(ConfigError { at: At::Stage(place, number), what });
             if !stage.share.is_finite() || stage.share <= 0.0 {
                 say(format!("a share of {}, over 0 is expected", stage.share));
             }
@@ -356,7 +356,8 @@
                 say(format!("{} calls, 1 to {MOST} are expected", stage.calls.len()));
             }
             for (which, call) in stage.calls.iter().enumerate() {
-                let mut say = |what: String| found.push(Mistake { at: At::Call(place, number, which), what });
+                let mut say =
+                    |what: String| found.push(ConfigError { at: At::Call(place, number, which), what });
                 let name = call.dependency.as_str();
                 if !names.contains(name) {
                     say(format!("no dependency is called {name:?}"));
@@ -380,13 +381,13 @@
         Config {
             dependencies: vec![Dependency::new("a", &["x", "y"]), Dependency::new("b", &["z"])],
             plans: vec![Plan { class: "book".to_owned(), stages }],
-            kept: KeptBounds::default(),
+            kept: FallbackCacheLimits::default(),
         }
     }
 
     #[test]
     fn a_sound_one_has_no_mistakes() {
-        assert_eq!(sound().mistakes(), []);
+        assert_eq!(sound().validate(), []);
     }
 
     #[test]
@@ -423,7 +424,7 @@
         for (spoil, at, what) in cases {
             let mut config = sound();
             spoil(&mut config);
-            let found = config.mistakes();
+            let found = config.validate();
             assert!(found.iter().any(|m| m.at == at && m.what.contains(what)), "{what}: {found:?}");
         }
     }
@@ -434,7 +435,7 @@
         config.dependencies[0].fallbacks = vec![Fallback::LeftOut, Fallback::Kept(1)];
         config.plans[0].stages[0].calls[1].dependency = "a".to_owned();
         config.plans.push(Plan { class: "book".to_owned(), stages: vec![] });
-        let places: Vec<At> = config.mistakes().iter().map(|m| m.at).collect();
+        let places: Vec<At> = config.validate().iter().map(|m| m.at).collect();
         assert_eq!(places, [At::Dependency(0), At::Call(0, 0, 1), At::Plan(1), At::Plan(1)]);
     }
 
--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -8,14 +8,14 @@
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::{Micros, Outcome};
 
+use crate::aggregation::{AggregateResponse, MissingReason, Part};
 use crate::breaker;
-use crate::budget::{self, Rest};
-use crate::config::{Config, Fallback, Mistake};
-use crate::envelope::{Envelope, Part, Why};
-use crate::kept::{Kept, Subject};
+use crate::config::{Config, ConfigError, Fallback};
+use crate::fallback_cache::{FallbackCache, Subject};
 use crate::plan::{Doing, Plan, Run, Spec, SpecCall, Timer};
 use crate::retry;
 use crate::service::{Demand, Service, ServiceView};
+use crate::time_budget::{self, Rest};
 use crate::{AttemptId, PlanId};
 
 /// Plans that may be under way: more than any server survives.
@@ -23,7 +23,7 @@
 
 /// A run that waits for the calls of its plan.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PlanRequest<'a> {
     /// What the host calls it; a plan under way under the same name is given up.
     pub plan: PlanId,
     /// Name of the class of the request.
@@ -65,7 +65,7 @@
         /// How it ended: `Ok`; `Refused`, only where nothing may have had its effect; else `Stopped`.
         outcome: Outcome,
         /// What the run gets, where the outcome is `Ok`.
-        envelope: Option<Envelope>,
+        envelope: Option<AggregateResponse>,
     },
 }
 
@@ -81,15 +81,15 @@
 
 /// Counts since the start, for logs and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CallCounts {
     /// First attempts of calls.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// Further attempts, hedges left out.
     pub retries: u64,
     /// Second copies of slow calls.
-    pub hedges: u64,
+    pub hedged_requests: u64,
     /// Plans that ended well with every part fresh, and with some part missing or not fresh.
-    pub whole: u64,
+    pub complete: u64,
     /// See `whole`.
     pub partial: u64,
     /// Plans that failed.
@@ -105,10 +105,10 @@
     plans: BTreeMap<PlanId, Plan>,
     attempts: BTreeMap<AttemptId, Attempt>,
     timers: BTreeSet<(Micros, PlanId, Timer)>,
-    kept: Kept,
+    kept: FallbackCache,
     random: ChaCha8Rng,
     next: u64,
-    counts: Counts,
+    counts: CallCounts,
     /// Plans to be looked at, and services that may have a free place, before an event is done with.
     dirty: Vec<PlanId>,
     freed: BTreeSet<usize>,
@@ -116,7 +116,7 @@
 
 impl Engine {
     /// With settings that have no mistakes, else all of these.
-    pub fn new(now: Micros, config: Config, seed: u64) -> Result<Engine, Vec<Mistake>> {
+    pub fn new(now: Micros, config: Config, seed: u64) -> Result<Engine, Vec<ConfigError>> {
         let mut engine = Engine {
             services: Vec::new(),
             specs: BTreeMap::new(),
@@ -124,21 +124,21 @@
             plans: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
-            kept: Kept::new(config.kept),
+            kept: FallbackCache::new(config.kept),
             random: ChaCha8Rng::seed_from_u64(seed),
             next: 0,
-            counts: Counts::default(),
+            counts: CallCounts::default(),
             dirty: Vec::new(),
             freed: BTreeSet::new(),
         };
-        engine.set(now, config)?;
+        engine.reconfigure(now, config)?;
         Ok(engine)
     }
 
     /// New settings, whole or not at all. Plans under way end as they began; what was learned of dependencies and
     /// endpoints that stay is kept, and those that are gone are forgotten with their last call.
-    pub fn set(&mut self, now: Micros, config: Config) -> Result<(), Vec<Mistake>> {
-        let mistakes = config.mistakes();
+    pub fn reconfigure(&mut self, now: Micros, config: Config) -> Result<(), Vec<ConfigError>> {
+        let mistakes = config.validate();
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
@@ -185,7 +185,7 @@
 
     /// From now on no more calls than this may be in flight at a dependency, whatever its limit has learned. Places
     /// that this frees are given at once.
-    pub fn cap(&mut self, now: Micros, dependency: &str, most: usize, out: &mut Vec<Action>) {
+    pub fn set_concurrency_cap(&mut self, now: Micros, dependency: &str, most: usize, out: &mut Vec<Action>) {
         let Some(place) = self.services.iter().position(|s| *s.name == *dependency && !s.retired) else {
             return;
         };
@@ -196,8 +196,8 @@
     }
 
     /// A run asks for its calls. Without a plan for its class nothing happens.
-    pub fn begin(&mut self, now: Micros, ask: &Ask, out: &mut Vec<Action>) {
-        self.give_up(now, ask.plan, out);
+    pub fn start_plan(&mut self, now: Micros, ask: &PlanRequest, out: &mut Vec<Action>) {
+        self.cancel_plan(now, ask.plan, out);
         let Some((class, spec)) = self.specs.get_key_value(ask.class) else { return };
         let (class, spec) = (class.clone(), spec.clone());
         if self.plans.len() >= PLANS {
@@ -227,7 +227,7 @@
     }
 
     /// A call is over. One that was cancelled is no longer known, and its end changes nothing.
-    pub fn ended(
+    pub fn handle_attempt_end(
         &mut self,
         now: Micros,
         id: AttemptId,
@@ -264,7 +264,7 @@
     }
 
     /// Nobody waits for a plan any more: its calls are given up, and nothing more is said of it.
-    pub fn give_up(&mut self, now: Micros, plan: PlanId, out: &mut Vec<Action>) {
+    pub fn cancel_plan(&mut self, now: Micros, plan: PlanId, out: &mut Vec<Action>) {
         if self.plans.contains_key(&plan) {
             self.remove(now, plan, out);
             self.settle(now, out);
@@ -272,7 +272,7 @@
     }
 
     /// What is due by now. To be called at [`Engine::next_at`] or later.
-    pub fn pass(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub fn handle_timeout(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(&(at, id, timer)) = self.timers.first().filter(|(at, ..)| *at <= now) {
             self.timers.pop_first();
             let Some(plan) = self.plans.get_mut(&id) else { continue };
@@ -288,19 +288,19 @@
     }
 
     /// When something is due next.
-    pub fn next_at(&self) -> Option<Micros> {
+    pub fn next_timeout(&self) -> Option<Micros> {
         self.timers.first().map(|(at, ..)| *at)
     }
 
     /// A run of this class went on for so long after its calls.
-    pub fn learn_rest(&mut self, class: &str, took: Micros) {
+    pub fn learn_local_work(&mut self, class: &str, took: Micros) {
         if let Some((class, _)) = self.specs.get_key_value(class) {
             self.rests.entry(class.clone()).or_default().learn(took);
         }
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// Plans and calls under way.
-    pub fn under_way(&self) -> (usize, usize) {
+    pub fn in_flight(&self) -> (usize, usize) {
         (self.plans.len(), self.attempts.len())
     }
 
@@ -320,7 +320,7 @@
         let Some(plan) = self.plans.get_mut(&id) else { return };
         let claims = plan.spec.claims(plan.stage);
         let left = plan.deadline.saturating_sub(now);
-        let time = budget::share(left, &claims);
+        let time = time_budget::share(left, &claims);
         let runs: Vec<Run> = plan.spec.stages[plan.stage].1.iter().map(Run::new).collect();
         let count = runs.len();
         plan.runs = runs;
@@ -329,11 +329,11 @@
                 plan.stage_until = now + time;
                 let stage = plan.stage;
                 let kept = needs_later(&self.services, &plan.spec, stage);
-                plan.needed_until = now + budget::longest(left, time, kept, &claims[0]);
+                plan.needed_until = now + time_budget::longest(left, time, kept, &claims[0]);
                 self.set_timer(id, now + time, Timer::Stage(stage));
                 (0..count).for_each(|run| self.begin_run(now, id, run));
             }
-            None => (0..count).for_each(|run| self.fall_back(now, id, run, Why::NoTime)),
+            None => (0..count).for_each(|run| self.fall_back(now, id, run, MissingReason::NoTime)),
         }
         self.dirty.push(id);
     }
@@ -353,8 +353,8 @@
             let why = match run.doing {
                 _ if run.needed && goes_on => continue,
                 Doing::Over(_) => continue,
-                Doing::Flying => Why::OutOfTime,
-                Doing::Waiting(_) => Why::NoPlace,
+                Doing::Flying => MissingReason::OutOfTime,
+                Doing::Waiting(_) => MissingReason::NoPlace,
                 Doing::Paused => run.last,
             };
             let flying = std::mem::take(&mut run.flying);
@@ -394,9 +394,9 @@
         if plan.stage < plan.spec.stages.len() {
             return self.begin_stage(now, id);
         }
-        let envelope = Envelope { parts: std::mem::take(&mut plan.done) };
-        if envelope.is_whole() {
-            self.counts.whole += 1;
+        let envelope = AggregateResponse { parts: std::mem::take(&mut plan.done) };
+        if envelope.is_complete() {
+            self.counts.complete += 1;
         } else {
             self.counts.partial += 1;
         }
@@ -441,7 +441,7 @@
         // A request that comes a second time pays for every call: its first attempts were made before.
         if plan.again {
             if !self.services[run.service].budget.take() {
-                return self.fall_back(now, id, place, Why::NoBudget);
+                return self.fall_back(now, id, place, MissingReason::NoBudget);
             }
             run.paid = true;
         }
@@ -454,18 +454,18 @@
         let Some(run) = plan.runs.get_mut(place).filter(|run| run.doing == Doing::Paused) else { return };
         let service = &mut self.services[run.service];
         if !service.breaker.allows(now) {
-            return self.fall_back(now, id, place, Why::BreakerOpen);
+            return self.fall_back(now, id, place, MissingReason::BreakerOpen);
         }
         self.next += 1;
         let waiter = (Reverse(plan.level), self.next, id, place);
         if !service.queue(waiter) {
-            return self.fall_back(now, id, place, Why::NoPlace);
+            return self.fall_back(now, id, place, MissingReason::NoPlace);
         }
         run.doing = Doing::Waiting(self.next);
         let until = if run.needed { plan.needed_until } else { plan.stage_until };
         let late = now + service.expected_wait(&waiter) >= until;
         if late && !(service.limit.has_place() && service.waiting.first() == Some(&waiter)) {
-            return self.fall_back(now, id, place, Why::NoPlace);
+            return self.fall_back(now, id, place, MissingReason::NoPlace);
         }
         self.freed.insert(run.service);
     }
@@ -474,7 +474,7 @@
     fn serve(&mut self, now: Micros, place: usize, out: &mut Vec<Action>) {
         while let Some(&(_, _, id, run)) = self.services[place].waiting.first() {
             if !self.services[place].breaker.allows(now) {
-                self.fall_back(now, id, run, Why::BreakerOpen);
+                self.fall_back(now, id, run, MissingReason::BreakerOpen);
                 self.dirty.push(id);
                 continue;
             }
@@ -494,7 +494,7 @@
             self.counts.retries += 1;
         } else {
             service.budget.first();
-            self.counts.firsts += 1;
+            self.counts.first_attempts += 1;
         }
         let settings = &service.config;
         let may_follow =
@@ -550,7 +550,7 @@
         if run.tried.contains(&endpoint) || !self.services[number].budget.take() {
             return;
         }
-        self.counts.hedges += 1;
+        self.counts.hedged_requests += 1;
         let probe = self.services[number].start(now, endpoint);
         self.fly(now, id, place, endpoint, until, probe, out);
     }
@@ -563,7 +563,7 @@
         let settings = service.config.retry;
         let harmless = (outcome.never_ran() && outcome != Outcome::NotStarted) || service.config.repeatable;
         let allowed = harmless && run.further < settings.most && service.breaker.allows(now);
-        let wait = retry::back_off(&settings, run.further, &mut self.random);
+        let wait = retry::backoff(&settings, run.further, &mut self.random);
         let until = if run.needed { plan.needed_until } else { plan.stage_until };
         let in_time = now + wait + (service.limit.typical() as Micros) < until;
         if !allowed || !in_time || !service.budget.take() {
@@ -576,7 +576,7 @@
     }
 
     /// The operator's chain, for a call that brought nothing.
-    fn fall_back(&mut self, now: Micros, id: PlanId, place: usize, why: Why) {
+    fn fall_back(&mut self, now: Micros, id: PlanId, place: usize, why: MissingReason) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
         let run = &mut plan.runs[place];
         let service = &mut self.services[run.service];
@@ -630,7 +630,7 @@
     }
 
     /// What must hold between any two events; tests call it after each.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         for (place, service) in self.services.iter().enumerate() {
             service.check()?;
             let flying = self.attempts.values().filter(|a| a.service == place).count();
@@ -670,7 +670,7 @@
 /// The time that stages after this one typically need for what the request fails without.
 fn needs_later(services: &[Service], spec: &Spec, stage: usize) -> Micros {
     let later = spec.stages[stage + 1..].iter().filter(|(claim, _)| claim.needed);
-    let time = |(claim, calls): &(budget::Claim, Vec<SpecCall>)| {
+    let time = |(claim, calls): &(time_budget::Claim, Vec<SpecCall>)| {
         let needed = calls.iter().filter(|call| call.needed);
         let typical = needed.map(|call| services[call.service].limit.typical() as Micros).max();
         typical.unwrap_or(0).max(claim.least)
@@ -678,12 +678,12 @@
     later.map(time).sum()
 }
 
-fn why(outcome: Outcome) -> Why {
+fn why(outcome: Outcome) -> MissingReason {
     match outcome {
-        Outcome::Rejected => Why::Refused,
-        Outcome::Unreachable => Why::Unreachable,
-        Outcome::TimedOut => Why::OutOfTime,
-        Outcome::ConnectionLost => Why::Cut,
-        Outcome::Ok | Outcome::Error | Outcome::Aborted | Outcome::NotStarted => Why::Failed,
+        Outcome::Rejected => MissingReason::Refused,
+        Outcome::Unreachable => MissingReason::Unreachable,
+        Outcome::TimedOut => MissingReason::OutOfTime,
+        Outcome::ConnectionLost => MissingReason::Cut,
+        Outcome::Ok | Outcome::Error | Outcome::Aborted | Outcome::NotStarted => MissingReason::Failed,
     }
 }
--- a/crates/dependencies/src/kept.rs
+++ b/crates/dependencies/src/fallback_cache.rs
@@ -5,7 +5,7 @@
 use lru::LruCache;
 use umberloom::interface::Micros;
 
-use crate::config::KeptBounds;
+use crate::config::FallbackCacheLimits;
 
 /// What a kept result is about: the dependency, the class and the resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,20 +29,20 @@
 
 /// Kept results; the one not used for longest goes first.
 #[derive(Debug)]
-pub struct Kept {
-    bounds: KeptBounds,
+pub struct FallbackCache {
+    bounds: FallbackCacheLimits,
     all: LruCache<Subject, (Micros, Rc<[u8]>)>,
     bytes: usize,
 }
 
-impl Kept {
+impl FallbackCache {
     /// None yet.
-    pub fn new(bounds: KeptBounds) -> Kept {
-        Kept { bounds, all: LruCache::unbounded(), bytes: 0 }
+    pub fn new(bounds: FallbackCacheLimits) -> FallbackCache {
+        FallbackCache { bounds, all: LruCache::unbounded(), bytes: 0 }
     }
 
     /// New bounds.
-    pub fn set(&mut self, bounds: KeptBounds) {
+    pub fn set(&mut self, bounds: FallbackCacheLimits) {
         self.bounds = bounds;
         self.trim();
     }
@@ -100,7 +100,7 @@
 
     #[test]
     fn one_that_is_too_old_by_a_millisecond_is_none() {
-        let mut kept = Kept::new(KeptBounds::default());
+        let mut kept = FallbackCache::new(FallbackCacheLimits::default());
         kept.put(1_000, subject(1), b"r"[..].into());
         assert_eq!(kept.get(6_000, &subject(1), 5_000), Some((5_000, b"r"[..].into())));
         assert_eq!(kept.get(7_000, &subject(1), 5_000), None);
@@ -109,8 +109,8 @@
 
     #[test]
     fn ten_thousand_keys_stay_within_the_bounds() {
-        let bounds = KeptBounds { entries: 1_000, bytes: 100_000 };
-        let mut kept = Kept::new(bounds);
+        let bounds = FallbackCacheLimits { entries: 1_000, bytes: 100_000 };
+        let mut kept = FallbackCache::new(bounds);
         for n in 0..10_000 {
             kept.put(n as u64, subject(n), vec![0; n % 300].into());
             // The first one is asked for again and again, and so it stays.
@@ -123,14 +123,14 @@
 
     #[test]
     fn a_newer_one_takes_the_place_of_the_older() {
-        let mut kept = Kept::new(KeptBounds { entries: 2, bytes: 1_000 });
+        let mut kept = FallbackCache::new(FallbackCacheLimits { entries: 2, bytes: 1_000 });
         kept.put(0, subject(1), vec![1; 10].into());
         kept.put(5, subject(1), vec![2; 20].into());
         assert_eq!(kept.get(5, &subject(1), 0), Some((0, vec![2; 20].into())));
         assert_eq!(kept.size().0, 1);
         kept.put(6, subject(2), vec![0; 2_000].into());
         assert_eq!(kept.size().0, 1, "larger than all that may be kept");
-        kept.set(KeptBounds { entries: 0, bytes: 0 });
+        kept.set(FallbackCacheLimits { entries: 0, bytes: 0 });
         assert_eq!((kept.size(), kept.check()), ((0, 0), Ok(())));
     }
 }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -41,21 +41,21 @@
 //! assert!(envelope.is_whole());
 //! ```
 
+pub mod aggregation;
 pub mod breaker;
-pub mod budget;
 pub mod config;
 mod engine;
-pub mod envelope;
-pub mod kept;
+pub mod fallback_cache;
 pub mod latency;
 pub mod limit;
-pub mod pace;
+pub mod load_balancer;
 mod plan;
+pub mod probe_pacing;
 pub mod retry;
-pub mod route;
 mod service;
+pub mod time_budget;
 
-pub use engine::{Action, Ask, Counts, Engine};
+pub use engine::{Action, CallCounts, Engine, PlanRequest};
 pub use service::{Demand, ServiceView};
 
 /// What a host calls a plan; each under way has a name of its own.
--- a/crates/dependencies/src/route.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -8,7 +8,7 @@
 use crate::config::{Bounds, Route};
 use crate::latency::Peak;
 use crate::limit::{Limit, LimitView, Sample};
-use crate::pace;
+use crate::probe_pacing;
 
 /// An endpoint that comes back starts with this part of its full share.
 const RAMP_FROM: f64 = 0.1;
@@ -292,7 +292,7 @@
         let span = self.settings.out * Micros::from((1 << times.min(16)).min(LONGEST));
         endpoint.out = Some((reason, times + 1));
         // Servers that saw it fail at one moment must not all look again at one moment.
-        endpoint.state = State::Out(now + pace::spread(self.settings.servers, span, random));
+        endpoint.state = State::Out(now + probe_pacing::spread(self.settings.servers, span, random));
         endpoint.held_in = false;
     }
 
--- a/crates/dependencies/src/plan.rs
+++ b/crates/dependencies/src/plan.rs
@@ -4,9 +4,9 @@
 
 use umberloom::interface::Micros;
 
-use crate::budget::Claim;
+use crate::aggregation::{MissingReason, Part};
 use crate::config;
-use crate::envelope::{Part, Why};
+use crate::time_budget::Claim;
 use crate::AttemptId;
 
 /// A plan as the engine carries it out: its calls name places of services. It never changes, so that a plan under
@@ -75,7 +75,7 @@
     pub tried: Vec<usize>,
     pub flying: Vec<AttemptId>,
     /// How the last attempt ended.
-    pub last: Why,
+    pub last: MissingReason,
 }
 
 impl Run {
@@ -88,7 +88,7 @@
             paid: false,
             tried: Vec::new(),
             flying: Vec::new(),
-            last: Why::NoTime,
+            last: MissingReason::NoTime,
         }
     }
 
--- a/crates/dependencies/src/pace.rs
+++ b/crates/dependencies/src/probe_pacing.rs
@@ -27,17 +27,17 @@
 
 /// One of so many servers, with draws of its own.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct ProbePacer {
     servers: u32,
     random: ChaCha8Rng,
 }
 
-impl Pace {
+impl ProbePacer {
     /// For the server of this name; the seed may be the same for all of them.
-    pub fn new(servers: u32, seed: u64, name: &str) -> Pace {
+    pub fn new(servers: u32, seed: u64, name: &str) -> ProbePacer {
         let mut own = DefaultHasher::new();
         (seed, name).hash(&mut own);
-        Pace { servers, random: ChaCha8Rng::seed_from_u64(own.finish()) }
+        ProbePacer { servers, random: ChaCha8Rng::seed_from_u64(own.finish()) }
     }
 
     /// See [`next_try`].
--- a/crates/dependencies/src/retry.rs
+++ b/crates/dependencies/src/retry.rs
@@ -11,7 +11,7 @@
 /// Attempts beyond first ones: each first one earns a share of one, up to a number that can be saved up. In an
 /// outage it is soon empty, and then a dependency that is down or coming back gets little more than first attempts.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     settings: Retry,
     tokens: f64,
     /// All first attempts and all others, ever.
@@ -19,10 +19,10 @@
     others: u64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Full.
-    pub fn new(settings: Retry) -> Budget {
-        Budget { settings, tokens: settings.burst, firsts: 0, others: 0 }
+    pub fn new(settings: Retry) -> RetryBudget {
+        RetryBudget { settings, tokens: settings.burst, firsts: 0, others: 0 }
     }
 
     /// New settings; what is saved up stays within them.
@@ -67,7 +67,7 @@
 
 /// The wait before further attempt number `tries` (from 0): full jitter around the back-off, which doubles, so that
 /// calls that failed together do not come back together.
-pub fn back_off(settings: &Retry, tries: u32, random: &mut impl Rng) -> Micros {
+pub fn backoff(settings: &Retry, tries: u32, random: &mut impl Rng) -> Micros {
     let mean = settings.back_off << tries.min(DOUBLINGS);
     random.random_range(0..=2 * mean)
 }
@@ -83,7 +83,7 @@
 
     #[test]
     fn an_outage_empties_it() {
-        let mut budget = Budget::new(SETTINGS);
+        let mut budget = RetryBudget::new(SETTINGS);
         let taken = (0..1_000).filter(|_| {
             budget.first();
             budget.take()
@@ -94,14 +94,14 @@
 
     #[test]
     fn a_share_of_nothing_allows_nothing() {
-        let mut budget = Budget::new(Retry { share: 0.0, burst: 0.0, ..SETTINGS });
+        let mut budget = RetryBudget::new(Retry { share: 0.0, burst: 0.0, ..SETTINGS });
         budget.first();
         assert!(!budget.take());
     }
 
     #[test]
     fn what_is_given_back_can_be_taken_again() {
-        let mut budget = Budget::new(Retry { share: 0.0, burst: 1.0, ..SETTINGS });
+        let mut budget = RetryBudget::new(Retry { share: 0.0, burst: 1.0, ..SETTINGS });
         assert!(budget.take() && !budget.take());
         budget.give_back();
         assert!(budget.take());
@@ -111,13 +111,13 @@
     fn waits_double_and_differ() {
         let mut random = ChaCha8Rng::seed_from_u64(1);
         for tries in [0, 1, 3] {
-            let waits: Vec<Micros> = (0..2_000).map(|_| back_off(&SETTINGS, tries, &mut random)).collect();
+            let waits: Vec<Micros> = (0..2_000).map(|_| backoff(&SETTINGS, tries, &mut random)).collect();
             let mean = waits.iter().sum::<u64>() as f64 / 2_000.0;
             let wanted = 1_000.0 * f64::from(1 << tries);
             assert!((mean / wanted - 1.0).abs() < 0.05, "{tries}: {mean}");
             assert!(waits.iter().all(|&w| w <= 2_000 << tries));
         }
-        let far = back_off(&SETTINGS, 40, &mut random);
+        let far = backoff(&SETTINGS, 40, &mut random);
         assert!(far <= 2_000 << DOUBLINGS);
     }
 
@@ -125,7 +125,7 @@
         #[test]
         fn it_is_never_overdrawn(share in 0.0f64..=1.0, burst in 0.0f64..20.0,
             steps in prop::collection::vec(any::<bool>(), 0..500)) {
-            let mut budget = Budget::new(Retry { share, burst, ..SETTINGS });
+            let mut budget = RetryBudget::new(Retry { share, burst, ..SETTINGS });
             for first in steps {
                 if first { budget.first() } else { budget.take(); }
                 prop_assert!(budget.is_sound(burst, share));
--- a/crates/dependencies/src/service.rs
+++ b/crates/dependencies/src/service.rs
@@ -11,8 +11,8 @@
 use crate::config::{Bounds, Dependency};
 use crate::latency::Latency;
 use crate::limit::{Limit, LimitView, Sample};
-use crate::retry::Budget;
-use crate::route::{EndpointView, Pool};
+use crate::load_balancer::{EndpointView, Pool};
+use crate::retry::RetryBudget;
 use crate::PlanId;
 
 /// Calls that may wait for a place: far more than find one in the time that requests have.
@@ -56,7 +56,7 @@
 pub(crate) struct Service {
     pub name: Rc<str>,
     pub config: Dependency,
-    pub budget: Budget,
+    pub budget: RetryBudget,
     pub breaker: Breaker,
     pub limit: Limit,
     pub pool: Pool,
@@ -78,7 +78,7 @@
     pub fn new(now: Micros, config: Dependency) -> Service {
         Service {
             name: config.name.as_str().into(),
-            budget: Budget::new(config.retry),
+            budget: RetryBudget::new(config.retry),
             breaker: Breaker::new(config.breaker),
             limit: Limit::new(bounds(&config)),
             pool: Pool::new(config.route, &config.endpoints, config.endpoint_limit),
--- a/crates/dependencies/tests/engine/hard_cases.rs
+++ b/crates/dependencies/tests/engine/hard_cases.rs
@@ -83,7 +83,7 @@
     world.ask(1, "book", 300 * MS);
     let end = world.end_of(1);
     assert_eq!((end.at, end.outcome), (5 * MS, Outcome::Aborted));
-    assert_eq!(world.engine.under_way(), (0, 0));
+    assert_eq!(world.engine.in_flight(), (0, 0));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     assert_eq!((end.at, end.outcome), (200 * MS, Outcome::Aborted));
     world.run_until(400 * MS);
     assert_eq!(world.ended(1).map(|e| e.at), Some(200 * MS));
-    assert_eq!(world.engine.under_way(), (0, 0));
+    assert_eq!(world.engine.in_flight(), (0, 0));
 }
 
 #[test]
@@ -122,7 +122,7 @@
     world.give_up(1);
     world.run_until(400 * MS);
     assert!(world.ended(1).is_none());
-    assert_eq!((world.started.len(), world.engine.under_way()), (1, (0, 0)));
+    assert_eq!((world.started.len(), world.engine.in_flight()), (1, (0, 0)));
 }
 
 fn two_stages_of_one(dependency: Dependency, needed: bool) -> umberloom_dependencies::config::Config {
@@ -205,7 +205,7 @@
     let end = world.end_of(99);
     assert_eq!(parts(&end), "a: fresh");
     assert!(end.at - before.0 < 25 * MS, "{}", end.at - before.0);
-    assert_eq!((world.started.len() - before.1, world.engine.counts().hedges), (2, 1));
+    assert_eq!((world.started.len() - before.1, world.engine.counts().hedged_requests), (2, 1));
     assert_ne!(world.started[before.1].address, world.started[before.1 + 1].address);
 }
 
@@ -355,24 +355,24 @@
     // The plan under way ends as it began: its second stage still calls what the file no longer names. The world
     // knows the new settings only, so the end is looked at here.
     let mut actions = Vec::new();
-    world.engine.set(world.now, all(&["b", "c"])).expect("no mistakes");
+    world.engine.reconfigure(world.now, all(&["b", "c"])).expect("no mistakes");
     assert_eq!(
         world.engine.explain(world.now).iter().map(|v| v.name.to_string()).collect::<Vec<_>>(),
         ["b", "c"]
     );
     let attempt = world.started[0].attempt;
-    world.engine.ended(10 * MS, attempt, Outcome::Ok, vec![], &mut actions);
+    world.engine.handle_attempt_end(10 * MS, attempt, Outcome::Ok, vec![], &mut actions);
     let Some(umberloom_dependencies::Action::Start { attempt, dependency, .. }) = actions.pop() else {
         panic!()
     };
     assert_eq!(&*dependency, "b");
-    world.engine.ended(20 * MS, attempt, Outcome::Ok, vec![], &mut actions);
+    world.engine.handle_attempt_end(20 * MS, attempt, Outcome::Ok, vec![], &mut actions);
     assert!(matches!(actions[..], [umberloom_dependencies::Action::Done { outcome: Outcome::Ok, .. }]));
     // New ones go by the new file, and the place of what is gone is used again.
     for round in 0..50 {
         let names = [["b", "c"], ["c", "d"], ["d", "b"]][round % 3];
-        world.engine.set(world.now, all(&names)).expect("no mistakes");
-        assert_eq!(world.engine.check(), Ok(()));
+        world.engine.reconfigure(world.now, all(&names)).expect("no mistakes");
+        assert_eq!(world.engine.check_invariants(), Ok(()));
     }
     assert!(format!("{:?}", world.engine).matches("retired: true").count() < 12);
 }
@@ -382,7 +382,7 @@
     let mut world = in_turn(|_| (MS, Outcome::Ok));
     let mut bad = config(vec![Dependency::new("a", &[])], vec![]);
     bad.plans = vec![plan("book", vec![])];
-    assert_eq!(world.engine.set(0, bad).map_err(|m| m.len()), Err(2));
+    assert_eq!(world.engine.reconfigure(0, bad).map_err(|m| m.len()), Err(2));
     world.ask(1, "book", 300 * MS);
     assert_eq!(parts(&world.end_of(1)), "a: fresh, b: fresh, c: fresh");
 }
@@ -390,9 +390,9 @@
 #[test]
 fn what_the_run_still_needs_is_set_aside() {
     let mut world = in_turn(|_| (NEVER, Outcome::Ok));
-    (0..50).for_each(|_| world.engine.learn_rest("book", 40 * MS));
+    (0..50).for_each(|_| world.engine.learn_local_work("book", 40 * MS));
     let mut actions = Vec::new();
-    let ask = umberloom_dependencies::Ask {
+    let ask = umberloom_dependencies::PlanRequest {
         plan: 1,
         class: "book",
         level: 0,
@@ -401,7 +401,7 @@
         due: 200 * MS,
         again: false,
     };
-    world.engine.begin(0, &ask, &mut actions);
+    world.engine.start_plan(0, &ask, &mut actions);
     // A third of the 160 ms that are left, twice over.
     let Some(umberloom_dependencies::Action::Start { until, .. }) = actions.pop() else { panic!("a call") };
     assert!((104 * MS..108 * MS).contains(&until), "{until}");
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -55,7 +55,7 @@
         world.run_until(world.now + 5 * MS);
         clock.set(world.now);
     }
-    let all = |c: &umberloom_dependencies::Counts| c.firsts + c.retries + c.hedges;
+    let all = |c: &umberloom_dependencies::CallCounts| c.first_attempts + c.retries + c.hedged_requests;
     let asked = (DOWN.1 - DOWN.0) / (5 * MS);
     let served = |from: Micros| {
         let ends: Vec<_> =
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -5,7 +5,8 @@
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::config::{
-    Bounds, Breaker, Call, Config, Dependency, Fallback, Hedge, KeptBounds, Plan, Retry, Route, Stage,
+    Bounds, Breaker, Call, Config, Dependency, Fallback, FallbackCacheLimits, Hedge, Plan, Retry, Route,
+    Stage,
 };
 
 use super::world::{World, MS};
@@ -83,7 +84,7 @@
     (dependencies, plans(), 0usize..6).prop_map(|((a, b, c, d, e), plans, entries)| Config {
         dependencies: vec![a, b, c, d, e],
         plans,
-        kept: KeptBounds { entries, bytes: 2_000 },
+        kept: FallbackCacheLimits { entries, bytes: 2_000 },
     })
 }
 
@@ -124,7 +125,7 @@
         all in configs(), other in configs(), seed in any::<u64>(),
         requests in prop::collection::vec((0u64..15 * MS, 0usize..4, 0u64..400 * MS, 0u16..4, 0u8..8), 1..150),
     ) {
-        prop_assert_eq!(all.mistakes(), []);
+        prop_assert_eq!(all.validate(), []);
         let mut world = World::new(all.clone(), moody(seed));
         let mut given_up = 0;
         for (id, &(after, class, time, level, what)) in requests.iter().enumerate() {
@@ -143,7 +144,7 @@
         world.run_until(world.now + 1_000 * MS);
         let asked = requests.iter().filter(|r| world.engine.has_plan(&format!("c{}", r.1))).count();
         prop_assert_eq!(world.all_ended().count() + given_up, asked);
-        prop_assert_eq!(world.engine.under_way(), (0, 0));
+        prop_assert_eq!(world.engine.in_flight(), (0, 0));
         // And with other settings, on what was learned.
         world.set(other);
         for id in 1_000..1_040 {
@@ -153,6 +154,6 @@
             world.run_until(world.now + 5 * MS);
         }
         world.run_until(world.now + 1_000 * MS);
-        prop_assert_eq!(world.engine.under_way(), (0, 0));
+        prop_assert_eq!(world.engine.in_flight(), (0, 0));
     }
 }
--- a/crates/dependencies/tests/engine/world.rs
+++ b/crates/dependencies/tests/engine/world.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use umberloom::interface::{Micros, Outcome};
+use umberloom_dependencies::aggregation::{AggregateResponse, Part};
 use umberloom_dependencies::config::{Call, Config, Dependency, Plan, Stage};
-use umberloom_dependencies::envelope::{Envelope, Part};
-use umberloom_dependencies::{Action, Ask, AttemptId, Engine, PlanId};
+use umberloom_dependencies::{Action, AttemptId, Engine, PlanId, PlanRequest};
 
 pub const MS: Micros = 1_000;
 
@@ -27,7 +27,7 @@
 pub struct Ended {
     pub at: Micros,
     pub outcome: Outcome,
-    pub envelope: Option<Envelope>,
+    pub envelope: Option<AggregateResponse>,
 }
 
 #[derive(Default)]
@@ -109,11 +109,11 @@
         let until = self.now + time;
         // What is set aside for the run is tested by itself: here nothing is.
         let due = until + 1_000_000_000_000;
-        let ask = Ask { plan: id, class, level, key, until, due, again };
+        let ask = PlanRequest { plan: id, class, level, key, until, due, again };
         let asked = Asked { class: class.to_owned(), key: key.map(String::from), until, ..Asked::default() };
         self.plans.insert(id, asked);
         let mut actions = Vec::new();
-        self.engine.begin(self.now, &ask, &mut actions);
+        self.engine.start_plan(self.now, &ask, &mut actions);
         self.carry_out(actions);
     }
 
@@ -122,18 +122,18 @@
             plan.given_up = true;
         }
         let mut actions = Vec::new();
-        self.engine.give_up(self.now, id, &mut actions);
+        self.engine.cancel_plan(self.now, id, &mut actions);
         self.carry_out(actions);
     }
 
     pub fn set(&mut self, config: Config) {
-        self.engine.set(self.now, config.clone()).expect("no mistakes");
+        self.engine.reconfigure(self.now, config.clone()).expect("no mistakes");
         self.config = config;
     }
 
     pub fn run_until(&mut self, end: Micros) {
         loop {
-            let timer = self.engine.next_at();
+            let timer = self.engine.next_timeout();
             let reply = self.coming.first_key_value().map(|(&(at, id), _)| (at, id));
             match (timer, reply) {
                 // What comes at the same moment is heard before the time is up, on even moments.
@@ -142,7 +142,7 @@
                 {
                     self.now = self.now.max(at);
                     let mut actions = Vec::new();
-                    self.engine.pass(self.now, &mut actions);
+                    self.engine.handle_timeout(self.now, &mut actions);
                     self.carry_out(actions);
                 }
                 (_, Some((at, id))) if at <= end => {
@@ -158,7 +158,8 @@
     /// Runs on until the plan is over.
     pub fn end_of(&mut self, id: PlanId) -> Ended {
         while self.plans[&id].ended.is_none() {
-            let next = self.engine.next_at().into_iter().chain(self.coming.keys().map(|(at, _)| *at)).min();
+            let next =
+                self.engine.next_timeout().into_iter().chain(self.coming.keys().map(|(at, _)| *at)).min();
             self.run_until(next.expect("a plan under way has something to wait for"));
         }
         self.ended(id).expect("just seen")
@@ -178,7 +179,7 @@
         let Some(call) = self.flying.remove(&id) else {
             // A reply to what was cancelled may still come; it must change nothing.
             let mut actions = Vec::new();
-            self.engine.ended(self.now, id, outcome, b"late".to_vec(), &mut actions);
+            self.engine.handle_attempt_end(self.now, id, outcome, b"late".to_vec(), &mut actions);
             assert_eq!(actions, []);
             return;
         };
@@ -197,7 +198,7 @@
             plan.barred.push(call.dependency.clone());
         }
         let mut actions = Vec::new();
-        self.engine.ended(self.now, id, outcome, body, &mut actions);
+        self.engine.handle_attempt_end(self.now, id, outcome, body, &mut actions);
         self.carry_out(actions);
     }
 
@@ -219,7 +220,7 @@
                 }
             }
         }
-        assert_eq!(self.engine.check(), Ok(()));
+        assert_eq!(self.engine.check_invariants(), Ok(()));
     }
 
     fn start(&mut self, call: Started) {
--- a/crates/fault-harness/src/virtual_fleet.rs
+++ b/crates/fault-harness/src/virtual_fleet.rs
@@ -5,7 +5,9 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umberloom_membership::{Action, Config, MemberState, Membership, Micros, Standing, Told, Via};
+use umberloom_membership::{
+    Action, Config, Event, MemberState, Membership, Micros, PartitionStatus, ReturnPath,
+};
 
 /// What the network does to datagrams. Streams carry what they take, late.
 #[derive(Clone, Copy, Debug, Default)]
@@ -45,7 +47,7 @@
     next: u64,
     random: ChaCha8Rng,
     /// Lines that members said, with their times and places.
-    pub told: Vec<(Micros, usize, Told)>,
+    pub told: Vec<(Micros, usize, Event)>,
     pub bytes: u64,
     pub messages: u64,
     adjust: fn(&mut Config),
@@ -147,24 +149,25 @@
         match due {
             Due::Mail { from, bytes, datagram, .. } => {
                 let way: Way = from;
-                let via = if datagram { Via::Datagram(way as u64) } else { Via::Stream(way as u64) };
-                member.hear(clock, &bytes, via);
+                let via =
+                    if datagram { ReturnPath::Datagram(way as u64) } else { ReturnPath::Stream(way as u64) };
+                member.handle_message(clock, &bytes, via);
             }
-            Due::Pass(_) => member.pass(clock),
+            Due::Pass(_) => member.handle_timeout(clock),
         }
         if passes {
-            member.check().map_err(|why| format!("m{n} at {}: {why}", self.now))?;
+            member.check_invariants().map_err(|why| format!("m{n} at {}: {why}", self.now))?;
         }
-        let (actions, told, next) = (member.take_actions(), member.take_told(), member.next_at());
+        let (actions, told, next) = (member.take_actions(), member.take_events(), member.next_timeout());
         self.told.extend(told.into_iter().map(|line| (self.now, n, line)));
         for action in actions {
             let to = match &action {
                 Action::Datagram(to, _) | Action::Stream(to, _) | Action::Bulk(to, _) => {
                     self.places.get(&**to).copied()
                 }
-                Action::Reply(Via::Datagram(way) | Via::Stream(way), _) => Some(*way as usize),
+                Action::Reply(ReturnPath::Datagram(way) | ReturnPath::Stream(way), _) => Some(*way as usize),
             };
-            let datagram = matches!(action, Action::Datagram(..) | Action::Reply(Via::Datagram(_), _));
+            let datagram = matches!(action, Action::Datagram(..) | Action::Reply(ReturnPath::Datagram(_), _));
             if let Some(to) = to {
                 self.carry(n, to, action.bytes().to_vec(), datagram);
             }
@@ -202,8 +205,12 @@
 
     /// Whether all living members hold the same view, and how many stand whole.
     pub fn agree(&self) -> (bool, usize) {
-        let views: std::collections::BTreeSet<u64> = self.living().map(|(_, member)| member.view()).collect();
-        (views.len() <= 1, self.living().filter(|(_, m)| m.standing() == Standing::Whole).count())
+        let views: std::collections::BTreeSet<u64> =
+            self.living().map(|(_, member)| member.view_digest()).collect();
+        (
+            views.len() <= 1,
+            self.living().filter(|(_, m)| m.partition_status() == PartitionStatus::Whole).count(),
+        )
     }
 
     /// Goes on in steps until all living members hold the same view; how long that took, if it came.
@@ -223,7 +230,7 @@
         let name = &self.names[name];
         let mut first: BTreeMap<usize, Micros> = BTreeMap::new();
         for (at, n, line) in &self.told {
-            if let Told::Member { name: about, to: MemberState::Failed, .. } = line {
+            if let Event::MemberStateChanged { name: about, to: MemberState::Failed, .. } = line {
                 if **about == **name && *at >= since {
                     first.entry(*n).or_insert(*at);
                 }
@@ -235,8 +242,8 @@
     /// Times that a member was held for suspected, and for failed, since then.
     pub fn accusations(&self, since: Micros) -> (usize, usize) {
         let count = |wanted: MemberState| {
-            let fits = |(at, _, line): &&(Micros, usize, Told)| {
-                *at >= since && matches!(line, Told::Member { to, .. } if *to == wanted)
+            let fits = |(at, _, line): &&(Micros, usize, Event)| {
+                *at >= since && matches!(line, Event::MemberStateChanged { to, .. } if *to == wanted)
             };
             self.told.iter().filter(fits).count()
         };
--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -5,11 +5,13 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 use umberloom_replicated_store::entry::{Content, Document};
 use umberloom_replicated_store::log::SPACES;
-use umberloom_replicated_store::{Action, Config, Entry, Image, Micros, Outcome, Read, Record, Role, Told};
-use umberloom_store::simulated::{Faults, SimulatedDisk};
+use umberloom_replicated_store::{
+    Action, Config, Entry, Event, Micros, Outcome, ReadOutcome, Replica, Role, StoredReplica,
+};
+use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
 use umberloom_store::{Batch, Config as StoreConfig, Store};
 
 use crate::linear::Operation;
@@ -24,10 +26,10 @@
 
 /// One server.
 struct Place {
-    record: Option<Record>,
+    record: Option<Replica>,
     /// Counts processes, as the start of one does.
     boot: u64,
-    disk: SimulatedDisk,
+    disk: FaultInjectingDisk,
     store: Option<Store>,
     stopped: Micros,
     /// How long a sync takes at most.
@@ -52,7 +54,7 @@
 pub struct VirtualRecord {
     pub now: Micros,
     places: Vec<Place>,
-    names: Vec<Name>,
+    names: Vec<MemberName>,
     adjust: fn(&mut Config),
     /// Directions that carry nothing.
     pub cut: BTreeSet<(usize, usize)>,
@@ -63,7 +65,7 @@
     due: BTreeMap<u64, Due>,
     next: u64,
     random: ChaCha8Rng,
-    pub told: Vec<(Micros, usize, Told)>,
+    pub told: Vec<(Micros, usize, Event)>,
     /// What clients asked for and were told, for the checker.
     pub operations: Vec<Operation>,
     asked: Vec<Asked>,
@@ -77,11 +79,11 @@
 impl VirtualRecord {
     /// So many servers, each with a disk.
     pub fn new(count: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
-        let names: Vec<Name> = (0..count).map(|n| Name::from(format!("m{n}"))).collect();
+        let names: Vec<MemberName> = (0..count).map(|n| MemberName::from(format!("m{n}"))).collect();
         let place = |n: usize| Place {
             record: None,
             boot: 0,
-            disk: SimulatedDisk::new(seed ^ (n as u64) << 32),
+            disk: FaultInjectingDisk::new(seed ^ (n as u64) << 32),
             store: None,
             stopped: 0,
             sync: 2 * MS,
@@ -130,14 +132,14 @@
         let mut store = Store::open(&place.disk, &told);
         if store.as_ref().is_err_and(|why| why.is_damage()) {
             self.aside.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
-            let _ = Store::set_aside(&place.disk, &told);
+            let _ = Store::quarantine(&place.disk, &told);
             store = Store::open(&place.disk, &told);
         }
         let Ok(store) = store else { return };
         let rows = SPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).unwrap_or_default()));
-        let image = Image::read(rows.to_vec());
+        let image = StoredReplica::read(rows.to_vec());
         place.store = Some(store);
-        place.record = image.ok().and_then(|image| Record::new(now, config, image, seed).ok());
+        place.record = image.ok().and_then(|image| Replica::new(now, config, image, seed).ok());
         let boot = place.boot;
         self.plan(now, Due::Pass(n, boot));
         self.carry_out(n);
@@ -155,7 +157,7 @@
     /// Its disk is gone.
     pub fn lose_disk(&mut self, n: usize) {
         self.kill(n, false);
-        self.places[n].disk = SimulatedDisk::new(self.next);
+        self.places[n].disk = FaultInjectingDisk::new(self.next);
     }
 
     /// How its disk is now, to be put back later.
@@ -178,7 +180,7 @@
         self.places[n].record.is_some()
     }
 
-    pub fn record(&self, n: usize) -> Option<&Record> {
+    pub fn record(&self, n: usize) -> Option<&Replica> {
         self.places[n].record.as_ref()
     }
 
@@ -193,7 +195,7 @@
     /// Turns a bit of a copy's state over.
     pub fn spoil(&mut self, n: usize, bit: u8) {
         if let Some(record) = &mut self.places[n].record {
-            record.spoil(bit);
+            record.corrupt(bit);
         }
     }
 
@@ -242,26 +244,28 @@
     fn step(&mut self, n: usize, due: Due) -> Result<(), String> {
         let now = self.now;
         let boot = self.places[n].boot;
-        let reached: Vec<Name> = (0..self.names.len())
+        let reached: Vec<MemberName> = (0..self.names.len())
             .filter(|o| *o != n && self.open(n, *o) && self.open(*o, n))
             .map(|o| self.names[o].clone())
             .collect();
         let Some(record) = &mut self.places[n].record else { return Ok(()) };
         let mut again = None;
         match due {
-            Due::Mail { from, boot, bytes, .. } => record.hear(now, &self.names[from], boot, &bytes),
+            Due::Mail { from, boot, bytes, .. } => {
+                record.handle_message(now, &self.names[from], boot, &bytes)
+            }
             Due::Pass(_, of) if of == boot => {
-                record.reach(reached, 0);
-                record.pass(now);
-                again = Some(record.next_at().max(now + 1).min(now + 20 * MS));
+                record.set_reachable(reached, 0);
+                record.handle_timeout(now);
+                again = Some(record.next_timeout().max(now + 1).min(now + 20 * MS));
             }
             Due::Synced(_, of, number) if of == boot => record.persisted(now, number),
             _ => return Ok(()),
         }
-        record.check().map_err(|why| format!("{} at {now}: {why}", self.names[n]))?;
+        record.check_invariants().map_err(|why| format!("{} at {now}: {why}", self.names[n]))?;
         if record.role() == Role::Leader {
             // One leader a term, of one record.
-            let standing = record.standing(now);
+            let standing = record.status(now);
             let first = *self.leaders.entry((standing.record, standing.term)).or_insert(n);
             if first != n {
                 return Err(format!("m{first} and m{n} both lead in term {}", standing.term));
@@ -277,7 +281,8 @@
     fn carry_out(&mut self, n: usize) {
         let now = self.now;
         let Some(record) = &mut self.places[n].record else { return };
-        let (actions, told, reads) = (record.take_actions(), record.take_told(), record.take_reads());
+        let (actions, told, reads) =
+            (record.take_actions(), record.take_events(), record.take_finished_reads());
         self.told.extend(told.into_iter().map(|line| (now, n, line)));
         let mut aside = None;
         for action in actions {
@@ -293,7 +298,7 @@
                     self.plan(at, Due::Mail { from: n, boot, to, bytes });
                 }
                 Action::Persist(number, batch) => self.persist(n, number, batch),
-                Action::SetAside(why) => aside = Some(why),
+                Action::Quarantine(why) => aside = Some(why),
             }
         }
         self.finish(n, reads);
@@ -301,7 +306,7 @@
             self.aside.push((n, why));
             let place = &mut self.places[n];
             (place.record, place.store) = (None, None);
-            let _ = Store::set_aside(&place.disk, &StoreConfig::new("record"));
+            let _ = Store::quarantine(&place.disk, &StoreConfig::new("record"));
             self.start(n);
         }
     }
@@ -352,7 +357,7 @@
     pub fn read(&mut self, n: usize, name: &str) {
         let (now, boot) = (self.now, self.places[n].boot);
         let Some(record) = &mut self.places[n].record else { return };
-        if let Ok(ticket) = record.read(now) {
+        if let Ok(ticket) = record.request_read(now) {
             self.operations.push(Operation::read(name, now));
             let (operation, until) = (self.operations.len() - 1, now + 20_000 * MS);
             self.asked.push(Asked { at: n, boot, operation, what: Ask::Read(ticket), until });
@@ -360,7 +365,7 @@
         self.carry_out(n);
     }
 
-    fn finish(&mut self, n: usize, reads: Vec<(u64, Read)>) {
+    fn finish(&mut self, n: usize, reads: Vec<(u64, ReadOutcome)>) {
         let (now, place) = (self.now, &self.places[n]);
         let Some(record) = &place.record else { return };
         let operations = &mut self.operations;
@@ -380,7 +385,7 @@
                     None => return true,
                 },
                 Ask::Read(ticket) => match reads.iter().find(|(done, _)| done == ticket) {
-                    Some((_, Read::Ready)) => {
+                    Some((_, ReadOutcome::Ready)) => {
                         let name = operations[asked.operation].name.clone();
                         let held = record.state().get(&name);
                         let value =
@@ -405,7 +410,7 @@
             let place = &self.places[*n];
             place.stopped <= self.now && place.record.as_ref().is_some_and(|r| r.role() == Role::Leader)
         };
-        let term = |n: &usize| self.places[*n].record.as_ref().map_or(0, |r| r.standing(self.now).term);
+        let term = |n: &usize| self.places[*n].record.as_ref().map_or(0, |r| r.status(self.now).term);
         (0..self.places.len()).filter(leads).max_by_key(term)
     }
 
@@ -420,7 +425,7 @@
         }
         let stand = |n: usize| {
             let Some(record) = self.places[n].record.as_ref() else { return format!("m{n} is down") };
-            let s = record.standing(self.now);
+            let s = record.status(self.now);
             let copies = s.copies.iter().map(|c| format!("{}{}", c.name, if c.votes { "*" } else { "" }));
             let copies: Vec<String> = copies.collect();
             format!(
@@ -435,11 +440,11 @@
 
     /// Every server that runs is in the record, so many vote, and all have applied the same.
     pub fn settled(&self, voters: usize) -> bool {
-        let records: Vec<&Record> = self.places.iter().filter_map(|place| place.record.as_ref()).collect();
+        let records: Vec<&Replica> = self.places.iter().filter_map(|place| place.record.as_ref()).collect();
         let Some(leader) = self.leader().and_then(|n| self.record(n)) else { return false };
-        let stands = leader.standing(self.now);
+        let stands = leader.status(self.now);
         let votes = stands.copies.iter().filter(|c| c.votes).count();
-        let same = |r: &&Record| {
+        let same = |r: &&Replica| {
             r.state().index == leader.state().index
                 && r.state().chain == leader.state().chain
                 && matches!(r.role(), Role::Learner | Role::Voter | Role::Leader)
--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use umberloom_dependencies::envelope::Envelope;
+use umberloom_dependencies::aggregation::AggregateResponse;
 use umberloom_protocol_fakes::farm::Over;
 use umberloom_protocol_fakes::{Balancer, Request};
 
@@ -194,7 +194,9 @@
 
 fn end_of(status: u16, protocol_status: u8, body: &[u8]) -> End {
     match (status, protocol_status) {
-        (200, _) if Envelope::decode(body).is_ok_and(|envelope| !envelope.is_whole()) => End::Partial,
+        (200, _) if AggregateResponse::decode(body).is_ok_and(|envelope| !envelope.is_complete()) => {
+            End::Partial
+        }
         (200, _) => End::Whole,
         (429 | 503, _) | (_, 2) => End::Refused,
         _ => End::Failed,
--- a/crates/loadtest/src/emulate.rs
+++ b/crates/loadtest/src/emulate.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::config::Config;
-use umberloom_dependencies::{Action, Ask, AttemptId, Counts, Engine, PlanId};
+use umberloom_dependencies::{Action, AttemptId, CallCounts, Engine, PlanId, PlanRequest};
 
 pub const MS: Micros = 1_000;
 
@@ -57,28 +57,28 @@
         let until = self.now + time;
         // Nothing is set aside for the run: that is the same for all variants.
         let due = until + 1_000_000 * MS;
-        let ask = Ask { plan: self.next, class, level: 1, key: None, until, due, again: false };
+        let ask = PlanRequest { plan: self.next, class, level: 1, key: None, until, due, again: false };
         self.asked.insert(self.next, self.now);
         let mut actions = Vec::new();
-        self.engine.begin(self.now, &ask, &mut actions);
+        self.engine.start_plan(self.now, &ask, &mut actions);
         self.carry_out(actions);
     }
 
     pub fn run_until(&mut self, end: Micros) {
         loop {
-            let timer = self.engine.next_at().filter(|&at| at <= end);
+            let timer = self.engine.next_timeout().filter(|&at| at <= end);
             let reply = self.coming.first().copied().filter(|(at, _)| *at <= end);
             let mut actions = Vec::new();
             match (timer, reply) {
                 (Some(at), reply) if reply.is_none_or(|(r, _)| at < r) => {
                     self.now = self.now.max(at);
-                    self.engine.pass(self.now, &mut actions);
+                    self.engine.handle_timeout(self.now, &mut actions);
                 }
                 (_, Some((at, id))) => {
                     self.coming.pop_first();
                     self.now = self.now.max(at);
                     if let Some(outcome) = self.outcomes.remove(&id) {
-                        self.engine.ended(self.now, id, outcome, Vec::new(), &mut actions);
+                        self.engine.handle_attempt_end(self.now, id, outcome, Vec::new(), &mut actions);
                     }
                 }
                 _ => break,
@@ -88,7 +88,7 @@
         self.now = end;
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CallCounts {
         self.engine.counts()
     }
 
@@ -105,7 +105,7 @@
                 Action::Cancel(attempt) => drop(self.outcomes.remove(&attempt)),
                 Action::Done { plan, outcome, envelope } => {
                     let asked = self.asked.remove(&plan).unwrap_or(self.now);
-                    let whole = envelope.is_some_and(|e| e.is_whole());
+                    let whole = envelope.is_some_and(|e| e.is_complete());
                     self.ended.push(Ended { asked, took: self.now - asked, outcome, whole });
                 }
             }
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -236,8 +236,8 @@
         let gap: f64 = gaps.sample(arrivals);
         world.run_until(world.now + (gap * 1e6) as Micros);
     }
-    let firsts = (after.firsts - before.firsts) as f64;
-    let more = (after.retries + after.hedges - before.retries - before.hedges) as f64;
+    let firsts = (after.first_attempts - before.first_attempts) as f64;
+    let more = (after.retries + after.hedged_requests - before.retries - before.hedged_requests) as f64;
     let served = |from: Micros| {
         let here = world.ended.iter().filter(|e| (from..from + 500 * MS).contains(&e.asked));
         let (count, good) = here.fold((0, 0), |(n, g), e| (n + 1, g + u32::from(e.outcome == Outcome::Ok)));
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -6,7 +6,7 @@
 
 use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_store::disk::RealDisk;
-use umberloom_store::simulated::SimulatedDisk;
+use umberloom_store::fault_disk::FaultInjectingDisk;
 use umberloom_store::{Batch, Config as StoreConfig, Store};
 
 use crate::fleet_measures::{quantile, table};
@@ -193,7 +193,7 @@
         }
         let rate = count as f64 / began.elapsed().as_secs_f64();
         // What reaches the medium is counted on a simulated one, which takes the same operations.
-        let disk = SimulatedDisk::new(1);
+        let disk = FaultInjectingDisk::new(1);
         let mut simulated = Store::open(&disk, &StoreConfig::new("store")).map_err(|e| e.to_string())?;
         let before = (disk.written(), disk.syncs());
         for n in 0..count {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::identity::Name;
+use crate::identity::MemberName;
 use crate::Micros;
 
 /// The most members that a roster names: what fits into a datagram's updates and the descriptors of one process.
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
-    pub name: Name,
+    pub name: MemberName,
     /// The zone that it stands in.
-    pub zone: Name,
+    pub zone: MemberName,
 }
 
 /// The times that the beliefs go by.
@@ -63,9 +63,9 @@
     /// What only members know; empty is allowed, and then the name alone keeps fleets apart.
     pub secret: String,
     /// This server's name.
-    pub name: Name,
+    pub name: MemberName,
     /// Its zone.
-    pub zone: Name,
+    pub zone: MemberName,
     /// The others.
     pub peers: Vec<Peer>,
     /// Times.
@@ -74,7 +74,7 @@
 
 /// One thing that is wrong: with the peer at this place, or with the whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ConfigError {
     /// The peer, by its place.
     pub peer: Option<usize>,
     /// What was found and what was expected.
@@ -84,7 +84,7 @@
 impl Config {
     /// A fleet in one zone, without a secret.
     pub fn new(fleet: &str, name: &str, others: &[&str]) -> Config {
-        let peer = |other: &&str| Peer { name: Name::from(*other), zone: Name::from("") };
+        let peer = |other: &&str| Peer { name: MemberName::from(*other), zone: MemberName::from("") };
         Config {
             fleet: fleet.to_owned(),
             secret: String::new(),
@@ -119,9 +119,9 @@
     }
 
     /// All that is wrong with it.
-    pub fn mistakes(&self) -> Vec<Mistake> {
+    pub fn validate(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
-        let mut say = |peer, what: String| found.push(Mistake { peer, what });
+        let mut say = |peer, what: String| found.push(ConfigError { peer, what });
         let named = |name: &str| (1..=LONGEST_NAME).contains(&name.len());
         if !named(&self.fleet) || !named(&self.name) {
             say(None, format!("names of the fleet and of this server have 1 to {LONGEST_NAME} bytes"));
@@ -161,7 +161,7 @@
     #[test]
     fn what_makes_no_sense_is_told_by_its_place() {
         let told = |config: &Config| -> Vec<(Option<usize>, String)> {
-            config.mistakes().into_iter().map(|m| (m.peer, m.what)).collect()
+            config.validate().into_iter().map(|m| (m.peer, m.what)).collect()
         };
         let sound = Config::new("f", "a", &["b", "c"]);
         assert_eq!(told(&sound), []);
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 
 /// The name by which operators know a server; the same after a restart.
-pub type Name = Rc<str>;
+pub type MemberName = Rc<str>;
 
 /// One process under a name: a later start wins over an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     /// Its name.
-    pub name: Name,
+    pub name: MemberName,
     /// Its start, in Unix microseconds, as its own clock had it.
     pub boot: u64,
     /// How often it has come back after the others held it for failed.
@@ -19,14 +19,14 @@
 }
 
 impl foca::Identity for Id {
-    type Addr = Name;
+    type Addr = MemberName;
 
     /// Held for failed while it lives, it comes back at once, and says so by a higher number.
     fn renew(&self) -> Option<Id> {
         Some(Id { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
 
-    fn addr(&self) -> Name {
+    fn addr(&self) -> MemberName {
         self.name.clone()
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -42,17 +42,17 @@
 mod identity;
 mod member;
 mod membership;
+pub mod partition;
 pub mod session;
-pub mod standing;
 mod swim;
 pub mod view;
 pub mod wire;
 
 pub use config::Config;
-pub use identity::Name;
+pub use identity::MemberName;
 pub use member::{Evidence, MemberState, MemberView};
-pub use membership::{Action, Counts, Membership, Told, Via};
-pub use standing::Standing;
+pub use membership::{Action, Event, Membership, MessageCounts, ReturnPath};
+pub use partition::PartitionStatus;
 
 /// Microseconds, on a clock that goes forward only.
 pub type Micros = u64;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::identity::Name;
-use crate::standing::Standing;
-use crate::wire::About;
+use crate::identity::MemberName;
+use crate::partition::PartitionStatus;
+use crate::wire::BuildInfo;
 use crate::Micros;
 
 /// What a member is held to be.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
     /// Its name.
-    pub name: Name,
+    pub name: MemberName,
     /// Named by the operator; else a guest.
     pub named: bool,
     /// What it is held to be.
@@ -79,9 +79,9 @@
     /// Both hear each other.
     pub reached: bool,
     /// What it says of itself: standing, load in percent, how sick from 0 to 8.
-    pub says: Option<(Standing, u8, u8)>,
+    pub says: Option<(PartitionStatus, u8, u8)>,
     /// What it is made of.
-    pub about: About,
+    pub about: BuildInfo,
     /// For how long its view has differed from this server's, in milliseconds.
     pub differs_ms: Option<u64>,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -6,18 +6,20 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-use crate::config::{Config, Mistake};
-use crate::identity::{Id, Name};
+use crate::config::{Config, ConfigError};
+use crate::identity::{Id, MemberName};
 use crate::member::{Evidence, Known, MemberState, MemberView};
+use crate::partition::{Count, PartitionStatus, PartitionTracker};
 use crate::session::{Link, Next};
-use crate::standing::{Count, Keeper, Standing};
 use crate::swim::{Came, Swim};
 use crate::view::{digest, Disagreement};
-use crate::wire::{About, Body, Head, Key, Message, Note, Refused, Row, LONGEST, LONGEST_DATAGRAM};
+use crate::wire::{
+    Body, BuildInfo, Header, Key, Message, RejectReason, SenderStatus, ViewRow, LONGEST, LONGEST_DATAGRAM,
+};
 use crate::Micros;
 
 /// Two looks further apart than this: the process stood still, and nothing that it believed counts any more.
-pub const STOOD_STILL: Micros = 1_000_000;
+pub const STALL_THRESHOLD: Micros = 1_000_000;
 /// Time between looks at what is due.
 const LOOK_EVERY: Micros = 50_000;
 /// Members beyond the roster that are spoken with.
@@ -38,7 +40,7 @@
 
 /// By which way a message came, so that it can be answered there: the host's number for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Via {
+pub enum ReturnPath {
     /// A datagram.
     Datagram(u64),
     /// A stream.
@@ -49,13 +51,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// To the address of this peer, as a datagram.
-    Datagram(Name, Vec<u8>),
+    Datagram(MemberName, Vec<u8>),
     /// To the address of this peer, over a stream.
-    Stream(Name, Vec<u8>),
+    Stream(MemberName, Vec<u8>),
     /// The same, but whatever else waits for that stream goes first.
-    Bulk(Name, Vec<u8>),
+    Bulk(MemberName, Vec<u8>),
     /// Back the way that something came.
-    Reply(Via, Vec<u8>),
+    Reply(ReturnPath, Vec<u8>),
 }
 
 impl Action {
@@ -72,11 +74,11 @@
 
 /// A change that an operator should be able to read of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Event {
     /// A member is held for something else.
-    Member {
+    MemberStateChanged {
         /// Its name.
-        name: Name,
+        name: MemberName,
         /// What it was held for.
         from: MemberState,
         /// What it is held for.
@@ -85,52 +87,52 @@
         cause: String,
     },
     /// This server stands otherwise.
-    Standing {
+    PartitionStatusChanged {
         /// How it stood.
-        from: Standing,
+        from: PartitionStatus,
         /// How it stands.
-        to: Standing,
+        to: PartitionStatus,
         /// Why.
         cause: String,
     },
     /// Two processes have spoken under one name: the earlier and the later start.
-    Doubled(Name, u64, u64),
+    Doubled(MemberName, u64, u64),
     /// Another process, started then, has our name: we are silent.
-    Superseded(u64),
+    Fenced(u64),
     /// The one that had our name is gone: we go on under this start.
-    Renewed(u64),
+    Unfenced(u64),
     /// A living member has held another view for long.
-    Disagreement(Name),
+    ViewsDiverged(MemberName),
     /// It holds the same view again.
-    Agreement(Name),
+    ViewsConverged(MemberName),
     /// Messages were not believed, so many since the last line, the last of them said to be from there.
-    Refused(Refused, u64, Option<Name>),
+    MessagesRejected(RejectReason, u64, Option<MemberName>),
 }
 
 /// Messages so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct MessageCounts {
     /// Sent, and their bytes.
     pub sent: (u64, u64),
     /// Believed, and their bytes.
     pub heard: (u64, u64),
     /// Not believed, by why.
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<RejectReason, u64>,
     /// Times that this server stood still.
     pub standstills: u64,
 }
 
 /// A message about a matter that others decide about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Matter {
+pub struct ReceivedMessage {
     /// From this member.
-    pub from: Name,
+    pub from: MemberName,
     /// The start of its process.
     pub boot: u64,
     /// Which matter.
-    pub kind: u8,
+    pub channel: u8,
     /// What it says.
-    pub bytes: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -148,35 +150,35 @@
 pub struct Membership {
     config: Config,
     key: std::rc::Rc<KeyBox>,
-    about: About,
+    about: BuildInfo,
     swim: Swim,
-    links: BTreeMap<Name, Link>,
-    known: BTreeMap<Name, Known>,
+    links: BTreeMap<MemberName, Link>,
+    known: BTreeMap<MemberName, Known>,
     /// By which way guests were last heard.
-    guests: BTreeMap<Name, Via>,
-    keeper: Keeper,
+    guests: BTreeMap<MemberName, ReturnPath>,
+    keeper: PartitionTracker,
     /// Evidence from before then does not count.
     from: Micros,
     began: Micros,
     looked: Micros,
     look_at: Micros,
-    view: (Vec<Row>, u64),
-    disagreements: BTreeMap<Name, Disagreement>,
+    view: (Vec<ViewRow>, u64),
+    disagreements: BTreeMap<MemberName, Disagreement>,
     load: u8,
     leaving: bool,
     gone: bool,
     /// Another process has our name: who, and until when we do not ask again.
     silenced: Option<(u64, Micros)>,
     /// Those that were not believed since the last line about them: how many, and when that was.
-    quiet: BTreeMap<Refused, (u64, Micros)>,
-    counts: Counts,
+    quiet: BTreeMap<RejectReason, (u64, Micros)>,
+    counts: MessageCounts,
     beats: u64,
     random: ChaCha8Rng,
     actions: VecDeque<Action>,
-    told: VecDeque<Told>,
-    matters: VecDeque<Matter>,
+    told: VecDeque<Event>,
+    matters: VecDeque<ReceivedMessage>,
     /// Processes that ask under a name that another has proven to hold: since when.
-    askers: BTreeMap<Name, (u64, Micros)>,
+    askers: BTreeMap<MemberName, (u64, Micros)>,
 }
 
 struct KeyBox(Key);
@@ -189,17 +191,17 @@
 
 impl Membership {
     /// A server that starts now; `boot` is its start by the Unix clock, in microseconds.
-    pub fn new(now: Micros, config: Config, boot: u64, seed: u64) -> Result<Membership, Vec<Mistake>> {
-        let mistakes = config.mistakes();
+    pub fn new(now: Micros, config: Config, boot: u64, seed: u64) -> Result<Membership, Vec<ConfigError>> {
+        let mistakes = config.validate();
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
         let id = Id { name: config.name.clone(), boot: boot.max(1), renewal: 0 };
         let swim = Swim::new(id, &config, seed);
-        let keeper = Keeper::new(now, config.timing, config.stale());
+        let keeper = PartitionTracker::new(now, config.timing, config.stale());
         let mut membership = Membership {
             key: std::rc::Rc::new(KeyBox(Key::new(&config.fleet, &config.secret))),
-            about: About { zone: config.zone.to_string(), ..About::default() },
+            about: BuildInfo { zone: config.zone.to_string(), ..BuildInfo::default() },
             swim,
             links: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -216,7 +218,7 @@
             gone: false,
             silenced: None,
             quiet: BTreeMap::new(),
-            counts: Counts::default(),
+            counts: MessageCounts::default(),
             beats: 0,
             random: ChaCha8Rng::seed_from_u64(seed ^ boot),
             actions: VecDeque::new(),
@@ -240,8 +242,8 @@
     }
 
     /// Another roster, from a file without mistakes. Who is no longer named becomes a guest, if it goes on speaking.
-    pub fn set(&mut self, now: Micros, config: Config) {
-        let named = |name: &Name| config.peers.iter().any(|peer| peer.name == *name);
+    pub fn reconfigure(&mut self, now: Micros, config: Config) {
+        let named = |name: &MemberName| config.peers.iter().any(|peer| peer.name == *name);
         self.links.retain(|name, link| !link.named || named(name));
         self.known.retain(|name, _| self.links.contains_key(name));
         self.disagreements.retain(|name, _| self.links.contains_key(name));
@@ -253,11 +255,11 @@
     }
 
     /// What this server is made of, from now on.
-    pub fn set_about(&mut self, now: Micros, about: About) {
-        self.about = About { zone: self.config.zone.to_string(), ..about };
-        let names: Vec<Name> = self.links.keys().cloned().collect();
+    pub fn set_build_info(&mut self, now: Micros, about: BuildInfo) {
+        self.about = BuildInfo { zone: self.config.zone.to_string(), ..about };
+        let names: Vec<MemberName> = self.links.keys().cloned().collect();
         for name in names {
-            self.send(now, &name, Body::Beat(Some(self.about.clone())), Way::Gossip);
+            self.send_body(now, &name, Body::Heartbeat(Some(self.about.clone())), Way::Gossip);
         }
     }
 
@@ -267,23 +269,23 @@
     }
 
     /// A message has come.
-    pub fn hear(&mut self, now: Micros, bytes: &[u8], via: Via) {
+    pub fn handle_message(&mut self, now: Micros, bytes: &[u8], via: ReturnPath) {
         self.touch(now);
         if self.gone {
             return;
         }
-        let most = if matches!(via, Via::Datagram(_)) { LONGEST_DATAGRAM } else { LONGEST };
+        let most = if matches!(via, ReturnPath::Datagram(_)) { LONGEST_DATAGRAM } else { LONGEST };
         let message: Message = match self.key.0.open(bytes, most) {
             Ok(message) => message,
             Err(why) => return self.refuse(now, why, None),
         };
         if message.head.from == self.config.name {
             // Our own name: an echo of ours, or another process that has it. The others settle which.
-            return self.refuse(now, Refused::Replayed, Some(&message.head.from));
+            return self.refuse(now, RejectReason::Replayed, Some(&message.head.from));
         }
         let from = message.head.from.clone();
         if !self.links.contains_key(&from) && !self.welcome_guest(&message) {
-            return self.refuse(now, Refused::NoRoom, Some(&from));
+            return self.refuse(now, RejectReason::NoRoom, Some(&from));
         }
         let size = bytes.len() as u64;
         match message.body {
@@ -299,15 +301,15 @@
         let room = self.guests.len() < GUESTS && message.head.from.len() <= crate::config::LONGEST_NAME;
         if room {
             let name = message.head.from.clone();
-            self.guests.insert(name.clone(), Via::Datagram(0));
+            self.guests.insert(name.clone(), ReturnPath::Datagram(0));
             self.links.insert(name.clone(), Link::new(name, false));
         }
         room
     }
 
-    fn handshake(&mut self, now: Micros, from: &Name, message: Message, via: Via) {
+    fn handshake(&mut self, now: Micros, from: &MemberName, message: Message, via: ReturnPath) {
         let (boot, fresh) = (message.head.boot, self.random.next_u64());
-        let ours = message.head.to_boot == self.boot();
+        let ours = message.head.to_boot == self.boot_id();
         let (since, stale) = (self.from, self.config.stale());
         let Some(link) = self.links.get_mut(from) else { return };
         if !link.named {
@@ -331,7 +333,7 @@
                 match link.asked(boot, fresh) {
                     Some(number) if now - since < UNPROVEN => {
                         let body = Body::Welcome(nonce, number, self.about.clone());
-                        self.send(now, from, body, Way::Both);
+                        self.send_body(now, from, body, Way::Both);
                     }
                     _ => self.tell_superseded(now, from, boot, via),
                 }
@@ -340,7 +342,7 @@
                 let before = (link.boot, link.is_heard(now, since, stale));
                 if link.welcomed(boot, echo) {
                     link.about = about;
-                    self.send(now, from, Body::Ready(nonce, self.about.clone()), Way::Both);
+                    self.send_body(now, from, Body::Ready(nonce, self.about.clone()), Way::Both);
                     self.proven(now, from, before, boot);
                 }
             }
@@ -354,30 +356,35 @@
             Body::Superseded(by, heard_ms) if ours => {
                 self.superseded(now, by, Micros::from(heard_ms) * 1_000);
             }
-            _ => self.refuse(now, Refused::NotForUs, Some(from)),
+            _ => self.refuse(now, RejectReason::NotForUs, Some(from)),
         }
     }
 
     /// A process has proven that it answers under this name; `before` is the one that had it, and whether it was heard
     /// of late.
-    fn proven(&mut self, now: Micros, name: &Name, (before, heard): (u64, bool), boot: u64) {
+    fn proven(&mut self, now: Micros, name: &MemberName, (before, heard): (u64, bool), boot: u64) {
         self.askers.remove(name);
         if before != 0 && before != boot && heard {
-            self.tell(Told::Doubled(name.clone(), before, boot));
+            self.tell(Event::Doubled(name.clone(), before, boot));
         }
         self.known.entry(name.clone()).or_insert_with(|| Known::new(now));
         let came = self.swim.meet(now, name, boot);
         self.carry(now, came);
-        self.send(now, name, Body::Beat(Some(self.about.clone())), Way::Gossip);
+        self.send_body(now, name, Body::Heartbeat(Some(self.about.clone())), Way::Gossip);
     }
 
-    fn tell_superseded(&mut self, now: Micros, name: &Name, boot: u64, via: Via) {
+    fn tell_superseded(&mut self, now: Micros, name: &MemberName, boot: u64, via: ReturnPath) {
         let Some(link) = self.links.get(name).filter(|link| link.boot != 0) else { return };
         let age = link.heard.map_or(Micros::MAX, |at| now.saturating_sub(at)) / 1_000;
         let body = Body::Superseded(link.boot, u32::try_from(age).unwrap_or(u32::MAX));
         // Back the way it came: the address of that name leads to the other one.
-        let head =
-            Head { from: self.config.name.clone(), boot: self.boot(), to_boot: boot, seq: 0, twice: false };
+        let head = Header {
+            from: self.config.name.clone(),
+            boot: self.boot_id(),
+            to_boot: boot,
+            seq: 0,
+            twice: false,
+        };
         let bytes = self.key.0.seal(&Message { head, note: None, body });
         self.act(Action::Reply(via, bytes));
     }
@@ -386,13 +393,13 @@
     fn superseded(&mut self, now: Micros, by: u64, heard: Micros) {
         if heard > NAME_LOST {
             // Gone: its start was later only by its clock.
-            if by >= self.boot() {
+            if by >= self.boot_id() {
                 self.rename(now, by + 1);
             }
             self.silenced = None;
         } else if self.silenced.is_none_or(|(other, _)| other != by) {
             self.silenced = Some((by, now + SILENT_FOR));
-            self.tell(Told::Superseded(by));
+            self.tell(Event::Fenced(by));
             self.distrust(now, format!("another process of this name, started at {by}, has taken its place"));
         }
     }
@@ -400,14 +407,14 @@
     fn rename(&mut self, now: Micros, boot: u64) {
         let id = Id { name: self.config.name.clone(), boot, renewal: 0 };
         let came = self.swim.rename(now, id);
-        self.tell(Told::Renewed(boot));
+        self.tell(Event::Unfenced(boot));
         self.view.0.clear();
         self.links.values_mut().for_each(|link| *link = Link::new(link.name.clone(), link.named));
         self.carry(now, came);
     }
 
-    fn session(&mut self, now: Micros, from: &Name, message: Message, via: Via, size: u64) {
-        let mine = self.boot();
+    fn session(&mut self, now: Micros, from: &MemberName, message: Message, via: ReturnPath, size: u64) {
+        let mine = self.boot_id();
         let Message { head, note, body } = message;
         let Some(link) = self.links.get_mut(from) else { return };
         match link.message(mine, head.boot, head.to_boot, head.seq) {
@@ -417,7 +424,7 @@
             Next::Drop(why) => return self.refuse(now, why, Some(from)),
             Next::Tell => {
                 self.tell_superseded(now, from, head.boot, via);
-                return self.refuse(now, Refused::Superseded, Some(from));
+                return self.refuse(now, RejectReason::Superseded, Some(from));
             }
             Next::Ask(why) => {
                 if !link.named {
@@ -431,7 +438,7 @@
             // Somebody takes us for the holder of our name again.
             self.silenced = None;
         }
-        link.hear(now, matches!(via, Via::Datagram(_)));
+        link.hear(now, matches!(via, ReturnPath::Datagram(_)));
         if !link.named {
             self.guests.insert(from.clone(), via);
         }
@@ -444,15 +451,18 @@
                 let came = self.swim.hear(now, &bytes);
                 self.carry(now, came);
             }
-            Body::Beat(Some(about)) => {
+            Body::Heartbeat(Some(about)) => {
                 if let Some(link) = self.links.get_mut(from) {
                     link.about = about;
                 }
             }
-            Body::Matter(kind, bytes) => {
-                bounded(&mut self.matters, Matter { from: from.clone(), boot: head.boot, kind, bytes });
+            Body::Channel(kind, bytes) => {
+                bounded(
+                    &mut self.matters,
+                    ReceivedMessage { from: from.clone(), boot: head.boot, channel: kind, payload: bytes },
+                );
             }
-            Body::AskView => self.send(now, from, Body::View(self.view.0.clone()), Way::Both),
+            Body::ViewRequest => self.send_body(now, from, Body::View(self.view.0.clone()), Way::Both),
             Body::View(rows) => {
                 if let Some(found) = self.disagreements.get_mut(from) {
                     found.theirs = rows;
@@ -463,7 +473,7 @@
     }
 
     /// What a member says of itself.
-    fn noted(&mut self, now: Micros, from: &Name, boot: u64, note: Note) {
+    fn noted(&mut self, now: Micros, from: &MemberName, boot: u64, note: SenderStatus) {
         let (ours, stale) = (self.view.1, self.config.stale());
         let Some(link) = self.links.get_mut(from) else { return };
         link.note = Some((now, note));
@@ -477,7 +487,7 @@
         if note.view == ours {
             link.differs = None;
             if self.disagreements.remove(from).is_some() {
-                self.tell(Told::Agreement(from.clone()));
+                self.tell(Event::ViewsConverged(from.clone()));
             }
             return;
         }
@@ -487,18 +497,18 @@
             let found =
                 Disagreement { with: from.clone(), since, ours: self.view.0.clone(), theirs: Vec::new() };
             self.disagreements.insert(from.clone(), found);
-            self.tell(Told::Disagreement(from.clone()));
-            self.send(now, from, Body::AskView, Way::Both);
+            self.tell(Event::ViewsDiverged(from.clone()));
+            self.send_body(now, from, Body::ViewRequest, Way::Both);
         }
     }
 
     /// When something is due next.
-    pub fn next_at(&self) -> Micros {
+    pub fn next_timeout(&self) -> Micros {
         self.swim.next_at().unwrap_or(Micros::MAX).min(self.look_at)
     }
 
     /// What is due by now.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         self.touch(now);
         if self.gone {
             self.look_at = Micros::MAX;
@@ -523,7 +533,7 @@
     fn touch(&mut self, now: Micros) {
         let gap = now.saturating_sub(self.looked);
         self.looked = now;
-        if gap <= STOOD_STILL {
+        if gap <= STALL_THRESHOLD {
             return;
         }
         // While this process was not run the others went on. What it believed is of before, and its timers have not
@@ -538,7 +548,7 @@
         self.from = now;
         self.links.values_mut().for_each(Link::forget);
         if let Some((from, to)) = self.keeper.distrust(now, self.config.stale()) {
-            self.tell(Told::Standing { from, to, cause });
+            self.tell(Event::PartitionStatusChanged { from, to, cause });
         }
     }
 
@@ -552,14 +562,15 @@
         }
         let (beat, silenced) = (self.config.beat(), self.silenced.is_some());
         let gone = |link: &Link| !link.named && link.heard.is_some_and(|at| now > at + GUEST_GONE);
-        let old: Vec<Name> = self.links.values().filter(|link| gone(link)).map(|l| l.name.clone()).collect();
+        let old: Vec<MemberName> =
+            self.links.values().filter(|link| gone(link)).map(|l| l.name.clone()).collect();
         for name in old {
             self.links.remove(&name);
             self.guests.remove(&name);
             self.known.remove(&name);
         }
         let due = |link: &&Link| link.boot == 0 || link.sent.is_none_or(|at| now >= at + beat);
-        let due: Vec<(Name, u64)> =
+        let due: Vec<(MemberName, u64)> =
             self.links.values().filter(due).map(|l| (l.name.clone(), l.boot)).collect();
         for (name, boot) in due {
             if boot == 0 || silenced {
@@ -567,7 +578,7 @@
             } else {
                 self.beats += 1;
                 let about = self.beats.is_multiple_of(ABOUT_EVERY).then(|| self.about.clone());
-                self.send(now, &name, Body::Beat(about), Way::Gossip);
+                self.send_body(now, &name, Body::Heartbeat(about), Way::Gossip);
             }
         }
     }
@@ -600,10 +611,10 @@
         }
     }
 
-    fn ask(&mut self, now: Micros, name: &Name) {
+    fn ask(&mut self, now: Micros, name: &MemberName) {
         let fresh = self.random.next_u64();
         if let Some(number) = self.links.get_mut(name).and_then(|link| link.ask(now, fresh)) {
-            self.send(now, name, Body::Hello(number), Way::Gossip);
+            self.send_body(now, name, Body::Hello(number), Way::Gossip);
         }
     }
 
@@ -633,7 +644,8 @@
                 changed = true;
                 let from = known.state;
                 known.change(now, to, cause.to_owned());
-                let line = Told::Member { name: name.clone(), from, to, cause: cause.to_owned() };
+                let line =
+                    Event::MemberStateChanged { name: name.clone(), from, to, cause: cause.to_owned() };
                 bounded(&mut self.told, line);
             }
         }
@@ -648,18 +660,18 @@
             let Count { roster, reached, left } = count;
             let cause =
                 format!("{reached} of {roster} reached, {left} left; not reached: {}", self.unreached(now));
-            self.tell(Told::Standing { from, to, cause });
+            self.tell(Event::PartitionStatusChanged { from, to, cause });
         }
     }
 
     /// Writes down the view.
     fn see(&mut self) {
-        let row = |name: &Name, boot: u64, there: bool| Row {
+        let row = |name: &MemberName, boot: u64, there: bool| ViewRow {
             name: name.clone(),
             boot: if there { boot } else { 0 },
             there,
         };
-        let mut rows = vec![row(&self.config.name, self.boot(), true)];
+        let mut rows = vec![row(&self.config.name, self.boot_id(), true)];
         rows.extend(self.config.peers.iter().map(|peer| {
             let known = self.known.get(&peer.name);
             row(&peer.name, known.map_or(0, |k| k.boot), known.is_some_and(|k| k.state.is_there()))
@@ -699,30 +711,30 @@
     pub fn leave(&mut self, now: Micros) {
         self.touch(now);
         self.leaving = true;
-        let names: Vec<Name> = self.links.keys().cloned().collect();
+        let names: Vec<MemberName> = self.links.keys().cloned().collect();
         for name in names {
-            self.send(now, &name, Body::Beat(None), Way::Both);
+            self.send_body(now, &name, Body::Heartbeat(None), Way::Both);
         }
     }
 
     /// The last word.
-    pub fn part(&mut self, now: Micros) {
+    pub fn announce_departure(&mut self, now: Micros) {
         let came = self.swim.leave(now);
         self.carry(now, came);
         self.gone = true;
     }
 
     /// Sends a member something about a matter that others decide about, if it has proven to answer.
-    pub fn matter(&mut self, now: Micros, to: &Name, kind: u8, bytes: Vec<u8>) {
+    pub fn send(&mut self, now: Micros, to: &MemberName, kind: u8, bytes: Vec<u8>) {
         if self.links.get(to).is_some_and(|link| link.boot != 0) {
-            self.send(now, to, Body::Matter(kind, bytes), Way::Both);
+            self.send_body(now, to, Body::Channel(kind, bytes), Way::Both);
         }
     }
 
     /// The same for what is long and may wait.
-    pub fn bulk(&mut self, now: Micros, to: &Name, kind: u8, bytes: Vec<u8>) {
+    pub fn send_bulk(&mut self, now: Micros, to: &MemberName, kind: u8, bytes: Vec<u8>) {
         if self.links.get(to).is_some_and(|link| link.boot != 0) {
-            self.send(now, to, Body::Matter(kind, bytes), Way::Bulk);
+            self.send_body(now, to, Body::Channel(kind, bytes), Way::Bulk);
         }
     }
 
@@ -730,7 +742,7 @@
         for (name, boot, bytes) in came.send {
             // Gossip is for one process; another under its name is asked first.
             if self.links.get(&name).is_some_and(|link| link.boot == boot) {
-                self.send(now, &name, Body::Gossip(bytes), Way::Gossip);
+                self.send_body(now, &name, Body::Gossip(bytes), Way::Gossip);
             } else if self.links.contains_key(&name) {
                 self.ask(now, &name);
             }
@@ -738,7 +750,7 @@
         for (before, after) in came.renamed {
             let speaks = self.links.get(&before.name);
             let live =
-                speaks.is_some_and(|l| l.boot == before.boot && l.is_heard(now, self.from, STOOD_STILL));
+                speaks.is_some_and(|l| l.boot == before.boot && l.is_heard(now, self.from, STALL_THRESHOLD));
             if before.boot != after.boot && live {
                 self.ask(now, &before.name);
             }
@@ -749,7 +761,7 @@
         }
     }
 
-    fn send(&mut self, now: Micros, to: &Name, body: Body, way: Way) {
+    fn send_body(&mut self, now: Micros, to: &MemberName, body: Body, way: Way) {
         // A silent one may ask, and prove itself when it is answered: the holder of its name may be gone, and without
         // the proof it would be silent for ever.
         let asks = matches!(body, Body::Hello(_) | Body::Ready(..));
@@ -757,8 +769,8 @@
             return;
         }
         let shakes = asks || matches!(body, Body::Welcome(..));
-        let (mine, stale) = (self.boot(), self.config.stale());
-        let note = Note {
+        let (mine, stale) = (self.boot_id(), self.config.stale());
+        let note = SenderStatus {
             hears_you_ms: u32::MAX,
             view: self.view.1,
             standing: self.keeper.get().0,
@@ -772,7 +784,7 @@
         }
         let heard = link.heard.filter(|at| *at >= self.from);
         let hears = heard.map_or(u32::MAX, |at| u32::try_from((now - at) / 1_000).unwrap_or(u32::MAX - 1));
-        let note = (!shakes).then_some(Note { hears_you_ms: hears, ..note });
+        let note = (!shakes).then_some(SenderStatus { hears_you_ms: hears, ..note });
         let to_boot = match &body {
             // To who asked, whoever that is by now.
             Body::Welcome(..) => link.offered_to().unwrap_or(link.boot),
@@ -787,7 +799,7 @@
         let stream = way != Way::Gossip || (tried && !by_datagram);
         let seq = link.next_seq();
         let twice = stream && way != Way::Bulk;
-        let head = Head { from: self.config.name.clone(), boot: mine, to_boot, seq, twice };
+        let head = Header { from: self.config.name.clone(), boot: mine, to_boot, seq, twice };
         if !shakes {
             link.sent = Some(now);
         }
@@ -812,24 +824,24 @@
         bounded(&mut self.actions, action);
     }
 
-    fn tell(&mut self, line: Told) {
+    fn tell(&mut self, line: Event) {
         bounded(&mut self.told, line);
     }
 
-    fn refuse(&mut self, now: Micros, why: Refused, from: Option<&Name>) {
+    fn refuse(&mut self, now: Micros, why: RejectReason, from: Option<&MemberName>) {
         *self.counts.refused.entry(why).or_default() += 1;
         let first = !self.quiet.contains_key(&why);
         let quiet = self.quiet.entry(why).or_insert((0, now));
         quiet.0 += 1;
         if first {
             quiet.0 = 0;
-            self.tell(Told::Refused(why, 1, from.cloned()));
+            self.tell(Event::MessagesRejected(why, 1, from.cloned()));
         }
     }
 
     /// Once a second for each kind.
     fn tell_refused(&mut self, now: Micros) {
-        let due: Vec<(Refused, u64)> = self
+        let due: Vec<(RejectReason, u64)> = self
             .quiet
             .iter()
             .filter(|(_, (_, at))| now >= at + 1_000_000)
@@ -840,43 +852,43 @@
                 self.quiet.remove(&why);
             } else {
                 self.quiet.insert(why, (0, now));
-                self.tell(Told::Refused(why, count, None));
+                self.tell(Event::MessagesRejected(why, count, None));
             }
         }
     }
 
     /// The start of this process, as others know it.
-    pub fn boot(&self) -> u64 {
+    pub fn boot_id(&self) -> u64 {
         self.swim.id().boot
     }
 
     /// How this server stands.
-    pub fn standing(&self) -> Standing {
+    pub fn partition_status(&self) -> PartitionStatus {
         self.keeper.get().0
     }
 
     /// Whether another process has this server's name.
-    pub fn is_silenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.silenced.is_some()
     }
 
     /// The digest of its view.
-    pub fn view(&self) -> u64 {
+    pub fn view_digest(&self) -> u64 {
         self.view.1
     }
 
     /// Messages so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &MessageCounts {
         &self.counts
     }
 
     /// How sick this server is, from 0 to 8.
-    pub fn sick(&self) -> u32 {
+    pub fn health_score(&self) -> u32 {
         self.swim.health.sick()
     }
 
     /// Named members that are reached now, with the starts of their processes.
-    pub fn reached(&self, now: Micros) -> Vec<(Name, u64)> {
+    pub fn reachable(&self, now: Micros) -> Vec<(MemberName, u64)> {
         let stale = self.config.stale();
         let named = self.links.values().filter(|l| l.named && l.is_reached(now, self.from, stale));
         named.map(|link| (link.name.clone(), link.boot)).collect()
@@ -920,7 +932,10 @@
                 format!("{reached} of {roster} reached, {left} left; not reached: {}", self.unreached(now)),
                 None,
             );
-            say(format!("sick {} of 8, stood still {} times", self.sick(), self.counts.standstills), None);
+            say(
+                format!("sick {} of 8, stood still {} times", self.health_score(), self.counts.standstills),
+                None,
+            );
             if let Some((by, _)) = self.silenced {
                 say(format!("silent: another process, started at {by}, has its name"), None);
             }
@@ -953,7 +968,7 @@
             None => say("it has not said that it hears this server".to_owned(), None),
         }
         if let Some((at, note)) = link.note {
-            let Note { standing, load, sick, leaving, .. } = note;
+            let SenderStatus { standing, load, sick, leaving, .. } = note;
             let leaves = if leaving { ", leaving" } else { "" };
             say(format!("it says: {standing}, load {load} %, sick {sick} of 8{leaves}"), ms(at));
         }
@@ -977,17 +992,17 @@
     }
 
     /// What is to be logged.
-    pub fn take_told(&mut self) -> Vec<Told> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         self.told.drain(..).collect()
     }
 
     /// What has come for others.
-    pub fn take_matters(&mut self) -> Vec<Matter> {
+    pub fn take_messages(&mut self) -> Vec<ReceivedMessage> {
         self.matters.drain(..).collect()
     }
 
     /// What must hold between any two calls; tests call it after each.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         let queues = self.actions.len().max(self.told.len()).max(self.matters.len());
         if queues > WAITING
             || self.guests.len() > GUESTS
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/partition.rs
@@ -13,7 +13,7 @@
 
 /// How this server stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum PartitionStatus {
     /// Just started, or just stood still: nothing is believed before it has been heard again.
     Unsure,
     /// Nobody else is reached.
@@ -26,14 +26,14 @@
     Whole,
 }
 
-impl fmt::Display for Standing {
+impl fmt::Display for PartitionStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Standing::Unsure => "unsure",
-            Standing::Alone => "alone",
-            Standing::Minority => "minority",
-            Standing::Majority => "majority",
-            Standing::Whole => "whole",
+            PartitionStatus::Unsure => "unsure",
+            PartitionStatus::Alone => "alone",
+            PartitionStatus::Minority => "minority",
+            PartitionStatus::Majority => "majority",
+            PartitionStatus::Whole => "whole",
         })
     }
 }
@@ -52,13 +52,13 @@
 impl Count {
     /// The standing that this would be, taken by itself. A majority is one of all that were named: those who left
     /// may come back.
-    pub fn standing(self) -> Standing {
+    pub fn standing(self) -> PartitionStatus {
         let most = 2 * self.reached > self.roster;
         match self {
-            Count { roster, reached, left } if reached + left >= roster && most => Standing::Whole,
-            _ if most => Standing::Majority,
-            Count { reached: 0 | 1, .. } => Standing::Alone,
-            _ => Standing::Minority,
+            Count { roster, reached, left } if reached + left >= roster && most => PartitionStatus::Whole,
+            _ if most => PartitionStatus::Majority,
+            Count { reached: 0 | 1, .. } => PartitionStatus::Alone,
+            _ => PartitionStatus::Minority,
         }
     }
 }
@@ -66,41 +66,41 @@
 /// The standing over time. A fall is taken up at once, but for [`Timing::damp`]; a rise once it has held for
 /// [`Timing::rise`], longer after each fall that follows a rise too soon.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct PartitionTracker {
     timing: Timing,
-    standing: Standing,
+    standing: PartitionStatus,
     since: Micros,
     /// What it would be now, and since when it would be that or better.
-    wanted: (Standing, Micros),
+    wanted: (PartitionStatus, Micros),
     /// Rises that were undone too soon, up to three.
     flaps: u32,
     /// Nothing is believed before then, unless everyone was heard.
     unsure_until: Micros,
 }
 
-impl Keeper {
+impl PartitionTracker {
     /// Unsure for so long.
-    pub fn new(now: Micros, timing: Timing, settle: Micros) -> Keeper {
-        Keeper {
+    pub fn new(now: Micros, timing: Timing, settle: Micros) -> PartitionTracker {
+        PartitionTracker {
             timing,
-            standing: Standing::Unsure,
+            standing: PartitionStatus::Unsure,
             since: now,
-            wanted: (Standing::Unsure, now),
+            wanted: (PartitionStatus::Unsure, now),
             flaps: 0,
             unsure_until: now + settle,
         }
     }
 
     /// The standing, and since when.
-    pub fn get(&self) -> (Standing, Micros) {
+    pub fn get(&self) -> (PartitionStatus, Micros) {
         (self.standing, self.since)
     }
 
     /// Nothing that was believed before counts: unsure, at once.
-    pub fn distrust(&mut self, now: Micros, settle: Micros) -> Option<(Standing, Standing)> {
+    pub fn distrust(&mut self, now: Micros, settle: Micros) -> Option<(PartitionStatus, PartitionStatus)> {
         self.unsure_until = now + settle;
-        self.wanted = (Standing::Unsure, now);
-        self.take_up(now, Standing::Unsure)
+        self.wanted = (PartitionStatus::Unsure, now);
+        self.take_up(now, PartitionStatus::Unsure)
     }
 
     /// How long a better standing must hold now.
@@ -109,7 +109,7 @@
     }
 
     /// Takes a count in; tells a change, from and to.
-    pub fn count(&mut self, now: Micros, count: Count) -> Option<(Standing, Standing)> {
+    pub fn count(&mut self, now: Micros, count: Count) -> Option<(PartitionStatus, PartitionStatus)> {
         let wanted = count.standing();
         if now.saturating_sub(self.since) >= self.timing.calm {
             self.flaps = 0;
@@ -119,8 +119,8 @@
             let goes_on = wanted > self.standing && wanted < self.wanted.0;
             self.wanted = (wanted, if goes_on { self.wanted.1 } else { now });
         }
-        if self.standing == Standing::Unsure {
-            let settled = now >= self.unsure_until || wanted == Standing::Whole;
+        if self.standing == PartitionStatus::Unsure {
+            let settled = now >= self.unsure_until || wanted == PartitionStatus::Whole;
             return if settled { self.take_up(now, wanted) } else { None };
         }
         let apart = now.saturating_sub(self.since);
@@ -135,7 +135,11 @@
         None
     }
 
-    fn take_up(&mut self, now: Micros, standing: Standing) -> Option<(Standing, Standing)> {
+    fn take_up(
+        &mut self,
+        now: Micros,
+        standing: PartitionStatus,
+    ) -> Option<(PartitionStatus, PartitionStatus)> {
         let before = std::mem::replace(&mut self.standing, standing);
         if before == standing {
             return None;
@@ -157,16 +161,16 @@
     #[test]
     fn the_rule_is_one_of_counting() {
         let cases = [
-            (count(1, 1, 0), Standing::Whole),
-            (count(5, 5, 0), Standing::Whole),
-            (count(5, 3, 2), Standing::Whole),
-            (count(5, 2, 3), Standing::Minority),
-            (count(5, 4, 0), Standing::Majority),
-            (count(5, 3, 0), Standing::Majority),
-            (count(4, 2, 0), Standing::Minority),
-            (count(5, 2, 0), Standing::Minority),
-            (count(5, 1, 0), Standing::Alone),
-            (count(2, 1, 1), Standing::Alone),
+            (count(1, 1, 0), PartitionStatus::Whole),
+            (count(5, 5, 0), PartitionStatus::Whole),
+            (count(5, 3, 2), PartitionStatus::Whole),
+            (count(5, 2, 3), PartitionStatus::Minority),
+            (count(5, 4, 0), PartitionStatus::Majority),
+            (count(5, 3, 0), PartitionStatus::Majority),
+            (count(4, 2, 0), PartitionStatus::Minority),
+            (count(5, 2, 0), PartitionStatus::Minority),
+            (count(5, 1, 0), PartitionStatus::Alone),
+            (count(2, 1, 1), PartitionStatus::Alone),
         ];
         for (count, wanted) in cases {
             assert_eq!(count.standing(), wanted, "{count:?}");
@@ -176,20 +180,35 @@
     #[test]
     fn it_falls_at_once_rises_late_and_is_unsure_after_a_standstill() {
         let timing = Timing::default();
-        let mut keeper = Keeper::new(0, timing, 1_200_000);
+        let mut keeper = PartitionTracker::new(0, timing, 1_200_000);
         assert_eq!(keeper.count(100_000, count(3, 2, 0)), None);
-        assert_eq!(keeper.count(1_200_000, count(3, 2, 0)), Some((Standing::Unsure, Standing::Majority)));
+        assert_eq!(
+            keeper.count(1_200_000, count(3, 2, 0)),
+            Some((PartitionStatus::Unsure, PartitionStatus::Majority))
+        );
         // Better: only once it has held.
         assert_eq!(keeper.count(2_300_000, count(3, 3, 0)), None);
-        assert_eq!(keeper.count(2_800_000, count(3, 3, 0)), Some((Standing::Majority, Standing::Whole)));
+        assert_eq!(
+            keeper.count(2_800_000, count(3, 3, 0)),
+            Some((PartitionStatus::Majority, PartitionStatus::Whole))
+        );
         // Worse: at once, but for the damping.
         assert_eq!(keeper.count(2_900_000, count(3, 1, 0)), None);
-        assert_eq!(keeper.count(3_800_000, count(3, 1, 0)), Some((Standing::Whole, Standing::Alone)));
+        assert_eq!(
+            keeper.count(3_800_000, count(3, 1, 0)),
+            Some((PartitionStatus::Whole, PartitionStatus::Alone))
+        );
         assert_eq!(keeper.rise(), 2 * timing.rise);
-        assert_eq!(keeper.distrust(3_900_000, 1_200_000), Some((Standing::Alone, Standing::Unsure)));
+        assert_eq!(
+            keeper.distrust(3_900_000, 1_200_000),
+            Some((PartitionStatus::Alone, PartitionStatus::Unsure))
+        );
         assert_eq!(keeper.count(4_000_000, count(3, 2, 0)), None);
         // Everyone was heard: nothing to wait for.
-        assert_eq!(keeper.count(4_100_000, count(3, 3, 0)), Some((Standing::Unsure, Standing::Whole)));
+        assert_eq!(
+            keeper.count(4_100_000, count(3, 3, 0)),
+            Some((PartitionStatus::Unsure, PartitionStatus::Whole))
+        );
     }
 
     proptest! {
@@ -198,7 +217,7 @@
         #[test]
         fn it_never_flaps_faster_than_its_damping(counts in prop::collection::vec((0u64..700, 1usize..=5), 1..200)) {
             let timing = Timing::default();
-            let mut keeper = Keeper::new(0, timing, 1_200_000);
+            let mut keeper = PartitionTracker::new(0, timing, 1_200_000);
             let (mut now, mut last) = (0, None);
             for (ms, reached) in counts {
                 now += ms * 1_000;
@@ -209,7 +228,7 @@
                     last = Some(now);
                 }
                 let held = now - keeper.get().1 >= timing.damp;
-                if held && keeper.get().0 != Standing::Unsure {
+                if held && keeper.get().0 != PartitionStatus::Unsure {
                     prop_assert!(keeper.get().0 <= count(5, reached, 0).standing());
                 }
             }
--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -4,8 +4,8 @@
 //! of a process is believed before it has answered a number drawn for it, and within a session each number of a
 //! message counts once. Of two processes under one name the later start wins once it has answered; the other is told.
 
-use crate::identity::Name;
-use crate::wire::{About, Note, Refused};
+use crate::identity::MemberName;
+use crate::wire::{BuildInfo, RejectReason, SenderStatus};
 use crate::Micros;
 
 /// Numbers that may come out of order: what goes by stream alone may wait behind much that goes by datagram.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Link {
     /// Its name.
-    pub name: Name,
+    pub name: MemberName,
     /// Named by the operator; else a guest.
     pub named: bool,
     /// The start of the process that has proven to answer; 0 while none has.
@@ -73,9 +73,9 @@
     /// When something was last sent to it in the session.
     pub sent: Option<Micros>,
     /// What it last said of itself, and when.
-    pub note: Option<(Micros, Note)>,
+    pub note: Option<(Micros, SenderStatus)>,
     /// What it is made of.
-    pub about: About,
+    pub about: BuildInfo,
     /// Since when its view has differed from ours.
     pub differs: Option<Micros>,
     /// When it was last announced to although both hear each other, because gossip holds otherwise.
@@ -88,16 +88,16 @@
     /// Believe it.
     Take,
     /// Drop it, and ask who is there.
-    Ask(Refused),
+    Ask(RejectReason),
     /// Drop it, and tell the sender that it has been superseded.
     Tell,
     /// Drop it.
-    Drop(Refused),
+    Drop(RejectReason),
 }
 
 impl Link {
     /// Nothing is known yet.
-    pub fn new(name: Name, named: bool) -> Link {
+    pub fn new(name: MemberName, named: bool) -> Link {
         Link {
             name,
             named,
@@ -110,7 +110,7 @@
             heard_datagram: None,
             sent: None,
             note: None,
-            about: About::default(),
+            about: BuildInfo::default(),
             differs: None,
             mended: 0,
         }
@@ -188,16 +188,16 @@
             return Next::Tell;
         }
         if boot > self.boot {
-            return Next::Ask(Refused::Unproven);
+            return Next::Ask(RejectReason::Unproven);
         }
         if to_boot != mine {
             // It does not know yet that we are another process than it spoke with.
-            return Next::Ask(Refused::NotForUs);
+            return Next::Ask(RejectReason::NotForUs);
         }
         if self.window.accept(seq) {
             Next::Take
         } else {
-            Next::Drop(Refused::Replayed)
+            Next::Drop(RejectReason::Replayed)
         }
     }
 
@@ -240,16 +240,16 @@
     #[test]
     fn only_who_answers_now_is_believed() {
         let mut link = Link::new("b".into(), true);
-        assert_eq!(link.message(1, 5, 1, 1), Next::Ask(Refused::Unproven));
+        assert_eq!(link.message(1, 5, 1, 1), Next::Ask(RejectReason::Unproven));
         let number = link.ask(0, 77).expect("a question");
         assert!(!link.welcomed(5, 78) && link.welcomed(5, number));
         assert_eq!(link.message(1, 5, 1, 1), Next::Take);
-        assert_eq!(link.message(1, 5, 1, 1), Next::Drop(Refused::Replayed));
-        assert_eq!(link.message(1, 5, 9, 2), Next::Ask(Refused::NotForUs));
+        assert_eq!(link.message(1, 5, 1, 1), Next::Drop(RejectReason::Replayed));
+        assert_eq!(link.message(1, 5, 9, 2), Next::Ask(RejectReason::NotForUs));
         // The answer to an old question, once more.
         assert!(!link.welcomed(5, number));
         // A later process must answer before the earlier one is superseded.
-        assert_eq!(link.message(1, 6, 1, 1), Next::Ask(Refused::Unproven));
+        assert_eq!(link.message(1, 6, 1, 1), Next::Ask(RejectReason::Unproven));
         assert_eq!(link.boot, 5);
         let offered = link.asked(6, 99).expect("not superseded");
         assert!(!link.ready(7, offered) && link.ready(6, offered));
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -14,7 +14,7 @@
 
 use crate::config::Config;
 use crate::health::{Health, Sign};
-use crate::identity::{Id, Name};
+use crate::identity::{Id, MemberName};
 use crate::wire::GOSSIP;
 use crate::Micros;
 
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub struct Came {
     /// Messages, and to whom.
-    pub send: Vec<(Name, u64, Vec<u8>)>,
+    pub send: Vec<(MemberName, u64, Vec<u8>)>,
     /// Someone's state may have changed.
     pub changed: bool,
     /// A later process has taken the place of an earlier one.
@@ -186,7 +186,7 @@
     }
 
     /// A process has proven that it answers under this name.
-    pub fn meet(&mut self, now: Micros, name: &Name, boot: u64) -> Came {
+    pub fn meet(&mut self, now: Micros, name: &MemberName, boot: u64) -> Came {
         let held = self.members().find(|m| m.id().name == *name).map(|m| (m.id().clone(), m.state()));
         // Held for failed, it is to hear of it from the announcement, and comes back by itself.
         let id = match &held {
@@ -210,7 +210,7 @@
     }
 
     /// Whether this process is held to be there.
-    pub fn holds(&self, name: &Name, boot: u64) -> bool {
+    pub fn holds(&self, name: &MemberName, boot: u64) -> bool {
         self.members().any(|m| m.id().name == *name && m.id().boot == boot && m.state() != foca::State::Down)
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -5,12 +5,12 @@
 //! digests differ for longer than [`crate::config::Timing::disagree`] are in disagreement, which is a condition with
 //! a name; both views are then kept, so that an operator can see where they part.
 
-use crate::identity::Name;
-use crate::wire::Row;
+use crate::identity::MemberName;
+use crate::wire::ViewRow;
 use crate::Micros;
 
 /// The digest of a view whose rows are in the order of their names.
-pub fn digest(rows: &[Row]) -> u64 {
+pub fn digest(rows: &[ViewRow]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for row in rows {
         hasher.update(&(row.name.len() as u32).to_le_bytes());
@@ -27,25 +27,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disagreement {
     /// The other.
-    pub with: Name,
+    pub with: MemberName,
     /// Since when.
     pub since: Micros,
     /// Our view when it was found.
-    pub ours: Vec<Row>,
+    pub ours: Vec<ViewRow>,
     /// Theirs, once they have told it.
-    pub theirs: Vec<Row>,
+    pub theirs: Vec<ViewRow>,
 }
 
 impl Disagreement {
     /// Where the two views part, one line each.
     pub fn differences(&self) -> Vec<String> {
-        let word = |row: Option<&Row>| match row {
+        let word = |row: Option<&ViewRow>| match row {
             None => "not in its roster".to_owned(),
             Some(row) if row.there => format!("there, started at {}", row.boot),
             Some(_) => "not there".to_owned(),
         };
-        let find = |rows: &[Row], name: &Name| word(rows.iter().find(|r| r.name == *name));
-        let names: std::collections::BTreeSet<&Name> =
+        let find = |rows: &[ViewRow], name: &MemberName| word(rows.iter().find(|r| r.name == *name));
+        let names: std::collections::BTreeSet<&MemberName> =
             self.ours.iter().chain(&self.theirs).map(|row| &row.name).collect();
         let both = names.into_iter().map(|name| (name, find(&self.ours, name), find(&self.theirs, name)));
         both.filter(|(_, ours, theirs)| ours != theirs)
@@ -60,7 +60,7 @@
 
     #[test]
     fn a_digest_tells_views_apart_and_differences_are_named() {
-        let row = |name: &str, boot, there| Row { name: name.into(), boot, there };
+        let row = |name: &str, boot, there| ViewRow { name: name.into(), boot, there };
         let (ours, theirs) =
             (vec![row("a", 1, true), row("b", 2, true)], vec![row("a", 1, true), row("b", 0, false)]);
         assert_eq!(digest(&ours), digest(&ours.clone()));
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::identity::Name;
-use crate::standing::Standing;
+use crate::identity::MemberName;
+use crate::partition::PartitionStatus;
 
 /// The form of messages that this program writes and understands.
 pub const FORM: u8 = 1;
@@ -31,7 +31,7 @@
 
 /// Why a message was not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Refused {
+pub enum RejectReason {
     /// Of another fleet, or under another secret's name.
     Foreign,
     /// Its digest does not fit.
@@ -52,26 +52,26 @@
     NoRoom,
 }
 
-impl Refused {
+impl RejectReason {
     /// All of them, as counted.
-    pub const ALL: [Refused; 9] = [
-        Refused::Foreign,
-        Refused::Damaged,
-        Refused::Form,
-        Refused::TooLong,
-        Refused::Replayed,
-        Refused::Superseded,
-        Refused::NotForUs,
-        Refused::Unproven,
-        Refused::NoRoom,
+    pub const ALL: [RejectReason; 9] = [
+        RejectReason::Foreign,
+        RejectReason::Damaged,
+        RejectReason::Form,
+        RejectReason::TooLong,
+        RejectReason::Replayed,
+        RejectReason::Superseded,
+        RejectReason::NotForUs,
+        RejectReason::Unproven,
+        RejectReason::NoRoom,
     ];
 }
 
 /// From whom a message is, and for whom.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     /// Its sender.
-    pub from: Name,
+    pub from: MemberName,
     /// The start of the sending process.
     pub boot: u64,
     /// The start of the process that it is for; 0 before that is known.
@@ -84,13 +84,13 @@
 
 /// What a server says of itself with everything it sends in a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct SenderStatus {
     /// How long ago it last heard the receiver, in milliseconds; `u32::MAX` is never.
     pub hears_you_ms: u32,
     /// Digest of its view, see [`crate::view`].
     pub view: u64,
     /// Its standing.
-    pub standing: Standing,
+    pub standing: PartitionStatus,
     /// How loaded it is, in percent.
     pub load: u8,
     /// How sick it is, from 0 to 8, see [`crate::health`].
@@ -101,7 +101,7 @@
 
 /// What a server is made of, so that others see who runs what.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct BuildInfo {
     /// Its zone.
     pub zone: String,
     /// Version of the program.
@@ -116,9 +116,9 @@
 
 /// One line of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct ViewRow {
     /// The member.
-    pub name: Name,
+    pub name: MemberName,
     /// The start of its process; 0 if never seen.
     pub boot: u64,
     /// Whether it is held to be there.
@@ -131,30 +131,30 @@
     /// Who is there under your name? Answer with this number.
     Hello(u64),
     /// We are, by your number; answer with ours.
-    Welcome(u64, u64, About),
+    Welcome(u64, u64, BuildInfo),
     /// So are we, by your number.
-    Ready(u64, About),
+    Ready(u64, BuildInfo),
     /// Another process has your name, started then, last heard so many milliseconds ago.
     Superseded(u64, u32),
     /// Membership gossip, as `foca` writes it.
     Gossip(Vec<u8>),
     /// Nothing but the note, and now and then what the sender is made of.
-    Beat(Option<About>),
+    Heartbeat(Option<BuildInfo>),
     /// What others decide about, by the name of the matter.
-    Matter(u8, Vec<u8>),
+    Channel(u8, Vec<u8>),
     /// What is your view?
-    AskView,
+    ViewRequest,
     /// It is this.
-    View(Vec<Row>),
+    View(Vec<ViewRow>),
 }
 
 /// A whole message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// From whom and for whom.
-    pub head: Head,
+    pub head: Header,
     /// Within a session: what the sender says of itself.
-    pub note: Option<Note>,
+    pub note: Option<SenderStatus>,
     /// What it says.
     pub body: Body,
 }
@@ -184,22 +184,22 @@
     }
 
     /// What was sealed, if it may be believed.
-    pub fn open<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8], most: usize) -> Result<T, Refused> {
+    pub fn open<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8], most: usize) -> Result<T, RejectReason> {
         if bytes.len() > most {
-            return Err(Refused::TooLong);
+            return Err(RejectReason::TooLong);
         }
-        let (head, rest) = bytes.split_at_checked(HEAD).ok_or(Refused::Damaged)?;
+        let (head, rest) = bytes.split_at_checked(HEAD).ok_or(RejectReason::Damaged)?;
         if head[1..1 + TAG] != self.tag {
-            return Err(Refused::Foreign);
+            return Err(RejectReason::Foreign);
         }
         // The seal is the same in all forms, so that damage and a newer program can be told apart.
         if blake3::Hash::from(self.full(rest)).as_bytes()[..MAC] != head[1 + TAG..] {
-            return Err(Refused::Damaged);
+            return Err(RejectReason::Damaged);
         }
         if head[0] != FORM {
-            return Err(Refused::Form);
+            return Err(RejectReason::Form);
         }
-        postcard::from_bytes(rest).map_err(|_| Refused::Form)
+        postcard::from_bytes(rest).map_err(|_| RejectReason::Form)
     }
 
     fn full(&self, bytes: &[u8]) -> [u8; 32] {
@@ -226,7 +226,7 @@
     use proptest::prelude::*;
 
     fn message(body: Body) -> Message {
-        let head = Head { from: "a".into(), boot: 7, to_boot: 8, seq: 9, twice: false };
+        let head = Header { from: "a".into(), boot: 7, to_boot: 8, seq: 9, twice: false };
         Message { head, note: None, body }
     }
 
@@ -235,11 +235,11 @@
         let (key, other) = (Key::new("f", "s"), Key::new("g", "s"));
         let sealed = key.seal(&message(Body::Hello(5)));
         assert_eq!(key.open(&sealed, LONGEST), Ok(message(Body::Hello(5))));
-        assert_eq!(other.open::<Message>(&sealed, LONGEST), Err(Refused::Foreign));
-        assert_eq!(Key::new("f", "t").open::<Message>(&sealed, LONGEST), Err(Refused::Damaged));
-        assert_eq!(key.open::<Message>(&sealed, 10), Err(Refused::TooLong));
+        assert_eq!(other.open::<Message>(&sealed, LONGEST), Err(RejectReason::Foreign));
+        assert_eq!(Key::new("f", "t").open::<Message>(&sealed, LONGEST), Err(RejectReason::Damaged));
+        assert_eq!(key.open::<Message>(&sealed, 10), Err(RejectReason::TooLong));
         let newer = [&[FORM + 1], &sealed[1..]].concat();
-        assert_eq!(key.open::<Message>(&newer, LONGEST), Err(Refused::Form));
+        assert_eq!(key.open::<Message>(&newer, LONGEST), Err(RejectReason::Form));
     }
 
     proptest! {
@@ -247,7 +247,7 @@
         #[test]
         fn no_change_is_believed(place in 0usize..60, bit in 0u8..8, noise in prop::collection::vec(any::<u8>(), 0..200)) {
             let key = Key::new("f", "s");
-            let mut sealed = key.seal(&message(Body::Matter(1, vec![3; 40])));
+            let mut sealed = key.seal(&message(Body::Channel(1, vec![3; 40])));
             let place = place % sealed.len();
             sealed[place] ^= 1 << bit;
             prop_assert!(key.open::<Message>(&sealed, LONGEST).is_err());
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -4,7 +4,7 @@
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
 use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
-use umberloom_membership::{Config, MemberState, Standing, Told};
+use umberloom_membership::{Config, Event, MemberState, PartitionStatus};
 
 const SECOND: u64 = 1_000_000;
 
@@ -104,7 +104,7 @@
             fleet.run(fleet.now + span).map_err(TestCaseError::fail)?;
         }
         for n in 0..4 {
-            let changes = fleet.told.iter().filter(|(_, who, line)| *who == n && matches!(line, Told::Standing { .. }));
+            let changes = fleet.told.iter().filter(|(_, who, line)| *who == n && matches!(line, Event::PartitionStatusChanged { .. }));
             let times: Vec<u64> = changes.map(|(at, ..)| *at).collect();
             // Clocks are up to a percent off.
             prop_assert!(times.windows(2).skip(1).all(|pair| pair[1] - pair[0] >= 490_000), "{times:?}");
@@ -123,8 +123,9 @@
     assert_eq!(fleet.failed_at(17, at).len(), 199);
     // Nobody who lives was accused by it.
     assert_eq!(fleet.accusations(at).1, 199);
-    let stands = |standing| fleet.living().filter(|(_, member)| member.standing() == standing).count();
-    assert_eq!(stands(Standing::Majority), 199);
+    let stands =
+        |standing| fleet.living().filter(|(_, member)| member.partition_status() == standing).count();
+    assert_eq!(stands(PartitionStatus::Majority), 199);
     fleet.start(17);
     fleet.run(fleet.now + 20 * SECOND).expect("sound");
     assert_eq!(fleet.agree(), (true, 200));
@@ -150,7 +151,7 @@
     fleet.run(fleet.now + 8 * SECOND).expect("sound");
     fleet.start_at(0, 1_600_000_000_000_000);
     whole_within(&mut fleet, 40 * SECOND).expect("whole again");
-    let renewed = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Told::Renewed(_)));
+    let renewed = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced(_)));
     assert!(renewed, "it takes its name up again under a later start");
     let held = |state: MemberState| {
         fleet
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,23 +1,23 @@
 //! The bytes of each kind of message between members, as written by commit 604394b: servers of that version and of this
 //! one form one fleet while a new version is rolled out.
 
-use umberloom_membership::wire::{About, Body, Head, Key, Message, Note, Row, LONGEST};
-use umberloom_membership::Standing;
+use umberloom_membership::wire::{Body, BuildInfo, Header, Key, Message, SenderStatus, ViewRow, LONGEST};
+use umberloom_membership::PartitionStatus;
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
 fn messages() -> Vec<(&'static str, Message)> {
     let head =
-        Head { from: "server-a".into(), boot: 1_700_000_000_000_001, to_boot: 77, seq: 300, twice: true };
-    let note = Note {
+        Header { from: "server-a".into(), boot: 1_700_000_000_000_001, to_boot: 77, seq: 300, twice: true };
+    let note = SenderStatus {
         hears_you_ms: 1_234,
         view: 0x0123_4567_89ab_cdef,
-        standing: Standing::Majority,
+        standing: PartitionStatus::Majority,
         load: 42,
         sick: 3,
         leaving: true,
     };
-    let about = About {
+    let about = BuildInfo {
         zone: "east".to_owned(),
         program: "0.2.0".to_owned(),
         config: u64::MAX - 1,
@@ -25,8 +25,8 @@
         shares: 1 << 40,
     };
     let rows = vec![
-        Row { name: "server-a".into(), boot: 5, there: true },
-        Row { name: "server-b".into(), boot: 0, there: false },
+        ViewRow { name: "server-a".into(), boot: 5, there: true },
+        ViewRow { name: "server-b".into(), boot: 0, there: false },
     ];
     let bodies = [
         ("hello", Body::Hello(5)),
@@ -34,20 +34,25 @@
         ("ready", Body::Ready(8, about.clone())),
         ("superseded", Body::Superseded(9, 250)),
         ("gossip", Body::Gossip(vec![1, 2, 3, 255])),
-        ("beat", Body::Beat(None)),
-        ("beat-about", Body::Beat(Some(about))),
-        ("matter", Body::Matter(2, vec![9, 8])),
-        ("ask-view", Body::AskView),
+        ("beat", Body::Heartbeat(None)),
+        ("beat-about", Body::Heartbeat(Some(about))),
+        ("matter", Body::Channel(2, vec![9, 8])),
+        ("ask-view", Body::ViewRequest),
         ("view", Body::View(rows)),
     ];
     let message = |body| Message { head: head.clone(), note: Some(note), body };
     let mut all: Vec<(&str, Message)> =
         bodies.into_iter().map(|(name, body)| (name, message(body))).collect();
-    let standings =
-        [Standing::Unsure, Standing::Alone, Standing::Minority, Standing::Majority, Standing::Whole];
+    let standings = [
+        PartitionStatus::Unsure,
+        PartitionStatus::Alone,
+        PartitionStatus::Minority,
+        PartitionStatus::Majority,
+        PartitionStatus::Whole,
+    ];
     for (name, standing) in ["unsure", "alone", "minority", "majority", "whole"].into_iter().zip(standings) {
-        let note = Some(Note { standing, hears_you_ms: u32::MAX, ..note });
-        all.push((name, Message { head: head.clone(), note, body: Body::AskView }));
+        let note = Some(SenderStatus { standing, hears_you_ms: u32::MAX, ..note });
+        all.push((name, Message { head: head.clone(), note, body: Body::ViewRequest }));
     }
     all.push(("no-note", Message { head, note: None, body: Body::Hello(1) }));
     all
--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -4,7 +4,8 @@
 
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::{
-    At, Bounds, Breaker, Call, Config, Dependency, Fallback, Hedge, KeptBounds, Plan, Retry, Route, Stage,
+    At, Bounds, Breaker, Call, Config, Dependency, Fallback, FallbackCacheLimits, Hedge, Plan, Retry, Route,
+    Stage,
 };
 
 use crate::node::{list, show, Reader};
@@ -65,20 +66,20 @@
             _ => {}
         }
     }
-    for mistake in config.mistakes() {
+    for mistake in config.validate() {
         reader.fault(places.of(mistake.at), mistake.what);
     }
     Operator { dependencies: config, services, fleet: None }
 }
 
-fn kept(reader: &mut Reader, node: &KdlNode) -> KeptBounds {
-    let unless_set = KeptBounds::default();
+fn kept(reader: &mut Reader, node: &KdlNode) -> FallbackCacheLimits {
+    let unless_set = FallbackCacheLimits::default();
     reader.leaf(node);
     let mut from = reader.properties(node);
     let entries = from.whole("entries", unless_set.entries as u64, (0, 1 << 20)) as usize;
     let bytes = from.whole("kb", unless_set.bytes as u64 / 1_024, (0, 1 << 20)) as usize * 1_024;
     from.done();
-    KeptBounds { entries, bytes }
+    FallbackCacheLimits { entries, bytes }
 }
 
 fn dependency(reader: &mut Reader, node: &KdlNode) -> (Dependency, Service) {
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -110,7 +110,7 @@
         peers,
         timing,
     };
-    for mistake in membership.mistakes() {
+    for mistake in membership.validate() {
         let place = mistake.peer.and_then(|place| places.get(place.min(MOST_PEERS)).copied());
         reader.fault(place.unwrap_or(at), mistake.what);
     }
@@ -124,7 +124,7 @@
     let fleet = Fleet { listen, membership, addresses, loans, shared, record, place: (line, column) };
     for (name, whole) in &fleet.shared {
         // Mistakes in the roster are told already, by their own places.
-        for what in fleet.allowance(*whole).mistakes() {
+        for what in fleet.allowance(*whole).validate() {
             reader.fault(
                 survives(document, name).map_or(at, |n| n.span().offset()),
                 format!("{name:?}: {what}"),
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -52,7 +52,7 @@
         ..unless_set
     };
     from.done();
-    for what in config.mistakes() {
+    for what in config.validate() {
         reader.fault(node.span().offset(), what);
     }
     Record { config, folder: path, most, scrub }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,6 +1,6 @@
 //! What is shared, by whom, and by which times.
 
-use crate::{Micros, Name};
+use crate::{MemberName, Micros};
 
 const MS: Micros = 1_000;
 
@@ -10,9 +10,9 @@
     /// Calls at once that the dependency survives from all servers.
     pub whole: u32,
     /// Everyone who has a part, this server included.
-    pub roster: Vec<Name>,
+    pub roster: Vec<MemberName>,
     /// This server.
-    pub me: Name,
+    pub me: MemberName,
     /// How long a loan lasts.
     pub loan: Micros,
     /// The longest time that a call may state.
@@ -35,7 +35,7 @@
 impl Config {
     /// An allowance with the usual times.
     pub fn new(whole: u32, roster: &[&str], me: &str) -> Config {
-        let roster = roster.iter().map(|name| Name::from(*name)).collect();
+        let roster = roster.iter().map(|name| MemberName::from(*name)).collect();
         Config { whole, roster, me: me.into(), loan: LOAN, call: CALL, delivery: DELIVERY, drift: DRIFT }
     }
 
@@ -71,9 +71,9 @@
     }
 
     /// All that is wrong with it.
-    pub fn mistakes(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut found = Vec::new();
-        let sorted: std::collections::BTreeSet<&Name> = self.roster.iter().collect();
+        let sorted: std::collections::BTreeSet<&MemberName> = self.roster.iter().collect();
         if self.roster.is_empty() || sorted.len() < self.roster.len() || !sorted.contains(&self.me) {
             found.push("a roster names everyone once, this server too".to_owned());
         }
@@ -98,8 +98,8 @@
 }
 
 /// Everyone's part: the same for all, the rest by the order of names.
-pub fn parts(whole: u32, roster: &[Name]) -> Vec<(Name, u32)> {
-    let mut names: Vec<Name> = roster.to_vec();
+pub fn parts(whole: u32, roster: &[MemberName]) -> Vec<(MemberName, u32)> {
+    let mut names: Vec<MemberName> = roster.to_vec();
     names.sort();
     let count = names.len().max(1) as u32;
     let (each, rest) = (whole / count, whole % count);
@@ -113,7 +113,7 @@
     #[test]
     fn parts_add_up_to_the_whole_and_do_not_depend_on_the_order() {
         for whole in 3..40 {
-            let (one, other) = (["c", "a", "b"].map(Name::from), ["b", "c", "a"].map(Name::from));
+            let (one, other) = (["c", "a", "b"].map(MemberName::from), ["b", "c", "a"].map(MemberName::from));
             assert_eq!(parts(whole, &one), parts(whole, &other));
             assert_eq!(parts(whole, &one).iter().map(|(_, part)| part).sum::<u32>(), whole);
         }
@@ -122,7 +122,7 @@
     #[test]
     fn what_makes_no_sense_is_told() {
         let sound = Config::new(10, &["a", "b"], "a");
-        assert!(sound.mistakes().is_empty());
+        assert!(sound.validate().is_empty());
         let cases = [
             Config::new(10, &["a", "a"], "a"),
             Config::new(10, &["a", "b"], "c"),
@@ -132,7 +132,7 @@
             Config { drift: f64::NAN, ..sound.clone() },
         ];
         for config in cases {
-            assert!(!config.mistakes().is_empty(), "{config:?}");
+            assert!(!config.validate().is_empty(), "{config:?}");
         }
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Name};
+use crate::{MemberName, Micros};
 
 /// What a host calls a call; each under way has a name of its own.
 pub type CallId = u64;
 /// A loan by its lender, the start of the lender's process and its number there.
-pub(crate) type Loan = (Name, u64, u64);
+pub(crate) type Loan = (MemberName, u64, u64);
 
 /// Places that others use of ours.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Lent {
-    pub to: Name,
+    pub to: MemberName,
     pub boot: u64,
     pub places: u32,
     pub until: Micros,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -40,15 +40,15 @@
 //! assert_eq!(allowance.free(quiet), 4);
 //! ```
 
-mod allowance;
 mod config;
 mod ledger;
+mod quota;
 
-pub use allowance::{Allowance, AllowanceView, Message, Moved};
 pub use config::{parts, Config};
 pub use ledger::CallId;
+pub use quota::{ChangeCause, Message, QuotaStatus, SharedQuota};
 
 /// Microseconds, on a clock that goes forward only and at the rate of time within [`Config::drift`].
 pub type Micros = u64;
 /// The name of a server.
-pub type Name = std::rc::Rc<str>;
+pub type MemberName = std::rc::Rc<str>;
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/quota.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Config;
 use crate::ledger::{Borrowed, CallId, Ledger, Lent, Loan, Use};
-use crate::{Micros, Name};
+use crate::{MemberName, Micros};
 
 /// Questions that may be without an answer: two rounds to everyone in a large fleet.
 const ASKS: usize = 64;
@@ -42,7 +42,7 @@
 
 /// What moved the calls that may be in use last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Moved {
+pub enum ChangeCause {
     /// It has just started, and uses nothing of its own yet.
     Started,
     /// The time in which an earlier process may still have used its part is over.
@@ -63,7 +63,7 @@
 
 /// How an allowance stands, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AllowanceView {
+pub struct QuotaStatus {
     /// Calls at once from all servers.
     pub whole: u32,
     /// This server's part.
@@ -79,7 +79,7 @@
     /// Calls that wait for a place.
     pub waiting: u32,
     /// What moved it last, and how long ago in milliseconds.
-    pub moved: (Moved, u64),
+    pub moved: (ChangeCause, u64),
     /// Milliseconds until it uses its own part.
     pub quiet_ms: u64,
 }
@@ -91,7 +91,7 @@
 
 /// One server's side.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct SharedQuota {
     config: Config,
     /// What is used of the own part: none in the quiet time, and never more than all have agreed on.
     part: u32,
@@ -102,30 +102,30 @@
     silenced: bool,
     ledger: Ledger,
     /// Who can be asked, with the starts of their processes.
-    present: Vec<(Name, u64)>,
-    asks: BTreeMap<(Name, u64), Asked>,
-    denied: BTreeMap<Name, Micros>,
+    present: Vec<(MemberName, u64)>,
+    asks: BTreeMap<(MemberName, u64), Asked>,
+    denied: BTreeMap<MemberName, Micros>,
     /// The last question of each borrower's process that was answered.
-    heard: BTreeMap<Name, (u64, u64)>,
+    heard: BTreeMap<MemberName, (u64, u64)>,
     next: u64,
     asked_at: Micros,
     /// Calls that wait, and the highest level among them.
     need: (u32, u16),
     /// The most that was used of late, in two spans.
     peaks: [(Micros, u32); 2],
-    moved: (Moved, Micros),
+    moved: (ChangeCause, Micros),
     random: ChaCha8Rng,
-    out: Vec<(Name, Message)>,
+    out: Vec<(MemberName, Message)>,
 }
 
-impl Allowance {
+impl SharedQuota {
     /// The side of a process that starts now.
-    pub fn new(now: Micros, config: Config, seed: u64) -> Result<Allowance, Vec<String>> {
-        let mistakes = config.mistakes();
+    pub fn new(now: Micros, config: Config, seed: u64) -> Result<SharedQuota, Vec<String>> {
+        let mistakes = config.validate();
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
-        Ok(Allowance {
+        Ok(SharedQuota {
             part: 0,
             grow_at: Some(now + config.quiet()),
             started: false,
@@ -139,7 +139,7 @@
             asked_at: 0,
             need: (0, 0),
             peaks: [(now, 0); 2],
-            moved: (Moved::Started, now),
+            moved: (ChangeCause::Started, now),
             random: ChaCha8Rng::seed_from_u64(seed),
             out: Vec::new(),
             config,
@@ -147,8 +147,8 @@
     }
 
     /// Other settings. A smaller part holds at once, a larger one by [`Allowance::present`].
-    pub fn set(&mut self, now: Micros, config: Config) -> Result<(), Vec<String>> {
-        let mistakes = config.mistakes();
+    pub fn reconfigure(&mut self, now: Micros, config: Config) -> Result<(), Vec<String>> {
+        let mistakes = config.validate();
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
@@ -160,7 +160,7 @@
         self.config = config;
         if self.config.part() < self.part {
             self.part = self.config.part();
-            self.moved = (Moved::Part, now);
+            self.moved = (ChangeCause::Part, now);
         }
         self.grow_at =
             (self.started && self.config.part() > self.part).then_some(now + quiet).or(self.grow_at);
@@ -169,7 +169,7 @@
 
     /// Who can be asked now, and whether all who have a part go by the same: `differ`, that one who is there does
     /// not; `all`, that everyone is there and does.
-    pub fn present(&mut self, now: Micros, present: Vec<(Name, u64)>, differ: bool, all: bool) {
+    pub fn set_reachable(&mut self, now: Micros, present: Vec<(MemberName, u64)>, differ: bool, all: bool) {
         self.present = present;
         // A part that grows takes from others: not before all have shrunk theirs. At the start nobody has to have
         // heard of this process for its part to be its own.
@@ -185,35 +185,35 @@
     }
 
     /// Another process has this server's name, or no longer has. What is in use runs out; nothing new begins.
-    pub fn silence(&mut self, now: Micros, silenced: bool) {
+    pub fn set_fenced(&mut self, now: Micros, silenced: bool) {
         if self.silenced && !silenced {
             // As after a start: the other one may still use what it had.
             (self.part, self.started, self.grow_at) = (0, false, Some(now + self.config.quiet()));
         }
         if silenced && !self.silenced {
-            self.moved = (Moved::Silenced, now);
+            self.moved = (ChangeCause::Silenced, now);
         }
         self.silenced = silenced;
     }
 
     /// Calls that wait for a place, and the highest level among them.
-    pub fn need(&mut self, waiting: u32, level: u16) {
+    pub fn set_demand(&mut self, waiting: u32, level: u16) {
         self.need = (waiting, level);
     }
 
     /// What is due by now.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         let before = (self.ledger.lent(), self.ledger.borrowed());
         self.ledger.expire(now);
         if self.ledger.lent() < before.0 {
-            self.moved = (Moved::LoanBack, now);
+            self.moved = (ChangeCause::LoanBack, now);
         }
         if self.ledger.borrowed() < before.1 {
-            self.moved = (Moved::LoanOver, now);
+            self.moved = (ChangeCause::LoanOver, now);
         }
         if self.grow_at.is_some_and(|at| now >= at) {
             self.grow_at = None;
-            self.moved = (if self.started { Moved::Part } else { Moved::Settled }, now);
+            self.moved = (if self.started { ChangeCause::Part } else { ChangeCause::Settled }, now);
             (self.part, self.started) = (self.config.part(), true);
         }
         let used = self.ledger.used_of(None);
@@ -228,7 +228,7 @@
     }
 
     /// When something is due next.
-    pub fn next_at(&self, now: Micros) -> Micros {
+    pub fn next_timeout(&self, now: Micros) -> Micros {
         let ledger = &self.ledger;
         let calls = ledger.calls.values().map(|call| call.until);
         let loans = ledger.lent.values().map(|l| l.until).chain(ledger.borrowed.values().map(|l| l.until));
@@ -237,7 +237,7 @@
     }
 
     /// Calls that may begin now. A place of a loan that is nearly over serves none.
-    pub fn free(&self, now: Micros) -> u32 {
+    pub fn available(&self, now: Micros) -> u32 {
         if self.silenced {
             return 0;
         }
@@ -250,7 +250,7 @@
     /// A place for a call that would like to state a time up to `until`: the time that it may state, if there is one.
     /// Our own part first, as it does not run out; a loan where that gives the call more time, or nothing else is
     /// there.
-    pub fn take(&mut self, now: Micros, call: CallId, until: Micros) -> Option<Micros> {
+    pub fn acquire(&mut self, now: Micros, call: CallId, until: Micros) -> Option<Micros> {
         self.ledger.expire(now);
         if self.silenced || self.ledger.calls.contains_key(&call) {
             return None;
@@ -276,7 +276,7 @@
 
     /// A call has ended, and the dependency has said so. One that was given up is not told: it may go on there until
     /// its time has run out.
-    pub fn end(&mut self, call: CallId) {
+    pub fn release(&mut self, call: CallId) {
         self.ledger.calls.remove(&call);
     }
 
@@ -289,11 +289,11 @@
         let going = self.ledger.borrowed.iter().any(ending);
         if self.silenced
             || now < self.asked_at + ASK_EVERY
-            || !((waiting > 0 && self.free(now) == 0) || going)
+            || !((waiting > 0 && self.available(now) == 0) || going)
         {
             return;
         }
-        let mut to: Vec<Name> = self.present.iter().map(|(name, _)| name.clone()).collect();
+        let mut to: Vec<MemberName> = self.present.iter().map(|(name, _)| name.clone()).collect();
         to.retain(|name| !self.denied.contains_key(name) && !self.asks.keys().any(|(n, _)| n == name));
         to.shuffle(&mut self.random);
         to.truncate(AT_ONCE.min(ASKS.saturating_sub(self.asks.len())));
@@ -326,7 +326,7 @@
     }
 
     /// A message of a member has come; `boot` is the start of its process.
-    pub fn hear(&mut self, now: Micros, from: &Name, boot: u64, message: &Message) {
+    pub fn handle_message(&mut self, now: Micros, from: &MemberName, boot: u64, message: &Message) {
         self.ledger.expire(now);
         match *message {
             Message::Ask(number, places, level) => self.asked(now, from, (boot, number), places, level),
@@ -337,7 +337,7 @@
                 if now < until && self.ledger.borrowed.len() < LOANS && !self.silenced {
                     let lent = Borrowed { places, until, used: now };
                     self.ledger.borrowed.insert((from.clone(), boot, loan), lent);
-                    self.moved = (Moved::Borrowed, now);
+                    self.moved = (ChangeCause::Borrowed, now);
                 }
             }
             Message::Deny(number) => {
@@ -349,7 +349,7 @@
                 // It stopped using it before it said so.
                 if self.ledger.lent.get(&loan).is_some_and(|lent| lent.to == *from && lent.boot == boot) {
                     self.ledger.lent.remove(&loan);
-                    self.moved = (Moved::LoanBack, now);
+                    self.moved = (ChangeCause::LoanBack, now);
                 }
             }
         }
@@ -365,7 +365,7 @@
         self.part.saturating_sub(self.ledger.lent() + keep)
     }
 
-    fn asked(&mut self, now: Micros, from: &Name, asked: (u64, u64), places: u32, level: u16) {
+    fn asked(&mut self, now: Micros, from: &MemberName, asked: (u64, u64), places: u32, level: u16) {
         // A question that comes twice gets one answer: a second loan would be wasted.
         if self.heard.get(from).is_some_and(|last| *last >= asked) {
             return;
@@ -382,18 +382,18 @@
         self.next += 1;
         let until = now + self.config.longer(self.config.loan);
         self.ledger.lent.insert(self.next, Lent { to: from.clone(), boot, places, until });
-        self.moved = (Moved::Lent, now);
+        self.moved = (ChangeCause::Lent, now);
         self.out.push((from.clone(), Message::Grant(number, self.next, places, self.config.loan)));
     }
 
     /// Messages for other servers.
-    pub fn take_messages(&mut self) -> Vec<(Name, Message)> {
+    pub fn take_messages(&mut self) -> Vec<(MemberName, Message)> {
         std::mem::take(&mut self.out)
     }
 
     /// How it stands and why.
-    pub fn explain(&self, now: Micros) -> AllowanceView {
-        AllowanceView {
+    pub fn status(&self, now: Micros) -> QuotaStatus {
+        QuotaStatus {
             whole: self.config.whole,
             part: self.part,
             wanted: self.config.part(),
@@ -407,12 +407,12 @@
     }
 
     /// What must hold between any two calls; tests call it after each.
-    pub fn check(&self, now: Micros) -> Result<(), String> {
+    pub fn check_invariants(&self, now: Micros) -> Result<(), String> {
         let ledger = &self.ledger;
         let (own, lent) = (ledger.used_of(None), ledger.lent());
         let most = self.config.part().max(self.part);
         // A part that has just shrunk may still be in use beyond it, but nothing begins then.
-        if self.part > most || (own + lent > self.part && self.free(now) > ledger.borrowed()) {
+        if self.part > most || (own + lent > self.part && self.available(now) > ledger.borrowed()) {
             return Err(format!("{own} used and {lent} lent of a part of {}", self.part));
         }
         for (key, loan) in &ledger.borrowed {
--- a/crates/quota/tests/whole.rs
+++ b/crates/quota/tests/whole.rs
@@ -6,14 +6,14 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use umberloom_quota::{Allowance, Config, Message, Micros, Name};
+use umberloom_quota::{Config, MemberName, Message, Micros, SharedQuota};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 /// Steps of true time.
 const STEP: Micros = 5_000;
 
 struct Server {
-    allowance: Option<Allowance>,
+    allowance: Option<SharedQuota>,
     boot: u64,
     /// Rate of its clock, and what it showed at its start.
     rate: f64,
@@ -80,7 +80,7 @@
     fn start(&mut self, n: usize) {
         let config = Config::new(self.whole, &NAMES, NAMES[n]);
         let (now, seed) = (self.clock(n), self.random.random());
-        self.servers[n].allowance = Some(Allowance::new(now, config, seed).expect("no mistakes"));
+        self.servers[n].allowance = Some(SharedQuota::new(now, config, seed).expect("no mistakes"));
         self.next += 1;
         self.servers[n].boot = self.next;
     }
@@ -102,8 +102,8 @@
             let clock = self.clock(to);
             let stopped = self.servers[to].stopped > now;
             if let Some(allowance) = self.servers[to].allowance.as_mut().filter(|_| !stopped) {
-                allowance.hear(clock, &Name::from(NAMES[from]), boot, &message);
-                allowance.check(clock)?;
+                allowance.handle_message(clock, &MemberName::from(NAMES[from]), boot, &message);
+                allowance.check_invariants(clock)?;
             }
         }
         for n in 0..self.servers.len() {
@@ -121,7 +121,7 @@
     fn run(&mut self, n: usize) -> Result<(), String> {
         let clock = self.clock(n);
         let peers = (0..NAMES.len()).filter(|other| *other != n && self.servers[*other].allowance.is_some());
-        let present = peers.map(|other| (Name::from(NAMES[other]), self.servers[other].boot)).collect();
+        let present = peers.map(|other| (MemberName::from(NAMES[other]), self.servers[other].boot)).collect();
         let present = if self.lends { present } else { Vec::new() };
         let (waiting, over) = (self.servers[n].waiting, &self.calls);
         let ended: Vec<u64> =
@@ -131,15 +131,15 @@
         for id in ended {
             // The reply is seen a little later than the dependency counts the end.
             self.calls.retain(|c| c.id != id);
-            allowance.end(id);
+            allowance.release(id);
         }
-        allowance.present(clock, present, false, true);
-        allowance.need(waiting, 1);
-        allowance.pass(clock);
+        allowance.set_reachable(clock, present, false, true);
+        allowance.set_demand(waiting, 1);
+        allowance.handle_timeout(clock);
         for _ in 0..waiting {
             let wants = clock + self.random.random_range(30_000..1_500_000);
             self.next += 1;
-            let Some(until) = allowance.take(clock, self.next, wants) else { break };
+            let Some(until) = allowance.acquire(clock, self.next, wants) else { break };
             self.servers[n].waiting -= 1;
             self.served += 1;
             // Its time counts at the dependency once it has come there, on a true clock.
@@ -152,7 +152,7 @@
             };
             self.calls.push(Call { by: n, id: self.next, ends: arrives + takes, stated: arrives + stated });
         }
-        allowance.check(clock)?;
+        allowance.check_invariants(clock)?;
         let boot = self.servers[n].boot;
         let messages = allowance.take_messages();
         self.servers[n].allowance = Some(allowance);
@@ -238,7 +238,7 @@
     let mut world = World::new(9, 40, 0.0);
     let borrowed = |world: &World| {
         let clock = world.clock(0);
-        world.servers[0].allowance.as_ref().map_or(0, |a| a.explain(clock).borrowed)
+        world.servers[0].allowance.as_ref().map_or(0, |a| a.status(clock).borrowed)
     };
     for _ in 0..1_500 {
         world.servers[0].waiting = 60;
@@ -256,7 +256,7 @@
     }
     assert_eq!(borrowed(&world), 0);
     let clock = world.clock(0);
-    assert_eq!(world.servers[0].allowance.as_ref().map(|a| a.explain(clock).part), Some(10));
+    assert_eq!(world.servers[0].allowance.as_ref().map(|a| a.status(clock).part), Some(10));
 }
 
 #[test]
@@ -264,43 +264,43 @@
     let all = ["a", "b", "c", "d"];
     let config = |whole, roster: &[&str]| Config::new(whole, roster, "a");
     let quiet = config(40, &all).quiet();
-    let mut a = Allowance::new(0, config(40, &all), 1).expect("sound");
-    a.pass(quiet);
-    assert_eq!(a.free(quiet), 10);
-    a.set(quiet, config(40, &all[..2])).expect("sound");
+    let mut a = SharedQuota::new(0, config(40, &all), 1).expect("sound");
+    a.handle_timeout(quiet);
+    assert_eq!(a.available(quiet), 10);
+    a.reconfigure(quiet, config(40, &all[..2])).expect("sound");
     // Not all are there, or not all go by it.
     let mut now = quiet;
     while now < 4 * quiet {
         now += 50_000;
-        a.present(now, vec![], false, false);
-        a.pass(now);
-        assert_eq!(a.free(now), 10);
+        a.set_reachable(now, vec![], false, false);
+        a.handle_timeout(now);
+        assert_eq!(a.available(now), 10);
     }
     for _ in 0..quiet / 50_000 + 2 {
         now += 50_000;
-        a.present(now, vec![], false, true);
-        a.pass(now);
+        a.set_reachable(now, vec![], false, true);
+        a.handle_timeout(now);
     }
-    assert_eq!(a.free(now), 20);
-    a.set(now, config(8, &all)).expect("sound");
-    assert_eq!(a.free(now), 2);
-    a.silence(now, true);
-    assert_eq!((a.free(now), a.take(now, 1, now + 100_000)), (0, None));
-    a.silence(now, false);
-    a.pass(now + 1);
-    assert_eq!(a.free(now + 1), 0, "another process may still use the part");
+    assert_eq!(a.available(now), 20);
+    a.reconfigure(now, config(8, &all)).expect("sound");
+    assert_eq!(a.available(now), 2);
+    a.set_fenced(now, true);
+    assert_eq!((a.available(now), a.acquire(now, 1, now + 100_000)), (0, None));
+    a.set_fenced(now, false);
+    a.handle_timeout(now + 1);
+    assert_eq!(a.available(now + 1), 0, "another process may still use the part");
 }
 
 #[test]
 fn a_call_that_is_given_up_keeps_its_place_until_its_time_has_run_out() {
     let config = Config::new(2, &["a", "b"], "a");
     let (quiet, delivery) = (config.quiet(), config.delivery);
-    let mut a = Allowance::new(0, config, 1).expect("sound");
-    a.pass(quiet);
-    let until = a.take(quiet, 1, quiet + 400_000).expect("a place");
+    let mut a = SharedQuota::new(0, config, 1).expect("sound");
+    a.handle_timeout(quiet);
+    let until = a.acquire(quiet, 1, quiet + 400_000).expect("a place");
     // Given up: nobody tells it that it has ended.
-    a.pass(until);
-    assert_eq!(a.take(until, 2, until + 10_000), None);
-    a.pass(until + delivery);
-    assert!(a.take(until + delivery, 2, until + 100_000).is_some());
+    a.handle_timeout(until);
+    assert_eq!(a.acquire(until, 2, until + 10_000), None);
+    a.handle_timeout(until + delivery);
+    assert!(a.acquire(until + delivery, 2, until + 100_000).is_some());
 }
--- a/crates/replicated-store/src/export.rs
+++ b/crates/replicated-store/src/export.rs
@@ -93,7 +93,7 @@
 
     #[test]
     fn a_file_is_checked_by_itself_and_any_change_is_seen() {
-        let mut state = State::found(7, 1, Member { name: "a".into(), zone: String::new() });
+        let mut state = State::bootstrap(7, 1, Member { name: "a".into(), zone: String::new() });
         let first = state.bytes();
         let entries: Vec<(u64, u64, Vec<u8>)> = (2..6)
             .map(|n| (n, 0, Entry::document("x", vec![n as u8], None)[0].seal(n.into(), "a", 0).bytes()))
--- a/crates/replicated-store/src/lib.rs
+++ b/crates/replicated-store/src/lib.rs
@@ -17,21 +17,23 @@
 //! reach each other within two hops and their disks write: a leader within four and a half election times (two until
 //! someone asks for votes, and as much again where votes split).
 
-pub mod compare;
+pub mod divergence;
 pub mod entry;
 pub mod export;
 pub mod log;
-mod record;
-pub mod rule;
+pub mod message;
+mod replica;
+pub mod rollback;
 pub mod state;
 pub mod transfer;
-pub mod witness;
-pub mod words;
+pub mod voter_selection;
 
 pub use entry::{Entry, EntryId};
 pub use export::Export;
-pub use log::Image;
-pub use record::{Action, Class, Config, CopyView, Read, Record, Refused, Role, Standing, Told};
+pub use log::StoredReplica;
+pub use replica::{
+    Action, Config, Event, Priority, ReadOutcome, Replica, ReplicaStatus, ReplicaView, RequestError, Role,
+};
 pub use state::{Outcome, State};
 
 /// Microseconds, on a clock that goes forward only.
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -61,7 +61,7 @@
 
 /// What a store holds of a record.
 #[derive(Clone, Debug, Default)]
-pub struct Image {
+pub struct StoredReplica {
     /// Which copy.
     pub copy: Copy,
     hard: HardState,
@@ -75,11 +75,11 @@
     pub coming: Vec<(Digest, u32, Vec<u8>)>,
 }
 
-impl Image {
+impl StoredReplica {
     /// From all rows of [`SPACES`]; `Ok(None)`: there is no copy; an error says what makes no sense. It may take long, so
     /// whoever reads the disk does it, and not who decides.
-    pub fn read(rows: Vec<(u8, Vec<Row>)>) -> Result<Option<Image>, String> {
-        let (mut image, mut found, mut state) = (Image::default(), false, Vec::new());
+    pub fn read(rows: Vec<(u8, Vec<Row>)>) -> Result<Option<StoredReplica>, String> {
+        let (mut image, mut found, mut state) = (StoredReplica::default(), false, Vec::new());
         let mut entries = Vec::new();
         for (space, rows) in rows {
             match space {
@@ -167,7 +167,7 @@
 impl Log {
     /// A new record's, whose first state, after the entry of this index, is known to its founder alone. Whatever rows
     /// there are of another record go.
-    pub fn found(founder: u64, index: u64, state: Vec<u8>) -> (Log, Batch) {
+    pub fn bootstrap(founder: u64, index: u64, state: Vec<u8>) -> (Log, Batch) {
         let mut log = Log::default();
         (log.hard.term, log.hard.commit) = (1, index);
         let mut conf = ConfState::default();
@@ -181,8 +181,8 @@
     }
 
     /// As it was on disk.
-    pub fn load(image: Image) -> Log {
-        let Image { mut hard, meta, bytes, manifest, entries, .. } = image;
+    pub fn load(image: StoredReplica) -> Log {
+        let StoredReplica { mut hard, meta, bytes, manifest, entries, .. } = image;
         // A commit index alone is not made durable, and a snapshot is of what was agreed on.
         hard.commit = hard.commit.max(meta.index);
         let conf = meta.get_conf_state().clone();
--- a/crates/replicated-store/src/words.rs
+++ b/crates/replicated-store/src/message.rs
@@ -1,27 +1,27 @@
 //! What members say to each other about the record.
 
 use serde::{Deserialize, Serialize};
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 
 use crate::entry::Digest;
 use crate::log::Manifest;
-use crate::witness::Seen;
+use crate::rollback::Seen;
 
 /// One message. Seal, session and numbers against replays are the membership's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum PeerMessage {
     /// What a member says of itself, now and then.
     Status(Box<Status>),
     /// A message of the library, for the copy of that number.
     Raft(u64, Vec<u8>),
     /// For that member, which the sender does not reach: pass it on, once.
-    Hop(Name, Vec<u8>),
+    Hop(MemberName, Vec<u8>),
     /// Passed on: it is from that member and its process of that start.
-    Passed(Name, u64, Vec<u8>),
+    Passed(MemberName, u64, Vec<u8>),
     /// To the leader: take this copy in; the sender stands in that zone.
-    Join(u64, Name),
+    Join(u64, MemberName),
     /// To the leader: an operator wants this member to vote, or not to.
-    Hand(Name, bool),
+    Hand(MemberName, bool),
     /// A piece of a snapshot, please: of that digest, from this number.
     Ask(Digest, u32),
     /// It is this.
@@ -46,9 +46,9 @@
     /// See `applied`.
     pub chain: Digest,
     /// Who leads, as it knows.
-    pub leader: Option<Name>,
+    pub leader: Option<MemberName>,
     /// Members that it reaches.
-    pub reaches: Vec<Name>,
+    pub reaches: Vec<MemberName>,
     /// What it remembers of the receiver's copy.
     pub of_you: Option<Seen>,
     /// It waits for pieces of a snapshot.
@@ -60,11 +60,11 @@
 }
 
 /// A message's bytes.
-pub fn write(word: &Word) -> Vec<u8> {
+pub fn write(word: &PeerMessage) -> Vec<u8> {
     postcard::to_allocvec(word).unwrap_or_default()
 }
 
 /// What was said; `None`: nothing that this program understands.
-pub fn read(bytes: &[u8]) -> Option<Word> {
+pub fn read(bytes: &[u8]) -> Option<PeerMessage> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/replicated-store/src/record/asking.rs
+++ b/crates/replicated-store/src/replica/asking.rs
@@ -1,26 +1,32 @@
 //! Writes, and reads of the latest state.
 
-use super::{Read, Record, Refused, Waiting, READS};
+use super::{ReadOutcome, Replica, RequestError, Waiting, READS};
 use crate::entry::{Entry, EntryId};
 use crate::state::Outcome;
 use crate::Micros;
 
-impl Record {
+impl Replica {
     /// Writes an entry: it is on its way, and [`Record::outcome`] tells what becomes of it.
-    pub fn propose(&mut self, now: Micros, id: EntryId, at_ms: u64, entry: &Entry) -> Result<(), Refused> {
+    pub fn propose(
+        &mut self,
+        now: Micros,
+        id: EntryId,
+        at_ms: u64,
+        entry: &Entry,
+    ) -> Result<(), RequestError> {
         if self.node.is_none() || self.returning.is_some() {
-            return Err(Refused::Outside);
+            return Err(RequestError::Outside);
         }
         if self.frozen {
-            return Err(Refused::Frozen);
+            return Err(RequestError::Frozen);
         }
         let bytes = entry.seal(id, &self.config.me, at_ms).bytes();
         let given = self.with(|node| node.propose(vec![], bytes));
         let result = match given {
             Some(Ok(())) => Ok(()),
-            Some(Err(raft::Error::ProposalDropped)) if self.leader.0.is_some() => Err(Refused::Busy),
-            Some(Err(_)) => Err(Refused::NoLeader),
-            None => Err(Refused::Outside),
+            Some(Err(raft::Error::ProposalDropped)) if self.leader.0.is_some() => Err(RequestError::Busy),
+            Some(Err(_)) => Err(RequestError::NoLeader),
+            None => Err(RequestError::Outside),
         };
         self.settle(now);
         result
@@ -34,12 +40,12 @@
 
     /// Asks for the latest state: once [`Record::take_reads`] says that the read of this number is ready, the state holds
     /// all that was done before now.
-    pub fn read(&mut self, now: Micros) -> Result<u64, Refused> {
+    pub fn request_read(&mut self, now: Micros) -> Result<u64, RequestError> {
         if self.node.is_none() || self.returning.is_some() {
-            return Err(Refused::Outside);
+            return Err(RequestError::Outside);
         }
         if self.reads.len() >= READS {
-            return Err(Refused::Busy);
+            return Err(RequestError::Busy);
         }
         self.next_read += 1;
         let ticket = self.next_read;
@@ -57,7 +63,7 @@
     }
 
     /// Reads that are ready or over.
-    pub fn take_reads(&mut self) -> Vec<(u64, Read)> {
+    pub fn take_finished_reads(&mut self) -> Vec<(u64, ReadOutcome)> {
         std::mem::take(&mut self.finished)
     }
 
@@ -67,11 +73,11 @@
         let (index, finished) = (self.state.index, &mut self.finished);
         self.reads.retain(|ticket, waiting| {
             if waiting.index.is_some_and(|wanted| wanted <= index) {
-                finished.push((*ticket, Read::Ready));
+                finished.push((*ticket, ReadOutcome::Ready));
                 return false;
             }
             if now >= waiting.since + most {
-                finished.push((*ticket, Read::Refused(Refused::TimedOut)));
+                finished.push((*ticket, ReadOutcome::Refused(RequestError::TimedOut)));
                 return false;
             }
             if waiting.index.is_none() && now >= waiting.asked + again {
