--- a/crates/replicated-store/src/record/library.rs
+++ b/crates/replicated-store/src/replica/library.rs
@@ -7,18 +7,20 @@
 use raft::eraftpb::{ConfChangeV2, EntryType, Message, MessageType};
 use raft::RawNode;
 use rand::RngExt;
-use umberloom_membership::Name;
-use umberloom_store::{guarded, Batch};
+use umberloom_membership::MemberName;
+use umberloom_store::{catch_panic, Batch};
 
-use super::{bounded, Action, Class, Other, Record, Step, Told, BEAT_TICKS, COMPACT_AFTER, MESSAGE, TICKS};
+use super::{
+    bounded, Action, Event, Other, Priority, Replica, Step, BEAT_TICKS, COMPACT_AFTER, MESSAGE, TICKS,
+};
 use crate::log::{Log, Manifest};
+use crate::message::PeerMessage;
+use crate::rollback::Seen;
 use crate::state::{Member, State};
 use crate::transfer::Transfer;
-use crate::witness::Seen;
-use crate::words::Word;
 use crate::Micros;
 
-impl Record {
+impl Replica {
     /// Gives the log to the library.
     pub(super) fn begin(&mut self, log: Log) {
         let config = raft::Config {
@@ -35,7 +37,7 @@
             ..raft::Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        match guarded(|| RawNode::new(&config, log, &logger)) {
+        match catch_panic(|| RawNode::new(&config, log, &logger)) {
             Ok(Ok(node)) => self.node = Some(node),
             Ok(Err(e)) => self.set_aside(format!("the log makes no sense: {e}")),
             Err(why) => self.set_aside(format!("the log makes no sense: {why}")),
@@ -46,7 +48,7 @@
     pub(super) fn set_aside(&mut self, why: String) {
         (self.node, self.ended) = (None, true);
         self.steps.clear();
-        bounded(&mut self.actions, Action::SetAside(why));
+        bounded(&mut self.actions, Action::Quarantine(why));
     }
 
     pub(super) fn persist(&mut self, batch: Batch) {
@@ -57,7 +59,7 @@
     /// Calls the library. What it can't go on with is this copy's end, not the server's.
     pub(super) fn with<T>(&mut self, act: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
         let node = self.node.as_mut()?;
-        match guarded(|| act(node)) {
+        match catch_panic(|| act(node)) {
             Ok(found) => {
                 // The library draws its election times from the machine; drawn here, a run can be played again.
                 if node.raft.randomized_election_timeout() != self.timeout {
@@ -67,7 +69,7 @@
                 Some(found)
             }
             Err(why) => {
-                self.tell(Told::Broken(why.clone()));
+                self.tell(Event::LogFailed(why.clone()));
                 self.set_aside(format!("the log and what others say of it do not fit: {why}"));
                 None
             }
@@ -85,7 +87,7 @@
         let beat = message.get_msg_type() == MessageType::MsgHeartbeat;
         if beat && message.commit > last {
             let seen = Seen { starts: self.copy.starts, term: message.term, last: message.commit };
-            self.tell(Told::SetBack(seen));
+            self.tell(Event::RollbackDetected(seen));
             return self
                 .set_aside(format!("a leader counts on entry {}, the last here is {last}", message.commit));
         }
@@ -110,12 +112,12 @@
 
     /// What came has found no room on the disk: a snapshot of a later entry than this one is asked for in its place, which
     /// may be smaller. Its pieces are not kept then: they would not fit beside what is there.
-    pub fn want_snapshot(&mut self, after: u64) {
+    pub fn request_snapshot_after(&mut self, after: u64) {
         (self.wants_snapshot, self.keeps_pieces, self.least) = (true, false, after + 1);
     }
 
     /// The last snapshot that was to be installed; 0 is none.
-    pub fn installed(&self) -> u64 {
+    pub fn installed_snapshot(&self) -> u64 {
         self.installed
     }
 
@@ -150,7 +152,7 @@
             let (manifest, took, message) = (transfer.manifest(), now - transfer.began(), message.clone());
             self.transfer = None;
             let index = message.get_snapshot().get_metadata().index;
-            self.tell(Told::CaughtUp(index, whole.len() as u64, took));
+            self.tell(Event::CaughtUp(index, whole.len() as u64, took));
             self.fetched = Some((manifest, Rc::new(whole)));
             self.with(|node| drop(node.step(message)));
             return;
@@ -162,33 +164,34 @@
         }
         // Whoever has it; the least loaded first, and the leader that offers it after those.
         let wanted = transfer.manifest();
-        let has = |other: &&(&Name, &Other)| other.1.status.snapshot.1 == wanted;
-        let mut sources: Vec<(&Name, &Other)> =
+        let has = |other: &&(&MemberName, &Other)| other.1.status.snapshot.1 == wanted;
+        let mut sources: Vec<(&MemberName, &Other)> =
             self.others.iter().collect::<Vec<_>>().iter().filter(has).copied().collect();
         sources.sort_by_key(|(_, other)| (Some(other.status.copy) == Some(message.from), other.status.load));
-        let sources: Vec<Name> = sources.into_iter().map(|(name, _)| name.clone()).collect();
+        let sources: Vec<MemberName> = sources.into_iter().map(|(name, _)| name.clone()).collect();
         for (from, number) in transfer.ask(now, &sources) {
-            self.send(&from, Word::Ask(wanted.digest, number), Class::Entry);
+            self.send(&from, PeerMessage::Ask(wanted.digest, number), Priority::Entry);
         }
     }
 
     pub(super) fn send_raft(&mut self, messages: Vec<Message>) {
         for message in messages {
-            let known = self.state.members.get(&message.to).map(|member| Name::from(member.name.as_str()));
+            let known =
+                self.state.members.get(&message.to).map(|member| MemberName::from(member.name.as_str()));
             let said =
                 || self.others.iter().find(|(_, o)| o.status.copy == message.to).map(|(n, _)| n.clone());
             let Some(to) = known.or_else(said) else { continue };
             let class = match message.get_msg_type() {
-                MessageType::MsgHeartbeat | MessageType::MsgHeartbeatResponse => Class::Beat,
+                MessageType::MsgHeartbeat | MessageType::MsgHeartbeatResponse => Priority::Heartbeat,
                 MessageType::MsgRequestVote
                 | MessageType::MsgRequestVoteResponse
                 | MessageType::MsgRequestPreVote
                 | MessageType::MsgRequestPreVoteResponse
-                | MessageType::MsgTimeoutNow => Class::Vote,
-                _ => Class::Entry,
+                | MessageType::MsgTimeoutNow => Priority::Vote,
+                _ => Priority::Entry,
             };
             let bytes = message.write_to_bytes().unwrap_or_default();
-            self.send(&to, Word::Raft(message.to, bytes), class);
+            self.send(&to, PeerMessage::Raft(message.to, bytes), class);
         }
     }
 
--- a/crates/replicated-store/src/record/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -5,20 +5,20 @@
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 use raft::SnapshotStatus;
 use rand::Rng;
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 
-use super::{Class, Other, Record, Refused, Role, Told, CAUGHT_UP};
-use crate::compare;
+use super::{Event, Other, Priority, Replica, RequestError, Role, CAUGHT_UP};
+use crate::divergence;
 use crate::entry::Digest;
 use crate::log::{copy_batch, Copy, Log};
-use crate::rule::{self, Candidate, Change};
+use crate::message::{PeerMessage, Status};
+use crate::rollback::{Seen, Verdict};
 use crate::state::{Member, State};
-use crate::witness::{Seen, Verdict};
-use crate::words::{Status, Word};
+use crate::voter_selection::{self, Candidate, Change};
 use crate::Micros;
 
-impl Record {
-    pub(super) fn status(&mut self, now: Micros, from: &Name, boot: u64, status: Status) {
+impl Replica {
+    pub(super) fn handle_status(&mut self, now: Micros, from: &MemberName, boot: u64, status: Status) {
         if self.others.get(from).is_some_and(|other| other.boot > boot) {
             return;
         }
@@ -52,8 +52,8 @@
         let Some(returning) = &self.returning else { return };
         let Some(node) = &self.node else { return };
         let conf = node.store().conf();
-        let name = |id: &u64| self.state.members.get(id).map(|member| Name::from(member.name.as_str()));
-        let others: Vec<Name> =
+        let name = |id: &u64| self.state.members.get(id).map(|member| MemberName::from(member.name.as_str()));
+        let others: Vec<MemberName> =
             conf.voters.iter().filter(|id| **id != self.copy.id).filter_map(name).collect();
         match returning.verdict(&others) {
             Verdict::Wait => {}
@@ -62,7 +62,7 @@
                 self.tick_at = now;
             }
             Verdict::SetBack(seen) => {
-                self.tell(Told::SetBack(seen));
+                self.tell(Event::RollbackDetected(seen));
                 self.set_aside(format!("others remember term {} and entry {} of it", seen.term, seen.last));
             }
         }
@@ -81,14 +81,14 @@
         if self.role == Role::Leader {
             self.lead(now, fresh);
         }
-        let names: Vec<Name> = self.config.others.clone();
+        let names: Vec<MemberName> = self.config.others.clone();
         for name in names {
             let status = self.say(&name);
-            self.send(&name, Word::Status(Box::new(status)), Class::Beat);
+            self.send(&name, PeerMessage::Status(Box::new(status)), Priority::Heartbeat);
         }
     }
 
-    pub(super) fn say(&self, to: &Name) -> Status {
+    pub(super) fn say(&self, to: &MemberName) -> Status {
         let node = self.node.as_ref();
         let copy = self.others.get(to).map_or(0, |other| other.status.copy);
         Status {
@@ -99,7 +99,7 @@
             votes: matches!(self.role, Role::Voter | Role::Leader),
             applied: self.state.index,
             chain: self.state.chain,
-            leader: self.leader.0.as_deref().map(Name::from),
+            leader: self.leader.0.as_deref().map(MemberName::from),
             reaches: self.reached.iter().take(64).cloned().collect(),
             of_you: self.memory.of(copy),
             fetches: self.transfer.is_some(),
@@ -139,12 +139,12 @@
         let (record, id) = (self.random.next_u64().max(1), self.random.next_u64().max(1));
         self.copy = Copy { record, id, name: self.config.me.to_string(), starts: 1 };
         let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
-        self.state = State::found(record, id, member);
-        let (log, batch) = Log::found(id, 1, self.state.bytes());
+        self.state = State::bootstrap(record, id, member);
+        let (log, batch) = Log::bootstrap(id, 1, self.state.bytes());
         let batch = copy_batch(&self.copy).then(batch);
         self.persist(batch);
         self.begin(log);
-        self.tell(Told::Founded(record));
+        self.tell(Event::Bootstrapped(record));
     }
 
     /// With a copy: asks to be taken in where it is not yet, and sees when its record is another than the one that lives.
@@ -156,8 +156,8 @@
                 (o.status.record == self.copy.record).then(|| o.status.leader.clone()).flatten()
             });
             if let Some(leader) = leader {
-                let word = Word::Join(self.copy.id, self.config.zone.clone());
-                self.send(&leader, word, Class::Entry);
+                let word = PeerMessage::Join(self.copy.id, self.config.zone.clone());
+                self.send(&leader, word, Priority::Entry);
             }
         }
         let led = |other: &&Other| {
@@ -175,21 +175,21 @@
         // is led and goes on yields to nobody: an operator who decided at a server that was only cut off must not undo
         // what a majority agrees on.
         if lone || decided(&other) {
-            self.tell(Told::Foreign(self.copy.record, record));
+            self.tell(Event::Obsolete(self.copy.record, record));
             self.set_aside(format!("another record ({record:016x}) is led, this one is not"));
         } else if record != self.another {
             self.another = record;
-            self.tell(Told::Another(self.copy.record, record));
+            self.tell(Event::CompetingStore(self.copy.record, record));
         }
     }
 
     /// An operator decides that this copy is the record from now on: a new one begins with its state. For the day on which
     /// no majority of the old one will ever come back, or all its copies differ.
-    pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<u64, Refused> {
+    pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<u64, RequestError> {
         if self.node.is_none() || self.state.record == 0 {
-            return Err(Refused::Outside);
+            return Err(RequestError::Outside);
         }
-        let rule = |why: &str| Err(Refused::Rule(why.to_owned()));
+        let rule = |why: &str| Err(RequestError::Rule(why.to_owned()));
         if !self.frozen && self.leader.0.is_some() && self.returning.is_none() {
             return rule("a majority goes on with the record as it is: nothing is to be decided");
         }
@@ -200,14 +200,14 @@
         let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
         self.state = self.state.adopt(record, id, member, at_ms);
         self.copy = Copy { record, id, name: self.config.me.to_string(), starts: 1 };
-        let (log, batch) = Log::found(id, self.state.index, self.state.bytes());
+        let (log, batch) = Log::bootstrap(id, self.state.index, self.state.bytes());
         self.steps.clear();
         (self.returning, self.transfer, self.frozen) = (None, None, false);
         self.compared.clear();
         self.durable = (1, self.state.index);
         self.persist(copy_batch(&self.copy).then(batch));
         self.begin(log);
-        self.tell(Told::Founded(record));
+        self.tell(Event::Bootstrapped(record));
         self.settle(now);
         Ok(record)
     }
@@ -224,7 +224,7 @@
             let other = live(id);
             let same = other.and_then(|_| self.compared.get(id).copied());
             (
-                compare::Other {
+                divergence::Other {
                     copy: *id,
                     same,
                     says: other.map_or((0, Digest::default()), |o| (o.status.applied, o.status.chain)),
@@ -234,39 +234,43 @@
         };
         let (others, heard): (Vec<_>, Vec<_>) =
             voters.iter().filter(|id| **id != self.copy.id).map(one).unzip();
-        let verdict = compare::verdict(voters.contains(&self.copy.id), &others);
+        let verdict = divergence::verdict(voters.contains(&self.copy.id), &others);
         if verdict != self.found.0 {
             self.found = (verdict.clone(), now);
         }
         let since = self.found.1;
         let anew = heard.iter().all(|at| *at == 0 || *at > since + self.status_every());
-        if verdict != compare::Verdict::Fine && !anew {
+        if verdict != divergence::Verdict::Fine && !anew {
             return;
         }
         // Until all are the same again: one that leaves decides nothing for those that stay.
         let apart = others.iter().any(|other| other.same != Some(true));
-        let frozen = verdict == compare::Verdict::NobodyKnows || (self.frozen && apart);
+        let frozen = verdict == divergence::Verdict::NobodyKnows || (self.frozen && apart);
         if frozen && !self.frozen {
-            self.tell(Told::Frozen);
+            self.tell(Event::Frozen);
         }
         self.frozen = frozen;
         match verdict {
-            compare::Verdict::WeDiffer(group) => {
-                self.tell(Told::WeDiffer(group));
+            divergence::Verdict::WeDiffer(group) => {
+                self.tell(Event::LocalDivergence(group));
                 self.set_aside("it differs from the copies of a majority".to_owned());
             }
-            compare::Verdict::TheyDiffer(copies) if copies != self.differing => {
+            divergence::Verdict::TheyDiffer(copies) if copies != self.differing => {
                 self.differing.clone_from(&copies);
-                self.tell(Told::TheyDiffer(copies));
+                self.tell(Event::PeerDivergence(copies));
             }
-            compare::Verdict::Fine => self.differing.clear(),
+            divergence::Verdict::Fine => self.differing.clear(),
             _ => {}
         }
     }
 
-    pub(super) fn settings(&self) -> rule::Settings {
+    pub(super) fn settings(&self) -> voter_selection::Settings {
         let there = (2 * self.config.election).max(4 * self.status_every());
-        rule::Settings { voters: self.config.voters, replace_after: self.config.replace_after, there }
+        voter_selection::Settings {
+            voters: self.config.voters,
+            replace_after: self.config.replace_after,
+            there,
+        }
     }
 
     pub(super) fn candidates(&self, now: Micros) -> Vec<Candidate> {
@@ -302,7 +306,7 @@
             return;
         }
         let asks = self.asks.iter().map(|(name, (copy, ..))| (name.clone(), *copy)).collect();
-        if let Some(change) = rule::due(&self.settings(), &self.candidates(now), &asks) {
+        if let Some(change) = voter_selection::due(&self.settings(), &self.candidates(now), &asks) {
             self.change(&change);
         }
     }
@@ -332,19 +336,24 @@
         all.context = postcard::to_allocvec(&member).unwrap_or_default().into();
         let proposed = self.with(|node| node.propose_conf_change(vec![], all).is_ok());
         if proposed == Some(true) {
-            self.tell(Told::Change(format!("{change:?}")));
+            self.tell(Event::ConfigurationChange(format!("{change:?}")));
         }
     }
 
     /// An operator wants a member to vote, or not to. Only a leader can do that; others pass it on.
-    pub fn by_hand(&mut self, now: Micros, name: &str, votes: bool) -> Result<(), Refused> {
+    pub fn set_voter(&mut self, now: Micros, name: &str, votes: bool) -> Result<(), RequestError> {
         if self.role != Role::Leader {
-            let leader = self.leader.0.clone().ok_or(Refused::NoLeader)?;
-            self.send(&Name::from(leader.as_str()), Word::Hand(name.into(), votes), Class::Entry);
+            let leader = self.leader.0.clone().ok_or(RequestError::NoLeader)?;
+            self.send(
+                &MemberName::from(leader.as_str()),
+                PeerMessage::Hand(name.into(), votes),
+                Priority::Entry,
+            );
             return Ok(());
         }
         let (settings, all) = (self.settings(), self.candidates(now));
-        let change = rule::by_hand(&settings, &all, self.copy.id, name, votes).map_err(Refused::Rule)?;
+        let change = voter_selection::by_hand(&settings, &all, self.copy.id, name, votes)
+            .map_err(RequestError::Rule)?;
         self.change(&change);
         self.settle(now);
         Ok(())
--- a/crates/replicated-store/src/record/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -15,17 +15,17 @@
 use raft::{RawNode, StateRole};
 use rand::rngs::ChaCha8Rng;
 use rand::{Rng, SeedableRng};
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 use umberloom_store::Batch;
 
-pub use self::told::{CopyView, Read, Refused, Role, Standing, Told};
-use crate::compare::Verdict as Found;
+pub use self::told::{Event, ReadOutcome, ReplicaStatus, ReplicaView, RequestError, Role};
+use crate::divergence::Verdict as Found;
 use crate::entry::{Digest, EntryId};
-use crate::log::{coming_batch, copy_batch, Copy, Image, Log, Manifest};
+use crate::log::{coming_batch, copy_batch, Copy, Log, Manifest, StoredReplica};
+use crate::message::{self, PeerMessage, Status};
+use crate::rollback::{Memory, Returning, Seen};
 use crate::state::{Outcome, State};
 use crate::transfer::{piece, Transfer};
-use crate::witness::{Memory, Returning, Seen};
-use crate::words::{self, Status, Word};
 use crate::Micros;
 
 /// Ticks of the library in one election time, and in one beat of a leader.
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Its name and zone.
-    pub me: Name,
+    pub me: MemberName,
     /// See `me`.
-    pub zone: Name,
+    pub zone: MemberName,
     /// Everyone else who belongs to the fleet.
-    pub others: Vec<Name>,
+    pub others: Vec<MemberName>,
     /// How many vote: 3 or 5.
     pub voters: usize,
     /// A leader that has not been heard for so long is replaced.
@@ -69,7 +69,7 @@
         Config {
             me: me.into(),
             zone: "".into(),
-            others: others.iter().map(|other| Name::from(*other)).collect(),
+            others: others.iter().map(|other| MemberName::from(*other)).collect(),
             voters: 3,
             election: 1_000_000,
             replace_after: 30_000_000,
@@ -78,7 +78,7 @@
     }
 
     /// All that is wrong with it.
-    pub fn mistakes(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut found = Vec::new();
         if ![1, 3, 5].contains(&self.voters) {
             found.push(format!("found {} voters, expected 3 or 5 (1 for a trial)", self.voters));
@@ -104,9 +104,9 @@
 
 /// How urgent a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum Priority {
     /// Signs of life.
-    Beat,
+    Heartbeat,
     /// Votes.
     Vote,
     /// Entries.
@@ -119,11 +119,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Say this to a member.
-    Send(Name, Vec<u8>, Class),
+    Send(MemberName, Vec<u8>, Priority),
     /// Make this durable, in the order of the numbers, and say [`Record::persisted`].
     Persist(u64, Batch),
     /// This copy is not to be used any more, for this reason: set the store aside and begin anew without it.
-    SetAside(String),
+    Quarantine(String),
 }
 
 struct Other {
@@ -149,7 +149,7 @@
 }
 
 /// One server's part in the record.
-pub struct Record {
+pub struct Replica {
     config: Config,
     random: ChaCha8Rng,
     copy: Copy,
@@ -157,8 +157,8 @@
     state: State,
     returning: Option<Returning>,
     memory: Memory,
-    others: BTreeMap<Name, Other>,
-    reached: BTreeSet<Name>,
+    others: BTreeMap<MemberName, Other>,
+    reached: BTreeSet<MemberName>,
     load: u8,
     transfer: Option<(Transfer, Message)>,
     had: Vec<(Digest, u32, Vec<u8>)>,
@@ -169,7 +169,7 @@
     durable: (u64, u64),
     asks: BTreeMap<String, (u64, String, Micros)>,
     reads: BTreeMap<u64, Waiting>,
-    finished: Vec<(u64, Read)>,
+    finished: Vec<(u64, ReadOutcome)>,
     next_read: u64,
     /// Drawn by this process, for the names of its questions.
     nonce: u64,
@@ -196,10 +196,10 @@
     installed: u64,
     outcomes: VecDeque<(EntryId, Outcome)>,
     actions: VecDeque<Action>,
-    told: VecDeque<Told>,
+    told: VecDeque<Event>,
 }
 
-impl fmt::Debug for Record {
+impl fmt::Debug for Replica {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Record")
             .field("me", &self.config.me)
@@ -215,14 +215,19 @@
     queue.push_back(item);
 }
 
-impl Record {
+impl Replica {
     /// A server that starts now, with what its store holds.
-    pub fn new(now: Micros, config: Config, image: Option<Image>, seed: u64) -> Result<Record, String> {
-        let mistakes = config.mistakes();
+    pub fn new(
+        now: Micros,
+        config: Config,
+        image: Option<StoredReplica>,
+        seed: u64,
+    ) -> Result<Replica, String> {
+        let mistakes = config.validate();
         if !mistakes.is_empty() {
             return Err(mistakes.join("; "));
         }
-        let mut record = Record {
+        let mut record = Replica {
             random: ChaCha8Rng::seed_from_u64(seed),
             copy: Copy::default(),
             node: None,
@@ -288,32 +293,32 @@
         Ok(record)
     }
 
-    pub(super) fn tell(&mut self, line: Told) {
+    pub(super) fn tell(&mut self, line: Event) {
         bounded(&mut self.told, line);
     }
 
     /// Members that this server reaches now, and how loaded it is.
-    pub fn reach(&mut self, reached: impl IntoIterator<Item = Name>, load: u8) {
+    pub fn set_reachable(&mut self, reached: impl IntoIterator<Item = MemberName>, load: u8) {
         self.reached = reached.into_iter().collect();
         self.load = load;
     }
 
     /// A member says something.
-    pub fn hear(&mut self, now: Micros, from: &Name, boot: u64, bytes: &[u8]) {
+    pub fn handle_message(&mut self, now: Micros, from: &MemberName, boot: u64, bytes: &[u8]) {
         if self.ended {
             return;
         }
-        match words::read(bytes) {
-            Some(Word::Hop(to, inner)) if self.reached.contains(&to) => {
-                let passed = words::write(&Word::Passed(from.clone(), boot, inner));
-                bounded(&mut self.actions, Action::Send(to, passed, Class::Entry));
+        match message::read(bytes) {
+            Some(PeerMessage::Hop(to, inner)) if self.reached.contains(&to) => {
+                let passed = message::write(&PeerMessage::Passed(from.clone(), boot, inner));
+                bounded(&mut self.actions, Action::Send(to, passed, Priority::Entry));
             }
             // Nor does this server reach it: lost, as on a network.
-            Some(Word::Hop(..)) => {}
-            Some(Word::Passed(origin, boot, inner)) => {
+            Some(PeerMessage::Hop(..)) => {}
+            Some(PeerMessage::Passed(origin, boot, inner)) => {
                 // One hop and no more.
-                match words::read(&inner) {
-                    Some(Word::Hop(..) | Word::Passed(..)) | None => {}
+                match message::read(&inner) {
+                    Some(PeerMessage::Hop(..) | PeerMessage::Passed(..)) | None => {}
                     Some(word) => self.take(now, &origin, boot, word),
                 }
             }
@@ -323,29 +328,29 @@
         self.settle(now);
     }
 
-    fn take(&mut self, now: Micros, from: &Name, boot: u64, word: Word) {
+    fn take(&mut self, now: Micros, from: &MemberName, boot: u64, word: PeerMessage) {
         if *from == self.config.me || !self.config.others.contains(from) {
             return;
         }
         match word {
-            Word::Status(status) => self.status(now, from, boot, *status),
-            Word::Raft(to, bytes) => {
+            PeerMessage::Status(status) => self.handle_status(now, from, boot, *status),
+            PeerMessage::Raft(to, bytes) => {
                 let message = Message::parse_from_bytes(&bytes).ok();
                 if let Some(message) = message.filter(|_| to == self.copy.id) {
                     self.step(now, message);
                 }
             }
-            Word::Join(copy, zone) => {
+            PeerMessage::Join(copy, zone) => {
                 self.asks.insert(from.to_string(), (copy, zone.to_string(), now));
             }
-            Word::Hand(name, votes) => drop(self.by_hand(now, &name, votes)),
-            Word::Ask(of, number) => {
+            PeerMessage::Hand(name, votes) => drop(self.set_voter(now, &name, votes)),
+            PeerMessage::Ask(of, number) => {
                 let found = self.node.as_ref().and_then(|node| node.store().snapshot_by(&of));
                 if let Some(bytes) = found.and_then(|all| piece(&all, number).map(<[u8]>::to_vec)) {
-                    self.send(from, Word::Piece(of, number, bytes), Class::Snapshot);
+                    self.send(from, PeerMessage::Piece(of, number, bytes), Priority::Snapshot);
                 }
             }
-            Word::Piece(of, number, bytes) => {
+            PeerMessage::Piece(of, number, bytes) => {
                 let Some((transfer, _)) = &mut self.transfer else { return };
                 if transfer.take(&of, number, bytes.clone()) {
                     // Durable, so that a process that ends in the middle does not begin from nothing.
@@ -355,12 +360,12 @@
                     self.fetch(now);
                 }
             }
-            Word::Hop(..) | Word::Passed(..) => {}
+            PeerMessage::Hop(..) | PeerMessage::Passed(..) => {}
         }
     }
 
     /// What is due by now.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         if self.ended {
             return;
         }
@@ -386,7 +391,7 @@
     }
 
     /// When something is due next.
-    pub fn next_at(&self) -> Micros {
+    pub fn next_timeout(&self) -> Micros {
         if self.ended {
             return Micros::MAX;
         }
@@ -394,16 +399,16 @@
     }
 
     /// Sends directly, or by one other member where that way is closed.
-    pub(super) fn send(&mut self, to: &Name, word: Word, class: Class) {
-        let bytes = words::write(&word);
+    pub(super) fn send(&mut self, to: &MemberName, word: PeerMessage, class: Priority) {
+        let bytes = message::write(&word);
         if self.reached.contains(to) {
             return bounded(&mut self.actions, Action::Send(to.clone(), bytes, class));
         }
-        let way = |name: &&Name| self.others.get(*name).is_some_and(|o| o.status.reaches.contains(to));
+        let way = |name: &&MemberName| self.others.get(*name).is_some_and(|o| o.status.reaches.contains(to));
         let by = self.reached.iter().find(way).cloned();
         match by {
             Some(by) => {
-                let hop = words::write(&Word::Hop(to.clone(), bytes));
+                let hop = message::write(&PeerMessage::Hop(to.clone(), bytes));
                 bounded(&mut self.actions, Action::Send(by, hop, class));
             }
             None => bounded(&mut self.actions, Action::Send(to.clone(), bytes, class)),
@@ -432,7 +437,7 @@
             if role == Role::Leader {
                 self.leads_since = now;
             }
-            self.tell(Told::Role(self.role, role));
+            self.tell(Event::RoleChanged(self.role, role));
             self.role = role;
         }
         if role == Role::Leader {
@@ -442,7 +447,7 @@
             self.alone_since = now;
         }
         if leader != self.leader.0 {
-            self.tell(Told::Leader(leader.clone()));
+            self.tell(Event::LeaderChanged(leader.clone()));
             self.leader.0 = leader;
         }
     }
@@ -461,7 +466,7 @@
     }
 
     /// Others belong to the fleet from now on.
-    pub fn set_others(&mut self, others: Vec<Name>) {
+    pub fn set_peers(&mut self, others: Vec<MemberName>) {
         self.others.retain(|name, _| others.contains(name));
         self.config.others = others;
     }
@@ -472,7 +477,7 @@
     }
 
     /// What is to be logged.
-    pub fn take_told(&mut self) -> Vec<Told> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         self.told.drain(..).collect()
     }
 }
--- a/crates/replicated-store/src/record/told.rs
+++ b/crates/replicated-store/src/replica/told.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Digest;
-use crate::witness::Seen;
+use crate::rollback::Seen;
 use crate::Micros;
 
 /// What a server is to the record.
@@ -37,36 +37,36 @@
 
 /// A change that an operator should be able to read of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Event {
     /// A new record has begun, by its number: whatever an earlier one held is not in it.
-    Founded(u64),
+    Bootstrapped(u64),
     /// This server is something else to the record.
-    Role(Role, Role),
+    RoleChanged(Role, Role),
     /// Who leads now, by its own word or others'.
-    Leader(Option<String>),
+    LeaderChanged(Option<String>),
     /// A member is taken in, promoted, replaced or demoted.
-    Change(String),
+    ConfigurationChange(String),
     /// Others remember this copy further than it is.
-    SetBack(Seen),
+    RollbackDetected(Seen),
     /// This copy is not the same as those of a majority.
-    WeDiffer(Vec<u64>),
+    LocalDivergence(Vec<u64>),
     /// These copies are not the same as ours and a majority's.
-    TheyDiffer(Vec<u64>),
+    PeerDivergence(Vec<u64>),
     /// Copies differ and nobody can tell which is right: nothing more is written.
     Frozen,
     /// This copy is of another record than the one that is led now.
-    Foreign(u64, u64),
+    Obsolete(u64, u64),
     /// Another record is led beside ours, which goes on: an operator decided for a copy that was only cut off.
-    Another(u64, u64),
+    CompetingStore(u64, u64),
     /// The library could not go on with this copy.
-    Broken(String),
+    LogFailed(String),
     /// A snapshot has come: its index, bytes, and how long that took.
     CaughtUp(u64, u64, Micros),
 }
 
 /// Why something can't be written or read now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
+pub enum RequestError {
     /// This server has no part in the record (yet).
     Outside,
     /// Nobody leads, as far as it knows.
@@ -81,33 +81,33 @@
     Rule(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Outside => f.write_str("this server has no part in the record"),
-            Refused::NoLeader => f.write_str("nobody leads the record, as far as this server knows"),
-            Refused::Frozen => {
+            RequestError::Outside => f.write_str("this server has no part in the record"),
+            RequestError::NoLeader => f.write_str("nobody leads the record, as far as this server knows"),
+            RequestError::Frozen => {
                 f.write_str("copies of the record differ, nothing is written until an operator decides")
             }
-            Refused::Busy => f.write_str("too much waits already"),
-            Refused::TimedOut => f.write_str("it took too long; a write may still be applied"),
-            Refused::Rule(why) => f.write_str(why),
+            RequestError::Busy => f.write_str("too much waits already"),
+            RequestError::TimedOut => f.write_str("it took too long; a write may still be applied"),
+            RequestError::Rule(why) => f.write_str(why),
         }
     }
 }
 
 /// What became of a read of the latest state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Read {
+pub enum ReadOutcome {
     /// Everything that was done before the read was asked for is in the state now.
     Ready,
     /// No majority has said so in time.
-    Refused(Refused),
+    Refused(RequestError),
 }
 
 /// How this server's part stands, for people.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ReplicaStatus {
     /// The record's number; 0 is none.
     pub record: u64,
     /// This copy's number.
@@ -129,7 +129,7 @@
     /// Digest after the last applied entry.
     pub chain: Digest,
     /// All copies that belong to it.
-    pub copies: Vec<CopyView>,
+    pub copies: Vec<ReplicaView>,
     /// Pieces of a snapshot that are there, of how many.
     pub catching_up: Option<(u32, u32)>,
     /// Entries kept for a newer program.
@@ -140,7 +140,7 @@
 
 /// One copy, for people.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopyView {
+pub struct ReplicaView {
     /// Its number.
     pub copy: u64,
     /// Its server, and the zone of that.
--- a/crates/replicated-store/src/record/view.rs
+++ b/crates/replicated-store/src/replica/view.rs
@@ -1,11 +1,11 @@
 //! What can be seen of it.
 
-use super::{CopyView, Record, Role, Standing, READS, WAITING};
+use super::{Replica, ReplicaStatus, ReplicaView, Role, READS, WAITING};
 use crate::export::Export;
 use crate::state::State;
 use crate::Micros;
 
-impl Record {
+impl Replica {
     /// The state, as it is here.
     pub fn state(&self) -> &State {
         &self.state
@@ -17,12 +17,12 @@
     }
 
     /// The number of its copy, and of its record.
-    pub fn numbers(&self) -> (u64, u64) {
+    pub fn ids(&self) -> (u64, u64) {
         (self.copy.id, self.copy.record)
     }
 
     /// How its part stands.
-    pub fn standing(&self, now: Micros) -> Standing {
+    pub fn status(&self, now: Micros) -> ReplicaStatus {
         let node = self.node.as_ref();
         let heard = |copy: &u64, name: &str| {
             let other = self.others.get(name).filter(|o| o.status.copy == *copy);
@@ -31,7 +31,7 @@
         let copies = self.state.members.iter().map(|(copy, member)| {
             let votes = node.is_some_and(|n| n.store().conf().voters.contains(copy));
             let said = heard(copy, &member.name);
-            CopyView {
+            ReplicaView {
                 copy: *copy,
                 name: member.name.clone(),
                 zone: member.zone.clone(),
@@ -40,7 +40,7 @@
                 heard_ms: said.map(|(_, ms)| ms),
             }
         });
-        Standing {
+        ReplicaStatus {
             record: self.copy.record,
             copy: self.copy.id,
             role: self.role,
@@ -72,7 +72,7 @@
     }
 
     /// What must hold between any two calls; tests call it after each.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         if let Some(node) = &self.node {
             let (applied, last) = (self.state.index, node.store().last());
             if applied > last {
@@ -90,7 +90,7 @@
 
     /// Turns a bit of the state over, as bad memory might: for tests that want a copy to differ.
     #[doc(hidden)]
-    pub fn spoil(&mut self, bit: u8) {
+    pub fn corrupt(&mut self, bit: u8) {
         self.state.chain[0] ^= 1 << bit;
     }
 }
--- a/crates/replicated-store/src/witness.rs
+++ b/crates/replicated-store/src/rollback.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 
 /// Copies that are remembered; beyond that the one with the lowest number goes, which is none in particular.
 const MOST: usize = 4_096;
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct Returning {
     at: Seen,
-    heard: BTreeMap<Name, Option<Seen>>,
+    heard: BTreeMap<MemberName, Option<Seen>>,
 }
 
 /// What came of the question.
@@ -91,13 +91,13 @@
     }
 
     /// A member says what it remembers.
-    pub fn hear(&mut self, from: &Name, of_us: Option<Seen>) {
+    pub fn hear(&mut self, from: &MemberName, of_us: Option<Seen>) {
         self.heard.insert(from.clone(), of_us);
     }
 
     /// Whether it may take part, among voters of these names but its own: as many as make a majority with it must have
     /// said something, so that every majority that it was part of has one who would know.
-    pub fn verdict(&self, others: &[Name]) -> Verdict {
+    pub fn verdict(&self, others: &[MemberName]) -> Verdict {
         let mine = Seen { starts: self.at.starts, ..self.at };
         let further = self.heard.values().flatten().find(|seen| !seen.leads_to(&mine));
         if let Some(seen) = further {
@@ -123,7 +123,7 @@
 
     #[test]
     fn what_others_remember_tells_one_that_was_set_back() {
-        let others: Vec<Name> = ["b", "c", "d", "e"].map(Name::from).to_vec();
+        let others: Vec<MemberName> = ["b", "c", "d", "e"].map(MemberName::from).to_vec();
         // Its own state; what two of four others say; what comes of it.
         let cases = [
             (seen(3, 5, 90), [Some(seen(2, 5, 90)), Some(seen(2, 4, 80))], Verdict::Sound),
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -32,7 +32,7 @@
 
 /// A document as it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StoredDocument {
     /// How often it has been written since it was first there; goes on over taking out.
     pub version: u64,
     /// The content; `None` if it was taken out.
@@ -58,7 +58,7 @@
 
 /// A line of the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct HistoryLine {
     /// Its place in the log.
     pub index: u64,
     /// Who wrote it, and when by that server's clock (Unix milliseconds).
@@ -82,10 +82,10 @@
     pub chain: Digest,
     /// Copies, by their numbers.
     pub members: BTreeMap<u64, Member>,
-    documents: BTreeMap<String, Held>,
+    documents: BTreeMap<String, StoredDocument>,
     parts: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
     seen: VecDeque<(EntryId, Outcome)>,
-    history: VecDeque<Line>,
+    history: VecDeque<HistoryLine>,
     /// Entries kept for a newer program.
     pub unknown: u64,
     #[serde(skip)]
@@ -94,7 +94,7 @@
 
 impl State {
     /// The first state of a new record, as its founder makes it.
-    pub fn found(record: u64, founder: u64, member: Member) -> State {
+    pub fn bootstrap(record: u64, founder: u64, member: Member) -> State {
         let chain = digest(&[b"record", &record.to_le_bytes()]);
         let members = BTreeMap::from([(founder, member)]);
         State { record, index: 1, chain, members, ..State::default() }
@@ -109,7 +109,7 @@
         state.members = BTreeMap::from([(founder, member)]);
         state.digests.clear();
         let index = state.index + 1;
-        state.history.push_back(Line { index, by, what, outcome: Outcome::Done(0) });
+        state.history.push_back(HistoryLine { index, by, what, outcome: Outcome::Done(0) });
         state.roll(index, &[b"adopted", &record.to_le_bytes()]);
         state
     }
@@ -177,7 +177,7 @@
                 self.history.pop_front();
             }
             let by = (envelope.by.clone(), envelope.at_ms);
-            self.history.push_back(Line { index, by, what, outcome: outcome.clone() });
+            self.history.push_back(HistoryLine { index, by, what, outcome: outcome.clone() });
         }
         outcome
     }
@@ -233,17 +233,17 @@
             return Outcome::Refused(format!("{DOCUMENTS} documents are there, more are not kept"));
         }
         let version = now.map_or(0, |held| held.version) + 1;
-        self.documents.insert(name, Held { version, bytes, index, by: by.to_owned() });
+        self.documents.insert(name, StoredDocument { version, bytes, index, by: by.to_owned() });
         Outcome::Done(version)
     }
 
     /// A document that is there.
-    pub fn get(&self, name: &str) -> Option<&Held> {
+    pub fn get(&self, name: &str) -> Option<&StoredDocument> {
         self.documents.get(name).filter(|held| held.bytes.is_some())
     }
 
     /// All documents that are there.
-    pub fn documents(&self) -> impl Iterator<Item = (&String, &Held)> {
+    pub fn documents(&self) -> impl Iterator<Item = (&String, &StoredDocument)> {
         self.documents.iter().filter(|(_, held)| held.bytes.is_some())
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// The last lines, oldest first.
-    pub fn history(&self) -> impl DoubleEndedIterator<Item = &Line> {
+    pub fn history(&self) -> impl DoubleEndedIterator<Item = &HistoryLine> {
         self.history.iter()
     }
 
@@ -284,7 +284,7 @@
 
     #[test]
     fn documents_have_versions_and_are_compared_and_set() {
-        let mut state = State::found(1, 1, Member { name: "a".into(), zone: "z".into() });
+        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
         assert_eq!(write(&mut state, 1, "x", b"one".to_vec(), Some(0)), Outcome::Done(1));
         assert_eq!(write(&mut state, 2, "x", b"two".to_vec(), Some(0)), Outcome::Conflict(1));
         assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Done(2));
@@ -298,7 +298,7 @@
 
     #[test]
     fn a_large_document_goes_in_pieces_and_a_missing_one_is_seen() {
-        let mut state = State::found(1, 1, Member { name: "a".into(), zone: "z".into() });
+        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
         let large: Vec<u8> = (0..200_000u32).map(|n| (n % 251) as u8).collect();
         assert_eq!(write(&mut state, 1, "big", large.clone(), None), Outcome::Done(1));
         assert_eq!(state.get("big").and_then(|h| h.bytes.clone()), Some(large.clone()));
@@ -314,7 +314,7 @@
 
     #[test]
     fn what_a_newer_program_wrote_is_kept_and_rolls_the_digest() {
-        let mut state = State::found(1, 1, Member { name: "a".into(), zone: "z".into() });
+        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
         let before = state.chain;
         let newer = Envelope { id: 5, by: "b".into(), at_ms: 1, kind: 900, form: 7, content: vec![1, 2] };
         assert_eq!(state.apply(2, &newer.bytes()), Some((5, Outcome::Kept)));
--- a/crates/replicated-store/src/transfer.rs
+++ b/crates/replicated-store/src/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 
 use crate::entry::{digest, Digest};
 use crate::log::{Manifest, PIECE};
@@ -22,7 +22,7 @@
 pub struct Transfer {
     manifest: Manifest,
     pieces: BTreeMap<u32, Vec<u8>>,
-    asked: BTreeMap<u32, (Micros, Name)>,
+    asked: BTreeMap<u32, (Micros, MemberName)>,
     /// Bytes a second, and when the next piece may be asked for.
     rate: u64,
     next: Micros,
@@ -30,7 +30,7 @@
     /// When a piece last came.
     came: Micros,
     /// Sources that sent what does not fit.
-    bad: BTreeSet<Name>,
+    bad: BTreeSet<MemberName>,
 }
 
 impl Transfer {
@@ -81,10 +81,10 @@
     }
 
     /// What to ask for now, and of whom; `sources` have it, the best one first.
-    pub fn ask(&mut self, now: Micros, sources: &[Name]) -> Vec<(Name, u32)> {
+    pub fn ask(&mut self, now: Micros, sources: &[MemberName]) -> Vec<(MemberName, u32)> {
         let mut out = Vec::new();
         self.asked.retain(|_, (at, _)| now < *at + AGAIN);
-        let good: Vec<&Name> = sources.iter().filter(|name| !self.bad.contains(*name)).collect();
+        let good: Vec<&MemberName> = sources.iter().filter(|name| !self.bad.contains(*name)).collect();
         let Some(first) = good.first().copied().or(sources.first()) else { return out };
         for number in 0..self.manifest.pieces() {
             if self.asked.len() >= WINDOW || now < self.next {
@@ -150,7 +150,7 @@
     fn pieces_come_at_a_bounded_rate_and_what_was_there_is_not_asked_for_again() {
         let bytes: Vec<u8> = (0..PIECE * 20 + 77).map(|n| (n % 253) as u8).collect();
         let manifest = Manifest::of(&bytes);
-        let sources = [Name::from("a"), Name::from("b")];
+        let sources = [MemberName::from("a"), MemberName::from("b")];
         let had = vec![(manifest.digest, 3, piece(&bytes, 3).expect("there").to_vec())];
         let rate = 10 * PIECE as u64;
         let mut transfer = Transfer::new(0, manifest, rate, had).expect("a length");
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -3,13 +3,13 @@
 
 use std::path::Path;
 
-use umberloom_membership::Name;
+use umberloom_membership::MemberName;
 use umberloom_replicated_store::entry::{Content, Document, Entry, Envelope, Part};
 use umberloom_replicated_store::export::Export;
-use umberloom_replicated_store::log::{Image, Manifest, SPACES};
-use umberloom_replicated_store::state::{Line, Outcome};
-use umberloom_replicated_store::witness::Seen;
-use umberloom_replicated_store::words::{self, Status, Word};
+use umberloom_replicated_store::log::{Manifest, StoredReplica, SPACES};
+use umberloom_replicated_store::message::{self, PeerMessage, Status};
+use umberloom_replicated_store::rollback::Seen;
+use umberloom_replicated_store::state::{HistoryLine, Outcome};
 use umberloom_replicated_store::State;
 use umberloom_store::disk::RealDisk;
 use umberloom_store::{Config as StoreConfig, Store};
@@ -27,7 +27,7 @@
     (0..hex.len()).step_by(2).map(digit).collect()
 }
 
-fn messages() -> Vec<(&'static str, Word)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     let seen = Seen { starts: 3, term: 500, last: 70_000 };
     let status = Status {
         record: u64::MAX - 2,
@@ -37,23 +37,23 @@
         votes: true,
         applied: 69_999,
         chain: [7; 16],
-        leader: Some(Name::from("server-b")),
-        reaches: vec![Name::from("server-b"), Name::from("server-c")],
+        leader: Some(MemberName::from("server-b")),
+        reaches: vec![MemberName::from("server-b"), MemberName::from("server-c")],
         of_you: Some(Seen { starts: 1, term: 2, last: 3 }),
         fetches: true,
         snapshot: (60_000, Manifest { digest: [9; 16], length: 123_456 }),
         load: 42,
     };
     vec![
-        ("status", Word::Status(Box::new(status))),
-        ("status-empty", Word::Status(Box::default())),
-        ("raft", Word::Raft(300, vec![1, 2, 3])),
-        ("hop", Word::Hop(Name::from("server-c"), vec![4, 5])),
-        ("passed", Word::Passed(Name::from("server-a"), 1_700_000_000_000_001, vec![6])),
-        ("join", Word::Join(77, Name::from("east"))),
-        ("hand", Word::Hand(Name::from("server-b"), true)),
-        ("ask", Word::Ask([1; 16], 400)),
-        ("piece", Word::Piece([1; 16], 400, vec![255, 0])),
+        ("status", PeerMessage::Status(Box::new(status))),
+        ("status-empty", PeerMessage::Status(Box::default())),
+        ("raft", PeerMessage::Raft(300, vec![1, 2, 3])),
+        ("hop", PeerMessage::Hop(MemberName::from("server-c"), vec![4, 5])),
+        ("passed", PeerMessage::Passed(MemberName::from("server-a"), 1_700_000_000_000_001, vec![6])),
+        ("join", PeerMessage::Join(77, MemberName::from("east"))),
+        ("hand", PeerMessage::Hand(MemberName::from("server-b"), true)),
+        ("ask", PeerMessage::Ask([1; 16], 400)),
+        ("piece", PeerMessage::Piece([1; 16], 400, vec![255, 0])),
     ]
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn messages_are_written_byte_for_byte_as_before() {
     let lines: Vec<String> =
-        messages().iter().map(|(name, word)| format!("{name} {}", hex(&words::write(word)))).collect();
+        messages().iter().map(|(name, word)| format!("{name} {}", hex(&message::write(word)))).collect();
     assert_eq!(lines.join("\n"), MESSAGES.trim_end());
 }
 
@@ -81,7 +81,7 @@
     assert_eq!(golden.len(), messages().len());
     for (line, (name, word)) in golden.into_iter().zip(messages()) {
         let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
-        assert_eq!((golden_name, words::read(&bytes(written))), (name, Some(word)));
+        assert_eq!((golden_name, message::read(&bytes(written))), (name, Some(word)));
     }
 }
 
@@ -131,14 +131,14 @@
     let expected: [(&str, u64, &[u8]); 3] =
         [("large", 1, &large), ("limits", 2, b"fifty"), ("routes", 1, routes)];
     assert_eq!(held, expected);
-    let lines: Vec<&Line> = state.history().collect();
+    let lines: Vec<&HistoryLine> = state.history().collect();
     let found: Vec<(String, Outcome)> = lines.iter().map(|l| (l.what.clone(), l.outcome.clone())).collect();
     assert_eq!(found, expected_history());
     assert!(lines.iter().all(|line| line.by.1 > 1_700_000_000_000), "{lines:?}");
 }
 
 /// The rows of a store that a server of the earlier version left behind.
-fn image_of(server: &str) -> Image {
+fn image_of(server: &str) -> StoredReplica {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(server);
     let folder = std::env::temp_dir().join(format!("umberloom-stored-{}-{server}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -149,7 +149,7 @@
         all.to_vec()
     };
     std::fs::remove_dir_all(&folder).expect("removed");
-    Image::read(rows).expect("sound").expect("a copy")
+    StoredReplica::read(rows).expect("sound").expect("a copy")
 }
 
 #[test]
--- a/crates/replicated-store/tests/virtual_records.rs
+++ b/crates/replicated-store/tests/virtual_records.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use umberloom_fault_harness::linear::breaches;
 use umberloom_fault_harness::virtual_record::VirtualRecord;
-use umberloom_replicated_store::{Config, Role, Told};
+use umberloom_replicated_store::{Config, Event, Role};
 
 const SECOND: u64 = 1_000_000;
 
@@ -58,7 +58,7 @@
             quick
         };
         let fleet = settled(count, voters, 7, adjust);
-        let founded = fleet.told.iter().filter(|(.., line)| matches!(line, Told::Founded(_))).count();
+        let founded = fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped(_))).count();
         assert_eq!(founded, 1, "{count} servers");
     }
 }
@@ -119,13 +119,13 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
         let liar = fleet.leader().expect("a leader");
-        let copy = fleet.record(liar).map(|r| r.numbers().0);
+        let copy = fleet.record(liar).map(|r| r.ids().0);
         fleet.lie(liar);
         busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
         fleet.kill(liar, true);
         fleet.start(liar);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        found += usize::from(fleet.record(liar).map(|r| r.numbers().0) != copy);
+        found += usize::from(fleet.record(liar).map(|r| r.ids().0) != copy);
         busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "seed {seed}");
     }
@@ -194,8 +194,10 @@
         busy(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
         let after = fleet.record(hub).map_or(0, |r| r.state().index);
         assert!(after > before + 30, "{name}: {before} to {after}");
-        let led =
-            fleet.told[from..].iter().filter(|(.., t)| matches!(t, Told::Role(_, Role::Leader))).count();
+        let led = fleet.told[from..]
+            .iter()
+            .filter(|(.., t)| matches!(t, Event::RoleChanged(_, Role::Leader)))
+            .count();
         assert!(led <= 2, "{name}: {led} leaders in 5 s");
         fleet.cut.clear();
         fleet.until(10 * SECOND, |f| f.settled(5)).unwrap_or_else(|why| panic!("{name}: {why}"));
@@ -211,7 +213,7 @@
         let voter =
             (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
         let image = fleet.image(voter);
-        let number = fleet.record(voter).map(|r| r.numbers().0);
+        let number = fleet.record(voter).map(|r| r.ids().0);
         busy(&mut fleet, &mut random, 5, 2 * SECOND).expect("sound");
         match set_back {
             true => fleet.put_back(voter, image),
@@ -219,7 +221,7 @@
         }
         fleet.start(voter);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        let now = fleet.record(voter).map(|r| r.numbers().0);
+        let now = fleet.record(voter).map(|r| r.ids().0);
         assert_ne!(number, now, "set back: {set_back}");
         assert_eq!(fleet.aside.len(), usize::from(set_back), "{:?}", fleet.aside);
         let state = fleet.record(voter).expect("runs").state();
@@ -235,7 +237,7 @@
     let voter = (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
     fleet.kill(voter, false);
     let replaced = |f: &VirtualRecord| {
-        let stands = f.leader().and_then(|n| f.record(n)).map(|r| r.standing(f.now));
+        let stands = f.leader().and_then(|n| f.record(n)).map(|r| r.status(f.now));
         stands.is_some_and(|s| {
             s.copies.iter().filter(|c| c.votes).count() == 3
                 && !s.copies.iter().any(|c| c.votes && c.name == format!("m{voter}"))
@@ -250,21 +252,21 @@
 #[test]
 fn a_whole_fleet_without_disks_begins_a_new_record_and_says_so() {
     let mut fleet = settled(3, 3, 8, quick);
-    let first = fleet.record(0).map(|r| r.numbers().1);
+    let first = fleet.record(0).map(|r| r.ids().1);
     (0..3).for_each(|n| fleet.lose_disk(n));
     (0..3).for_each(|n| fleet.start(n));
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_ne!(fleet.record(0).map(|r| r.numbers().1), first);
-    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Told::Founded(_))).count(), 2);
+    assert_ne!(fleet.record(0).map(|r| r.ids().1), first);
+    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped(_))).count(), 2);
     // With disks it is the old one, whatever the order.
-    let second = fleet.record(0).map(|r| r.numbers().1);
+    let second = fleet.record(0).map(|r| r.ids().1);
     (0..3).for_each(|n| fleet.kill(n, true));
     for n in [2, 0, 1] {
         fleet.start(n);
         fleet.run(fleet.now + SECOND).expect("sound");
     }
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(0).map(|r| r.numbers().1), second);
+    assert_eq!(fleet.record(0).map(|r| r.ids().1), second);
 }
 
 #[test]
@@ -289,7 +291,7 @@
     // Each of three differs from both others.
     fleet.spoil(0, 1);
     fleet.spoil(1, 2);
-    let frozen = |f: &VirtualRecord| (0..3).all(|n| f.record(n).is_some_and(|r| r.standing(f.now).frozen));
+    let frozen = |f: &VirtualRecord| (0..3).all(|n| f.record(n).is_some_and(|r| r.status(f.now).frozen));
     fleet.until(10 * SECOND, frozen).expect("frozen");
     assert!(fleet.aside.is_empty(), "nobody can tell which is wrong: {:?}", fleet.aside);
     let leader = fleet.leader().expect("a leader");
@@ -311,11 +313,11 @@
     let mut fleet = settled(5, 3, 21, quick);
     fleet.write(0, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
-    let first = fleet.record(0).map(|r| r.numbers().1);
+    let first = fleet.record(0).map(|r| r.ids().1);
     let cut = 4;
     fleet.cut.extend((0..4).flat_map(|n| [(n, cut), (cut, n)]));
     fleet
-        .until(20 * SECOND, |f| f.record(cut).is_some_and(|r| r.standing(f.now).leader.is_none()))
+        .until(20 * SECOND, |f| f.record(cut).is_some_and(|r| r.status(f.now).leader.is_none()))
         .expect("cut off");
     fleet.run(fleet.now + 2 * SECOND).expect("sound");
     fleet.adopt(cut).expect("it can't know better");
@@ -323,17 +325,14 @@
     fleet.run(fleet.now + SECOND).expect("sound");
     fleet.cut.clear();
     fleet.run(fleet.now + 5 * SECOND).expect("sound");
-    assert!(
-        (0..4).all(|n| fleet.record(n).map(|r| r.numbers().1) == first),
-        "the majority has left its record"
-    );
+    assert!((0..4).all(|n| fleet.record(n).map(|r| r.ids().1) == first), "the majority has left its record");
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
-    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Told::Another(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore(..))));
     // Without its copy it joins the one that most hold.
     fleet.lose_disk(cut);
     fleet.start(cut);
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(cut).map(|r| r.numbers().1), first);
+    assert_eq!(fleet.record(cut).map(|r| r.ids().1), first);
     assert_eq!(fleet.record(cut).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
 }
 
@@ -358,7 +357,7 @@
         fleet.run(fleet.now + 100_000).expect("sound");
     }
     fleet.start(behind);
-    let coming = |f: &VirtualRecord| f.record(behind).and_then(|r| r.standing(f.now).catching_up);
+    let coming = |f: &VirtualRecord| f.record(behind).and_then(|r| r.status(f.now).catching_up);
     let mut highest = 0;
     for _ in 0..3 {
         fleet
@@ -371,7 +370,7 @@
         fleet.start(behind);
     }
     fleet.until(30 * SECOND, |f| f.settled(3)).expect("settled");
-    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Told::CaughtUp(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp(..))));
 }
 
 /// Faults drawn from a seed while clients write and read; then none.
--- a/crates/server/src/exchange/fleet.rs
+++ b/crates/server/src/exchange/fleet.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use umberloom_membership::wire::About;
-use umberloom_membership::{Config, Name};
+use umberloom_membership::wire::BuildInfo;
+use umberloom_membership::{Config, MemberName};
 use umberloom_operator_config::Record;
-use umberloom_quota::AllowanceView;
+use umberloom_quota::QuotaStatus;
 
 /// The matter of shared allowances.
 pub const ALLOWANCE: u8 = 1;
@@ -17,13 +17,13 @@
 #[derive(Debug)]
 pub enum Order {
     /// Say this about a matter to a member.
-    Matter(Name, u8, Vec<u8>),
+    Matter(MemberName, u8, Vec<u8>),
     /// How loaded this server is, in percent.
     Load(u8),
     /// How shared allowances stand, for those who ask.
-    Shares(Vec<(Rc<str>, AllowanceView)>),
+    Shares(Vec<(Rc<str>, QuotaStatus)>),
     /// Other peers, with their addresses, what this server is made of now, and what is told of the record.
-    Set(Box<(Config, Vec<SocketAddr>, About, Option<Record>)>),
+    Set(Box<(Config, Vec<SocketAddr>, BuildInfo, Option<Record>)>),
     /// This server has been told to end.
     Leave,
     /// The last word.
@@ -38,7 +38,7 @@
     /// A member says something about a matter.
     Matter {
         /// The member, and the start of its process.
-        from: (Name, u64),
+        from: (MemberName, u64),
         /// Which matter.
         kind: u8,
         /// What it says.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Present {
     /// Members that are reached, with the starts of their processes.
-    pub reached: Vec<(Name, u64)>,
+    pub reached: Vec<(MemberName, u64)>,
     /// One that is reached goes by other parts of what is shared.
     pub differ: bool,
     /// Everyone in the roster is reached and goes by the same.
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -7,7 +7,7 @@
 use async_executor::LocalExecutor;
 use slog::Logger;
 use umberloom::interface::Settings;
-use umberloom_membership::wire::{digest, About};
+use umberloom_membership::wire::{digest, BuildInfo};
 use umberloom_operator_config::{Fleet as Told, Operator, Record};
 
 use super::config::Config;
@@ -52,11 +52,11 @@
 }
 
 /// What the server says that it is made of. Files of two servers differ in names and addresses, which are left out.
-pub fn about(config: &Config, operator: &Operator) -> About {
+pub fn about(config: &Config, operator: &Operator) -> BuildInfo {
     let settings = Settings { seed: 0, starts_cold: false, ..config.settings.clone() };
     let wanted = (&operator.dependencies, &operator.services);
     let shares = operator.fleet.as_ref().map_or_else(String::new, Told::basis);
-    About {
+    BuildInfo {
         zone: String::new(),
         program: env!("CARGO_PKG_VERSION").to_owned(),
         config: digest(&format!("{settings:?}")),
@@ -71,7 +71,7 @@
     executor: &Rc<LocalExecutor<'a>>,
     sockets: Sockets,
     told: Told,
-    about: About,
+    about: BuildInfo,
     seed: u64,
     module: &Sender<Message>,
     budget: &Budget,
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -23,7 +23,7 @@
 use futures_lite::future;
 use slog::{error, info, warn, Logger};
 use umberloom::interface::Micros;
-use umberloom_connection_admission::places::Places;
+use umberloom_connection_admission::connection_table::ConnectionTable;
 use umberloom_operator_config::{Known, Operator};
 
 use crate::exchange::caller::Hint;
@@ -240,7 +240,7 @@
             clock: clock.clone(),
             log: log.clone(),
         };
-        let from = (listener, Places::new(parts.connections, &[1]));
+        let from = (listener, ConnectionTable::new(parts.connections, &[1]));
         let idle = config.settings.idle_timeout_max;
         let connections =
             executor.spawn(Front::new(executor.clone(), from, shared, front_orders, idle).run());
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -16,10 +16,10 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
-use umberloom_membership::wire::{About, Key, LONGEST_DATAGRAM};
-use umberloom_membership::{Action, Config, Membership, Micros, Name, Told, Via};
+use umberloom_membership::wire::{BuildInfo, Key, LONGEST_DATAGRAM};
+use umberloom_membership::{Action, Config, Event, MemberName, Membership, Micros, ReturnPath};
 use umberloom_operator_config::Record;
-use umberloom_quota::AllowanceView;
+use umberloom_quota::QuotaStatus;
 
 use crate::exchange::fleet::{News, Order, Present, RECORD};
 use crate::exchange::Message;
@@ -92,14 +92,14 @@
     executor: Rc<LocalExecutor<'a>>,
     membership: Membership,
     key: Key,
-    name: Name,
+    name: MemberName,
     peers: usize,
     sockets: Rc<Sockets>,
     orders: Receiver<Order>,
     module: Sender<Message>,
-    addresses: BTreeMap<Name, SocketAddr>,
+    addresses: BTreeMap<MemberName, SocketAddr>,
     /// Streams to peers.
-    outs: BTreeMap<Name, Out>,
+    outs: BTreeMap<MemberName, Out>,
     /// Streams that others opened.
     ins: BTreeMap<u64, (Sender<Vec<u8>>, Task<()>)>,
     came: (Sender<From>, Receiver<From>),
@@ -108,8 +108,8 @@
     ways: VecDeque<(u64, SocketAddr)>,
     start: Instant,
     told: (Present, Micros),
-    shares: Vec<(Rc<str>, AllowanceView)>,
-    mine: About,
+    shares: Vec<(Rc<str>, QuotaStatus)>,
+    mine: BuildInfo,
     record: Option<Keeper>,
     load: u8,
     log: Logger,
@@ -122,7 +122,7 @@
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         sockets: Sockets,
-        (config, addresses, about, kept): (Config, Vec<SocketAddr>, About, Option<Record>),
+        (config, addresses, about, kept): (Config, Vec<SocketAddr>, BuildInfo, Option<Record>),
         (boot, seed): (u64, u64),
         orders: Receiver<Order>,
         module: Sender<Message>,
@@ -136,7 +136,7 @@
         let membership = Membership::new(0, config, boot, seed);
         let mut membership = membership
             .map_err(|all| all.into_iter().map(|mistake| mistake.what).collect::<Vec<_>>().join("; "))?;
-        membership.set_about(0, about.clone());
+        membership.set_build_info(0, about.clone());
         Ok(Fleet {
             executor,
             membership,
@@ -175,7 +175,7 @@
             match next {
                 Next::Order(None) => return,
                 Next::Order(Some(Order::Part)) => {
-                    self.membership.part(now);
+                    self.membership.announce_departure(now);
                     self.carry_out(now);
                     return;
                 }
@@ -190,7 +190,7 @@
                 }
                 Next::Time => {}
             }
-            self.membership.pass(now);
+            self.membership.handle_timeout(now);
             self.keep(now);
             self.carry_out(now);
             self.tell(now);
@@ -224,7 +224,7 @@
             }
         };
         let kept = self.record.as_ref().map_or(Micros::MAX, Keeper::next_at);
-        let due = self.membership.next_at().min(kept).saturating_sub(self.now());
+        let due = self.membership.next_timeout().min(kept).saturating_sub(self.now());
         let time = async {
             Timer::after(Duration::from_micros(due)).await;
             Next::Time
@@ -254,7 +254,7 @@
 
     fn obey(&mut self, now: Micros, order: Order) {
         match order {
-            Order::Matter(to, kind, bytes) => self.membership.matter(now, &to, kind, bytes),
+            Order::Matter(to, kind, bytes) => self.membership.send(now, &to, kind, bytes),
             Order::Load(percent) => {
                 self.load = percent;
                 self.membership.set_load(percent);
@@ -269,8 +269,8 @@
                 self.addresses = config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect();
                 // Streams to those who are gone, or elsewhere, end with what they carry.
                 self.outs.clear();
-                self.membership.set(now, config);
-                self.membership.set_about(now, about.clone());
+                self.membership.reconfigure(now, config);
+                self.membership.set_build_info(now, about.clone());
                 self.mine = about;
             }
             Order::Leave => {
@@ -286,7 +286,7 @@
         for _ in 0..AT_ONCE {
             let Ok((size, from)) = self.sockets.datagrams.get_ref().recv_from(&mut bytes) else { return };
             let way = self.way(from);
-            self.membership.hear(now, &bytes[..size], Via::Datagram(way));
+            self.membership.handle_message(now, &bytes[..size], ReturnPath::Datagram(way));
         }
     }
 
@@ -319,7 +319,9 @@
     fn frame(&mut self, now: Micros, id: u64, came: Came) {
         match came {
             Came::End => drop(self.ins.remove(&id)),
-            Came::Frame(Kind::Message, content) => self.membership.hear(now, &content, Via::Stream(id)),
+            Came::Frame(Kind::Message, content) => {
+                self.membership.handle_message(now, &content, ReturnPath::Stream(id))
+            }
             Came::Frame(Kind::Question, content) => {
                 match self.key.open::<Question>(&content, content.len()) {
                     Ok(question) => self.answer(now, id, question),
@@ -364,10 +366,10 @@
         let member = &self.membership;
         FleetView {
             name: self.name.to_string(),
-            boot: member.boot(),
-            standing: member.standing(),
-            sick: member.sick(),
-            silenced: member.is_silenced(),
+            boot: member.boot_id(),
+            standing: member.partition_status(),
+            sick: member.health_score(),
+            silenced: member.is_fenced(),
             members: member.members(now),
             allowances: self.shares.iter().map(|(name, view)| (name.to_string(), view.clone())).collect(),
             disagreements: member.disagreements().map(|d| (d.with.to_string(), d.differences())).collect(),
@@ -386,34 +388,34 @@
                 }
                 Action::Stream(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), false),
                 Action::Bulk(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), true),
-                Action::Reply(Via::Datagram(way), bytes) => {
+                Action::Reply(ReturnPath::Datagram(way), bytes) => {
                     if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Reply(Via::Stream(id), bytes) => {
+                Action::Reply(ReturnPath::Stream(id), bytes) => {
                     if let Some((answers, _)) = self.ins.get(&id) {
                         let _ = answers.try_send(frame(Kind::Message, &bytes));
                     }
                 }
             }
         }
-        for matter in self.membership.take_matters() {
-            if let (RECORD, Some(keeper)) = (matter.kind, &mut self.record) {
-                keeper.hear(now, &matter.from, matter.boot, &matter.bytes);
+        for matter in self.membership.take_messages() {
+            if let (RECORD, Some(keeper)) = (matter.channel, &mut self.record) {
+                keeper.hear(now, &matter.from, matter.boot, &matter.payload);
                 continue;
             }
             let from = (matter.from, matter.boot);
-            let news = News::Matter { from, kind: matter.kind, bytes: matter.bytes };
+            let news = News::Matter { from, kind: matter.channel, bytes: matter.payload };
             // A module that has no time for it now is one whose loans have to wait.
             let _ = self.module.try_send(Message::Fleet(news));
         }
-        for told in self.membership.take_told() {
+        for told in self.membership.take_events() {
             self.log(now, told);
         }
     }
 
-    fn stream(&mut self, to: &Name, frame: Vec<u8>, may_wait: bool) {
+    fn stream(&mut self, to: &MemberName, frame: Vec<u8>, may_wait: bool) {
         let Some(address) = self.addresses.get(to).copied() else { return };
         let executor = &self.executor;
         let (out, bulk, _) = self.outs.entry(to.clone()).or_insert_with(|| {
@@ -427,14 +429,14 @@
         if now < self.told.1 + TELL_EVERY {
             return;
         }
-        let reached = self.membership.reached(now);
+        let reached = self.membership.reachable(now);
         let members = self.membership.members(now);
         let named = || members.iter().filter(|m| m.named);
         let same = |shares: u64| shares == self.mine.shares;
         let present = Present {
             differ: named().any(|m| m.reached && !same(m.about.shares)),
             all: named().all(|m| m.reached && same(m.about.shares)),
-            silenced: self.membership.is_silenced(),
+            silenced: self.membership.is_fenced(),
             reached,
         };
         self.told.1 = now;
@@ -445,26 +447,28 @@
         }
     }
 
-    fn log(&self, now: Micros, told: Told) {
+    fn log(&self, now: Micros, told: Event) {
         match told {
-            Told::Standing { from, to, cause } => {
+            Event::PartitionStatusChanged { from, to, cause } => {
                 info!(self.log, "standing"; "from" => %from, "to" => %to, "cause" => cause, "ms" => now / 1_000);
             }
-            Told::Member { name, from, to, cause } => {
+            Event::MemberStateChanged { name, from, to, cause } => {
                 info!(self.log, "member"; "name" => &*name, "from" => %from, "to" => %to, "cause" => cause);
             }
-            Told::Doubled(name, older, newer) => {
+            Event::Doubled(name, older, newer) => {
                 warn!(self.log, "two processes of one name"; "name" => &*name, "older" => older, "newer" => newer);
             }
-            Told::Superseded(by) => {
+            Event::Fenced(by) => {
                 warn!(self.log, "another process has this server's name"; "started" => by);
             }
-            Told::Renewed(boot) => {
+            Event::Unfenced(boot) => {
                 warn!(self.log, "this server goes on under a new start"; "started" => boot)
             }
-            Told::Disagreement(with) => warn!(self.log, "views differ"; "with" => &*with, "for_long" => true),
-            Told::Agreement(with) => info!(self.log, "views agree again"; "with" => &*with),
-            Told::Refused(why, count, from) => {
+            Event::ViewsDiverged(with) => {
+                warn!(self.log, "views differ"; "with" => &*with, "for_long" => true)
+            }
+            Event::ViewsConverged(with) => info!(self.log, "views agree again"; "with" => &*with),
+            Event::MessagesRejected(why, count, from) => {
                 let from = from.map_or_else(String::new, |name| name.to_string());
                 warn!(self.log, "message not believed"; "why" => ?why, "count" => count, "said_to_be_from" => from);
             }
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/record.rs
@@ -7,13 +7,15 @@
 
 use async_channel::{bounded, Receiver, Sender};
 use slog::{error, info, warn, Logger};
-use umberloom_membership::{Membership, Name};
+use umberloom_membership::{MemberName, Membership};
 use umberloom_operator_config::Record as Settings;
 use umberloom_replicated_store::log::SPACES;
-use umberloom_replicated_store::{Action, Class, Entry, EntryId, Image, Micros, Read, Record, Refused, Told};
+use umberloom_replicated_store::{
+    Action, Entry, EntryId, Event, Micros, Priority, ReadOutcome, Replica, RequestError, StoredReplica,
+};
 use umberloom_store::disk::RealDisk;
-use umberloom_store::writer::{Done, Found, Writer};
-use umberloom_store::{Batch, Config as StoreConfig, Trouble};
+use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
+use umberloom_store::{Batch, Config as StoreConfig, StoreError};
 
 use crate::exchange::fleet::RECORD;
 use crate::wire::record::{Asked, Told as Answer, PART};
@@ -43,7 +45,7 @@
 
 enum What {
     /// A write; whether the library has taken it, and when it was last tried.
-    Write { id: EntryId, at_ms: u64, entry: Entry, taken: Option<Result<(), Refused>>, tried: Micros },
+    Write { id: EntryId, at_ms: u64, entry: Entry, taken: Option<Result<(), RequestError>>, tried: Micros },
     /// A read of the latest state.
     Show { ticket: u64, name: String, from: u64 },
 }
@@ -51,15 +53,15 @@
 /// What the disk's thread says.
 pub enum Word {
     /// The store is open: what it holds, read there as that may take long.
-    Opened(Box<(Result<Option<Image>, String>, Found)>),
+    Opened(Box<(Result<Option<StoredReplica>, String>, OpenedStore)>),
     /// Anything else.
-    Done(Done),
+    Done(WriterEvent),
 }
 
 /// The record's host.
 pub struct Keeper {
     settings: Settings,
-    record: Option<Record>,
+    record: Option<Replica>,
     writer: Option<Writer>,
     disk: (Sender<Word>, Receiver<Word>),
     /// Batches that the thread's queue has no room for yet.
@@ -114,8 +116,8 @@
         let (told, fresh) = (self.disk.0.clone(), std::mem::take(&mut self.fresh));
         let tell = move |done| {
             let word = match done {
-                Done::Opened(mut found) => {
-                    let image = Image::read(std::mem::take(&mut found.rows));
+                WriterEvent::Opened(mut found) => {
+                    let image = StoredReplica::read(std::mem::take(&mut found.rows));
                     Word::Opened(Box::new((image, found)))
                 }
                 other => Word::Done(other),
@@ -132,12 +134,12 @@
         }
     }
 
-    fn begin(&mut self, now: Micros, image: Option<Image>) {
+    fn begin(&mut self, now: Micros, image: Option<StoredReplica>) {
         self.seed = self.seed.wrapping_add(1);
-        match Record::new(now, self.settings.config.clone(), image, self.seed) {
+        match Replica::new(now, self.settings.config.clone(), image, self.seed) {
             Ok(mut record) => {
                 if let Some(after) = self.full {
-                    record.want_snapshot(after);
+                    record.request_snapshot_after(after);
                 }
                 self.record = Some(record);
             }
@@ -167,9 +169,9 @@
             Word::Done(done) => done,
         };
         match done {
-            Done::Opened(_) => {}
-            Done::Durable(number, _) => {
-                if self.record.as_ref().is_some_and(|record| record.installed() > 0) {
+            WriterEvent::Opened(_) => {}
+            WriterEvent::Durable(number, _) => {
+                if self.record.as_ref().is_some_and(|record| record.installed_snapshot() > 0) {
                     // A snapshot has found room.
                     self.full = None;
                 }
@@ -177,18 +179,18 @@
                     record.persisted(now, number);
                 }
             }
-            Done::Failed(_, why) | Done::Closed(why) => self.failed(now, &why),
-            Done::Scrubbed(Ok(())) => {}
-            Done::Scrubbed(Err(why)) => {
+            WriterEvent::Failed(_, why) | WriterEvent::Closed(why) => self.failed(now, &why),
+            WriterEvent::Scrubbed(Ok(())) => {}
+            WriterEvent::Scrubbed(Err(why)) => {
                 self.fresh |= why.is_damage();
                 self.failed(now, &why);
             }
         }
     }
 
-    fn opened(&mut self, now: Micros, (image, found): (Result<Option<Image>, String>, Found)) {
+    fn opened(&mut self, now: Micros, (image, found): (Result<Option<StoredReplica>, String>, OpenedStore)) {
         self.opened_at = now;
-        if let Some((place, why)) = &found.aside {
+        if let Some((place, why)) = &found.quarantined {
             error!(self.log, "record: what was on the disk is set aside"; "why" => why, "now" => %place.display());
         }
         match image {
@@ -204,14 +206,14 @@
         }
     }
 
-    fn failed(&mut self, now: Micros, why: &Trouble) {
+    fn failed(&mut self, now: Micros, why: &StoreError) {
         if now >= self.opened_at + CALM {
             self.back_off = BACK_OFF.0;
         }
         let again = self.back_off / 1_000;
         warn!(self.log, "record: its disk can't be used"; "why" => %why, "again_in_ms" => again);
-        if matches!(why, Trouble::Full { .. }) {
-            let tried = self.record.as_ref().map_or(0, Record::installed);
+        if matches!(why, StoreError::Full { .. }) {
+            let tried = self.record.as_ref().map_or(0, Replica::installed_snapshot);
             self.full = Some(tried.max(self.full.unwrap_or(0)));
         }
         // A thread that found damage while it wrote has said so; the next one sets it aside.
@@ -219,16 +221,16 @@
     }
 
     /// A member says something about the record.
-    pub fn hear(&mut self, now: Micros, from: &Name, boot: u64, bytes: &[u8]) {
+    pub fn hear(&mut self, now: Micros, from: &MemberName, boot: u64, bytes: &[u8]) {
         if let Some(record) = &mut self.record {
-            record.hear(now, from, boot, bytes);
+            record.handle_message(now, from, boot, bytes);
         }
     }
 
     /// Others belong to the fleet from now on.
     pub fn set(&mut self, settings: Settings) {
         if let Some(record) = &mut self.record {
-            record.set_others(settings.config.others.clone());
+            record.set_peers(settings.config.others.clone());
         }
         self.settings = settings;
     }
@@ -242,7 +244,7 @@
 
     /// When something is due next.
     pub fn next_at(&self) -> Micros {
-        let record = self.record.as_ref().map_or(Micros::MAX, Record::next_at);
+        let record = self.record.as_ref().map_or(Micros::MAX, Replica::next_timeout);
         let waits = if self.pending.is_empty() { Micros::MAX } else { self.reach_at };
         record.min(self.reopen.unwrap_or(Micros::MAX)).min(waits)
     }
@@ -254,10 +256,10 @@
         }
         if let (Some(record), true) = (&mut self.record, now >= self.reach_at) {
             self.reach_at = now + REACH_EVERY;
-            record.reach(membership.reached(now).into_iter().map(|(name, _)| name), load);
+            record.set_reachable(membership.reachable(now).into_iter().map(|(name, _)| name), load);
         }
-        if let Some(record) = self.record.as_mut().filter(|record| now >= record.next_at()) {
-            record.pass(now);
+        if let Some(record) = self.record.as_mut().filter(|record| now >= record.next_timeout()) {
+            record.handle_timeout(now);
         }
         if now >= self.scrub_at {
             self.scrub_at = now + self.settings.scrub;
@@ -273,7 +275,7 @@
         // Each round may bring more, as without a disk all is durable at once.
         for _ in 0..64 {
             let Some(record) = &mut self.record else { return };
-            let (actions, told) = (record.take_actions(), record.take_told());
+            let (actions, told) = (record.take_actions(), record.take_events());
             told.into_iter().for_each(|told| self.tell(told));
             if actions.is_empty() && self.held.is_empty() {
                 return;
@@ -281,14 +283,14 @@
             let mut aside = None;
             for action in actions {
                 match action {
-                    Action::Send(to, bytes, Class::Beat | Class::Vote) => {
-                        membership.matter(now, &to, RECORD, bytes)
+                    Action::Send(to, bytes, Priority::Heartbeat | Priority::Vote) => {
+                        membership.send(now, &to, RECORD, bytes)
                     }
-                    Action::Send(to, bytes, Class::Entry | Class::Snapshot) => {
-                        membership.bulk(now, &to, RECORD, bytes)
+                    Action::Send(to, bytes, Priority::Entry | Priority::Snapshot) => {
+                        membership.send_bulk(now, &to, RECORD, bytes)
                     }
                     Action::Persist(number, batch) => self.held.push_back((number, batch)),
-                    Action::SetAside(why) => aside = Some(why),
+                    Action::Quarantine(why) => aside = Some(why),
                 }
             }
             if let Some(why) = aside {
@@ -315,38 +317,38 @@
         }
     }
 
-    fn tell(&self, told: Told) {
+    fn tell(&self, told: Event) {
         let log = &self.log;
         match told {
-            Told::Founded(record) => {
+            Event::Bootstrapped(record) => {
                 warn!(log, "a new record begins: what an earlier one held is not in it";
                     "record" => format!("{record:016x}"));
             }
-            Told::Role(from, to) => info!(log, "record role"; "from" => %from, "to" => %to),
-            Told::Leader(name) => {
+            Event::RoleChanged(from, to) => info!(log, "record role"; "from" => %from, "to" => %to),
+            Event::LeaderChanged(name) => {
                 info!(log, "record leader"; "name" => name.unwrap_or_else(|| "nobody".to_owned()))
             }
-            Told::Change(what) => info!(log, "record members change"; "what" => what),
-            Told::SetBack(seen) => {
+            Event::ConfigurationChange(what) => info!(log, "record members change"; "what" => what),
+            Event::RollbackDetected(seen) => {
                 error!(log, "record: this copy was set back"; "term" => seen.term, "entry" => seen.last);
             }
-            Told::WeDiffer(from) => {
+            Event::LocalDivergence(from) => {
                 error!(log, "record: this copy differs from a majority's"; "copies" => format!("{from:x?}"));
             }
-            Told::TheyDiffer(copies) => {
+            Event::PeerDivergence(copies) => {
                 warn!(log, "record: copies differ from ours and a majority's"; "copies" => format!("{copies:x?}"));
             }
-            Told::Frozen => error!(log, "record: copies differ and nobody can tell which is right"),
-            Told::Foreign(ours, led) => {
+            Event::Frozen => error!(log, "record: copies differ and nobody can tell which is right"),
+            Event::Obsolete(ours, led) => {
                 error!(log, "record: ours is an old one";
                     "ours" => format!("{ours:016x}"), "led" => format!("{led:016x}"));
             }
-            Told::Another(ours, led) => {
+            Event::CompetingStore(ours, led) => {
                 error!(log, "record: another one is led beside ours";
                     "ours" => format!("{ours:016x}"), "led" => format!("{led:016x}"));
             }
-            Told::Broken(why) => error!(log, "record: its log can't go on"; "why" => why),
-            Told::CaughtUp(index, bytes, took) => {
+            Event::LogFailed(why) => error!(log, "record: its log can't go on"; "why" => why),
+            Event::CaughtUp(index, bytes, took) => {
                 info!(log, "record caught up"; "entry" => index, "bytes" => bytes, "ms" => took / 1_000);
             }
         }
@@ -354,7 +356,7 @@
 
     /// An operator asks; the answer comes with [`Keeper::take_answers`].
     pub fn ask(&mut self, now: Micros, at_ms: u64, to: (u64, u64), asked: Asked) {
-        let refuse = |why: Refused| Answer::Refused(why.to_string());
+        let refuse = |why: RequestError| Answer::Refused(why.to_string());
         let Some(record) = &mut self.record else {
             let why =
                 if self.reopen.is_some() { "its disk can't be used now" } else { "its disk is being opened" };
@@ -363,15 +365,15 @@
                 .push((to, Answer::Refused(format!("this server has no part in the record: {why}"))));
         };
         if self.pending.len() >= WAITING {
-            return self.answers.push((to, refuse(Refused::Busy)));
+            return self.answers.push((to, refuse(RequestError::Busy)));
         }
         let answer = match asked {
-            Asked::Status => Answer::Status(Box::new(record.standing(now))),
+            Asked::Status => Answer::Status(Box::new(record.status(now))),
             Asked::History(most) => {
                 let lines = record.state().history().rev().take(most as usize).cloned().collect();
                 Answer::History(lines)
             }
-            Asked::Hand(name, votes) => match record.by_hand(now, &name, votes) {
+            Asked::Hand(name, votes) => match record.set_voter(now, &name, votes) {
                 Ok(()) => Answer::Taken,
                 Err(why) => refuse(why),
             },
@@ -380,7 +382,7 @@
                 Err(why) => refuse(why),
             },
             Asked::Show { name, latest: false, from } => show(record, now, &name, from),
-            Asked::Show { name, latest: true, from } => match record.read(now) {
+            Asked::Show { name, latest: true, from } => match record.request_read(now) {
                 Ok(ticket) => {
                     let what = What::Show { ticket, name, from };
                     return self.pending.push(Pending { to, what, until: now + PATIENCE });
@@ -393,7 +395,7 @@
             }
             Asked::Export(from) => match record.export().map(|export| export.bytes()) {
                 Some(all) => Answer::Bytes(part(&all, from), all.len() as u64),
-                None => refuse(Refused::Outside),
+                None => refuse(RequestError::Outside),
             },
         };
         self.answers.push((to, answer));
@@ -402,27 +404,27 @@
     /// Sees to the questions that wait.
     fn wait(&mut self, now: Micros) {
         let Some(record) = &mut self.record else {
-            let gone = || Answer::Refused(Refused::Outside.to_string());
+            let gone = || Answer::Refused(RequestError::Outside.to_string());
             return self.answers.extend(self.pending.drain(..).map(|pending| (pending.to, gone())));
         };
-        let reads = record.take_reads();
+        let reads = record.take_finished_reads();
         let answers = &mut self.answers;
         self.pending.retain_mut(|pending| {
             let late = now >= pending.until;
             let answer = match &mut pending.what {
                 What::Show { ticket, name, from } => match reads.iter().find(|(done, _)| done == ticket) {
-                    Some((_, Read::Ready)) => show(record, now, name, *from),
-                    Some((_, Read::Refused(why))) => Answer::Refused(why.to_string()),
-                    None if late => Answer::Refused(Refused::TimedOut.to_string()),
+                    Some((_, ReadOutcome::Ready)) => show(record, now, name, *from),
+                    Some((_, ReadOutcome::Refused(why))) => Answer::Refused(why.to_string()),
+                    None if late => Answer::Refused(RequestError::TimedOut.to_string()),
                     None => return true,
                 },
                 What::Write { id, at_ms, entry, taken, tried } => match record.outcome(*id) {
                     Some(outcome) => Answer::Done(outcome),
                     None if late => match taken.take() {
                         // It may be applied yet: whoever asked must not take it for refused.
-                        Some(Ok(())) => Answer::Refused(Refused::TimedOut.to_string()),
+                        Some(Ok(())) => Answer::Refused(RequestError::TimedOut.to_string()),
                         Some(Err(why)) => Answer::Refused(why.to_string()),
-                        None => Answer::Refused(Refused::NoLeader.to_string()),
+                        None => Answer::Refused(RequestError::NoLeader.to_string()),
                     },
                     None => {
                         // Lost on the way or with a leader: tried again under its number, it is applied once.
@@ -452,8 +454,8 @@
     all[from..all.len().min(from + PART)].to_vec()
 }
 
-fn show(record: &Record, now: Micros, name: &str, from: u64) -> Answer {
-    let age = record.standing(now).leader_heard_ms;
+fn show(record: &Replica, now: Micros, name: &str, from: u64) -> Answer {
+    let age = record.status(now).leader_heard_ms;
     match record.state().get(name) {
         None => Answer::Nothing(record.state().documents().map(|(name, _)| name.clone()).take(64).collect()),
         Some(held) => {
--- a/crates/server/src/peers/front.rs
+++ b/crates/server/src/peers/front.rs
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use slog::{debug, warn, Logger};
 use umberloom::interface::Micros;
-use umberloom_connection_admission::places::{Lot, Places, Seen};
+use umberloom_connection_admission::connection_table::{Admission, ConnectionState, ConnectionTable};
 
 use super::balancer::{Connection, Shared};
 use crate::exchange::caller::{Activity, Word};
@@ -46,8 +46,8 @@
         }
     }
 
-    fn seen(&self, id: u64) -> Seen {
-        Seen {
+    fn seen(&self, id: u64) -> ConnectionState {
+        ConnectionState {
             id,
             listener: 0,
             open: self.activity.open.get(),
@@ -75,7 +75,7 @@
     shared: Shared,
     orders: Receiver<Order>,
     /// Most connections at once, so that descriptors last.
-    places: Places,
+    places: ConnectionTable,
     idle: Micros,
     all: BTreeMap<u64, Entry>,
     /// The word to finish has come.
@@ -94,7 +94,7 @@
     /// Connections from `listener`, as many at once as there are places.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        (listener, places): (Async<TcpListener>, Places),
+        (listener, places): (Async<TcpListener>, ConnectionTable),
         shared: Shared,
         orders: Receiver<Order>,
         idle: Micros,
@@ -166,7 +166,7 @@
         future::or(over, future::or(order, future::or(accepted, look))).await
     }
 
-    fn seen(&self) -> Vec<Seen> {
+    fn seen(&self) -> Vec<ConnectionState> {
         self.all.iter().map(|(id, entry)| entry.seen(*id)).collect()
     }
 
@@ -201,11 +201,11 @@
         let Some((connection, words)) = Connection::new(stream, self.shared.clone(), activity.clone()) else {
             return;
         };
-        if lot == Lot::Closed {
+        if lot == Admission::Closed {
             // With nothing run: its caller learns at once that it is to go elsewhere.
             return connection.turn_away_now().await;
         }
-        let at_door = lot == Lot::TurnedAway;
+        let at_door = lot == Admission::TurnedAway;
         let connection = if at_door { connection.turned_away(AT_DOOR) } else { connection };
         self.next += 1;
         let (number, over) = (self.next, self.over.0.clone());
@@ -221,16 +221,16 @@
     }
 
     /// Where a new connection finds its place.
-    fn lot(&mut self) -> Lot {
+    fn lot(&mut self) -> Admission {
         if self.all.len() < self.places.table() {
-            return Lot::Served;
+            return Admission::Served;
         }
         let now = self.shared.clock.now();
-        let (lot, closed) = self.places.lot(now, 0, &self.seen());
+        let (lot, closed) = self.places.admit(now, 0, &self.seen());
         if let Some(entry) = closed.and_then(|id| self.all.get(&id)) {
             entry.close_if_idle(now);
         }
-        if lot != Lot::Served {
+        if lot != Admission::Served {
             self.tell_full();
         }
         lot
--- a/crates/server/src/peers/front/tests.rs
+++ b/crates/server/src/peers/front/tests.rs
@@ -81,7 +81,11 @@
     stream::within(PATIENCE, work).await.expect("waited in vain")
 }
 
-fn with_front<F: Future<Output = ()>>(places: Places, idle: Micros, script: impl FnOnce(Bench) -> F) {
+fn with_front<F: Future<Output = ()>>(
+    places: ConnectionTable,
+    idle: Micros,
+    script: impl FnOnce(Bench) -> F,
+) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
@@ -145,7 +149,7 @@
 
 #[test]
 fn idle_connections_are_found_while_others_come_and_go() {
-    let places = Places::new(68, &[1]);
+    let places = ConnectionTable::new(68, &[1]);
     with_front(places, 150_000, |bench| async move {
         let mut idle = bench.idle().await;
         let closed = async {
@@ -166,7 +170,7 @@
 
 #[test]
 fn a_full_table_turns_requests_away_at_once_and_delays_none() {
-    with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let mut served = [bench.busy().await, bench.busy().await];
         let mut more = bench.connect().await;
         ask(&mut more).await;
@@ -189,7 +193,7 @@
 
 #[test]
 fn who_never_asked_gives_its_place_to_who_does() {
-    with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let _busy = bench.busy().await;
         let mut silent = bench.connect().await;
         let mut next = bench.connect().await;
@@ -202,9 +206,12 @@
 
 #[test]
 fn a_place_that_is_coming_is_waited_for() {
-    with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let mut first = bench.idle().await;
-        Timer::after(Duration::from_micros(2 * umberloom_connection_admission::places::SETTLED)).await;
+        Timer::after(Duration::from_micros(
+            2 * umberloom_connection_admission::connection_table::SETTLE_TIME,
+        ))
+        .await;
         let _second = bench.idle().await;
         // The table is full; the first is told to go, and this one comes into its place.
         let mut third = bench.connect().await;
@@ -247,7 +254,7 @@
 /// word that its place is needed comes between its last byte and the reading.
 #[test]
 fn a_whole_request_that_lies_unread_is_answered_though_its_place_is_needed() {
-    with_front(Places::new(9, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, _, words) = bench.alone().await;
         put(&client, &check());
         words.try_send(Word::CloseIfIdle).expect("room");
@@ -259,7 +266,7 @@
 /// And one that never comes whole gets an orderly end, not a reset over its unread bytes.
 #[test]
 fn half_a_request_whose_place_is_needed_ends_without_a_reset() {
-    with_front(Places::new(9, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let bytes = check();
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
             let (mut client, _, words) = bench.alone().await;
@@ -273,7 +280,7 @@
 /// Guards against a connection that is never told to finish, as its mailbox had no room for the word.
 #[test]
 fn the_end_reaches_a_connection_whose_mailbox_is_full() {
-    with_front(Places::new(9, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, words) = bench.alone().await;
         // Who has asked may be silent for as long as the front lets it.
         ask(&mut client).await;
@@ -290,7 +297,7 @@
 /// may not be written any more.
 #[test]
 fn what_is_read_after_the_word_to_finish_is_turned_away_at_once() {
-    with_front(Places::new(9, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, words) = bench.alone().await;
         put(&client, &check());
         activity.finish.set(true);
@@ -305,7 +312,7 @@
 /// is no place at all: each gets an answer.
 #[test]
 fn requests_in_the_backlog_are_answered_at_the_end() {
-    with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let busy = [bench.busy().await, bench.busy().await];
         // In one go, so that the front finds them all in the backlog with the word to finish before them.
         let mut waiting = Vec::new();
@@ -335,7 +342,7 @@
 /// The same while the server serves: who finds neither a place nor one at the door is told so, if it has asked.
 #[test]
 fn who_finds_no_place_at_all_is_answered_if_it_has_asked() {
-    with_front(Places::new(3, &[1]), 60_000_000, |bench| async move {
+    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let _busy = [bench.busy().await, bench.busy().await];
         let _at_door = bench.connect().await;
         for _ in 0..5 {
--- a/crates/server/src/peers/list.rs
+++ b/crates/server/src/peers/list.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use slog::{debug, info, Logger};
 use umberloom::interface::Micros;
-use umberloom_dependencies::pace::Pace;
+use umberloom_dependencies::probe_pacing::ProbePacer;
 
 use super::{dependency, stream};
 use crate::exchange::list::Word;
@@ -39,7 +39,7 @@
     /// The word of the last one of these: the service may read it yet, after a newer word.
     given_up: Option<bool>,
     /// Of the tries of all servers, those of this one.
-    pace: Pace,
+    pace: ProbePacer,
     link: Option<Async<TcpStream>>,
     log: Logger,
 }
@@ -54,7 +54,7 @@
         log: Logger,
     ) -> List {
         let path = format!("/announce/{name}");
-        let pace = Pace::new(servers, seed, name);
+        let pace = ProbePacer::new(servers, seed, name);
         List { address, path, words, accepting: None, unheard: 0, given_up: None, pace, link: None, log }
     }
 
--- a/crates/server/src/plans.rs
+++ b/crates/server/src/plans.rs
@@ -7,7 +7,9 @@
 use async_channel::Sender;
 use slog::{info, warn, Logger};
 use umberloom::interface::{Micros, Outcome, RequestId};
-use umberloom_dependencies::{breaker, route, Action, Ask, AttemptId, Engine, PlanId, ServiceView};
+use umberloom_dependencies::{
+    breaker, load_balancer, Action, AttemptId, Engine, PlanId, PlanRequest, ServiceView,
+};
 
 use crate::exchange::calls::{Call, CallId, Order, Wanted};
 use crate::exchange::fleet::News;
@@ -83,12 +85,12 @@
 
     /// New settings. What is under way ends as it began.
     pub fn set(&mut self, now: Micros, wanted: Wanted) {
-        match self.engine.set(now, wanted.config) {
+        match self.engine.reconfigure(now, wanted.config) {
             Ok(()) => {
                 (self.mailboxes, self.charge) = (wanted.mailboxes, wanted.charge);
                 let mut actions = Vec::new();
                 for gone in self.shares.set(wanted.shares) {
-                    self.engine.cap(now, &gone, usize::MAX, &mut actions);
+                    self.engine.set_concurrency_cap(now, &gone, usize::MAX, &mut actions);
                 }
                 self.carry_out(now, actions);
             }
@@ -108,7 +110,7 @@
         let plan = self.next;
         self.plans.insert(plan, UnderWay { id: open.id.clone(), since: now, body: body.into() });
         self.by_request.insert(open.id.clone(), plan);
-        let ask = Ask {
+        let ask = PlanRequest {
             plan,
             class: &open.work.class,
             level: (open.work.rank * levels as f64) as u16,
@@ -118,7 +120,7 @@
             again: open.planned,
         };
         let mut actions = Vec::new();
-        self.engine.begin(now, &ask, &mut actions);
+        self.engine.start_plan(now, &ask, &mut actions);
         self.carry_out(now, actions);
     }
 
@@ -129,7 +131,7 @@
         self.shares.end(call.attempt, known);
         if self.attempts.remove(&call.attempt).is_some() {
             let mut actions = Vec::new();
-            self.engine.ended(now, call.attempt, outcome, reply, &mut actions);
+            self.engine.handle_attempt_end(now, call.attempt, outcome, reply, &mut actions);
             self.carry_out(now, actions);
         }
     }
@@ -138,7 +140,7 @@
     pub fn give_up(&mut self, now: Micros, id: &str) -> bool {
         let Some(plan) = self.by_request.remove(id) else { return false };
         let mut actions = Vec::new();
-        self.engine.give_up(now, plan, &mut actions);
+        self.engine.cancel_plan(now, plan, &mut actions);
         self.plans.remove(&plan);
         self.carry_out(now, actions);
         true
@@ -147,7 +149,7 @@
     /// When something is due next, `now` being the time.
     pub fn next_at(&self, now: Micros) -> Option<Micros> {
         let shared = self.shares.next_in().map(|span| now + span);
-        self.engine.next_at().into_iter().chain(shared).min()
+        self.engine.next_timeout().into_iter().chain(shared).min()
     }
 
     /// News of the fleet.
@@ -158,9 +160,9 @@
 
     /// What is due by now.
     pub fn pass(&mut self, now: Micros) {
-        if self.engine.next_at().is_some_and(|at| now >= at) {
+        if self.engine.next_timeout().is_some_and(|at| now >= at) {
             let mut actions = Vec::new();
-            self.engine.pass(now, &mut actions);
+            self.engine.handle_timeout(now, &mut actions);
             self.carry_out(now, actions);
         } else {
             self.share(now);
@@ -173,7 +175,7 @@
 
     /// A run went on for so long after its calls.
     pub fn learn_rest(&mut self, class: &str, took: Micros) {
-        self.engine.learn_rest(class, took);
+        self.engine.learn_local_work(class, took);
     }
 
     /// Plans that are over since the last look.
@@ -191,7 +193,7 @@
         for dependency in self.shares.names() {
             let most = self.shares.pass(&dependency, self.engine.demand(&dependency));
             let mut actions = Vec::new();
-            self.engine.cap(now, &dependency, most, &mut actions);
+            self.engine.set_concurrency_cap(now, &dependency, most, &mut actions);
             self.act(now, actions);
         }
         self.shares.tell();
@@ -209,7 +211,13 @@
                     if !started {
                         self.shares.end(attempt, true);
                         let mut more = Vec::new();
-                        self.engine.ended(now, attempt, Outcome::Rejected, Vec::new(), &mut more);
+                        self.engine.handle_attempt_end(
+                            now,
+                            attempt,
+                            Outcome::Rejected,
+                            Vec::new(),
+                            &mut more,
+                        );
                         actions.extend(more);
                     }
                 }
@@ -264,7 +272,7 @@
                     "budget" => view.budget, "limit" => view.limit.value, "moved_by" => ?view.limit.moved.0);
             }
             for endpoint in &view.endpoints {
-                let is_in = |e: &route::EndpointView| matches!(e.state, route::State::In(_));
+                let is_in = |e: &load_balancer::EndpointView| matches!(e.state, load_balancer::State::In(_));
                 let was = before.and_then(|b| b.endpoints.iter().find(|e| e.address == endpoint.address));
                 if was.is_some_and(|was| is_in(was) != is_in(endpoint)) {
                     info!(self.log, "endpoint"; "of" => &*view.name, "address" => &*endpoint.address,
--- a/crates/server/src/questions/record.rs
+++ b/crates/server/src/questions/record.rs
@@ -9,8 +9,8 @@
 use serde_json::json;
 use umberloom_operator_config::Fleet;
 use umberloom_replicated_store::entry::{Content, Document, Entry, LONGEST_DOCUMENT};
-use umberloom_replicated_store::state::Line;
-use umberloom_replicated_store::{Export, Outcome, Standing};
+use umberloom_replicated_store::state::HistoryLine;
+use umberloom_replicated_store::{Export, Outcome, ReplicaStatus};
 
 use super::{age, columns, question};
 use crate::wire::fleet::{Reply, What};
@@ -260,9 +260,19 @@
     }
 }
 
-fn status(standing: &Standing) -> String {
-    let Standing {
-        record, copy, role, term, leader, applied, commit, last, leader_heard_ms, unknown, ..
+fn status(standing: &ReplicaStatus) -> String {
+    let ReplicaStatus {
+        record,
+        copy,
+        role,
+        term,
+        leader,
+        applied,
+        commit,
+        last,
+        leader_heard_ms,
+        unknown,
+        ..
     } = standing;
     let leader = leader.as_deref().unwrap_or("nobody");
     let mut out = format!(
@@ -292,7 +302,7 @@
     out + &columns(&rows)
 }
 
-fn history(lines: &[Line]) -> String {
+fn history(lines: &[HistoryLine]) -> String {
     let mut rows = vec![["entry", "by", "what", "outcome"].map(str::to_owned).to_vec()];
     rows.extend(lines.iter().map(|line| {
         let outcome = match &line.outcome {
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/shares.rs
@@ -11,7 +11,7 @@
 use async_channel::Sender;
 use slog::{info, warn, Logger};
 use umberloom_dependencies::Demand;
-use umberloom_quota::{Allowance, AllowanceView, CallId, Config, Message, Micros};
+use umberloom_quota::{CallId, Config, Message, Micros, QuotaStatus, SharedQuota};
 
 use crate::exchange::fleet::{News, Order, Present, ALLOWANCE};
 
@@ -20,7 +20,7 @@
 
 /// What is shared, by the dependency's name.
 pub struct Shares {
-    all: BTreeMap<Rc<str>, Allowance>,
+    all: BTreeMap<Rc<str>, SharedQuota>,
     /// Which one each call under way has its place from.
     calls: BTreeMap<CallId, Rc<str>>,
     present: Present,
@@ -28,7 +28,7 @@
     seed: u64,
     fleet: Option<Sender<Order>>,
     told: Micros,
-    said: Vec<(Rc<str>, AllowanceView)>,
+    said: Vec<(Rc<str>, QuotaStatus)>,
     log: Logger,
 }
 
@@ -52,10 +52,11 @@
         gone.iter().for_each(|name| drop(self.all.remove(name)));
         for (name, config) in wanted {
             let done = match self.all.get_mut(&name) {
-                Some(there) => there.set(now, config),
+                Some(there) => there.reconfigure(now, config),
                 None => {
                     self.seed = self.seed.wrapping_add(1);
-                    Allowance::new(now, config, self.seed).map(|new| drop(self.all.insert(name.clone(), new)))
+                    SharedQuota::new(now, config, self.seed)
+                        .map(|new| drop(self.all.insert(name.clone(), new)))
                 }
             };
             if let Err(mistakes) = done {
@@ -76,7 +77,7 @@
         let now = self.now();
         let Some((name, allowance)) = self.all.get_key_value(dependency) else { return Some(span) };
         let (name, _) = (name.clone(), allowance);
-        let until = self.all.get_mut(&name)?.take(now, call, now + span)?;
+        let until = self.all.get_mut(&name)?.acquire(now, call, now + span)?;
         self.calls.insert(call, name);
         Some(until - now)
     }
@@ -86,7 +87,7 @@
     pub fn end(&mut self, call: CallId, known: bool) {
         let Some(name) = self.calls.remove(&call) else { return };
         if let Some(allowance) = self.all.get_mut(&name).filter(|_| known) {
-            allowance.end(call);
+            allowance.release(call);
         }
     }
 
@@ -95,14 +96,14 @@
         let now = self.now();
         match news {
             News::Present(present) => {
-                self.all.values_mut().for_each(|allowance| allowance.silence(now, present.silenced));
+                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.silenced));
                 self.present = present;
             }
             News::Matter { from: (name, boot), kind: ALLOWANCE, bytes } => {
                 // What can't be read is of a program that says more than this one knows.
                 let Ok((about, message)) = postcard::from_bytes::<(String, Message)>(&bytes) else { return };
                 if let Some(allowance) = self.all.get_mut(about.as_str()) {
-                    allowance.hear(now, &name, boot, &message);
+                    allowance.handle_message(now, &name, boot, &message);
                 }
             }
             News::Matter { .. } => {}
@@ -114,11 +115,11 @@
         let now = self.now();
         let Present { reached, differ, all, silenced } = &self.present;
         let Some(allowance) = self.all.get_mut(dependency) else { return usize::MAX };
-        allowance.silence(now, *silenced);
-        allowance.present(now, reached.clone(), *differ, *all);
-        allowance.need(demand.waiting as u32, demand.level);
-        allowance.pass(now);
-        let free = allowance.free(now) as usize;
+        allowance.set_fenced(now, *silenced);
+        allowance.set_reachable(now, reached.clone(), *differ, *all);
+        allowance.set_demand(demand.waiting as u32, demand.level);
+        allowance.handle_timeout(now);
+        let free = allowance.available(now) as usize;
         for (to, message) in allowance.take_messages() {
             let bytes = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
             if let Some(fleet) = &self.fleet {
@@ -132,7 +133,7 @@
     /// How long until something is due; `None` where nothing is shared.
     pub fn next_in(&self) -> Option<Micros> {
         let now = self.now();
-        let next = self.all.values().map(|allowance| allowance.next_at(now)).min()?;
+        let next = self.all.values().map(|allowance| allowance.next_timeout(now)).min()?;
         Some(next.saturating_sub(now).clamp(1_000, TELL_EVERY))
     }
 
@@ -143,8 +144,8 @@
             return;
         }
         self.told = now;
-        let views: Vec<(Rc<str>, AllowanceView)> =
-            self.all.iter().map(|(name, allowance)| (name.clone(), allowance.explain(now))).collect();
+        let views: Vec<(Rc<str>, QuotaStatus)> =
+            self.all.iter().map(|(name, allowance)| (name.clone(), allowance.status(now))).collect();
         for (name, view) in &views {
             let before = self.said.iter().find(|(said, _)| said == name).map(|(_, view)| view.part);
             if before.is_some_and(|part| part != view.part) {
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -4,8 +4,8 @@
 //! than [`LONGEST`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
 
 use serde::{Deserialize, Serialize};
-use umberloom_membership::{Counts, Evidence, MemberView, Standing};
-use umberloom_quota::AllowanceView;
+use umberloom_membership::{Evidence, MemberView, MessageCounts, PartitionStatus};
+use umberloom_quota::QuotaStatus;
 
 use crate::wire::record::{self, Asked};
 
@@ -80,7 +80,7 @@
     /// See `name`.
     pub boot: u64,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: PartitionStatus,
     /// How sick it is, from 0 to 8.
     pub sick: u32,
     /// Another process has its name.
@@ -88,11 +88,11 @@
     /// The others.
     pub members: Vec<MemberView>,
     /// What is shared, by dependency.
-    pub allowances: Vec<(String, AllowanceView)>,
+    pub allowances: Vec<(String, QuotaStatus)>,
     /// Living members that have held another view for long, and where the views part.
     pub disagreements: Vec<(String, Vec<String>)>,
     /// Messages so far.
-    pub counts: Counts,
+    pub counts: MessageCounts,
 }
 
 /// What comes back.
--- a/crates/server/src/wire/record.rs
+++ b/crates/server/src/wire/record.rs
@@ -1,8 +1,8 @@
 //! What operators ask of the record, and what comes back, over the fleet's own port.
 
 use serde::{Deserialize, Serialize};
-use umberloom_replicated_store::state::Line;
-use umberloom_replicated_store::{Entry, EntryId, Outcome, Standing};
+use umberloom_replicated_store::state::HistoryLine;
+use umberloom_replicated_store::{Entry, EntryId, Outcome, ReplicaStatus};
 
 /// The longest part of a document or an export in one answer.
 pub const PART: usize = 32 << 10;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Told {
     /// How it stands.
-    Status(Box<Standing>),
+    Status(Box<ReplicaStatus>),
     /// A document, or a part of it.
     Document {
         /// Its version.
@@ -62,7 +62,7 @@
     /// There is no such document; these are there.
     Nothing(Vec<String>),
     /// The history, newest first.
-    History(Vec<Line>),
+    History(Vec<HistoryLine>),
     /// What became of a write.
     Done(Outcome),
     /// The leader sees to it.
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 use serde::{de::DeserializeOwned, Serialize};
-use umberloom_membership::wire::{About, Refused};
-use umberloom_membership::{Counts, Evidence, MemberState, MemberView, Standing};
-use umberloom_quota::{AllowanceView, Moved};
+use umberloom_membership::wire::{BuildInfo, RejectReason};
+use umberloom_membership::{Evidence, MemberState, MemberView, MessageCounts, PartitionStatus};
+use umberloom_quota::{ChangeCause, QuotaStatus};
 use umberloom_replicated_store::entry::Entry;
-use umberloom_replicated_store::state::Line;
-use umberloom_replicated_store::{CopyView, Outcome, Role};
+use umberloom_replicated_store::state::HistoryLine;
+use umberloom_replicated_store::{Outcome, ReplicaView, Role};
 
 use super::fleet::{Answer, FleetView, Question, Reply, What};
 use super::record::{Asked, Told};
@@ -58,9 +58,14 @@
         MemberState::Leaving,
         MemberState::Left,
     ];
-    let standings =
-        [Standing::Unsure, Standing::Alone, Standing::Minority, Standing::Majority, Standing::Whole];
-    let about = About {
+    let standings = [
+        PartitionStatus::Unsure,
+        PartitionStatus::Alone,
+        PartitionStatus::Minority,
+        PartitionStatus::Majority,
+        PartitionStatus::Whole,
+    ];
+    let about = BuildInfo {
         zone: "east".to_owned(),
         program: "0.2.0".to_owned(),
         config: 1 << 60,
@@ -83,16 +88,16 @@
         differs_ms: (n == 2).then_some(900),
     });
     let moved = [
-        Moved::Started,
-        Moved::Settled,
-        Moved::Lent,
-        Moved::LoanBack,
-        Moved::Borrowed,
-        Moved::LoanOver,
-        Moved::Part,
-        Moved::Silenced,
+        ChangeCause::Started,
+        ChangeCause::Settled,
+        ChangeCause::Lent,
+        ChangeCause::LoanBack,
+        ChangeCause::Borrowed,
+        ChangeCause::LoanOver,
+        ChangeCause::Part,
+        ChangeCause::Silenced,
     ];
-    let allowance = |moved| AllowanceView {
+    let allowance = |moved| QuotaStatus {
         whole: 40,
         part: 13,
         wanted: 14,
@@ -106,23 +111,23 @@
     FleetView {
         name: "server-a".to_owned(),
         boot: 1_700_000_000_000_002,
-        standing: Standing::Majority,
+        standing: PartitionStatus::Majority,
         sick: 1,
         silenced: true,
         members: members.collect(),
         allowances: moved.map(|moved| (format!("{moved:?}"), allowance(moved))).to_vec(),
         disagreements: vec![("server-2".to_owned(), vec!["server-3: not there here".to_owned()])],
-        counts: Counts {
+        counts: MessageCounts {
             sent: (500, 70_000),
             heard: (400, 60_000),
-            refused: BTreeMap::from(Refused::ALL.map(|why| (why, 300 + why as u64))),
+            refused: BTreeMap::from(RejectReason::ALL.map(|why| (why, 300 + why as u64))),
             standstills: 2,
         },
     }
 }
 
-fn record_standing() -> umberloom_replicated_store::Standing {
-    let copy = |copy, votes, applied| CopyView {
+fn record_standing() -> umberloom_replicated_store::ReplicaStatus {
+    let copy = |copy, votes, applied| ReplicaView {
         copy,
         name: format!("server-{copy}"),
         zone: "east".to_owned(),
@@ -130,7 +135,7 @@
         applied,
         heard_ms: applied,
     };
-    umberloom_replicated_store::Standing {
+    umberloom_replicated_store::ReplicaStatus {
         record: u64::MAX - 5,
         copy: 7,
         role: Role::Leader,
@@ -148,7 +153,7 @@
     }
 }
 
-fn history() -> Vec<Line> {
+fn history() -> Vec<HistoryLine> {
     let outcomes = [
         Outcome::Done(0),
         Outcome::Done(2),
@@ -156,7 +161,7 @@
         Outcome::Refused("too large".to_owned()),
         Outcome::Kept,
     ];
-    let line = |(index, outcome)| Line {
+    let line = |(index, outcome)| HistoryLine {
         index,
         by: ("server-a".to_owned(), 1_700_000_000_123),
         what: "document limits".to_owned(),
@@ -184,7 +189,7 @@
 
 fn answers() -> Vec<Answer> {
     let role = |role| {
-        let standing = umberloom_replicated_store::Standing { role, ..record_standing() };
+        let standing = umberloom_replicated_store::ReplicaStatus { role, ..record_standing() };
         Told::Status(Box::new(standing))
     };
     let document = Told::Document {
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -9,12 +9,12 @@
 use common::dependency::Behaviour;
 use common::{eventually, Dependency, Request, World};
 use serde_json::{json, Value};
-use umberloom_dependencies::envelope::{Envelope, Part};
+use umberloom_dependencies::aggregation::{AggregateResponse, Part};
 
 /// Parts of the envelope in a `deliver` command, in one line.
 fn parts(deliver: &Value) -> String {
     let body = STANDARD.decode(deliver["body"].as_str().expect("a body")).expect("base64");
-    let envelope = Envelope::decode(&body).expect("an envelope");
+    let envelope = AggregateResponse::decode(&body).expect("an envelope");
     let word = |part: &Part| match part {
         Part::Fresh(body) => String::from_utf8_lossy(body).into_owned(),
         Part::Kept(body, _) => format!("kept {}", String::from_utf8_lossy(body)),
--- a/crates/store/src/backend.rs
+++ b/crates/store/src/backend.rs
@@ -6,11 +6,11 @@
 
 use redb::StorageBackend;
 
-use crate::disk::Medium;
+use crate::disk::DiskFile;
 
 /// The store's file.
 #[derive(Debug)]
-pub struct Backend(pub Arc<dyn Medium>);
+pub struct Backend(pub Arc<dyn DiskFile>);
 
 impl StorageBackend for Backend {
     fn len(&self) -> io::Result<u64> {
@@ -41,12 +41,12 @@
 /// that is not stays for whoever wants to read it.
 #[derive(Debug)]
 pub struct Overlay {
-    under: Arc<dyn Medium>,
+    under: Arc<dyn DiskFile>,
     over: Mutex<(u64, BTreeMap<u64, Vec<u8>>)>,
 }
 
 impl Overlay {
-    pub fn new(under: Arc<dyn Medium>) -> io::Result<Overlay> {
+    pub fn new(under: Arc<dyn DiskFile>) -> io::Result<Overlay> {
         let len = under.len()?;
         Ok(Overlay { under, over: Mutex::new((len, BTreeMap::new())) })
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// An open file.
-pub trait Medium: Debug + Send + Sync {
+pub trait DiskFile: Debug + Send + Sync {
     /// Its length in bytes.
     fn len(&self) -> io::Result<u64>;
     /// Whether it has no bytes.
@@ -33,7 +33,7 @@
     /// Takes a lock that ends with what is returned, or with the process however it ends. `WouldBlock`: it is taken.
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>>;
     /// Opens a file for reading and writing; `make` makes one that is not there.
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn Medium>>;
+    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>>;
     /// Whether there is anything under this name.
     fn exists(&self, file: &Path) -> bool;
     /// Gives a file another name.
@@ -60,7 +60,7 @@
         }
     }
 
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn Medium>> {
+    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>> {
         let file = OpenOptions::new().read(true).write(true).create(make).truncate(false).open(file)?;
         Ok(Arc::new(RealFile(file)))
     }
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 struct RealFile(File);
 
-impl Medium for RealFile {
+impl DiskFile for RealFile {
     fn len(&self) -> io::Result<u64> {
         Ok(self.0.metadata()?.len())
     }
--- a/crates/store/src/trouble.rs
+++ b/crates/store/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Why a store can't be opened or written.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum StoreError {
     /// Another process has it open. Wait for its end, or name another folder.
     Locked(PathBuf),
     /// What should be a folder is none.
@@ -47,30 +47,30 @@
     },
 }
 
-impl Trouble {
+impl StoreError {
     /// Whether the files are to be set aside: nothing that this program does will make them readable.
     pub fn is_damage(&self) -> bool {
-        matches!(self, Trouble::Damaged { .. })
+        matches!(self, StoreError::Damaged { .. })
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Trouble::Locked(file) => write!(f, "{}: another process has it open", file.display()),
-            Trouble::NotAFolder(file) => write!(f, "{}: expected a folder", file.display()),
-            Trouble::Newer { file, found, known } => {
+            StoreError::Locked(file) => write!(f, "{}: another process has it open", file.display()),
+            StoreError::NotAFolder(file) => write!(f, "{}: expected a folder", file.display()),
+            StoreError::Newer { file, found, known } => {
                 write!(f, "{}: form {found}, this program knows up to {known}", file.display())
             }
-            Trouble::Damaged { file, place, what } => {
+            StoreError::Damaged { file, place, what } => {
                 write!(f, "{}: damaged at {place}: {what}", file.display())
             }
-            Trouble::Full { bytes, most } => {
+            StoreError::Full { bytes, most } => {
                 write!(f, "{bytes} bytes would be kept, {most} are allowed")
             }
-            Trouble::Io { doing, file, why } => write!(f, "{}: {doing}: {why}", file.display()),
+            StoreError::Io { doing, file, why } => write!(f, "{}: {doing}: {why}", file.display()),
         }
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for StoreError {}
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/fault_disk.rs
@@ -12,7 +12,7 @@
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
 
-use crate::disk::{Disk, Medium};
+use crate::disk::{Disk, DiskFile};
 
 /// Parts of a write survive a power cut by themselves: a sector, as disks write it whole.
 const SECTOR: usize = 512;
@@ -98,12 +98,12 @@
 
 /// The disk; clones are the same one.
 #[derive(Clone)]
-pub struct SimulatedDisk(Arc<Mutex<Inner>>);
+pub struct FaultInjectingDisk(Arc<Mutex<Inner>>);
 
-impl SimulatedDisk {
+impl FaultInjectingDisk {
     /// An empty one; the seed chooses what survives power cuts.
-    pub fn new(seed: u64) -> SimulatedDisk {
-        SimulatedDisk(Arc::new(Mutex::new(Inner {
+    pub fn new(seed: u64) -> FaultInjectingDisk {
+        FaultInjectingDisk(Arc::new(Mutex::new(Inner {
             files: BTreeMap::new(),
             folders: BTreeSet::new(),
             renamed: Vec::new(),
@@ -212,7 +212,7 @@
     }
 }
 
-impl Disk for SimulatedDisk {
+impl Disk for FaultInjectingDisk {
     fn make_folder(&self, folder: &Path) -> io::Result<()> {
         let mut inner = self.inner();
         inner.operation(true)?;
@@ -232,7 +232,7 @@
         Ok(Box::new(Held { disk: self.clone(), file: file.to_owned(), life: inner.life }))
     }
 
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn Medium>> {
+    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>> {
         let mut inner = self.inner();
         inner.operation(false)?;
         if !inner.files.contains_key(file) {
@@ -270,7 +270,7 @@
 }
 
 struct Held {
-    disk: SimulatedDisk,
+    disk: FaultInjectingDisk,
     file: PathBuf,
     life: u64,
 }
@@ -285,7 +285,7 @@
 }
 
 struct SimulatedFile {
-    disk: SimulatedDisk,
+    disk: FaultInjectingDisk,
     file: PathBuf,
     life: u64,
 }
@@ -333,7 +333,7 @@
     }
 }
 
-impl Medium for SimulatedFile {
+impl DiskFile for SimulatedFile {
     fn len(&self) -> io::Result<u64> {
         self.with(false, |inner| Ok(self.node(inner)?.seen.len() as u64))
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,12 +26,12 @@
 
 mod backend;
 pub mod disk;
-mod guarded;
-pub mod simulated;
+mod error;
+pub mod fault_disk;
+mod panic_guard;
 mod store;
-mod trouble;
 pub mod writer;
 
-pub use guarded::guarded;
+pub use error::StoreError;
+pub use panic_guard::catch_panic;
 pub use store::{Batch, Config, Migration, Row, Store};
-pub use trouble::Trouble;
--- a/crates/store/src/guarded.rs
+++ b/crates/store/src/panic_guard.rs
@@ -10,7 +10,7 @@
 
 /// Does it; where it panics, what it said is the error, and nothing is printed: the caller tells it in its own way. What
 /// was being changed is not to be used afterwards.
-pub fn guarded<T>(act: impl FnOnce() -> T) -> Result<T, String> {
+pub fn catch_panic<T>(act: impl FnOnce() -> T) -> Result<T, String> {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
         let before = take_hook();
@@ -36,8 +36,8 @@
 
     #[test]
     fn what_a_panic_said_is_the_error() {
-        assert_eq!(guarded(|| 7), Ok(7));
-        let why = guarded(|| -> u8 { panic!("entry {} is gone", 3) });
+        assert_eq!(catch_panic(|| 7), Ok(7));
+        let why = catch_panic(|| -> u8 { panic!("entry {} is gone", 3) });
         assert_eq!(why, Err("entry 3 is gone".to_owned()));
         assert!(!GUARDED.get());
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -8,12 +8,12 @@
 use redb::{Database, ReadableDatabase, TableDefinition};
 
 use crate::backend::{Backend, Overlay};
-use crate::disk::{Disk, Medium};
-use crate::trouble::Trouble;
+use crate::disk::{Disk, DiskFile};
+use crate::error::StoreError;
 
 /// The newest form that this program writes and reads. It changes with what the rows of a store mean as a whole; what
 /// one row means is its owner's affair.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Copies that were set aside are numbered up to here; then none is set aside any more, and the store stays closed.
 const MOST_ASIDE: u32 = 16;
 /// Bytes of the digest before each value.
@@ -27,7 +27,7 @@
 const GENERATION_KEY: &[u8] = b"\0generation";
 
 /// Brings a store from one form to the next: what to change, given what it holds.
-pub type Migration = fn(&Store) -> Result<Batch, Trouble>;
+pub type Migration = fn(&Store) -> Result<Batch, StoreError>;
 
 /// Where a store is, and how large it may become.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 impl Config {
     /// In this folder, with up to 256 MiB.
     pub fn new(folder: impl Into<PathBuf>) -> Config {
-        Config { folder: folder.into(), most: 256 << 20, form: FORM, migrations: Vec::new() }
+        Config { folder: folder.into(), most: 256 << 20, form: FORMAT_VERSION, migrations: Vec::new() }
     }
 
     /// The file with the rows.
@@ -146,28 +146,28 @@
 }
 
 /// What the embedded store's error means here.
-fn trouble(file: &Path, doing: &'static str, error: impl Into<redb::Error>) -> Trouble {
+fn trouble(file: &Path, doing: &'static str, error: impl Into<redb::Error>) -> StoreError {
     let file = file.to_owned();
     match error.into() {
         redb::Error::Io(why) if why.kind() == ErrorKind::InvalidData => {
-            Trouble::Damaged { file, place: "whole".to_owned(), what: why.to_string() }
+            StoreError::Damaged { file, place: "whole".to_owned(), what: why.to_string() }
         }
         redb::Error::Io(why) if why.kind() == ErrorKind::UnexpectedEof => {
-            Trouble::Damaged { file, place: "whole".to_owned(), what: "it ends too soon".to_owned() }
+            StoreError::Damaged { file, place: "whole".to_owned(), what: "it ends too soon".to_owned() }
         }
-        redb::Error::Io(why) => Trouble::Io { doing, file, why },
+        redb::Error::Io(why) => StoreError::Io { doing, file, why },
         redb::Error::PreviousIo => {
-            Trouble::Io { doing, file, why: io::Error::other("an operation before this one failed") }
+            StoreError::Io { doing, file, why: io::Error::other("an operation before this one failed") }
         }
-        redb::Error::DatabaseAlreadyOpen => Trouble::Locked(file),
-        other => Trouble::Damaged { file, place: "whole".to_owned(), what: other.to_string() },
+        redb::Error::DatabaseAlreadyOpen => StoreError::Locked(file),
+        other => StoreError::Damaged { file, place: "whole".to_owned(), what: other.to_string() },
     }
 }
 
 /// What reads a damaged file may fail an assertion inside; that is damage found, not a reason to end.
-fn guarded<T>(file: &Path, act: impl FnOnce() -> Result<T, Trouble>) -> Result<T, Trouble> {
-    crate::guarded::guarded(act).unwrap_or_else(|what| {
-        Err(Trouble::Damaged { file: file.to_owned(), place: "whole".to_owned(), what })
+fn guarded<T>(file: &Path, act: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    crate::panic_guard::catch_panic(act).unwrap_or_else(|what| {
+        Err(StoreError::Damaged { file: file.to_owned(), place: "whole".to_owned(), what })
     })
 }
 
@@ -182,14 +182,14 @@
 
 impl Store {
     /// Opens the store of a folder, or makes it. What is found is checked whole before anything is written.
-    pub fn open(disk: &dyn Disk, config: &Config) -> Result<Store, Trouble> {
+    pub fn open(disk: &dyn Disk, config: &Config) -> Result<Store, StoreError> {
         let (folder, file) = (&config.folder, config.file());
         let io = |doing, path: &Path| {
             let path = path.to_owned();
             move |why: io::Error| match why.kind() {
-                ErrorKind::WouldBlock => Trouble::Locked(path),
-                ErrorKind::NotADirectory | ErrorKind::AlreadyExists => Trouble::NotAFolder(path),
-                _ => Trouble::Io { doing, file: path, why },
+                ErrorKind::WouldBlock => StoreError::Locked(path),
+                ErrorKind::NotADirectory | ErrorKind::AlreadyExists => StoreError::NotAFolder(path),
+                _ => StoreError::Io { doing, file: path, why },
             }
         };
         disk.make_folder(folder).map_err(io("make the folder", folder))?;
@@ -210,11 +210,11 @@
     }
 
     /// Makes an empty one under another name first: one that a power cut has left half made would look like damage.
-    fn make(disk: &dyn Disk, config: &Config) -> Result<(), Trouble> {
+    fn make(disk: &dyn Disk, config: &Config) -> Result<(), StoreError> {
         let (file, half) = (config.file(), config.folder.join("rows.new"));
         let fail = |doing| {
             let file = half.clone();
-            move |why| Trouble::Io { doing, file, why }
+            move |why| StoreError::Io { doing, file, why }
         };
         let medium = disk.open(&half, true).map_err(fail("make"))?;
         medium.set_len(0).map_err(fail("empty"))?;
@@ -226,17 +226,17 @@
     }
 
     /// Whether the file is sound, without writing to it.
-    fn look(medium: &Arc<dyn Medium>, file: &Path) -> Result<(), Trouble> {
-        let damaged = |what: &str| Trouble::Damaged {
+    fn look(medium: &Arc<dyn DiskFile>, file: &Path) -> Result<(), StoreError> {
+        let damaged = |what: &str| StoreError::Damaged {
             file: file.to_owned(),
             place: "whole".to_owned(),
             what: what.to_owned(),
         };
-        if medium.is_empty().map_err(|why| Trouble::Io { doing: "read", file: file.to_owned(), why })? {
+        if medium.is_empty().map_err(|why| StoreError::Io { doing: "read", file: file.to_owned(), why })? {
             return Err(damaged("it is empty"));
         }
         guarded(file, || {
-            let overlay = Overlay::new(medium.clone()).map_err(|why| Trouble::Io {
+            let overlay = Overlay::new(medium.clone()).map_err(|why| StoreError::Io {
                 doing: "read",
                 file: file.to_owned(),
                 why,
@@ -252,13 +252,13 @@
         })
     }
 
-    fn begin(&mut self) -> Result<(), Trouble> {
+    fn begin(&mut self) -> Result<(), StoreError> {
         let number = |bytes: Vec<u8>| bytes.try_into().map(u64::from_le_bytes).unwrap_or(0);
         let form = self.raw(FORM_KEY)?.map(number);
         self.generation = self.raw(GENERATION_KEY)?.map_or(0, number);
         let (found, known) = (form.unwrap_or(0) as u32, self.config.form);
         if found > known {
-            return Err(Trouble::Newer { file: self.config.file(), found, known });
+            return Err(StoreError::Newer { file: self.config.file(), found, known });
         }
         self.bytes = self.count()?;
         if found == 0 {
@@ -273,7 +273,7 @@
     }
 
     /// Bytes of all rows; each is read and so checked.
-    fn count(&self) -> Result<u64, Trouble> {
+    fn count(&self) -> Result<u64, StoreError> {
         let mut bytes = 0;
         self.each(&[], None, &mut |key, value| {
             bytes += (key.len() + value.len() + DIGEST) as u64;
@@ -284,12 +284,12 @@
 
     /// Changes rows, all of them or none, and returns once that is durable. After an error of the system the store has to
     /// be opened again: whether the batch is there is then seen.
-    pub fn commit(&mut self, batch: Batch) -> Result<u64, Trouble> {
+    pub fn commit(&mut self, batch: Batch) -> Result<u64, StoreError> {
         self.write(&batch, self.config.form, self.generation + 1)?;
         Ok(self.generation)
     }
 
-    fn write(&mut self, batch: &Batch, form: u32, generation: u64) -> Result<(), Trouble> {
+    fn write(&mut self, batch: &Batch, form: u32, generation: u64) -> Result<(), StoreError> {
         let file = self.config.file();
         let doing = "commit";
         let (mut bytes, most) = (self.bytes as i64, self.config.most);
@@ -340,7 +340,7 @@
             // What takes out more than it brings is always possible: else a full store could never be less full.
             if bytes > self.bytes as i64 && bytes as u64 > most {
                 transaction.abort().map_err(|e| fail(e.into()))?;
-                return Err(Trouble::Full { bytes: bytes as u64, most });
+                return Err(StoreError::Full { bytes: bytes as u64, most });
             }
             transaction.commit().map_err(|e| fail(e.into()))
         })?;
@@ -358,7 +358,7 @@
         self.bytes
     }
 
-    fn raw(&self, key: &[u8]) -> Result<Option<Vec<u8>>, Trouble> {
+    fn raw(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         let mut found = None;
         let end = [key, &[0]].concat();
         self.each(key, Some(&end), &mut |_, value| {
@@ -369,12 +369,18 @@
     }
 
     /// A row's value.
-    pub fn get(&self, space: u8, name: &[u8]) -> Result<Option<Vec<u8>>, Trouble> {
+    pub fn get(&self, space: u8, name: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.raw(&key(space, name))
     }
 
     /// Rows of a space from `from` up to `to` (all, without it), in the order of their names, until `most` bytes.
-    pub fn range(&self, space: u8, from: &[u8], to: Option<&[u8]>, most: usize) -> Result<Vec<Row>, Trouble> {
+    pub fn range(
+        &self,
+        space: u8,
+        from: &[u8],
+        to: Option<&[u8]>,
+        most: usize,
+    ) -> Result<Vec<Row>, StoreError> {
         let end = match to {
             Some(to) => key(space, to),
             None => vec![space.max(1).saturating_add(1)],
@@ -397,7 +403,7 @@
         from: &[u8],
         to: Option<&[u8]>,
         show: &mut dyn FnMut(&[u8], &[u8]) -> bool,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), StoreError> {
         let file = self.config.file();
         guarded(&file, || {
             let fail = |e: redb::Error| trouble(&file, "read", e);
@@ -419,7 +425,7 @@
                 let Some((_, value)) = sound else {
                     let place = format!("row {}", name.escape_ascii());
                     let what = "its digest does not fit".to_owned();
-                    return Err(Trouble::Damaged { file: file.clone(), place, what });
+                    return Err(StoreError::Damaged { file: file.clone(), place, what });
                 };
                 if !show(name, value) {
                     return Ok(());
@@ -430,12 +436,12 @@
     }
 
     /// Reads everything and compares all digests: what a medium has done to rows that nobody reads.
-    pub fn scrub(&mut self) -> Result<(), Trouble> {
+    pub fn scrub(&mut self) -> Result<(), StoreError> {
         let file = self.config.file();
         self.count()?;
         guarded(&file, || match self.database.check_integrity() {
             Ok(true) => Ok(()),
-            Ok(false) => Err(Trouble::Damaged {
+            Ok(false) => Err(StoreError::Damaged {
                 file: file.clone(),
                 place: "whole".to_owned(),
                 what: "its digests do not fit".to_owned(),
@@ -445,22 +451,22 @@
     }
 
     /// Gives back what removed rows have left free.
-    pub fn compact(&mut self) -> Result<(), Trouble> {
+    pub fn compact(&mut self) -> Result<(), StoreError> {
         let file = self.config.file();
         guarded(&file, || self.database.compact().map(drop).map_err(|e| trouble(&file, "compact", e)))
     }
 
     /// Gives a store that can't be read another name, so that a new one can begin and the old one stays for the operator;
     /// says which name.
-    pub fn set_aside(disk: &dyn Disk, config: &Config) -> Result<PathBuf, Trouble> {
+    pub fn quarantine(disk: &dyn Disk, config: &Config) -> Result<PathBuf, StoreError> {
         let file = config.file();
         let name = |n: u32| config.folder.join(format!("rows.redb.aside-{n}"));
         let Some(to) = (1..=MOST_ASIDE).map(name).find(|to| !disk.exists(to)) else {
             let why =
                 io::Error::other(format!("{MOST_ASIDE} have been set aside already; move them elsewhere"));
-            return Err(Trouble::Io { doing: "set aside", file, why });
+            return Err(StoreError::Io { doing: "set aside", file, why });
         };
-        let fail = |why| Trouble::Io { doing: "set aside", file: file.clone(), why };
+        let fail = |why| StoreError::Io { doing: "set aside", file: file.clone(), why };
         disk.rename(&file, &to).map_err(fail)?;
         disk.sync_folder(&config.folder).map_err(fail)?;
         Ok(to)
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -10,8 +10,8 @@
 use std::path::PathBuf;
 
 use crate::disk::Disk;
+use crate::error::StoreError;
 use crate::store::{Batch, Config, Row, Store};
-use crate::trouble::Trouble;
 
 /// Batches that become one commit at most.
 const TOGETHER: usize = 256;
@@ -25,28 +25,28 @@
 
 /// What was found when the thread opened the store.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct OpenedStore {
     /// All rows of the spaces that were asked for.
     pub rows: Vec<(u8, Vec<Row>)>,
     /// What was there could not be read: where it is now, and what was wrong with it.
-    pub aside: Option<(PathBuf, String)>,
+    pub quarantined: Option<(PathBuf, String)>,
     /// How many commits there had been.
     pub generation: u64,
 }
 
 /// What has been done.
 #[derive(Debug)]
-pub enum Done {
+pub enum WriterEvent {
     /// The store is open.
-    Opened(Found),
+    Opened(OpenedStore),
     /// It can't be opened; the thread has ended.
-    Closed(Trouble),
+    Closed(StoreError),
     /// All batches up to this number are durable; how often it was synced so far, and bytes of all rows.
     Durable(u64, u64),
     /// From this number on nothing is durable; the thread takes no further batches.
-    Failed(u64, Trouble),
+    Failed(u64, StoreError),
     /// All rows were read: what was found.
-    Scrubbed(Result<(), Trouble>),
+    Scrubbed(Result<(), StoreError>),
 }
 
 /// The thread's mailbox.
@@ -61,7 +61,7 @@
     pub fn start(
         store: Store,
         queue: usize,
-        tell: impl Fn(Done) + Send + 'static,
+        tell: impl Fn(WriterEvent) + Send + 'static,
     ) -> std::io::Result<Writer> {
         let (jobs, taken) = sync_channel(queue);
         let thread =
@@ -77,31 +77,31 @@
         spaces: &'static [u8],
         fresh: bool,
         queue: usize,
-        tell: impl Fn(Done) + Send + 'static,
+        tell: impl Fn(WriterEvent) + Send + 'static,
     ) -> std::io::Result<Writer> {
         let (jobs, taken) = sync_channel(queue);
         let open = move || {
             let mut aside = None;
             if fresh && disk.exists(&config.file()) {
-                aside = Some((Store::set_aside(&disk, &config)?, "its copy is not to be used".to_owned()));
+                aside = Some((Store::quarantine(&disk, &config)?, "its copy is not to be used".to_owned()));
             }
             let mut store = Store::open(&disk, &config);
             if let Some(why) = store.as_ref().err().filter(|why| why.is_damage()).map(ToString::to_string) {
-                aside = Some((Store::set_aside(&disk, &config)?, why));
+                aside = Some((Store::quarantine(&disk, &config)?, why));
                 store = Store::open(&disk, &config);
             }
             let store = store?;
             let rows = spaces.iter().map(|space| Ok((*space, store.range(*space, &[], None, usize::MAX)?)));
-            let rows = rows.collect::<Result<Vec<_>, Trouble>>()?;
+            let rows = rows.collect::<Result<Vec<_>, StoreError>>()?;
             let generation = store.generation();
-            Ok((store, Found { rows, aside, generation }))
+            Ok((store, OpenedStore { rows, quarantined: aside, generation }))
         };
         let thread = std::thread::Builder::new().name("store".to_owned()).spawn(move || match open() {
             Ok((store, found)) => {
-                tell(Done::Opened(found));
+                tell(WriterEvent::Opened(found));
                 work(store, taken, tell);
             }
-            Err(why) => tell(Done::Closed(why)),
+            Err(why) => tell(WriterEvent::Closed(why)),
         })?;
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
@@ -141,7 +141,7 @@
     }
 }
 
-fn work(mut store: Store, jobs: Receiver<Job>, tell: impl Fn(Done)) {
+fn work(mut store: Store, jobs: Receiver<Job>, tell: impl Fn(WriterEvent)) {
     let mut failed = false;
     let mut next = jobs.recv().ok();
     while let Some(job) = next.take() {
@@ -163,15 +163,15 @@
                 }
                 if !failed {
                     match store.commit(all) {
-                        Ok(generation) => tell(Done::Durable(last, generation)),
+                        Ok(generation) => tell(WriterEvent::Durable(last, generation)),
                         Err(why) => {
                             failed = true;
-                            tell(Done::Failed(number, why));
+                            tell(WriterEvent::Failed(number, why));
                         }
                     }
                 }
             }
-            Job::Scrub => tell(Done::Scrubbed(store.scrub())),
+            Job::Scrub => tell(WriterEvent::Scrubbed(store.scrub())),
             // What is free stays free if it can't be given back now.
             Job::Compact => drop(store.compact()),
         }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use umberloom_store::disk::{Disk, RealDisk};
-use umberloom_store::simulated::{Faults, SimulatedDisk};
-use umberloom_store::writer::{Done, Writer};
-use umberloom_store::{Batch, Config, Store, Trouble};
+use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
+use umberloom_store::writer::{Writer, WriterEvent};
+use umberloom_store::{Batch, Config, Store, StoreError};
 
 const COMMITS: u64 = 8;
 
@@ -46,9 +46,9 @@
 }
 
 /// Plays the life up to the first error; how many commits returned.
-fn live(disk: &SimulatedDisk) -> (u64, Option<Trouble>) {
+fn live(disk: &FaultInjectingDisk) -> (u64, Option<StoreError>) {
     let mut acked = 0;
-    let mut play = || -> Result<(), Trouble> {
+    let mut play = || -> Result<(), StoreError> {
         let mut store = Store::open(disk, &config())?;
         acked = store.generation();
         while acked < COMMITS {
@@ -69,7 +69,7 @@
 
 /// Operations of a life in which nothing goes wrong.
 fn operations() -> u64 {
-    let disk = SimulatedDisk::new(0);
+    let disk = FaultInjectingDisk::new(0);
     assert_eq!(live(&disk).0, COMMITS);
     disk.operations()
 }
@@ -77,7 +77,7 @@
 /// At each operation: what the fault is, whether the power is cut afterwards, and what then must be found.
 fn at_each(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut: bool) {
     for at in (1..=operations()).step_by(step) {
-        let disk = SimulatedDisk::new(at);
+        let disk = FaultInjectingDisk::new(at);
         disk.set(fault(at));
         let (acked, _) = live(&disk);
         if cut {
@@ -110,7 +110,7 @@
 fn a_disk_that_lies_about_syncs_is_found_out_or_older_never_mixed() {
     let (mut older, mut damaged) = (0, 0);
     for seed in 0..120 {
-        let disk = SimulatedDisk::new(seed);
+        let disk = FaultInjectingDisk::new(seed);
         let mut store = Store::open(&disk, &config()).expect("new");
         (1..=4).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
         disk.set(Faults { syncs_lie: true, ..Faults::default() });
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_flipped_bit_is_found_before_anything_is_written_over_it() {
-    let disk = SimulatedDisk::new(3);
+    let disk = FaultInjectingDisk::new(3);
     assert_eq!(live(&disk).0, COMMITS);
     let (file, sound) = (config().file(), disk.image());
     let mut found = 0;
@@ -159,7 +159,7 @@
     }
     assert!(found > 5, "{found} of {} places", places.count());
     // Set aside it stays as it is, and a new one begins.
-    let aside = Store::set_aside(&disk, &config()).expect("set aside");
+    let aside = Store::quarantine(&disk, &config()).expect("set aside");
     assert_eq!(aside, Path::new("store/rows.redb.aside-1"));
     let store = Store::open(&disk, &config()).expect("a new one");
     assert_eq!((store.generation(), disk.exists(&aside)), (0, true));
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_bit_that_turns_over_while_it_runs_is_found_by_reading_or_by_a_scrub() {
-    let disk = SimulatedDisk::new(3);
+    let disk = FaultInjectingDisk::new(3);
     let mut store = Store::open(&disk, &config()).expect("new");
     (1..=COMMITS).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
     assert!(store.scrub().is_ok());
@@ -184,7 +184,7 @@
 
 #[test]
 fn what_stands_in_the_way_is_told_and_changes_nothing() {
-    let disk = SimulatedDisk::new(1);
+    let disk = FaultInjectingDisk::new(1);
     let store = Store::open(&disk, &config()).expect("new");
     let second = Store::open(&disk, &config()).expect_err("locked");
     assert_eq!(second.to_string(), "store/lock: another process has it open");
@@ -196,20 +196,20 @@
     let refused = Store::open(&disk, &config()).expect_err("newer");
     assert_eq!(refused.to_string(), "store/rows.redb: form 2, this program knows up to 1");
 
-    let full = SimulatedDisk::new(1);
+    let full = FaultInjectingDisk::new(1);
     let mut store = Store::open(&full, &Config { most: 4_000, ..config() }).expect("new");
     store.commit(Batch::new().put(1, b"a", &[7; 3_000])).expect("room");
     let why = store.commit(Batch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
-    assert!(matches!(why, Trouble::Full { most: 4_000, .. }), "{why}");
+    assert!(matches!(why, StoreError::Full { most: 4_000, .. }), "{why}");
     store.commit(Batch::new().remove(1, b"a")).expect("taking out is always possible");
     store.commit(Batch::new().put(1, b"b", &[7; 3_000])).expect("room again");
 
-    let file = SimulatedDisk::new(1);
+    let file = FaultInjectingDisk::new(1);
     file.open(Path::new("store"), true).expect("a file");
     let why = Store::open(&file, &config()).expect_err("no folder");
     assert_eq!(why.to_string(), "store: expected a folder");
 
-    let read_only = SimulatedDisk::new(1);
+    let read_only = FaultInjectingDisk::new(1);
     read_only.set(Faults { all_writes_fail: Some(ErrorKind::ReadOnlyFilesystem), ..Faults::default() });
     let why = Store::open(&read_only, &config()).expect_err("read only");
     assert!(why.to_string().starts_with("store: make the folder: "), "{why}");
@@ -229,7 +229,7 @@
     let mut at = 0;
     loop {
         at += 1;
-        let disk = SimulatedDisk::new(at);
+        let disk = FaultInjectingDisk::new(at);
         let mut store = Store::open(&disk, &config()).expect("form 1");
         store.commit(Batch::new().put(1, b"name", b"1")).expect("durable");
         drop(store);
@@ -248,7 +248,7 @@
 
 #[test]
 fn the_thread_keeps_the_order_and_takes_nothing_after_a_failure() {
-    let disk = SimulatedDisk::new(1);
+    let disk = FaultInjectingDisk::new(1);
     let (told, heard) = mpsc::channel();
     let store = Store::open(&disk, &config()).expect("new");
     let writer = Writer::start(store, 64, move |done| drop(told.send(done))).expect("a thread");
@@ -257,8 +257,8 @@
     }
     let durable = |wanted: u64| loop {
         match heard.recv_timeout(Duration::from_secs(20)).expect("an answer") {
-            Done::Durable(n, _) if n == wanted => return,
-            Done::Durable(..) => {}
+            WriterEvent::Durable(n, _) if n == wanted => return,
+            WriterEvent::Durable(..) => {}
             other => panic!("{other:?}"),
         }
     };
@@ -266,12 +266,12 @@
     disk.set(Faults { all_writes_fail: Some(ErrorKind::StorageFull), ..Faults::default() });
     writer.commit(6, Batch::new().put(1, b"n", &6u64.to_le_bytes())).expect("room");
     let failed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
-    assert!(matches!(failed, Done::Failed(6, Trouble::Io { .. })), "{failed:?}");
+    assert!(matches!(failed, WriterEvent::Failed(6, StoreError::Io { .. })), "{failed:?}");
     disk.set(Faults::default());
     writer.commit(7, Batch::new().put(1, b"n", &7u64.to_le_bytes())).expect("room");
     assert!(writer.scrub());
     let scrubbed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
-    assert!(matches!(scrubbed, Done::Scrubbed(_)), "batch 7 was taken: {scrubbed:?}");
+    assert!(matches!(scrubbed, WriterEvent::Scrubbed(_)), "batch 7 was taken: {scrubbed:?}");
     writer.finish();
     let store = Store::open(&disk, &config()).expect("opened anew");
     assert_eq!(store.get(1, b"n").expect("sound"), Some(5u64.to_le_bytes().to_vec()));
@@ -283,14 +283,14 @@
     let config = Config { most: 1 << 20, ..Config::new(&folder) };
     let mut store = Store::open(&RealDisk, &config).expect("new");
     (1..=COMMITS).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
-    assert!(matches!(Store::open(&RealDisk, &config), Err(Trouble::Locked(_))));
+    assert!(matches!(Store::open(&RealDisk, &config), Err(StoreError::Locked(_))));
     drop(store);
     let mut store = Store::open(&RealDisk, &config).expect("again");
     assert_eq!((state(&store), store.scrub().is_ok()), (Ok(COMMITS), true));
     drop(store);
     std::fs::write(config.file(), b"no store at all, but long enough to be looked at").expect("written");
     assert!(Store::open(&RealDisk, &config).is_err_and(|e| e.is_damage()));
-    Store::set_aside(&RealDisk, &config).expect("set aside");
+    Store::quarantine(&RealDisk, &config).expect("set aside");
     assert_eq!(Store::open(&RealDisk, &config).expect("a new one").generation(), 0);
     let _ = std::fs::remove_dir_all(folder);
 }
