--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -96,7 +96,7 @@
         cause: String,
     },
     /// Two processes have spoken under one name: the earlier and the later start.
-    Doubled(MemberName, u64, u64),
+    NameConflict(MemberName, u64, u64),
     /// Another process, started then, has our name: we are silent.
     Fenced(u64),
     /// The one that had our name is gone: we go on under this start.
@@ -365,7 +365,7 @@
     fn proven(&mut self, now: Micros, name: &MemberName, (before, heard): (u64, bool), boot: u64) {
         self.askers.remove(name);
         if before != 0 && before != boot && heard {
-            self.tell(Event::Doubled(name.clone(), before, boot));
+            self.tell(Event::NameConflict(name.clone(), before, boot));
         }
         self.known.entry(name.clone()).or_insert_with(|| Known::new(now));
         let came = self.swim.meet(now, name, boot);
--- a/crates/server/src/questions.rs
+++ b/crates/server/src/admin_client.rs
@@ -14,7 +14,7 @@
 use umberloom_operator_config::Fleet;
 
 use crate::lifecycle::load_operator;
-use crate::wire::fleet::{frame, head, Answer, FleetView, Kind, Question, Reply, What, HEAD};
+use crate::wire::fleet::{frame, head, Answer, FleetView, FrameKind, Question, QuestionKind, Reply, HEAD};
 
 /// How long an answer may take.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -84,8 +84,8 @@
         operator.fleet.ok_or_else(|| format!("{file}: found no fleet, expected the node \"fleet\""))?;
     let at = options.at.unwrap_or(fleet.listen);
     let what = match &options.about {
-        About::Members => What::Members,
-        About::Explain(name) => What::Explain(name.clone()),
+        About::Members => QuestionKind::Members,
+        About::Explain(name) => QuestionKind::Explain(name.clone()),
         About::Record(about) => {
             let text = record::run(&fleet, at, about, options.json)?;
             let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-fn question(fleet: &Fleet, at: SocketAddr, what: What) -> Result<Reply, String> {
+fn question(fleet: &Fleet, at: SocketAddr, what: QuestionKind) -> Result<Reply, String> {
     let key = Key::new(&fleet.membership.fleet, &fleet.membership.secret);
     let fail = |e: std::io::Error| format!("{at}: {e}; is it the fleet's address of a server that runs?");
     let mut stream = TcpStream::connect_timeout(&at, PATIENCE).map_err(fail)?;
@@ -118,7 +118,7 @@
     // Drawn by the time: it only has to differ from that of an answer to someone else.
     let number = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64);
     let sealed = key.seal(&Question { number, what });
-    stream.write_all(&frame(Kind::Question, &sealed)).map_err(fail)?;
+    stream.write_all(&frame(FrameKind::Question, &sealed)).map_err(fail)?;
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
         let mut start = [0; HEAD];
@@ -129,7 +129,7 @@
         let mut content = vec![0; length];
         stream.read_exact(&mut content).map_err(fail)?;
         match key.open::<Answer>(&content, content.len()) {
-            Ok(answer) if kind == Kind::Answer && answer.number == number => return Ok(answer.reply),
+            Ok(answer) if kind == FrameKind::Answer && answer.number == number => return Ok(answer.reply),
             Ok(_) => {}
             Err(why) => return Err(format!("{at}: an answer that can't be believed ({why:?})")),
         }
--- a/crates/server/src/questions/record.rs
+++ b/crates/server/src/admin_client/record.rs
@@ -13,10 +13,10 @@
 use umberloom_replicated_store::{Export, Outcome, ReplicaStatus};
 
 use super::{age, columns, question};
-use crate::wire::fleet::{Reply, What};
-use crate::wire::record::{Asked, Told};
+use crate::wire::fleet::{QuestionKind, Reply};
+use crate::wire::record::{StoreAnswer, StoreQuestion};
 
-/// What is asked of the record.
+/// QuestionKind is asked of the record.
 #[derive(Clone, Debug)]
 pub enum About {
     /// How one server's part stands.
@@ -85,9 +85,9 @@
     construct!([status, show, history, put, remove, note, promote, demote, adopt, export, verify])
 }
 
-fn ask(fleet: &Fleet, at: SocketAddr, asked: Asked) -> Result<Told, String> {
-    match question(fleet, at, What::Record(asked))? {
-        Reply::Record(Told::Refused(why)) => Err(format!("{at}: {why}")),
+fn ask(fleet: &Fleet, at: SocketAddr, asked: StoreQuestion) -> Result<StoreAnswer, String> {
+    match question(fleet, at, QuestionKind::Record(asked))? {
+        Reply::Record(StoreAnswer::Refused(why)) => Err(format!("{at}: {why}")),
         Reply::Record(told) => Ok(told),
         _ => Err(format!("{at}: an answer to something else")),
     }
@@ -107,14 +107,14 @@
 pub fn run(fleet: &Fleet, at: SocketAddr, about: &About, as_json: bool) -> Result<String, String> {
     let text = |value: serde_json::Value| serde_json::to_string_pretty(&value).map_err(|e| e.to_string());
     match about {
-        About::Status => match ask(fleet, at, Asked::Status)? {
-            Told::Status(standing) if as_json => text(json!(standing)),
-            Told::Status(standing) => Ok(status(&standing)),
+        About::Status => match ask(fleet, at, StoreQuestion::Status)? {
+            StoreAnswer::Status(standing) if as_json => text(json!(standing)),
+            StoreAnswer::Status(standing) => Ok(status(&standing)),
             _ => Err(odd(at)),
         },
-        About::History(most) => match ask(fleet, at, Asked::History(*most))? {
-            Told::History(lines) if as_json => text(json!(lines)),
-            Told::History(lines) => Ok(history(&lines)),
+        About::History(most) => match ask(fleet, at, StoreQuestion::History(*most))? {
+            StoreAnswer::History(lines) if as_json => text(json!(lines)),
+            StoreAnswer::History(lines) => Ok(history(&lines)),
             _ => Err(odd(at)),
         },
         About::Show { name, local, out } => {
@@ -149,11 +149,11 @@
         }
         About::Note(note) => write(fleet, at, vec![Entry::Note(note.clone())], as_json),
         About::Hand(name, votes) => {
-            ask(fleet, at, Asked::Hand(name.clone(), *votes))?;
+            ask(fleet, at, StoreQuestion::Hand(name.clone(), *votes))?;
             Ok(format!("the leader was asked to let {name} {}", if *votes { "vote" } else { "learn" }))
         }
         About::Adopt => {
-            ask(fleet, at, Asked::Adopt)?;
+            ask(fleet, at, StoreQuestion::Adopt)?;
             Ok(format!("the copy of {at} is the record from now on, under a new number; the others join it"))
         }
         About::Export(file) => {
@@ -167,7 +167,7 @@
     }
 }
 
-/// What a file holds; no server is asked.
+/// QuestionKind a file holds; no server is asked.
 pub fn verify(file: &std::path::Path, as_json: bool) -> Result<String, String> {
     let name = file.display();
     let bytes = std::fs::read(file).map_err(|e| format!("{name}: {e}"))?;
@@ -197,9 +197,9 @@
         loop {
             let from = all.len() as u64;
             // Only the first part has to be the latest: the others have to be of its version.
-            let asked = Asked::Show { name: name.to_owned(), latest: latest && from == 0, from };
+            let asked = StoreQuestion::Show { name: name.to_owned(), latest: latest && from == 0, from };
             match ask(fleet, at, asked)? {
-                Told::Document { version, index, by, length, part, age_ms } => {
+                StoreAnswer::Document { version, index, by, length, part, age_ms } => {
                     let (known, ..) = first.get_or_insert((version, by, index, age_ms));
                     if *known != version {
                         break;
@@ -210,7 +210,7 @@
                         return Ok((version, by, index, age_ms, all));
                     }
                 }
-                Told::Nothing(names) => {
+                StoreAnswer::Nothing(names) => {
                     return Err(format!(
                         "{at}: there is no document {name:?}; there are: {}",
                         names.join(", ")
@@ -226,8 +226,8 @@
 fn export(fleet: &Fleet, at: SocketAddr) -> Result<Vec<u8>, String> {
     let mut all: Vec<u8> = Vec::new();
     loop {
-        match ask(fleet, at, Asked::Export(all.len() as u64))? {
-            Told::Bytes(part, length) => {
+        match ask(fleet, at, StoreQuestion::Export(all.len() as u64))? {
+            StoreAnswer::Bytes(part, length) => {
                 all.extend_from_slice(&part);
                 if all.len() as u64 >= length || part.is_empty() {
                     return Ok(all);
@@ -242,8 +242,8 @@
     let id = number();
     let mut last = None;
     for (n, entry) in (0u128..).zip(entries) {
-        match ask(fleet, at, Asked::Write { id: id + (n << 96), entry })? {
-            Told::Done(outcome) => last = Some(outcome),
+        match ask(fleet, at, StoreQuestion::Write { id: id + (n << 96), entry })? {
+            StoreAnswer::Done(outcome) => last = Some(outcome),
             _ => return Err(odd(at)),
         }
     }
--- a/crates/server/src/module.rs
+++ b/crates/server/src/admission.rs
@@ -15,15 +15,15 @@
 use umberloom_settings::shape::Shape;
 use umberloom_settings::GaugeNames;
 
-use crate::exchange::agent::{self, Order};
-use crate::exchange::caller::{Answer, Check, Hint, ReplyTo, Request};
-use crate::exchange::calls::{self, CallId};
-use crate::exchange::{fleet, front, list, Message, RunEnd};
+use crate::dependency_calls::{DependencyCalls, Done};
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::rare::Rare;
-use crate::memory::keys::Keys;
-use crate::memory::open::{Call, Open, Run, Table};
-use crate::plans::{Done, Plans};
+use crate::lifecycle::log_throttle::LogThrottle;
+use crate::memory::idempotency_cache::IdempotencyCache;
+use crate::memory::request_table::{Call, OpenRequest, RequestTable, Run};
+use crate::messages::agent::{self, AgentCommand};
+use crate::messages::caller::{HealthCheck, LoadHint, ReplyTo, Request, Response};
+use crate::messages::calls::{self, CallId};
+use crate::messages::{fleet, listener, registration, AdmissionMessage, RunOutcome};
 
 /// Messages that may wait to be taken.
 pub const MAILBOX: usize = 256;
@@ -36,38 +36,38 @@
 const CHECKS: usize = 64;
 
 /// The mailboxes of the others.
-pub struct Others {
+pub struct Mailboxes {
     /// The agent's link.
-    pub agent: Sender<agent::Word>,
+    pub agent: Sender<agent::AgentActorMessage>,
     /// The records service.
-    pub records: Sender<calls::Order>,
+    pub records: Sender<calls::DependencyCommand>,
     /// The list.
-    pub list: Sender<list::Word>,
+    pub list: Sender<registration::RegistrationCommand>,
     /// The front.
-    pub front: Sender<front::Order>,
+    pub front: Sender<listener::ListenerCommand>,
     /// Told once the agent is up.
     pub up: Sender<()>,
     /// The free value, for all connections.
-    pub hint: Hint,
+    pub hint: LoadHint,
     /// The fleet, if this server knows one.
-    pub fleet: Option<Sender<fleet::Order>>,
+    pub fleet: Option<Sender<fleet::FleetCommand>>,
 }
 
 /// The actor.
-pub struct Module {
+pub struct AdmissionActor {
     settings: Settings,
     shape: Shape,
     /// There from the greeting on: a server begins to warm up when its agent starts.
     server: Option<AdmissionController>,
     gauges: GaugeNames,
-    mail: Receiver<Message>,
-    others: Others,
+    mail: Receiver<AdmissionMessage>,
+    others: Mailboxes,
     clock: Clock,
     log: Logger,
-    open: Table,
-    keys: Keys,
+    open: RequestTable,
+    keys: IdempotencyCache,
     /// Calls of runs whose class has a plan; nothing without an operator's file.
-    plans: Option<Plans>,
+    plans: Option<DependencyCalls>,
     events: Vec<Event>,
     /// Events for the step after the present one.
     later: VecDeque<Event>,
@@ -80,7 +80,7 @@
     /// How long connections may idle, where the front has not been told yet.
     idle: Option<Micros>,
     /// A mailbox was full.
-    full: Rare,
+    full: LogThrottle,
     /// Notice to drain: when the process is stopped, and when the notice came.
     stop_at: Option<Micros>,
     noticed_at: Micros,
@@ -91,21 +91,21 @@
     Event::Drain { time_left: stop_at.saturating_sub(now), notified_ago: now.saturating_sub(noticed_at) }
 }
 
-impl Module {
+impl AdmissionActor {
     /// Will host a server with these settings.
     pub fn new(
         (settings, shape, gauges): (Settings, Shape, GaugeNames),
-        plans: Option<Plans>,
-        mail: Receiver<Message>,
-        others: Others,
+        plans: Option<DependencyCalls>,
+        mail: Receiver<AdmissionMessage>,
+        others: Mailboxes,
         clock: Clock,
         log: Logger,
-    ) -> Module {
-        let (open, keys) = (Table::default(), Keys::default());
+    ) -> AdmissionActor {
+        let (open, keys) = (RequestTable::default(), IdempotencyCache::default());
         let (events, later) = (Vec::new(), VecDeque::new());
         let (wake_at, sample, checks) = (None, None, BTreeMap::new());
         let (server, tag, ready, stop_at) = (None, 0, None, None);
-        Module {
+        AdmissionActor {
             settings,
             shape,
             server,
@@ -125,7 +125,7 @@
             checks,
             ready,
             idle: None,
-            full: Rare::default(),
+            full: LogThrottle::default(),
             stop_at,
             noticed_at: 0,
         }
@@ -199,14 +199,14 @@
             self.keys.expire(now.saturating_sub(late), |id| open.has(id));
             self.tag += 1;
             self.sample = Some((self.tag, now + GAUGE_WAIT));
-            self.order(Order::Sample(self.tag));
+            self.order(AgentCommand::SampleGauges(self.tag));
         }
         if self.sample.is_some_and(|(_, until)| now >= until) {
             self.sample = None;
             self.events.push(Event::Timer(Gauges::default()));
         }
         while let Some(check) = self.checks.first_entry().filter(|e| now >= e.get().0) {
-            check.remove().1.answer(Answer::Health(false));
+            check.remove().1.respond(Response::Health(false));
         }
     }
 
@@ -233,50 +233,50 @@
         let slack = self.settings.answer_slack / 2;
         for id in self.open.overdue(now.saturating_sub(slack)) {
             error!(self.log, "not answered by the module"; "request" => &*id);
-            self.finish(&id, Answer::Failed);
+            self.finish(&id, Response::Failed);
             self.later.push_back(Event::Cancelled(id));
         }
     }
 
-    fn take(&mut self, now: Micros, message: Message) {
+    fn take(&mut self, now: Micros, message: AdmissionMessage) {
         match message {
-            Message::Request(request) => self.arrived(now, *request),
-            Message::Check(check) => self.check(now, check),
-            Message::Gone(id, serial) => self.gone(&id, serial),
-            Message::Greeted(since) => self.greet(now, since),
-            Message::LinkLost => self.link_lost(),
-            Message::Outcome(id, end, took) => self.ended(&id, end, took),
-            Message::NeedsCall(id, seq, body) => self.needs_call(&id, seq, body),
-            Message::Sampled(tag, values) => self.sampled(tag, values),
-            Message::Exercised(tag, fine) => {
+            AdmissionMessage::Request(request) => self.arrived(now, *request),
+            AdmissionMessage::HealthCheck(check) => self.check(now, check),
+            AdmissionMessage::Cancelled(id, serial) => self.gone(&id, serial),
+            AdmissionMessage::AgentUp(since) => self.greet(now, since),
+            AdmissionMessage::AgentLinkLost => self.link_lost(),
+            AdmissionMessage::RunEnded(id, end, took) => self.ended(&id, end, took),
+            AdmissionMessage::NeedsCall(id, seq, body) => self.needs_call(&id, seq, body),
+            AdmissionMessage::GaugesSampled(tag, values) => self.sampled(tag, values),
+            AdmissionMessage::HealthCheckEnded(tag, fine) => {
                 if let Some((_, reply_to)) = self.checks.remove(&tag) {
-                    reply_to.answer(Answer::Health(fine));
+                    reply_to.respond(Response::Health(fine));
                 }
             }
-            Message::AgentRefused(command, id) => self.agent_refused(&command, &id),
-            Message::Senseless(id) => self.end_unheard(&id, Outcome::Error),
-            Message::Called(id, outcome, took, body) if id.attempt == 0 => {
+            AdmissionMessage::AgentRejected(command, id) => self.agent_refused(&command, &id),
+            AdmissionMessage::InvalidAgentNotice(id) => self.end_unheard(&id, Outcome::Error),
+            AdmissionMessage::CallEnded(id, outcome, took, body) if id.attempt == 0 => {
                 self.called(id.request, outcome, took, body);
             }
-            Message::Called(id, outcome, _, body) => {
+            AdmissionMessage::CallEnded(id, outcome, _, body) => {
                 if let Some(plans) = &mut self.plans {
                     plans.ended(now, &id, outcome, body);
                     self.take_plans();
                 }
             }
-            Message::Operator(wanted) => {
+            AdmissionMessage::DependenciesReconfigured(wanted) => {
                 if let Some(plans) = &mut self.plans {
                     plans.set(now, *wanted);
                     self.take_plans();
                 }
             }
-            Message::Fleet(news) => {
+            AdmissionMessage::Fleet(news) => {
                 if let Some(plans) = &mut self.plans {
                     plans.hear(now, news);
                     self.take_plans();
                 }
             }
-            Message::Leave { noticed_at, stop_at } => {
+            AdmissionMessage::Drain { noticed_at, stop_at } => {
                 (self.stop_at, self.noticed_at) = (Some(stop_at), noticed_at);
                 self.events.push(leave(noticed_at, now, stop_at));
             }
@@ -287,24 +287,27 @@
         let Request { id, class, tenant, mut work, body, reply_to, charge } = request;
         if self.server.is_none() {
             // Nothing can run before the agent is up.
-            return reply_to.answer(Answer::Refused { stay_away: 0, terminal: false });
+            return reply_to.respond(Response::Rejected { retry_after: 0, terminal: false });
         }
         // Tries of a keyed request are linked by the caller's idempotency key alone; one without it could
         // run twice, so it is refused as malformed before anything is done. Keys of two tenants that happen to be
         // alike are two keys: none may get the other's answer.
         let keyed = self.settings.classes.get(class).filter(|c| c.idempotency == Idempotency::WithKey);
         if keyed.is_some() {
-            let Some(key) = work.idempotency_key.take() else { return reply_to.answer(Answer::Senseless) };
-            work.key = Some(if self.settings.tenants.is_empty() { key } else { format!("{tenant}/{key}") });
+            let Some(key) = work.idempotency_key.take() else {
+                return reply_to.respond(Response::BadRequest);
+            };
+            work.subject_key =
+                Some(if self.settings.tenants.is_empty() { key } else { format!("{tenant}/{key}") });
         }
         let unix = self.clock.unix();
         // Where requests state no wait, what one says of it all the same is not part of the agreement.
         let waits = work.waits(unix).filter(|_| self.shape.passes_deadline);
-        let queued = unix.saturating_sub(work.received);
+        let queued = unix.saturating_sub(work.received_at);
         // Without one the limit of its class counts from when it reached the machine.
         let limit = self.settings.classes.get(class).map_or(0, |c| c.deadline);
         let left = waits.unwrap_or(limit.saturating_sub(queued));
-        let subject = work.key.clone().map(|key| (class, key));
+        let subject = work.subject_key.clone().map(|key| (class, key));
         // What counts is when a repeat reached the machine, however late it is read; and while the first try is
         // open no other may run, though its window be over.
         let reached = now.saturating_sub(queued);
@@ -313,7 +316,7 @@
         // Another request under a key that is taken is no repeat: it must neither run nor get the other's result.
         let body_is = self.keys.digest(&body);
         if keyed.is_some() && kept.as_ref().is_some_and(|(_, other, _)| *other != body_is) {
-            return reply_to.answer(Answer::Senseless);
+            return reply_to.respond(Response::BadRequest);
         }
         let repeats = kept.map(|(id, ..)| id);
         // Two tries may be read before the module's word on the first: from its arrival on it holds the key. Without room for
@@ -321,7 +324,7 @@
         let binds =
             keyed.filter(|_| repeats.is_none()).map(|class| now + class.idempotency_window).zip(subject);
         if binds.is_some() && !self.keys.make_room(now, |id| self.open.has(id)) {
-            return reply_to.answer(Answer::Refused { stay_away: 0, terminal: false });
+            return reply_to.respond(Response::Rejected { retry_after: 0, terminal: false });
         }
         let arrival = Arrival {
             id: id.clone(),
@@ -331,13 +334,13 @@
             // Time in socket buffers counts: the caller's wait began when the request reached the machine.
             caller_timeout: waits,
             read_delay: queued,
-            queued_kb: work.held_kb,
+            queued_kb: work.queued_kb,
             rank: work.rank,
             cost: work.cost,
             duplicate_of: repeats,
-            is_retry: self.shape.marks_retry && work.again,
+            is_retry: self.shape.marks_retry && work.is_retry,
         };
-        let open = Open {
+        let open = OpenRequest {
             id,
             class,
             work,
@@ -363,16 +366,16 @@
             }
             // A name that is in use: to give it to the module would mix the two up.
             Err(open) => {
-                let _ = open.reply_to.map(|to| to.answer(Answer::Senseless));
+                let _ = open.reply_to.map(|to| to.respond(Response::BadRequest));
             }
         }
     }
 
     fn gone(&mut self, id: &str, serial: u64) {
         // One that is answered, or another under the same name, is none of this caller's business.
-        let meant = |open: &&mut Open| open.reply_to.as_ref().is_some_and(|to| to.serial() == serial);
+        let meant = |open: &&mut OpenRequest| open.reply_to.as_ref().is_some_and(|to| to.serial() == serial);
         let Some(id) = self.open.get(id).filter(meant).map(|open| open.id.clone()) else { return };
-        self.answer(&id, Answer::Aborted);
+        self.answer(&id, Response::Aborted);
         self.stop_call(&id);
         self.events.push(Event::Cancelled(id.clone()));
         self.sweep(&id);
@@ -397,20 +400,20 @@
     /// Answers to questions asked on the lost link will not come.
     fn link_lost(&mut self) {
         for (_, reply_to) in std::mem::take(&mut self.checks).into_values() {
-            reply_to.answer(Answer::Health(false));
+            reply_to.respond(Response::Health(false));
         }
     }
 
-    fn check(&mut self, now: Micros, check: Check) {
+    fn check(&mut self, now: Micros, check: HealthCheck) {
         match self.ready {
-            _ if self.server.is_none() => check.reply_to.answer(Answer::Health(false)),
-            Some(word) => check.reply_to.answer(Answer::Health(word)),
-            None if !check.full => check.reply_to.answer(Answer::Health(true)),
-            None if self.checks.len() >= CHECKS => check.reply_to.answer(Answer::Health(false)),
+            _ if self.server.is_none() => check.reply_to.respond(Response::Health(false)),
+            Some(word) => check.reply_to.respond(Response::Health(word)),
+            None if !check.is_deep => check.reply_to.respond(Response::Health(true)),
+            None if self.checks.len() >= CHECKS => check.reply_to.respond(Response::Health(false)),
             None => {
                 self.tag += 1;
                 self.checks.insert(self.tag, (now + CHECK_WAIT, check.reply_to));
-                self.order(Order::Exercise(self.tag));
+                self.order(AgentCommand::RunHealthCheck(self.tag));
             }
         }
     }
@@ -427,24 +430,24 @@
     /// Other servers see how loaded this one is.
     fn tell_load(&self, gauges: &Gauges) {
         if let (Some(fleet), Some(cpu)) = (&self.others.fleet, gauges.cpu) {
-            let _ = fleet.try_send(fleet::Order::Load((cpu.clamp(0.0, 1.0) * 100.0) as u8));
+            let _ = fleet.try_send(fleet::FleetCommand::SetLoad((cpu.clamp(0.0, 1.0) * 100.0) as u8));
         }
     }
 
-    fn ended(&mut self, id: &str, end: RunEnd, took: Micros) {
+    fn ended(&mut self, id: &str, end: RunOutcome, took: Micros) {
         let Some(open) = self.open.get(id) else { return };
         let (id, asked) = (open.id.clone(), open.halting);
         let outcome = match end {
-            RunEnd::Fine(result) => {
+            RunOutcome::Success(result) => {
                 if let (Some(plans), Some(from)) = (&mut self.plans, open.delivered) {
                     plans.learn_rest(&open.work.class, self.clock.now().saturating_sub(from));
                 }
                 self.answered_well(&id, result);
                 Outcome::Ok
             }
-            RunEnd::Fault => Outcome::Error,
-            RunEnd::BrokenOff => Outcome::Aborted,
-            RunEnd::Late => Outcome::NotStarted,
+            RunOutcome::Failed => Outcome::Error,
+            RunOutcome::Aborted => Outcome::Aborted,
+            RunOutcome::NotStarted => Outcome::NotStarted,
         };
         self.stop_call(&id);
         if let Some(open) = self.open.get(&id) {
@@ -455,7 +458,7 @@
             open.run = if paused { Run::Paused } else { Run::None };
             if !halted {
                 // A run that was ended by others, or failed, still owes its answer.
-                self.answer(&id, Answer::Failed);
+                self.answer(&id, Response::Failed);
             }
         }
         self.events.push(Event::RunEnded(id.clone(), outcome, took));
@@ -469,14 +472,14 @@
         for joined in self.open.joined_to(id) {
             self.end_joined(&joined, Some(&result));
         }
-        self.answer(id, Answer::Served(result));
+        self.answer(id, Response::Served(result));
     }
 
     /// Answers a request that waits for the result of another.
     fn end_joined(&mut self, id: &RequestId, result: Option<&[u8]>) {
         let (answer, outcome) = match result {
-            Some(result) => (Answer::Served(result.to_vec()), Outcome::Ok),
-            None => (Answer::Failed, Outcome::Error),
+            Some(result) => (Response::Served(result.to_vec()), Outcome::Ok),
+            None => (Response::Failed, Outcome::Error),
         };
         self.answer(id, answer);
         self.later.push_back(Event::RunEnded(id.clone(), outcome, 0));
@@ -507,7 +510,7 @@
         let id = open.id.clone();
         open.run = Run::None;
         self.stop_call(&id);
-        self.answer(&id, Answer::Failed);
+        self.answer(&id, Response::Failed);
         self.events.push(Event::RunEnded(id.clone(), outcome, 0));
         self.sweep(&id);
     }
@@ -519,23 +522,23 @@
         if outcome == Outcome::Ok {
             open.call = None;
             open.delivered = Some(self.clock.now());
-            self.order(Order::Deliver(id.clone(), body));
+            self.order(AgentCommand::DeliverReply(id.clone(), body));
         }
         self.events.push(Event::CallEnded(id, outcome, took));
     }
 
     /// Each plan that is over is the end of the one call that the decision module knows.
     fn take_plans(&mut self) {
-        let done = self.plans.as_mut().map(Plans::take_done).unwrap_or_default();
+        let done = self.plans.as_mut().map(DependencyCalls::take_done).unwrap_or_default();
         for Done { id, outcome, took, reply } in done {
             self.called(id, outcome, took, reply);
         }
     }
 
     /// Gives the final answer, unless one was given.
-    fn answer(&mut self, id: &str, answer: Answer) {
+    fn answer(&mut self, id: &str, answer: Response) {
         if let Some(reply_to) = self.open.get(id).and_then(|open| open.reply_to.take()) {
-            reply_to.answer(answer);
+            reply_to.respond(answer);
         }
     }
 
@@ -553,7 +556,7 @@
         if self.plans.as_mut().is_some_and(|plans| plans.give_up(now, id)) {
             return self.take_plans();
         }
-        let _ = self.others.records.try_send(calls::Order::GiveUp(CallId::plain(id.clone())));
+        let _ = self.others.records.try_send(calls::DependencyCommand::Cancel(CallId::plain(id.clone())));
     }
 
     /// Forgets a request of which nothing is left. Who still waits for its result does so in vain.
@@ -572,8 +575,8 @@
 
     /// Tells the agent's actor, which never waits; `false` if its mailbox is full. That takes far more orders
     /// than the open requests can need.
-    fn order(&mut self, order: Order) -> bool {
-        let sent = self.others.agent.try_send(agent::Word::Order(order));
+    fn order(&mut self, order: AgentCommand) -> bool {
+        let sent = self.others.agent.try_send(agent::AgentActorMessage::Command(order));
         if sent.is_err() {
             self.warn_full("agent");
         }
@@ -589,7 +592,7 @@
     /// The newest span counts; one that the front had no room to hear is told again.
     fn tell_front(&mut self) {
         let Some(span) = self.idle.take() else { return };
-        if self.others.front.try_send(front::Order::CloseIdle(span)).is_err() {
+        if self.others.front.try_send(listener::ListenerCommand::CloseIdle(span)).is_err() {
             self.idle = Some(span);
             self.warn_full("front");
         }
@@ -598,8 +601,9 @@
     /// The newest word counts: it takes the place of the oldest one where too many wait, but not that of an
     /// address.
     fn tell_list(&mut self, accepting: bool) {
-        let displaced = self.others.list.force_send(list::Word::Accepting(accepting));
-        if let Ok(Some(address @ list::Word::Address(_))) = displaced {
+        let displaced =
+            self.others.list.force_send(registration::RegistrationCommand::SetAccepting(accepting));
+        if let Ok(Some(address @ registration::RegistrationCommand::SetAddress(_))) = displaced {
             let _ = self.others.list.force_send(address);
         }
     }
@@ -611,10 +615,10 @@
             Action::Reject { id, retry_after: stay_away, terminal } => {
                 let begun = self.open.get(&id).is_some_and(|open| open.ran);
                 // What has run may have had its effect: its failure is never a refusal.
-                let refused = Answer::Refused { stay_away, terminal };
-                self.finish(&id, if begun { Answer::Failed } else { refused });
+                let refused = Response::Rejected { retry_after: stay_away, terminal };
+                self.finish(&id, if begun { Response::Failed } else { refused });
             }
-            Action::Fail(id) => self.finish(&id, Answer::Failed),
+            Action::Fail(id) => self.finish(&id, Response::Failed),
             Action::Call(id, until) => self.call(now, &id, until),
             Action::SkipCall(id) => self.skip_call(&id),
             Action::RetainKey(id, span) => self.keep(now, &id, now + span),
@@ -642,8 +646,8 @@
         }
         let order = match open.run {
             Run::Going => return,
-            Run::Paused => Order::Thaw(id.clone()),
-            Run::None => Order::Launch(id.clone(), open.work.class.clone(), open.body.clone()),
+            Run::Paused => AgentCommand::Resume(id.clone()),
+            Run::None => AgentCommand::Launch(id.clone(), open.work.class.clone(), open.body.clone()),
         };
         let before = (open.run, open.ran);
         (open.run, open.ran) = (Run::Going, true);
@@ -657,7 +661,7 @@
         let Some(open) = self.open.get(id) else { return };
         (open.run, open.ran) = before;
         if open.run == Run::None {
-            self.answer(id, Answer::Failed);
+            self.answer(id, Response::Failed);
             self.later.push_back(Event::RunEnded(id.clone(), Outcome::NotStarted, 0));
             self.sweep(id);
         }
@@ -666,10 +670,10 @@
     fn halt(&mut self, id: &RequestId) {
         let Some(open) = self.open.get(id).filter(|o| o.run == Run::Going) else { return };
         open.halting = true;
-        self.order(Order::Freeze(id.clone()));
+        self.order(AgentCommand::Pause(id.clone()));
     }
 
-    fn finish(&mut self, id: &RequestId, answer: Answer) {
+    fn finish(&mut self, id: &RequestId, answer: Response) {
         self.answer(id, answer);
         self.stop_call(id);
         self.sweep(id);
@@ -686,7 +690,8 @@
             return self.take_plans();
         }
         let (id, body) = (CallId::plain(id.clone()), call.body.as_slice().into());
-        let order = calls::Order::Call(calls::Call { id: id.clone(), address: None, body, until });
+        let order =
+            calls::DependencyCommand::Call(calls::Call { id: id.clone(), address: None, body, until });
         if self.others.records.try_send(order).is_err() {
             call.under_way = false;
             self.later.push_back(Event::CallEnded(id.request, Outcome::Unreachable, 0));
@@ -699,7 +704,7 @@
         if call.under_way {
             self.give_up_call(id);
         }
-        self.order(Order::Forgo(id.clone(), call.seq));
+        self.order(AgentCommand::SkipCall(id.clone(), call.seq));
     }
 
     fn keep(&mut self, now: Micros, id: &RequestId, until: Micros) {
--- a/crates/server/src/module/tests.rs
+++ b/crates/server/src/admission/tests.rs
@@ -2,18 +2,18 @@
 //! that would go to it are looked at instead.
 
 use super::*;
-use crate::exchange::caller::{Word, Work};
 use crate::memory::budget::Budget;
+use crate::messages::caller::{ConnectionCommand, WorkRequest};
 
 /// A module with the far ends of all its mailboxes.
 struct Bench {
-    module: Module,
-    agent: Receiver<agent::Word>,
-    records: Receiver<calls::Order>,
-    list: Receiver<list::Word>,
-    front: Receiver<front::Order>,
-    words: Receiver<Word>,
-    me: Sender<Word>,
+    module: AdmissionActor,
+    agent: Receiver<agent::AgentActorMessage>,
+    records: Receiver<calls::DependencyCommand>,
+    list: Receiver<registration::RegistrationCommand>,
+    front: Receiver<listener::ListenerCommand>,
+    words: Receiver<ConnectionCommand>,
+    me: Sender<ConnectionCommand>,
     serial: u64,
 }
 
@@ -35,18 +35,19 @@
     let (list, list_end) = async_channel::bounded(4);
     let (front, front_end) = async_channel::bounded(64);
     let (me, words) = async_channel::bounded(64);
-    let others = Others {
+    let others = Mailboxes {
         agent,
         records,
         list,
         front,
         up: async_channel::bounded(1).0,
-        hint: Hint::default(),
+        hint: LoadHint::default(),
         fleet: None,
     };
     let log = Logger::root(slog::Discard, slog::o!());
     let told = (set, Shape { passes_deadline: true, marks_retry: false }, GaugeNames::default());
-    let mut module = Module::new(told, None, async_channel::bounded(1).1, others, Clock::default(), log);
+    let mut module =
+        AdmissionActor::new(told, None, async_channel::bounded(1).1, others, Clock::default(), log);
     module.greet(NOW, 0);
     module.events.clear();
     let ends = (agent_end, records_end, list_end, front_end);
@@ -61,19 +62,19 @@
 }
 
 impl Bench {
-    fn work(&self, id: &str, key: Option<&str>, idempotency_key: Option<&str>) -> Work {
-        Work {
+    fn work(&self, id: &str, key: Option<&str>, idempotency_key: Option<&str>) -> WorkRequest {
+        WorkRequest {
             id: id.to_owned(),
             class: "desk-search".to_owned(),
-            received: self.module.clock.unix() - 1_000_000,
+            received_at: self.module.clock.unix() - 1_000_000,
             budget: Some(500_000_000),
-            again: false,
+            is_retry: false,
             tenant: None,
             cost: None,
             sender: 4,
-            held_kb: 20.0,
+            queued_kb: 20.0,
             rank: 0.5,
-            key: key.map(String::from),
+            subject_key: key.map(String::from),
             idempotency_key: idempotency_key.map(String::from),
         }
     }
@@ -89,21 +90,21 @@
         let charge = Budget::new(1).take(0).expect("nothing");
         let request =
             Request { id: id.into(), class: 0, tenant: 0, work, body: b"body".to_vec(), reply_to, charge };
-        self.module.take(NOW, Message::Request(Box::new(request)));
+        self.module.take(NOW, AdmissionMessage::Request(Box::new(request)));
     }
 
     fn act(&mut self, action: Action) {
         self.module.carry_out(NOW, action);
     }
 
-    fn hear(&mut self, message: Message) {
+    fn hear(&mut self, message: AdmissionMessage) {
         self.module.take(NOW, message);
     }
 
     /// Answers given since the last look, by serial.
-    fn answers(&self) -> Vec<(u64, Answer)> {
+    fn answers(&self) -> Vec<(u64, Response)> {
         let answer = |word| match word {
-            Word::Answer(_, serial, answer) => (serial, answer),
+            ConnectionCommand::Respond(_, serial, answer) => (serial, answer),
             other => panic!("{other:?}"),
         };
         all(&self.words).into_iter().map(answer).collect()
@@ -115,9 +116,9 @@
         self.module.events.drain(..).chain(later).map(|e| format!("{e:?}")).collect()
     }
 
-    fn orders(&self) -> Vec<Order> {
+    fn orders(&self) -> Vec<AgentCommand> {
         let order = |word| match word {
-            agent::Word::Order(order) => order,
+            agent::AgentActorMessage::Command(order) => order,
             other => panic!("{other:?}"),
         };
         all(&self.agent).into_iter().map(order).collect()
@@ -125,7 +126,7 @@
 
     fn list(&mut self) -> Vec<bool> {
         let word = |word| match word {
-            list::Word::Accepting(word) => word,
+            registration::RegistrationCommand::SetAccepting(word) => word,
             other => panic!("{other:?}"),
         };
         all(&self.list).into_iter().map(word).collect()
@@ -134,13 +135,13 @@
     fn launched(&mut self, id: &str) {
         self.request(id, None);
         self.act(Action::Admit(id.into()));
-        assert!(matches!(self.orders().as_slice(), [Order::Launch(..)]));
+        assert!(matches!(self.orders().as_slice(), [AgentCommand::Launch(..)]));
         self.events();
     }
 }
 
-fn outcome(id: &str, end: RunEnd) -> Message {
-    Message::Outcome(id.to_owned(), end, 9)
+fn outcome(id: &str, end: RunOutcome) -> AdmissionMessage {
+    AdmissionMessage::RunEnded(id.to_owned(), end, 9)
 }
 
 #[test]
@@ -156,8 +157,8 @@
 fn a_run_that_went_well_is_answered_and_told() {
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
-    bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
-    assert_eq!(bench.answers(), [(1, Answer::Served(b"r".to_vec()))]);
+    bench.hear(outcome("a", RunOutcome::Success(b"r".to_vec())));
+    assert_eq!(bench.answers(), [(1, Response::Served(b"r".to_vec()))]);
     assert_eq!(bench.events(), [r#"Ended("a", Ok, 9)"#]);
     assert_eq!(bench.module.open.len(), 0);
 }
@@ -169,27 +170,27 @@
     bench.act(Action::Reject { id: "held".into(), retry_after: 5, terminal: true });
     bench.launched("ran");
     bench.act(Action::Preempt("ran".into()));
-    bench.hear(outcome("ran", RunEnd::BrokenOff));
+    bench.hear(outcome("ran", RunOutcome::Aborted));
     bench.act(Action::Reject { id: "ran".into(), retry_after: 0, terminal: false });
-    let refused = Answer::Refused { stay_away: 5, terminal: true };
-    assert_eq!(bench.answers(), [(1, refused), (2, Answer::Failed)]);
+    let refused = Response::Rejected { retry_after: 5, terminal: true };
+    assert_eq!(bench.answers(), [(1, refused), (2, Response::Failed)]);
     assert_eq!(bench.module.open.len(), 0);
 }
 
 #[test]
 fn a_paused_run_goes_on_and_a_dropped_one_begins_again() {
     for (halt, again) in [
-        (Preemption::Pause, Order::Thaw("a".into())),
-        (Preemption::Abort, Order::Launch("a".into(), "desk-search".into(), b"body".to_vec())),
+        (Preemption::Pause, AgentCommand::Resume("a".into())),
+        (Preemption::Abort, AgentCommand::Launch("a".into(), "desk-search".into(), b"body".to_vec())),
     ] {
         let mut bench = bench(halt);
         bench.launched("a");
         bench.act(Action::Preempt("a".into()));
-        assert_eq!(bench.orders(), [Order::Freeze("a".into())]);
+        assert_eq!(bench.orders(), [AgentCommand::Pause("a".into())]);
         // While the stop is not confirmed it still runs.
         bench.act(Action::Admit("a".into()));
         assert_eq!(bench.orders(), []);
-        bench.hear(outcome("a", RunEnd::BrokenOff));
+        bench.hear(outcome("a", RunOutcome::Aborted));
         assert_eq!(bench.events(), [r#"Ended("a", Stopped, 9)"#]);
         assert_eq!(bench.answers(), []);
         bench.act(Action::Admit("a".into()));
@@ -201,8 +202,8 @@
 fn a_run_that_others_stopped_is_failed() {
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
-    bench.hear(outcome("a", RunEnd::BrokenOff));
-    assert_eq!(bench.answers(), [(1, Answer::Failed)]);
+    bench.hear(outcome("a", RunOutcome::Aborted));
+    assert_eq!(bench.answers(), [(1, Response::Failed)]);
     assert_eq!(bench.module.open.len(), 0);
 }
 
@@ -212,9 +213,9 @@
     bench.launched("a");
     bench.act(Action::Fail("a".into()));
     bench.act(Action::Preempt("a".into()));
-    assert_eq!((bench.orders(), bench.module.open.len()), (vec![Order::Freeze("a".into())], 1));
-    bench.hear(outcome("a", RunEnd::Fine(b"late".to_vec())));
-    assert_eq!(bench.answers(), [(1, Answer::Failed)]);
+    assert_eq!((bench.orders(), bench.module.open.len()), (vec![AgentCommand::Pause("a".into())], 1));
+    bench.hear(outcome("a", RunOutcome::Success(b"late".to_vec())));
+    assert_eq!(bench.answers(), [(1, Response::Failed)]);
     assert_eq!((bench.events(), bench.module.open.len()), (vec![r#"Ended("a", Ok, 9)"#.to_owned()], 0));
 }
 
@@ -226,7 +227,7 @@
     bench.module.answer_overdue(due);
     assert_eq!(bench.answers(), []);
     bench.module.answer_overdue(due + 60_000);
-    assert_eq!(bench.answers(), [(1, Answer::Failed)]);
+    assert_eq!(bench.answers(), [(1, Response::Failed)]);
     assert!(bench.events().contains(&r#"Gone("a")"#.to_owned()));
 }
 
@@ -234,33 +235,33 @@
 fn calls_are_made_delivered_given_up_and_left_out() {
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
-    let word = |order: calls::Order| match order {
-        calls::Order::Call(call) => {
+    let word = |order: calls::DependencyCommand| match order {
+        calls::DependencyCommand::Call(call) => {
             format!("Call({:?}, {:?}, {})", call.id.request, call.body, call.until)
         }
-        calls::Order::GiveUp(id) => format!("GiveUp({:?})", id.request),
+        calls::DependencyCommand::Cancel(id) => format!("GiveUp({:?})", id.request),
         other => format!("{other:?}"),
     };
     let calls = |bench: &Bench| all(&bench.records).into_iter().map(word).collect::<Vec<_>>();
-    bench.hear(Message::NeedsCall("a".into(), 7, b"c".to_vec()));
+    bench.hear(AdmissionMessage::NeedsCall("a".into(), 7, b"c".to_vec()));
     bench.act(Action::Call("a".into(), 50));
     assert_eq!(calls(&bench), [r#"Call("a", [99], 50)"#]);
-    bench.hear(Message::Called(CallId::plain("a".into()), Outcome::ConnectionLost, 3, vec![]));
+    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::ConnectionLost, 3, vec![]));
     bench.act(Action::Call("a".into(), 60));
-    bench.hear(Message::Called(CallId::plain("a".into()), Outcome::Ok, 3, b"reply".to_vec()));
-    assert_eq!(bench.orders(), [Order::Deliver("a".into(), b"reply".to_vec())]);
+    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::Ok, 3, b"reply".to_vec()));
+    assert_eq!(bench.orders(), [AgentCommand::DeliverReply("a".into(), b"reply".to_vec())]);
     let told = [r#"NeedsCall("a")"#, r#"Called("a", Cut, 3)"#, r#"Called("a", Ok, 3)"#];
     assert_eq!(bench.events(), told);
     // A call that nobody makes any more says nothing.
-    bench.hear(Message::Called(CallId::plain("a".into()), Outcome::Ok, 3, vec![]));
+    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::Ok, 3, vec![]));
     assert_eq!((bench.orders(), bench.events().len()), (vec![], 0));
     calls(&bench);
-    bench.hear(Message::NeedsCall("a".into(), 8, b"d".to_vec()));
+    bench.hear(AdmissionMessage::NeedsCall("a".into(), 8, b"d".to_vec()));
     bench.act(Action::Call("a".into(), 70));
     bench.act(Action::SkipCall("a".into()));
     assert_eq!(calls(&bench), [r#"Call("a", [100], 70)"#, r#"GiveUp("a")"#]);
-    assert_eq!(bench.orders(), [Order::Forgo("a".into(), 8)]);
-    bench.hear(Message::NeedsCall("a".into(), 9, b"e".to_vec()));
+    assert_eq!(bench.orders(), [AgentCommand::SkipCall("a".into(), 8)]);
+    bench.hear(AdmissionMessage::NeedsCall("a".into(), 9, b"e".to_vec()));
     bench.act(Action::Call("a".into(), 70));
     bench.act(Action::Fail("a".into()));
     assert_eq!(calls(&bench), [r#"Call("a", [101], 70)"#, r#"GiveUp("a")"#]);
@@ -277,11 +278,11 @@
     assert_eq!(arrival.duplicate_of.as_deref(), Some("a"));
     bench.act(Action::AwaitDuplicate("b".into()));
     assert_eq!(bench.answers(), []);
-    bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
+    bench.hear(outcome("a", RunOutcome::Success(b"r".to_vec())));
     // And one that comes after it has ended.
     bench.request("c", Some("k"));
     bench.act(Action::AwaitDuplicate("c".into()));
-    let served = |serial| (serial, Answer::Served(b"r".to_vec()));
+    let served = |serial| (serial, Response::Served(b"r".to_vec()));
     assert_eq!(bench.answers(), [served(2), served(1), served(3)]);
     assert!(bench.events().contains(&r#"Ended("c", Ok, 0)"#.to_owned()));
     assert_eq!(bench.orders().len(), 1);
@@ -295,7 +296,7 @@
     bench.request("b", Some("k"));
     bench.act(Action::AwaitDuplicate("b".into()));
     bench.act(Action::Reject { id: "a".into(), retry_after: 0, terminal: false });
-    assert_eq!(bench.answers().last(), Some(&(2, Answer::Failed)));
+    assert_eq!(bench.answers().last(), Some(&(2, Response::Failed)));
     assert!(bench.events().contains(&r#"Ended("b", Error, 0)"#.to_owned()));
     bench.request("c", Some("k2"));
     bench.act(Action::RetainKey("c".into(), 1_000_000));
@@ -316,11 +317,11 @@
         bench.act(Action::AwaitDuplicate(id.into()));
     }
     // One gives up waiting, one is refused; the last gets the other's result.
-    bench.hear(Message::Gone("b".into(), 2));
+    bench.hear(AdmissionMessage::Cancelled("b".into(), 2));
     bench.act(Action::Reject { id: "c".into(), retry_after: 0, terminal: false });
     assert!(!bench.module.open.is_clear());
-    bench.hear(outcome("a", RunEnd::Fine(b"r".to_vec())));
-    let served = |serial| (serial, Answer::Served(b"r".to_vec()));
+    bench.hear(outcome("a", RunOutcome::Success(b"r".to_vec())));
+    let served = |serial| (serial, Response::Served(b"r".to_vec()));
     let answers = bench.answers();
     assert!(answers.contains(&served(1)) && answers.contains(&served(4)), "{answers:?}");
     assert!(answers.iter().all(|a| *a != served(2) && *a != served(3)), "{answers:?}");
@@ -330,13 +331,16 @@
 #[test]
 fn words_for_the_list_never_displace_its_new_address() {
     let mut bench = bench(Preemption::Pause);
-    let address = list::Word::Address(([127, 0, 0, 1], 9).into());
+    let address = registration::RegistrationCommand::SetAddress(([127, 0, 0, 1], 9).into());
     bench.module.others.list.try_send(address).expect("room");
     for word in [true, false, true, false, true, false] {
         bench.act(Action::SetReady(word));
     }
     let words = all(&bench.list);
-    assert!(words.contains(&address) && words.contains(&list::Word::Accepting(false)), "{words:?}");
+    assert!(
+        words.contains(&address) && words.contains(&registration::RegistrationCommand::SetAccepting(false)),
+        "{words:?}"
+    );
 }
 
 #[test]
@@ -348,10 +352,10 @@
     // In order: the list heeds the newest.
     assert_eq!(bench.list(), [false, true, false]);
     bench.act(Action::CloseIdle(70));
-    assert!(matches!(all(&bench.front).as_slice(), [front::Order::CloseIdle(70)]));
+    assert!(matches!(all(&bench.front).as_slice(), [listener::ListenerCommand::CloseIdle(70)]));
     let reply_to = ReplyTo::new(bench.me.clone(), 1, 50);
-    bench.hear(Message::Check(Check { full: true, reply_to }));
-    assert_eq!(bench.answers(), [(50, Answer::Health(false))]);
+    bench.hear(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
+    assert_eq!(bench.answers(), [(50, Response::Health(false))]);
 }
 
 #[test]
@@ -362,10 +366,10 @@
     assert_eq!(bench.orders(), []);
     // However late it is looked at, it comes once.
     bench.module.pass_time(NOW + 900_000);
-    let [Order::Sample(tag)] = bench.orders()[..] else { panic!("a sample") };
-    bench.hear(Message::Sampled(tag + 1, vec![]));
+    let [AgentCommand::SampleGauges(tag)] = bench.orders()[..] else { panic!("a sample") };
+    bench.hear(AdmissionMessage::GaugesSampled(tag + 1, vec![]));
     assert_eq!(bench.events().len(), 0);
-    bench.hear(Message::Sampled(tag, vec![]));
+    bench.hear(AdmissionMessage::GaugesSampled(tag, vec![]));
     bench.module.pass_time(NOW + 990_000);
     assert_eq!(bench.events().len(), 1);
     bench.act(Action::WakeAfter(20_000));
@@ -379,17 +383,17 @@
     let mut bench = bench(Preemption::Pause);
     let check = |bench: &mut Bench, serial| {
         let reply_to = ReplyTo::new(bench.me.clone(), 1, serial);
-        bench.hear(Message::Check(Check { full: true, reply_to }));
-        let [Order::Exercise(tag)] = bench.orders()[..] else { panic!("an exercise") };
+        bench.hear(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
+        let [AgentCommand::RunHealthCheck(tag)] = bench.orders()[..] else { panic!("an exercise") };
         tag
     };
     let tag = check(&mut bench, 1);
-    bench.hear(Message::Exercised(tag, true));
+    bench.hear(AdmissionMessage::HealthCheckEnded(tag, true));
     check(&mut bench, 2);
     bench.module.pass_time(NOW + CHECK_WAIT);
     check(&mut bench, 3);
-    bench.hear(Message::LinkLost);
-    let answers = [(1, Answer::Health(true)), (2, Answer::Health(false)), (3, Answer::Health(false))];
+    bench.hear(AdmissionMessage::AgentLinkLost);
+    let answers = [(1, Response::Health(true)), (2, Response::Health(false)), (3, Response::Health(false))];
     assert_eq!(bench.answers(), answers);
 }
 
@@ -398,11 +402,11 @@
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     for command in ["freeze", "thaw", "deliver", "forgo"] {
-        bench.hear(Message::AgentRefused(command.into(), "a".into()));
+        bench.hear(AdmissionMessage::AgentRejected(command.into(), "a".into()));
     }
     assert_eq!(bench.answers(), []);
-    bench.hear(Message::AgentRefused("launch".into(), "a".into()));
-    assert_eq!(bench.answers(), [(1, Answer::Failed)]);
+    bench.hear(AdmissionMessage::AgentRejected("launch".into(), "a".into()));
+    assert_eq!(bench.answers(), [(1, Response::Failed)]);
     assert_eq!(bench.events(), [r#"Ended("a", Moot, 0)"#]);
 }
 
@@ -410,10 +414,10 @@
 fn only_the_one_who_waits_can_give_a_request_up() {
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
-    bench.hear(Message::Gone("a".into(), 99));
+    bench.hear(AdmissionMessage::Cancelled("a".into(), 99));
     assert_eq!((bench.answers(), bench.events().len()), (vec![], 0));
-    bench.hear(Message::Gone("a".into(), 1));
-    assert_eq!(bench.answers(), [(1, Answer::Aborted)]);
+    bench.hear(AdmissionMessage::Cancelled("a".into(), 1));
+    assert_eq!(bench.answers(), [(1, Response::Aborted)]);
     assert_eq!(bench.events(), [r#"Gone("a")"#]);
 }
 
@@ -421,7 +425,7 @@
 fn a_notice_that_comes_before_the_agent_is_not_forgotten() {
     let mut bench = bench(Preemption::Pause);
     bench.module.server = None;
-    bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
+    bench.hear(AdmissionMessage::Drain { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     bench.module.greet(NOW + 400_000, 0);
     assert!(bench.events().contains(&"Leave { left: 600000, ago: 400000 }".to_owned()));
 }
@@ -434,7 +438,7 @@
     (set.classes[0].idempotency, set.classes[0].idempotency_window) = (Idempotency::WithKey, 12_309_000);
     let mut bench = bench_with(set);
     bench.request_with("bare", Some("resource"), None);
-    assert_eq!(bench.answers(), [(1, Answer::Senseless)]);
+    assert_eq!(bench.answers(), [(1, Response::BadRequest)]);
     assert!(bench.module.events.is_empty(), "the module never hears of it");
     bench.request_with("a", None, Some("tally-1"));
     bench.act(Action::RetainKey("a".into(), 12_309_000));
@@ -455,7 +459,7 @@
     let arrival = |shape: Shape, again: bool| {
         let mut bench = bench(Preemption::Never);
         bench.module.shape = shape;
-        let work = Work { again, ..bench.work("a", None, None) };
+        let work = WorkRequest { is_retry: again, ..bench.work("a", None, None) };
         let (reply_to, charge) =
             (ReplyTo::new(bench.me.clone(), 1, 1), Budget::new(1).take(0).expect("nothing"));
         let request =
@@ -485,11 +489,11 @@
     /// A try of the keyed request `key` arrives at this time; which one it is said to repeat.
     fn keyed_try(&mut self, now: Micros, id: &str, (tenant, key): (usize, &str)) -> Option<RequestId> {
         self.serial += 1;
-        let work = Work { received: self.module.clock.unix(), ..self.work(id, None, Some(key)) };
+        let work = WorkRequest { received_at: self.module.clock.unix(), ..self.work(id, None, Some(key)) };
         let reply_to = ReplyTo::new(self.me.clone(), 1, self.serial);
         let charge = Budget::new(1).take(0).expect("nothing");
         let request = Request { id: id.into(), class: 0, tenant, work, body: Vec::new(), reply_to, charge };
-        self.module.take(now, Message::Request(Box::new(request)));
+        self.module.take(now, AdmissionMessage::Request(Box::new(request)));
         match self.module.events.last() {
             Some(Event::Arrived(arrival)) if &*arrival.id == id => arrival.duplicate_of.clone(),
             other => panic!("{other:?}"),
@@ -520,7 +524,7 @@
     bench.module.wake_at = Some(NOW + 9_000_000);
     bench.module.pass_time(NOW + 9_000_000);
     assert_eq!(bench.keyed_try(NOW + 9_500_000, "c", (0, "k")).as_deref(), Some("a"));
-    bench.hear(Message::Outcome("a".into(), RunEnd::Fine(b"done".to_vec()), 9_600_000));
+    bench.hear(AdmissionMessage::RunEnded("a".into(), RunOutcome::Success(b"done".to_vec()), 9_600_000));
     assert_eq!(bench.keyed_try(NOW + 9_700_000, "d", (0, "k")), None, "over and run out");
 }
 
@@ -530,17 +534,20 @@
     let mut bench = keyed();
     bench.keyed_try(NOW, "a", (0, "k"));
     bench.act(Action::Admit("a".into()));
-    bench.hear(Message::Outcome("a".into(), RunEnd::Fine(b"done".to_vec()), 100));
+    bench.hear(AdmissionMessage::RunEnded("a".into(), RunOutcome::Success(b"done".to_vec()), 100));
     // Looked for what has run out, between the end of the window and the reading of the repeat.
     bench.module.wake_at = Some(NOW + 3_100_000);
     bench.module.pass_time(NOW + 3_100_000);
     let mut read = |id: &str, unread: Micros| {
-        let work = Work { received: bench.module.clock.unix() - unread, ..bench.work(id, None, Some("k")) };
+        let work = WorkRequest {
+            received_at: bench.module.clock.unix() - unread,
+            ..bench.work(id, None, Some("k"))
+        };
         let (reply_to, charge) =
             (ReplyTo::new(bench.me.clone(), 1, 7), Budget::new(1).take(0).expect("nothing"));
         let request =
             Request { id: id.into(), class: 0, tenant: 0, work, body: Vec::new(), reply_to, charge };
-        bench.module.take(NOW + 3_200_000, Message::Request(Box::new(request)));
+        bench.module.take(NOW + 3_200_000, AdmissionMessage::Request(Box::new(request)));
         match bench.module.events.last() {
             Some(Event::Arrived(arrival)) => arrival.duplicate_of.clone(),
             other => panic!("{other:?}"),
@@ -578,16 +585,16 @@
     let mut bench = keyed();
     let mut arrives = |id: &str, body: &[u8]| {
         bench.serial += 1;
-        let work = Work { received: bench.module.clock.unix(), ..bench.work(id, None, Some("k")) };
+        let work = WorkRequest { received_at: bench.module.clock.unix(), ..bench.work(id, None, Some("k")) };
         let reply_to = ReplyTo::new(bench.me.clone(), 1, bench.serial);
         let charge = Budget::new(1).take(0).expect("nothing");
         let request =
             Request { id: id.into(), class: 0, tenant: 0, work, body: body.to_vec(), reply_to, charge };
-        bench.module.take(NOW, Message::Request(Box::new(request)));
+        bench.module.take(NOW, AdmissionMessage::Request(Box::new(request)));
         (bench.events().len(), bench.answers())
     };
     assert_eq!(arrives("a", b"one berth"), (1, vec![]));
-    assert_eq!(arrives("b", b"two berths"), (0, vec![(2, Answer::Senseless)]), "it goes no further");
+    assert_eq!(arrives("b", b"two berths"), (0, vec![(2, Response::BadRequest)]), "it goes no further");
     assert_eq!(arrives("c", b"one berth"), (1, vec![]), "a repeat is still one");
 }
 
@@ -596,17 +603,18 @@
 #[test]
 fn a_first_try_without_room_for_its_key_is_turned_away() {
     let mut bench = keyed();
-    for n in 0..crate::memory::keys::ENTRIES {
+    for n in 0..crate::memory::idempotency_cache::ENTRIES {
         let id = n.to_string();
         bench.keyed_try(NOW, &id, (0, &id));
         bench.module.events.clear();
     }
-    let work = Work { received: bench.module.clock.unix(), ..bench.work("more", None, Some("more")) };
+    let work =
+        WorkRequest { received_at: bench.module.clock.unix(), ..bench.work("more", None, Some("more")) };
     let (reply_to, charge) = (ReplyTo::new(bench.me.clone(), 1, 9), Budget::new(1).take(0).expect("nothing"));
     let request =
         Request { id: "more".into(), class: 0, tenant: 0, work, body: Vec::new(), reply_to, charge };
-    bench.module.take(NOW, Message::Request(Box::new(request)));
-    assert_eq!(bench.answers(), [(9, Answer::Refused { stay_away: 0, terminal: false })]);
+    bench.module.take(NOW, AdmissionMessage::Request(Box::new(request)));
+    assert_eq!(bench.answers(), [(9, Response::Rejected { retry_after: 0, terminal: false })]);
     assert!(bench.module.events.is_empty());
     assert_eq!(bench.keyed_try(NOW, "again", (0, "0")).as_deref(), Some("0"));
 }
@@ -618,11 +626,11 @@
     let mut bench = keyed();
     bench.keyed_try(NOW, "a", (0, "k"));
     bench.module.events.clear();
-    let work = Work { received: bench.module.clock.unix(), ..bench.work("a", None, Some("other")) };
+    let work = WorkRequest { received_at: bench.module.clock.unix(), ..bench.work("a", None, Some("other")) };
     let (reply_to, charge) = (ReplyTo::new(bench.me.clone(), 1, 9), Budget::new(1).take(0).expect("nothing"));
     let request = Request { id: "a".into(), class: 0, tenant: 0, work, body: Vec::new(), reply_to, charge };
-    bench.module.take(NOW, Message::Request(Box::new(request)));
-    assert_eq!(bench.answers(), [(9, Answer::Senseless)]);
+    bench.module.take(NOW, AdmissionMessage::Request(Box::new(request)));
+    assert_eq!(bench.answers(), [(9, Response::BadRequest)]);
     assert_eq!(bench.keyed_try(NOW, "b", (0, "other")), None);
 }
 
@@ -631,7 +639,7 @@
 fn a_leaving_server_whose_agent_comes_up_is_never_listed_as_taking_work() {
     let mut bench = bench(Preemption::Pause);
     (bench.module.server, bench.module.ready) = (None, None);
-    bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
+    bench.hear(AdmissionMessage::Drain { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     bench.module.greet(NOW + 400_000, 0);
     assert_eq!(bench.list(), [false]);
 }
@@ -641,7 +649,7 @@
 #[test]
 fn a_notice_taken_in_late_moves_neither_the_stop_nor_the_grace() {
     let mut bench = bench(Preemption::Pause);
-    bench.hear(Message::Leave { noticed_at: NOW - 700_000, stop_at: NOW + 300_000 });
+    bench.hear(AdmissionMessage::Drain { noticed_at: NOW - 700_000, stop_at: NOW + 300_000 });
     assert_eq!(bench.events(), ["Leave { left: 300000, ago: 700000 }"]);
 }
 
@@ -652,8 +660,8 @@
     let mut bench = bench(Preemption::Pause);
     bench.request("a", None);
     // Both were taken in at `NOW`; by the clock, at which the step is, the stop is long past.
-    bench.hear(Message::Leave { noticed_at: NOW, stop_at: NOW + 1_000_000 });
+    bench.hear(AdmissionMessage::Drain { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     assert!(bench.module.step());
-    assert!(matches!(bench.answers()[..], [(1, Answer::Refused { .. })]));
+    assert!(matches!(bench.answers()[..], [(1, Response::Rejected { .. })]));
     assert_eq!(bench.orders(), []);
 }
--- a/crates/server/src/plans.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -11,11 +11,11 @@
     breaker, load_balancer, Action, AttemptId, Engine, PlanId, PlanRequest, ServiceView,
 };
 
-use crate::exchange::calls::{Call, CallId, Order, Wanted};
-use crate::exchange::fleet::News;
 use crate::memory::budget::Charge;
-use crate::memory::open::Open;
-use crate::shares::Shares;
+use crate::memory::request_table::OpenRequest;
+use crate::messages::calls::{Call, CallId, DependencyCommand, DependencySettings};
+use crate::messages::fleet::FleetEvent;
+use crate::quota_leases::QuotaLeases;
 
 /// Time between looks at what has been left out and what has come back, for the log.
 const WATCH_EVERY: Micros = 1_000_000;
@@ -41,16 +41,16 @@
 }
 
 /// All plans under way.
-pub struct Plans {
+pub struct DependencyCalls {
     engine: Engine,
     /// Places that several servers share; none without a fleet.
-    shares: Shares,
-    mailboxes: BTreeMap<Rc<str>, Sender<Order>>,
+    shares: QuotaLeases,
+    mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
     charge: Charge,
     plans: BTreeMap<PlanId, UnderWay>,
     by_request: BTreeMap<RequestId, PlanId>,
     /// Where each attempt went: the mailbox of a dependency that is gone ends with its last attempt.
-    attempts: BTreeMap<AttemptId, (CallId, Sender<Order>)>,
+    attempts: BTreeMap<AttemptId, (CallId, Sender<DependencyCommand>)>,
     /// Over, and not yet taken.
     done: Vec<Done>,
     next: PlanId,
@@ -59,13 +59,19 @@
     log: Logger,
 }
 
-impl Plans {
+impl DependencyCalls {
     /// None under way yet. Settings with mistakes were turned down when the file was read.
-    pub fn new(now: Micros, wanted: Wanted, mut shares: Shares, seed: u64, log: Logger) -> Option<Plans> {
+    pub fn new(
+        now: Micros,
+        wanted: DependencySettings,
+        mut shares: QuotaLeases,
+        seed: u64,
+        log: Logger,
+    ) -> Option<DependencyCalls> {
         let engine = Engine::new(now, wanted.config, seed);
         let engine = engine.map_err(|mistakes| warn!(log, "no plans"; "why" => ?mistakes)).ok()?;
-        shares.set(wanted.shares);
-        let mut plans = Plans {
+        shares.set(wanted.shared_quotas);
+        let mut plans = DependencyCalls {
             engine,
             shares,
             mailboxes: wanted.mailboxes,
@@ -84,12 +90,12 @@
     }
 
     /// New settings. What is under way ends as it began.
-    pub fn set(&mut self, now: Micros, wanted: Wanted) {
+    pub fn set(&mut self, now: Micros, wanted: DependencySettings) {
         match self.engine.reconfigure(now, wanted.config) {
             Ok(()) => {
                 (self.mailboxes, self.charge) = (wanted.mailboxes, wanted.charge);
                 let mut actions = Vec::new();
-                for gone in self.shares.set(wanted.shares) {
+                for gone in self.shares.set(wanted.shared_quotas) {
                     self.engine.set_concurrency_cap(now, &gone, usize::MAX, &mut actions);
                 }
                 self.carry_out(now, actions);
@@ -104,7 +110,7 @@
     }
 
     /// The decision module lets a run call, until then.
-    pub fn begin(&mut self, now: Micros, open: &Open, body: &[u8], until: Micros, levels: usize) {
+    pub fn begin(&mut self, now: Micros, open: &OpenRequest, body: &[u8], until: Micros, levels: usize) {
         self.give_up(now, &open.id);
         self.next += 1;
         let plan = self.next;
@@ -114,7 +120,7 @@
             plan,
             class: &open.work.class,
             level: (open.work.rank * levels as f64) as u16,
-            key: open.work.key.as_deref(),
+            key: open.work.subject_key.as_deref(),
             until,
             due: open.due,
             again: open.planned,
@@ -153,7 +159,7 @@
     }
 
     /// News of the fleet.
-    pub fn hear(&mut self, now: Micros, news: News) {
+    pub fn hear(&mut self, now: Micros, news: FleetEvent) {
         self.shares.hear(news);
         self.share(now);
     }
@@ -226,7 +232,7 @@
                     self.shares.end(attempt, false);
                     if let Some((call, to)) = self.attempts.remove(&attempt) {
                         // A call whose mailbox has no room ends by itself at its time, and is no longer known here.
-                        let _ = to.try_send(Order::GiveUp(call));
+                        let _ = to.try_send(DependencyCommand::Cancel(call));
                     }
                 }
                 Action::Done { plan, outcome, envelope } => {
@@ -254,7 +260,7 @@
         // The platform's records service is where its configuration says, and no address.
         let call =
             Call { id: id.clone(), address: address.parse().ok(), body: under_way.body.clone(), until };
-        let sent = to.try_send(Order::Call(call)).is_ok();
+        let sent = to.try_send(DependencyCommand::Call(call)).is_ok();
         if sent {
             self.attempts.insert(attempt, (id, to.clone()));
         }
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use umberloom::interface::{Downstream, Settings};
 
-use super::keys_known;
+use super::known_config_keys;
 use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object, Read};
 use umberloom_settings::shape::Shape;
 use umberloom_settings::{class_names, locate, settings, tenant_names, GaugeNames};
@@ -69,7 +69,7 @@
             None => place(why),
         })?;
         let top = serde_json::from_slice::<Value>(&bytes).ok().and_then(|v| v.as_object().cloned());
-        let strays = top.map(|top| keys_known::unknown(&top)).unwrap_or_default();
+        let strays = top.map(|top| known_config_keys::unknown(&top)).unwrap_or_default();
         let said =
             |field: &String| format!("{}: field `{field}` is no key known here; disregarded", at(field));
         config.warnings = strays.iter().map(said).collect();
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -12,9 +12,9 @@
 
 use super::config::Config;
 use super::PEERS_SHARE;
-use crate::exchange::fleet::Order;
-use crate::exchange::Message;
 use crate::memory::budget::Budget;
+use crate::messages::fleet::FleetCommand;
+use crate::messages::AdmissionMessage;
 use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
 
 /// Part of the descriptors, and of the memory that peers may take, that a fleet may have at most: one in so many.
@@ -23,7 +23,7 @@
 /// A fleet's actor, and what it was told.
 pub struct Running {
     /// Its mailbox.
-    pub orders: Sender<Order>,
+    pub orders: Sender<FleetCommand>,
     /// What the file said.
     pub told: Told,
 }
@@ -73,7 +73,7 @@
     told: Told,
     about: BuildInfo,
     seed: u64,
-    module: &Sender<Message>,
+    module: &Sender<AdmissionMessage>,
     budget: &Budget,
     log: &Logger,
 ) -> Result<Running, String> {
--- a/crates/server/src/lifecycle/rare.rs
+++ b/crates/server/src/lifecycle/log_throttle.rs
@@ -7,12 +7,12 @@
 
 /// What keeps the lines about one thing apart.
 #[derive(Debug, Default)]
-pub struct Rare {
+pub struct LogThrottle {
     told: Option<Instant>,
     not_told: u64,
 }
 
-impl Rare {
+impl LogThrottle {
     /// Notes that it happened at `now`. `Some` if a line is due, with how often it happened since the last line
     /// without one.
     pub fn tell(&mut self, now: Instant) -> Option<u64> {
@@ -31,7 +31,7 @@
 
     #[test]
     fn one_line_a_second_says_how_many_it_stands_for() {
-        let (mut rare, start) = (Rare::default(), Instant::now());
+        let (mut rare, start) = (LogThrottle::default(), Instant::now());
         let at = |ms| start + Duration::from_millis(ms);
         assert_eq!(rare.tell(at(0)), Some(0));
         assert_eq!((rare.tell(at(1)), rare.tell(at(999))), (None, None));
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,15 +1,15 @@
 //! From start to exit.
 
-mod allowed;
 pub mod clock;
 pub mod config;
+mod descriptor_limit;
 mod fleet;
-mod keys_known;
+mod known_config_keys;
 pub mod log;
+pub mod log_throttle;
 pub mod phase;
-pub mod rare;
 pub mod signals;
-pub mod standstill;
+pub mod stall_detector;
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -26,23 +26,24 @@
 use umberloom_connection_admission::connection_table::ConnectionTable;
 use umberloom_operator_config::{Known, Operator};
 
-use crate::exchange::caller::Hint;
-use crate::exchange::calls::Wanted;
-use crate::exchange::{
-    agent as to_agent, calls as to_calls, fleet as to_fleet, front as to_front, list as to_list, Message,
-};
+use crate::admission::{self, AdmissionActor, Mailboxes};
+use crate::dependency_calls::DependencyCalls;
 use crate::memory::budget::Budget;
-use crate::module::{self, Module, Others};
+use crate::messages::caller::LoadHint;
+use crate::messages::calls::DependencySettings;
+use crate::messages::{
+    agent as to_agent, calls as to_calls, fleet as to_fleet, listener as to_front, registration as to_list,
+    AdmissionMessage,
+};
 use crate::peers::agent::{self, Agent};
 use crate::peers::ajp::Ajp;
-use crate::peers::balancer::Shared;
+use crate::peers::connection::Shared;
 use crate::peers::dependency::{self, Dependency, Sockets, Target};
 use crate::peers::fleet::descriptors;
 use crate::peers::fleet::Sockets as FleetSockets;
-use crate::peers::front::{self, Front};
-use crate::peers::list::{self, List};
-use crate::plans::Plans;
-use crate::shares::Shares;
+use crate::peers::listener::{self, Front};
+use crate::peers::registration::{self, List};
+use crate::quota_leases::QuotaLeases;
 use clock::Clock;
 use config::Config;
 use phase::{Life, Phase};
@@ -134,7 +135,7 @@
     let clock = Clock::default();
     let executor = Rc::new(LocalExecutor::new());
     life.enter(Phase::Waiting);
-    executor.spawn(standstill::watch(log.clone())).detach();
+    executor.spawn(stall_detector::watch(log.clone())).detach();
     let sockets =
         told.1.as_ref().and_then(|o| o.fleet.as_ref()).map(|f| FleetSockets::bind(f.listen)).transpose()?;
     let program = Program::start(&executor, told, files, (listener, sockets), clock, &log)?;
@@ -162,12 +163,12 @@
     budget: Budget,
     sockets: Sockets,
     /// Dependencies of the operator's file, as they are reached now.
-    dependencies: BTreeMap<Rc<str>, (Target, Sender<to_calls::Order>)>,
-    module: Sender<Message>,
-    agent: Sender<to_agent::Word>,
-    records: Sender<to_calls::Order>,
-    list: Sender<to_list::Word>,
-    front: Sender<to_front::Order>,
+    dependencies: BTreeMap<Rc<str>, (Target, Sender<to_calls::DependencyCommand>)>,
+    module: Sender<AdmissionMessage>,
+    agent: Sender<to_agent::AgentActorMessage>,
+    records: Sender<to_calls::DependencyCommand>,
+    list: Sender<to_list::RegistrationCommand>,
+    front: Sender<to_front::ListenerCommand>,
     fleet: Option<fleet::Running>,
     up: Receiver<()>,
     connections: Task<()>,
@@ -186,17 +187,17 @@
     ) -> Result<Program<'a>, String> {
         let told_fleet = operator.as_ref().and_then(|o| o.fleet.clone());
         let taken = told_fleet.as_ref().map_or(0, |told| descriptors(told.membership.peers.len()));
-        let sockets = allowed::descriptors(config.limits.sockets);
+        let sockets = descriptor_limit::descriptors(config.limits.sockets);
         if sockets < config.limits.sockets {
             let (configured, allowed) = (config.limits.sockets, sockets);
             warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
         }
         let parts = Parts::of(sockets, taken);
-        let (module, mail) = bounded(module::MAILBOX);
+        let (module, mail) = bounded(admission::MAILBOX);
         let (agent, agent_orders) = bounded(agent::MAILBOX);
         let (records, records_orders) = bounded(dependency::MAILBOX);
-        let (list, list_words) = bounded(list::MAILBOX);
-        let (front, front_orders) = bounded(front::MAILBOX);
+        let (list, list_words) = bounded(registration::MAILBOX);
+        let (front, front_orders) = bounded(listener::MAILBOX);
         let (up_told, up) = bounded(1);
         let budget = Budget::new(config.limits.memory / PEERS_SHARE);
         let fleet = match (told_fleet, fleet_sockets, &operator) {
@@ -207,14 +208,14 @@
             }
             _ => None,
         };
-        let others = Others {
+        let others = Mailboxes {
             fleet: fleet.as_ref().map(|running| running.orders.clone()),
             agent: agent.clone(),
             records: records.clone(),
             list: list.clone(),
             front: front.clone(),
             up: up_told,
-            hint: Hint::default(),
+            hint: LoadHint::default(),
         };
         let among = (config.settings.servers, config.settings.seed);
         executor.spawn(Agent::new(config.agent, agent_orders, module.clone(), log.clone()).run()).detach();
@@ -266,15 +267,16 @@
         };
         let wanted = operator.map(|operator| program.wanted(operator)).transpose()?;
         let to_fleet = program.fleet.as_ref().map(|running| running.orders.clone());
-        let shares = Shares::new(to_fleet, seed, log.clone());
-        let plans = wanted.and_then(|wanted| Plans::new(clock.now(), wanted, shares, seed, log.clone()));
-        executor.spawn(Module::new(told, plans, mail, others, clock, log.clone()).run()).detach();
+        let shares = QuotaLeases::new(to_fleet, seed, log.clone());
+        let plans =
+            wanted.and_then(|wanted| DependencyCalls::new(clock.now(), wanted, shares, seed, log.clone()));
+        executor.spawn(AdmissionActor::new(told, plans, mail, others, clock, log.clone()).run()).detach();
         Ok(program)
     }
 
     /// Makes ready what the operator's file asks for: an actor for each dependency. One that is reached as before keeps
     /// its own; those that the file no longer names end with their last call.
-    fn wanted(&mut self, operator: Operator) -> Result<Wanted, String> {
+    fn wanted(&mut self, operator: Operator) -> Result<DependencySettings, String> {
         let mut operator = operator;
         for dependency in &mut operator.dependencies.dependencies {
             // The others route to the same endpoints and see them fail and come back when this one does.
@@ -299,11 +301,11 @@
             fleet.shared.iter().map(|(name, whole)| (Rc::from(name.as_str()), fleet.allowance(*whole)))
         });
         let shares = shares.collect();
-        Ok(Wanted { config: operator.dependencies, mailboxes, shares, charge })
+        Ok(DependencySettings { config: operator.dependencies, mailboxes, shared_quotas: shares, charge })
     }
 
     /// Starts an actor for a dependency.
-    fn reach(&self, target: Target) -> Sender<to_calls::Order> {
+    fn reach(&self, target: Target) -> Sender<to_calls::DependencyCommand> {
         let (orders, taken) = bounded(dependency::MAILBOX);
         let to = (target, self.sockets.clone());
         let (executor, module) = (self.executor.clone(), self.module.clone());
@@ -322,17 +324,20 @@
                     let (noticed_at, stop) = (self.clock.now(), self.config.stop);
                     if life.leave(noticed_at, stop) {
                         // Before the drain begins, and without waiting for it: the others hear that this one leaves.
-                        self.tell_fleet(to_fleet::Order::Leave);
+                        self.tell_fleet(to_fleet::FleetCommand::Leave);
                         let _ = self
                             .module
-                            .send(Message::Leave { noticed_at, stop_at: noticed_at.saturating_add(stop) })
+                            .send(AdmissionMessage::Drain {
+                                noticed_at,
+                                stop_at: noticed_at.saturating_add(stop),
+                            })
                             .await;
                     }
                 }
                 Next::Time => {
                     if life.pass(self.clock.now()) && life.phase() == Phase::Closing {
-                        self.tell_fleet(to_fleet::Order::Part);
-                        let _ = self.front.send(to_front::Order::Finish).await;
+                        self.tell_fleet(to_fleet::FleetCommand::AnnounceDeparture);
+                        let _ = self.front.send(to_front::ListenerCommand::Drain).await;
                     }
                 }
                 Next::Empty => life.enter(Phase::Ended),
@@ -340,7 +345,7 @@
         }
     }
 
-    fn tell_fleet(&self, order: to_fleet::Order) {
+    fn tell_fleet(&self, order: to_fleet::FleetCommand) {
         if let Some(running) = &self.fleet {
             let _ = running.orders.try_send(order);
         }
@@ -369,17 +374,17 @@
     async fn change_over(&mut self, new: Config, operator: Option<Operator>) {
         info!(self.log, "new configuration"; "agent" => %new.agent, "announce" => %new.announce);
         if new.agent != self.config.agent {
-            let _ = self.agent.send(to_agent::Word::Address(new.agent)).await;
+            let _ = self.agent.send(to_agent::AgentActorMessage::SetAddress(new.agent)).await;
         }
         if let Some(address) = new.records.filter(|_| new.records != self.config.records) {
-            let _ = self.records.send(to_calls::Order::Address(address)).await;
+            let _ = self.records.send(to_calls::DependencyCommand::SetAddress(address)).await;
             for (target, orders) in self.dependencies.values_mut().filter(|(t, _)| t.platform.is_some()) {
                 target.platform = Some(address);
-                let _ = orders.send(to_calls::Order::Address(address)).await;
+                let _ = orders.send(to_calls::DependencyCommand::SetAddress(address)).await;
             }
         }
         if new.announce != self.config.announce {
-            let _ = self.list.send(to_list::Word::Address(new.announce)).await;
+            let _ = self.list.send(to_list::RegistrationCommand::SetAddress(new.announce)).await;
         }
         self.config = new;
         let Some(operator) = operator else { return };
@@ -387,13 +392,13 @@
             running.told = told.clone();
             let about = fleet::about(&self.config, &operator);
             let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
-            let _ = running.orders.send(to_fleet::Order::Set(Box::new(set))).await;
+            let _ = running.orders.send(to_fleet::FleetCommand::Reconfigure(Box::new(set))).await;
         }
         let plans = operator.dependencies.plans.len();
         match self.wanted(operator) {
             Ok(wanted) => {
                 info!(self.log, "new plans"; "plans" => plans, "dependencies" => self.dependencies.len());
-                let _ = self.module.send(Message::Operator(Box::new(wanted))).await;
+                let _ = self.module.send(AdmissionMessage::DependenciesReconfigured(Box::new(wanted))).await;
             }
             Err(why) => error!(self.log, "the old plans stay"; "why" => why),
         }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,14 +1,14 @@
 //! One real server: balancers in front, the render farm agent and the records service behind, and
 //! umberloom's decisions between them.
 
-mod exchange;
+mod admin_client;
+mod admission;
+mod dependency_calls;
 mod lifecycle;
 mod memory;
-mod module;
+mod messages;
 mod peers;
-mod plans;
-mod questions;
-mod shares;
+mod quota_leases;
 mod wire;
 
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
 enum Command {
     Serve { config: PathBuf, operator: Option<PathBuf>, verbose: bool, log_format: Form },
     Check { config: Option<PathBuf>, operator: Option<PathBuf> },
-    Fleet(questions::Options),
+    Fleet(admin_client::Options),
     Version,
 }
 
@@ -55,7 +55,7 @@
         .descr("Say whether the files make sense, each by itself and together")
         .command("check");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
-    let fleet = questions::command_line().map(Command::Fleet).to_options();
+    let fleet = admin_client::command_line().map(Command::Fleet).to_options();
     let fleet = fleet.descr("Ask a server about its fleet").command("fleet");
     construct!([serve, check, fleet, version])
         .to_options()
@@ -109,7 +109,7 @@
             serve(Files { config, operator }, verbose, log_format)
         }
         Command::Check { config, operator } => check(config, operator),
-        Command::Fleet(options) => questions::ask(&options),
+        Command::Fleet(options) => admin_client::ask(&options),
         Command::Version => {
             println!("umberloom {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/crates/server/src/memory/keys.rs
+++ b/crates/server/src/memory/idempotency_cache.rs
@@ -30,7 +30,7 @@
 
 /// The table of kept requests, by what they are about.
 #[derive(Debug, Default)]
-pub struct Keys {
+pub struct IdempotencyCache {
     all: BTreeMap<Subject, Entry>,
     /// Subjects in the order in which they were kept.
     order: VecDeque<Subject>,
@@ -38,7 +38,7 @@
     digests: RandomState,
 }
 
-impl Keys {
+impl IdempotencyCache {
     /// What tells this body from others.
     pub fn digest(&self, body: &[u8]) -> Body {
         Body(body.len(), self.digests.hash_one(body))
--- a/crates/server/src/memory/keys/tests.rs
+++ b/crates/server/src/memory/idempotency_cache/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 /// The kept request of this subject whose window is not over.
-fn find(keys: &Keys, subject: &Subject, now: Micros) -> Option<RequestId> {
+fn find(keys: &IdempotencyCache, subject: &Subject, now: Micros) -> Option<RequestId> {
     keys.holder(subject).filter(|(.., until)| *until > now).map(|(id, ..)| id)
 }
 
-fn keep(keys: &mut Keys, now: Micros, subject: Subject, id: RequestId, until: Micros) {
+fn keep(keys: &mut IdempotencyCache, now: Micros, subject: Subject, id: RequestId, until: Micros) {
     let body = keys.digest(b"body");
     assert!(keys.make_room(now, |_| false) && keys.keep(subject, (id, body), until, false));
 }
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_kept_request_is_found_until_its_time_is_up() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     keep(&mut keys, 0, about("k"), "a".into(), 100);
     assert_eq!(find(&keys, &about("k"), 99).as_deref(), Some("a"));
     assert_eq!(find(&keys, &about("k"), 100), None);
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_newer_request_takes_the_entry_over() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     keep(&mut keys, 0, about("k"), "a".into(), 100);
     keep(&mut keys, 0, about("k"), "b".into(), 50);
     keys.forget(&about("k"), "a");
@@ -42,7 +42,7 @@
 
 #[test]
 fn entries_and_results_are_bounded() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     for n in 0..ENTRIES + 10 {
         keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 100);
         keys.add_result(&about(&n.to_string()), &n.to_string(), &[0; 4096]);
@@ -56,7 +56,7 @@
 /// them, and a repeat then found nothing and ran anew.
 #[test]
 fn too_many_bytes_drop_results_but_keep_their_entries() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     for n in 0..3 {
         keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 100);
         keys.add_result(&about(&n.to_string()), &n.to_string(), &vec![0; BYTES / 2]);
@@ -70,7 +70,7 @@
 /// Guards against a live entry pushed out while entries that have run out still take places.
 #[test]
 fn a_full_table_drops_what_ran_out_before_what_lives() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     keep(&mut keys, 0, about("live"), "live".into(), 1_000);
     for n in 1..ENTRIES {
         keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 10);
@@ -85,7 +85,7 @@
 /// weigh so little that the decisions keep more of them than the table holds.
 #[test]
 fn what_binds_is_never_pushed_out_while_it_lives() {
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyCache::default();
     let body = keys.digest(b"body");
     for n in 0..ENTRIES {
         let id = n.to_string();
--- a/crates/server/src/memory/open.rs
+++ b/crates/server/src/memory/request_table.rs
@@ -6,8 +6,8 @@
 use umberloom::interface::{Micros, RequestId};
 
 use super::budget::Charge;
-use super::keys::Subject;
-use crate::exchange::caller::{ReplyTo, Work};
+use super::idempotency_cache::Subject;
+use crate::messages::caller::{ReplyTo, WorkRequest};
 
 /// How far a request's run is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +33,13 @@
 
 /// An open request.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     /// Its name.
     pub id: RequestId,
     /// Place of its class in the settings.
     pub class: usize,
     /// What it asked for.
-    pub work: Work,
+    pub work: WorkRequest,
     /// Its body.
     pub body: Vec<u8>,
     /// When its caller stops waiting.
@@ -66,26 +66,26 @@
     pub _charge: Charge,
 }
 
-impl Open {
+impl OpenRequest {
     /// What it is about, if it is about anything.
     pub fn subject(&self) -> Option<Subject> {
-        self.work.key.clone().map(|key| (self.class, key))
+        self.work.subject_key.clone().map(|key| (self.class, key))
     }
 }
 
 /// All open requests. What each step asks for is found without a pass over all of them.
 #[derive(Debug, Default)]
-pub struct Table {
-    all: BTreeMap<RequestId, Box<Open>>,
+pub struct RequestTable {
+    all: BTreeMap<RequestId, Box<OpenRequest>>,
     /// The same by the time at which their callers stop waiting.
     by_due: BTreeSet<(Micros, RequestId)>,
     /// Those that wait for another's result, by the other.
     joined: BTreeMap<RequestId, Vec<RequestId>>,
 }
 
-impl Table {
+impl RequestTable {
     /// Adds a request; a name that is open already comes back.
-    pub fn insert(&mut self, open: Box<Open>) -> Result<(), Box<Open>> {
+    pub fn insert(&mut self, open: Box<OpenRequest>) -> Result<(), Box<OpenRequest>> {
         if self.all.contains_key(&open.id) {
             return Err(open);
         }
@@ -95,7 +95,7 @@
     }
 
     /// A request by its name.
-    pub fn get(&mut self, id: &str) -> Option<&mut Open> {
+    pub fn get(&mut self, id: &str) -> Option<&mut OpenRequest> {
         self.all.get_mut(id).map(Box::as_mut)
     }
 
--- a/crates/server/src/exchange/agent.rs
+++ b/crates/server/src/messages/agent.rs
@@ -6,28 +6,28 @@
 
 /// Something the agent is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum AgentCommand {
     /// Run a request of this class with this body.
     Launch(RequestId, String, Vec<u8>),
     /// Stop its run.
-    Freeze(RequestId),
+    Pause(RequestId),
     /// Go on with its run.
-    Thaw(RequestId),
+    Resume(RequestId),
     /// The reply to the call that its run waits for.
-    Deliver(RequestId, Vec<u8>),
+    DeliverReply(RequestId, Vec<u8>),
     /// Go on without the call that this notice asked for.
-    Forgo(RequestId, u64),
+    SkipCall(RequestId, u64),
     /// Ask for the gauges.
-    Sample(u64),
+    SampleGauges(u64),
     /// Do the work of a deep health check.
-    Exercise(u64),
+    RunHealthCheck(u64),
 }
 
 /// What the actor is told.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AgentActorMessage {
     /// Something the agent is to do.
-    Order(Order),
+    Command(AgentCommand),
     /// Where the agent is from now on.
-    Address(SocketAddr),
+    SetAddress(SocketAddr),
 }
--- a/crates/server/src/exchange/caller.rs
+++ b/crates/server/src/messages/caller.rs
@@ -10,11 +10,11 @@
 
 /// Times of arrival and budgets further off than this make no sense, and would spoil what the module knows of
 /// waits: an hour.
-pub const FAR: Micros = 3_600_000_000;
+pub const MAX_TIME_OFFSET: Micros = 3_600_000_000;
 
 /// A request for work, as its parameters state it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
+pub struct WorkRequest {
     /// Name of this try.
     pub id: String,
     /// Name of its class.
@@ -24,51 +24,51 @@
     /// The work that its caller expects it to be, if it says so.
     pub cost: Option<Micros>,
     /// When it reached the machine, in Unix microseconds.
-    pub received: Micros,
+    pub received_at: Micros,
     /// How long its caller waits from then on, if it says so.
     pub budget: Option<Micros>,
     /// It is marked as a further try of its request.
-    pub again: bool,
+    pub is_retry: bool,
     /// Number of the balancer.
     pub sender: u64,
     /// Memory while held, in kilobytes.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Its place from 0 to under 1 among all requests.
     pub rank: f64,
     /// What a read is about.
-    pub key: Option<String>,
+    pub subject_key: Option<String>,
     /// The idempotency key (`Once-Key`): tries of one keyed request carry the same.
     pub idempotency_key: Option<String>,
 }
 
-impl Work {
+impl WorkRequest {
     /// Whether its times can be meant by anyone whose Unix clock reads `unix`.
     pub fn is_timely(&self, unix: Micros) -> bool {
-        self.received.abs_diff(unix) <= FAR && self.budget.unwrap_or(0) <= FAR
+        self.received_at.abs_diff(unix) <= MAX_TIME_OFFSET && self.budget.unwrap_or(0) <= MAX_TIME_OFFSET
     }
 
     /// How long its caller still waits at this Unix time, if it says so.
     pub fn waits(&self, unix: Micros) -> Option<Micros> {
-        self.budget.map(|budget| self.received.saturating_add(budget).saturating_sub(unix))
+        self.budget.map(|budget| self.received_at.saturating_add(budget).saturating_sub(unix))
     }
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// Served, with this result.
     Served(Vec<u8>),
     /// Turned away: this try never ran.
-    Refused {
+    Rejected {
         /// How long the caller should stay away; 0: no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// No other server is to be tried.
         terminal: bool,
     },
     /// Failed, without a promise.
     Failed,
     /// A request that makes no sense.
-    Senseless,
+    BadRequest,
     /// A health check: good or bad.
     Health(bool),
     /// The caller has given it up: it ends without a word.
@@ -76,7 +76,7 @@
 }
 
 /// The free value that goes with every answer, once the module has set one.
-pub type Hint = Rc<Cell<Option<f64>>>;
+pub type LoadHint = Rc<Cell<Option<f64>>>;
 
 /// A request that has come whole and makes sense.
 #[derive(Debug)]
@@ -88,7 +88,7 @@
     /// Place of its tenant in the settings, 0 where there are none.
     pub tenant: usize,
     /// What it asks for.
-    pub work: Work,
+    pub work: WorkRequest,
     /// Its body.
     pub body: Vec<u8>,
     /// Where its answer goes.
@@ -99,28 +99,28 @@
 
 /// A health check.
 #[derive(Debug)]
-pub struct Check {
+pub struct HealthCheck {
     /// Whether it wants to know that work gets done.
-    pub full: bool,
+    pub is_deep: bool,
     /// Where its answer goes.
     pub reply_to: ReplyTo,
 }
 
 /// What a connection is told.
 #[derive(Debug)]
-pub enum Word {
+pub enum ConnectionCommand {
     /// The answer to a request.
-    Answer(u16, u64, Answer),
+    Respond(u16, u64, Response),
     /// Close if nothing is open.
     CloseIfIdle,
     /// Look at [`Activity::finish`].
-    Finish,
+    Close,
 }
 
 /// Where the answer to one request goes.
 #[derive(Clone, Debug)]
 pub struct ReplyTo {
-    to: Sender<Word>,
+    to: Sender<ConnectionCommand>,
     slot: u16,
     /// Tells this request from all others of this process.
     serial: u64,
@@ -128,7 +128,7 @@
 
 impl ReplyTo {
     /// The place of request `slot` on the connection with this mailbox.
-    pub fn new(to: Sender<Word>, slot: u16, serial: u64) -> ReplyTo {
+    pub fn new(to: Sender<ConnectionCommand>, slot: u16, serial: u64) -> ReplyTo {
         ReplyTo { to, slot, serial }
     }
 
@@ -139,21 +139,21 @@
 
     /// Gives the answer. There is room for one for each open request (`the_mailbox_has_room_for_every_answer`
     /// in `front.rs`); a connection that is gone has nobody left to hear it.
-    pub fn answer(&self, answer: Answer) {
-        let _ = self.to.try_send(Word::Answer(self.slot, self.serial, answer));
+    pub fn respond(&self, answer: Response) {
+        let _ = self.to.try_send(ConnectionCommand::Respond(self.slot, self.serial, answer));
     }
 }
 
 /// What the front sees of a connection.
 #[derive(Debug, Default)]
-pub struct Activity {
+pub struct ConnectionActivity {
     /// When it last carried something.
-    pub last: Cell<Micros>,
+    pub last_active: Cell<Micros>,
     /// Whole requests open on it.
-    pub open: Cell<usize>,
+    pub open_requests: Cell<usize>,
     /// It has carried a whole request.
-    pub asked: Cell<bool>,
+    pub has_requested: Cell<bool>,
     /// Set by the front: nothing new is let in, and the connection is to close as soon as nothing is open. It stands here
     /// and not in the mailbox, as a word that finds no room there must not leave a connection open to the end.
-    pub finish: Cell<bool>,
+    pub closing: Cell<bool>,
 }
--- a/crates/server/src/exchange/calls.rs
+++ b/crates/server/src/messages/calls.rs
@@ -42,28 +42,28 @@
 
 /// What the module wants.
 #[derive(Debug)]
-pub enum Order {
+pub enum DependencyCommand {
     /// Make a call.
     Call(Call),
     /// Nobody waits for this call any more.
-    GiveUp(CallId),
+    Cancel(CallId),
     /// Where the platform's service is from now on. Calls under way may end on their connections.
-    Address(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
 /// What the operator's file asks for, made ready.
-pub struct Wanted {
+pub struct DependencySettings {
     /// Dependencies and plans, without mistakes.
     pub config: Config,
     /// The mailbox of each dependency, by its name.
-    pub mailboxes: BTreeMap<Rc<str>, Sender<Order>>,
+    pub mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
     /// What is shared with other servers, by dependency.
-    pub shares: Vec<(Rc<str>, umberloom_quota::Config)>,
+    pub shared_quotas: Vec<(Rc<str>, umberloom_quota::Config)>,
     /// The memory of kept results.
     pub charge: Charge,
 }
 
-impl std::fmt::Debug for Wanted {
+impl std::fmt::Debug for DependencySettings {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.debug_struct("Wanted").field("config", &self.config).finish_non_exhaustive()
     }
--- a/crates/server/src/exchange/fleet.rs
+++ b/crates/server/src/messages/fleet.rs
@@ -9,52 +9,52 @@
 use umberloom_quota::QuotaStatus;
 
 /// The matter of shared allowances.
-pub const ALLOWANCE: u8 = 1;
+pub const QUOTA_CHANNEL: u8 = 1;
 /// The matter of the record that servers keep together.
-pub const RECORD: u8 = 2;
+pub const REPLICATION_CHANNEL: u8 = 2;
 
 /// What the actor is told.
 #[derive(Debug)]
-pub enum Order {
+pub enum FleetCommand {
     /// Say this about a matter to a member.
-    Matter(MemberName, u8, Vec<u8>),
+    Send(MemberName, u8, Vec<u8>),
     /// How loaded this server is, in percent.
-    Load(u8),
+    SetLoad(u8),
     /// How shared allowances stand, for those who ask.
-    Shares(Vec<(Rc<str>, QuotaStatus)>),
+    PublishQuotas(Vec<(Rc<str>, QuotaStatus)>),
     /// Other peers, with their addresses, what this server is made of now, and what is told of the record.
-    Set(Box<(Config, Vec<SocketAddr>, BuildInfo, Option<Record>)>),
+    Reconfigure(Box<(Config, Vec<SocketAddr>, BuildInfo, Option<Record>)>),
     /// This server has been told to end.
     Leave,
     /// The last word.
-    Part,
+    AnnounceDeparture,
 }
 
 /// What the module hears of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum FleetEvent {
     /// Who is there.
-    Present(Present),
+    ReachabilityChanged(Reachability),
     /// A member says something about a matter.
-    Matter {
+    MessageReceived {
         /// The member, and the start of its process.
         from: (MemberName, u64),
         /// Which matter.
-        kind: u8,
+        channel: u8,
         /// What it says.
-        bytes: Vec<u8>,
+        payload: Vec<u8>,
     },
 }
 
 /// Who is there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Present {
+pub struct Reachability {
     /// Members that are reached, with the starts of their processes.
-    pub reached: Vec<(MemberName, u64)>,
+    pub reachable: Vec<(MemberName, u64)>,
     /// One that is reached goes by other parts of what is shared.
-    pub differ: bool,
+    pub quota_basis_differs: bool,
     /// Everyone in the roster is reached and goes by the same.
-    pub all: bool,
+    pub all_agree: bool,
     /// Another process has this server's name.
-    pub silenced: bool,
+    pub fenced: bool,
 }
--- a/crates/server/src/exchange/mod.rs
+++ b/crates/server/src/messages/mod.rs
@@ -6,61 +6,61 @@
 pub mod caller;
 pub mod calls;
 pub mod fleet;
-pub mod front;
-pub mod list;
+pub mod listener;
+pub mod registration;
 
 use umberloom::interface::{Micros, Outcome, RequestId};
 
-use caller::{Check, Request};
-use calls::{CallId, Wanted};
+use caller::{HealthCheck, Request};
+use calls::{CallId, DependencySettings};
 
 /// How a run ended, as the agent tells it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// Well, with this result.
-    Fine(Vec<u8>),
+    Success(Vec<u8>),
     /// It failed.
-    Fault,
+    Failed,
     /// It was stopped, or ended at a call as its request is over.
-    BrokenOff,
+    Aborted,
     /// Nothing was started, as the request is over.
-    Late,
+    NotStarted,
 }
 
 /// What the module's mailbox takes.
 #[derive(Debug)]
-pub enum Message {
+pub enum AdmissionMessage {
     /// A request has come.
     Request(Box<Request>),
     /// A health check has come.
-    Check(Check),
+    HealthCheck(HealthCheck),
     /// Nobody waits for the request of this name and serial any more.
-    Gone(RequestId, u64),
+    Cancelled(RequestId, u64),
     /// The agent is up, since so long.
-    Greeted(Micros),
+    AgentUp(Micros),
     /// The link to the agent is lost.
-    LinkLost,
+    AgentLinkLost,
     /// A run is over.
-    Outcome(String, RunEnd, Micros),
+    RunEnded(String, RunOutcome, Micros),
     /// A run waits for a call.
     NeedsCall(String, u64, Vec<u8>),
     /// Gauges, as asked for under this tag.
-    Sampled(u64, Vec<f64>),
+    GaugesSampled(u64, Vec<f64>),
     /// End of the work of a deep health check.
-    Exercised(u64, bool),
+    HealthCheckEnded(u64, bool),
     /// The agent did not carry out this command about this request.
-    AgentRefused(String, String),
+    AgentRejected(String, String),
     /// What the agent said about this request can't be true.
-    Senseless(String),
+    InvalidAgentNotice(String),
     /// A call is over, with the body of a good reply.
-    Called(CallId, Outcome, Micros, Vec<u8>),
+    CallEnded(CallId, Outcome, Micros, Vec<u8>),
     /// What the operator's file asks for from now on.
-    Operator(Box<Wanted>),
+    DependenciesReconfigured(Box<DependencySettings>),
     /// News of the fleet.
-    Fleet(fleet::News),
+    Fleet(fleet::FleetEvent),
     /// Notice to drain: when it came, and when the process is stopped. Moments, not spans: the process may stand still
     /// before this is taken.
-    Leave {
+    Drain {
         /// When the notice came.
         noticed_at: Micros,
         /// When the process is stopped.
--- a/crates/server/src/exchange/list.rs
+++ b/crates/server/src/messages/registration.rs
@@ -4,9 +4,9 @@
 
 /// What the actor is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum RegistrationCommand {
     /// Whether this server takes work.
-    Accepting(bool),
+    SetAccepting(bool),
     /// Where the service is from now on.
-    Address(SocketAddr),
+    SetAddress(SocketAddr),
 }
--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -9,10 +9,10 @@
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
 
-use super::journal::Journal;
+use super::command_log::Journal;
 use super::stream::{self, Got};
-use crate::exchange::agent::Word;
-use crate::exchange::Message;
+use crate::messages::agent::AgentActorMessage;
+use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
 use crate::wire::jsonl::{self, Command, Notice};
 use crate::wire::Malformed;
@@ -32,8 +32,8 @@
 /// The actor.
 pub struct Agent {
     address: SocketAddr,
-    words: Receiver<Word>,
-    module: Sender<Message>,
+    words: Receiver<AgentActorMessage>,
+    module: Sender<AdmissionMessage>,
     journal: Journal,
     /// Number of the last notice that was read.
     last: u64,
@@ -73,7 +73,12 @@
 
 impl Agent {
     /// A link that is not made yet.
-    pub fn new(address: SocketAddr, words: Receiver<Word>, module: Sender<Message>, log: Logger) -> Agent {
+    pub fn new(
+        address: SocketAddr,
+        words: Receiver<AgentActorMessage>,
+        module: Sender<AdmissionMessage>,
+        log: Logger,
+    ) -> Agent {
         Agent { address, words, module, journal: Journal::default(), last: 0, log }
     }
 
@@ -88,7 +93,7 @@
                     let (why, greeted) = self.link(stream).await;
                     self.tell(&why);
                     let gone = matches!(why, Broken::Alone);
-                    if gone || self.module.send(Message::LinkLost).await.is_err() {
+                    if gone || self.module.send(AdmissionMessage::AgentLinkLost).await.is_err() {
                         return;
                     }
                     why.pause(greeted)
@@ -176,13 +181,13 @@
         moved
     }
 
-    fn heed_word(&mut self, word: &Word) -> bool {
+    fn heed_word(&mut self, word: &AgentActorMessage) -> bool {
         match word {
-            Word::Order(order) => {
+            AgentActorMessage::Command(order) => {
                 self.journal.add(order);
                 false
             }
-            Word::Address(address) => {
+            AgentActorMessage::SetAddress(address) => {
                 self.address = *address;
                 true
             }
@@ -219,33 +224,33 @@
         let message = match notice {
             Notice::Greeting(starting, since) => {
                 info!(self.log, "agent is up"; "starting" => starting, "since_us" => since);
-                Message::Greeted(since)
+                AdmissionMessage::AgentUp(since)
             }
             Notice::Outcome(id, end, took) => {
                 self.journal.ended(&id);
-                Message::Outcome(id, end, took)
+                AdmissionMessage::RunEnded(id, end, took)
             }
             Notice::Request(id, seq, body) => {
                 self.journal.waits(&id);
-                Message::NeedsCall(id, seq, body)
+                AdmissionMessage::NeedsCall(id, seq, body)
             }
             Notice::Sampled(name, values) => match self.journal.answered(&name) {
-                Some(tag) => Message::Sampled(tag, values),
+                Some(tag) => AdmissionMessage::GaugesSampled(tag, values),
                 None => return Ok(()),
             },
             Notice::Exercised(name, fine) => match self.journal.exercised(&name) {
-                Some(tag) => Message::Exercised(tag, fine),
+                Some(tag) => AdmissionMessage::HealthCheckEnded(tag, fine),
                 None => return Ok(()),
             },
             Notice::Refusal(command, id) => {
                 debug!(self.log, "agent refused"; "command" => &command, "request" => &id);
-                Message::AgentRefused(command, id)
+                AdmissionMessage::AgentRejected(command, id)
             }
             // Were the link closed over it, the next one would bring it again.
             Notice::Senseless(id) => {
                 warn!(self.log, "a notice without sense"; "request" => &id);
                 self.journal.ended(&id);
-                Message::Senseless(id)
+                AdmissionMessage::InvalidAgentNotice(id)
             }
             Notice::Aside => return Ok(()),
         };
--- a/crates/server/src/peers/journal.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -5,7 +5,7 @@
 
 use umberloom::interface::RequestId;
 
-use crate::exchange::agent::Order;
+use crate::messages::agent::AgentCommand;
 use crate::wire::jsonl::{base64, Command};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,27 +43,31 @@
 
 impl Journal {
     /// Adds an order.
-    pub fn add(&mut self, order: &Order) {
+    pub fn add(&mut self, order: &AgentCommand) {
         let number = self.next + 1;
         let name = number.to_string();
         let none: RequestId = "".into();
         let (kind, id, tag, command) = match order {
-            Order::Launch(id, class, body) => {
+            AgentCommand::Launch(id, class, body) => {
                 (Kind::Run, id, 0, Command::Launch { id, class, body: base64(body) })
             }
-            Order::Freeze(id) => (Kind::Freeze, id, 0, Command::Freeze { id }),
-            Order::Thaw(id) => (Kind::Run, id, 0, Command::Thaw { id }),
-            Order::Deliver(id, body) => (Kind::Reply, id, 0, Command::Deliver { id, body: base64(body) }),
-            Order::Forgo(id, seq) => (Kind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
-            Order::Sample(tag) => (Kind::Question, &none, *tag, Command::Sample { tag: &name }),
-            Order::Exercise(tag) => (Kind::Question, &none, *tag, Command::Exercise { tag: &name }),
+            AgentCommand::Pause(id) => (Kind::Freeze, id, 0, Command::Freeze { id }),
+            AgentCommand::Resume(id) => (Kind::Run, id, 0, Command::Thaw { id }),
+            AgentCommand::DeliverReply(id, body) => {
+                (Kind::Reply, id, 0, Command::Deliver { id, body: base64(body) })
+            }
+            AgentCommand::SkipCall(id, seq) => (Kind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
+            AgentCommand::SampleGauges(tag) => (Kind::Question, &none, *tag, Command::Sample { tag: &name }),
+            AgentCommand::RunHealthCheck(tag) => {
+                (Kind::Question, &none, *tag, Command::Exercise { tag: &name })
+            }
         };
         let unwritten = || self.entries.iter().skip(self.written);
         if kind == Kind::Freeze && unwritten().any(|e| e.kind == kind && e.id == *id) {
             // Stops are asked for again and again; without a link they must not pile up.
             return;
         }
-        if matches!(order, Order::Sample(_)) && unwritten().any(|e| e.kind == kind) {
+        if matches!(order, AgentCommand::SampleGauges(_)) && unwritten().any(|e| e.kind == kind) {
             // Neither must samples: the module asks for one after the other, whether or not they are answered.
             return;
         }
--- a/crates/server/src/peers/balancer.rs
+++ b/crates/server/src/peers/connection.rs
@@ -14,10 +14,12 @@
 use umberloom_settings::shape::Shape;
 
 use super::stream::{self, Got};
-use crate::exchange::caller::{Activity, Answer, Check, Hint, ReplyTo, Request, Word, Work};
-use crate::exchange::Message;
 use crate::lifecycle::clock::Clock;
 use crate::memory::budget::{Budget, Charge};
+use crate::messages::caller::{
+    ConnectionActivity, ConnectionCommand, HealthCheck, LoadHint, ReplyTo, Request, Response, WorkRequest,
+};
+use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
 use crate::wire::cgi::{self, Ask};
 use crate::wire::fastcgi::{self, Status};
@@ -50,13 +52,13 @@
 #[derive(Clone)]
 pub struct Shared {
     /// The module's mailbox.
-    pub module: Sender<Message>,
+    pub module: Sender<AdmissionMessage>,
     /// Names of the classes, in their order.
     pub classes: Rc<Vec<String>>,
     /// Names of the tenants, in their order; may be empty.
     pub tenants: Rc<Vec<String>>,
     /// The free value that goes with every answer.
-    pub hint: Hint,
+    pub hint: LoadHint,
     /// What requests say of themselves here.
     pub shape: Shape,
     /// Most connections at once.
@@ -80,8 +82,8 @@
 
 impl Pending {
     /// What the module is told when nobody waits any more.
-    fn gone(self) -> Option<Message> {
-        self.id.map(|id| Message::Gone(id, self.serial))
+    fn gone(self) -> Option<AdmissionMessage> {
+        self.id.map(|id| AdmissionMessage::Cancelled(id, self.serial))
     }
 }
 
@@ -90,16 +92,16 @@
     /// Whether this server is well.
     Check(bool),
     /// Work, of the class and the tenant at these places.
-    Work(Box<Work>, usize, usize),
+    Work(Box<WorkRequest>, usize, usize),
 }
 
 /// The actor of one connection.
 pub struct Connection {
     stream: Async<TcpStream>,
     shared: Shared,
-    activity: Rc<Activity>,
-    words: Receiver<Word>,
-    me: Sender<Word>,
+    activity: Rc<ConnectionActivity>,
+    words: Receiver<ConnectionCommand>,
+    me: Sender<ConnectionCommand>,
     buffer: Buffer,
     responder: Responder,
     pending: BTreeMap<u16, Pending>,
@@ -126,12 +128,12 @@
     pub fn new(
         stream: Async<TcpStream>,
         shared: Shared,
-        activity: Rc<Activity>,
-    ) -> Option<(Connection, Sender<Word>)> {
+        activity: Rc<ConnectionActivity>,
+    ) -> Option<(Connection, Sender<ConnectionCommand>)> {
         let (me, words) = async_channel::bounded(MAILBOX);
         let charge = shared.budget.take(0)?;
         let now = shared.clock.now();
-        activity.last.set(now);
+        activity.last_active.set(now);
         let responder = Responder::new(shared.connections);
         let connection = Connection {
             stream,
@@ -201,7 +203,7 @@
         while let Ok(word) = self.words.try_recv() {
             self.heed(word);
         }
-        self.finishing |= self.activity.finish.get();
+        self.finishing |= self.activity.closing.get();
         self.write()?;
         let mut busy = false;
         if self.reads() {
@@ -249,11 +251,11 @@
 
     /// Its place is needed, and it has not asked.
     fn is_to_go(&self) -> bool {
-        self.leaving && self.responder.whole() == 0 && !self.activity.asked.get()
+        self.leaving && self.responder.whole() == 0 && !self.activity.has_requested.get()
     }
 
     fn touch(&mut self) {
-        self.activity.last.set(self.shared.clock.now());
+        self.activity.last_active.set(self.shared.clock.now());
     }
 
     fn hear_no_more(&mut self) {
@@ -269,7 +271,7 @@
         let partial = self.responder.open() > self.responder.whole() || !self.buffer.unread().is_empty();
         if partial {
             self.awaits = self.awaits.or(Some(self.shared.clock.now()));
-        } else if self.activity.asked.get() {
+        } else if self.activity.has_requested.get() {
             self.awaits = None;
         }
         if self.useless > USELESS || self.is_late() {
@@ -295,7 +297,7 @@
             warn!(self.shared.log, "no memory for a connection"; "bytes" => size);
             self.hear_no_more();
         }
-        self.activity.open.set(self.responder.whole());
+        self.activity.open_requests.set(self.responder.whole());
     }
 
     fn write(&mut self) -> std::io::Result<()> {
@@ -319,7 +321,7 @@
     /// Waits until there is something to do.
     async fn wait(&mut self) -> std::io::Result<bool> {
         enum Next {
-            Word(Word),
+            Word(ConnectionCommand),
             Ready,
             Stalled,
         }
@@ -361,22 +363,22 @@
         Ok(false)
     }
 
-    fn heed(&mut self, word: Word) {
+    fn heed(&mut self, word: ConnectionCommand) {
         match word {
-            Word::Answer(slot, serial, answer) => self.answer(slot, serial, &answer),
+            ConnectionCommand::Respond(slot, serial, answer) => self.answer(slot, serial, &answer),
             // Its place is needed: one that never asked loses it even with a part of a request sent, but a whole one that
             // lies unread in the socket was given to this server and gets its answer.
-            Word::CloseIfIdle if !self.activity.asked.get() => self.leaving = true,
-            Word::CloseIfIdle => self.finishing |= self.responder.open() == 0,
-            Word::Finish => {}
+            ConnectionCommand::CloseIfIdle if !self.activity.has_requested.get() => self.leaving = true,
+            ConnectionCommand::CloseIfIdle => self.finishing |= self.responder.open() == 0,
+            ConnectionCommand::Close => {}
         }
     }
 
-    fn answer(&mut self, slot: u16, serial: u64, answer: &Answer) {
+    fn answer(&mut self, slot: u16, serial: u64, answer: &Response) {
         if self.pending.get(&slot).is_some_and(|p| p.serial == serial) {
             self.pending.remove(&slot);
             match answer {
-                Answer::Aborted => self.responder.end_aborted(slot),
+                Response::Aborted => self.responder.end_aborted(slot),
                 answer => self.responder.answer(slot, &cgi::encode(answer, self.shared.hint.get())),
             }
         }
@@ -408,7 +410,7 @@
             Incoming::Abort(slot) => self.pending.get(&slot).cloned().and_then(Pending::gone),
             Incoming::Request { slot, params, body, too_long } => {
                 // Any whole request shows a peer that speaks the protocol, except one longer than that allows.
-                self.activity.asked.set(self.activity.asked.get() || !too_long);
+                self.activity.has_requested.set(self.activity.has_requested.get() || !too_long);
                 (self.awaits, self.useless) = (None, 0);
                 let serial = self.shared.serial.get() + 1;
                 self.shared.serial.set(serial);
@@ -430,10 +432,10 @@
         params: &[u8],
         body: Vec<u8>,
         too_long: bool,
-    ) -> Option<Message> {
+    ) -> Option<AdmissionMessage> {
         // Once the front lets nothing in, what is still read is turned away here: an answer that waited for the module
         // might not be written before the process ends.
-        if self.door.is_some() || self.activity.finish.get() {
+        if self.door.is_some() || self.activity.closing.get() {
             self.pending.remove(&slot);
             self.responder.turn_away(slot, Status::Overloaded);
             self.finishing = true;
@@ -441,11 +443,13 @@
         }
         let reply_to = ReplyTo::new(self.me.clone(), slot, serial);
         let (work, class, tenant) = match self.understand(params, too_long) {
-            Ok(Meant::Check(full)) => return Some(Message::Check(Check { full, reply_to })),
+            Ok(Meant::Check(full)) => {
+                return Some(AdmissionMessage::HealthCheck(HealthCheck { is_deep: full, reply_to }))
+            }
             Ok(Meant::Work(work, class, tenant)) => (work, class, tenant),
             Err(why) => {
                 debug!(self.shared.log, "a request without sense"; "why" => why);
-                self.answer(slot, serial, &Answer::Senseless);
+                self.answer(slot, serial, &Response::BadRequest);
                 return None;
             }
         };
@@ -456,7 +460,15 @@
         };
         let id: RequestId = work.id.as_str().into();
         self.pending.insert(slot, Pending { serial, id: Some(id.clone()) });
-        Some(Message::Request(Box::new(Request { id, class, tenant, work: *work, body, reply_to, charge })))
+        Some(AdmissionMessage::Request(Box::new(Request {
+            id,
+            class,
+            tenant,
+            work: *work,
+            body,
+            reply_to,
+            charge,
+        })))
     }
 
     fn understand(&self, params: &[u8], too_long: bool) -> Result<Meant, &'static str> {
--- a/crates/server/src/peers/dependency.rs
+++ b/crates/server/src/peers/dependency.rs
@@ -17,9 +17,9 @@
 
 use super::ajp::{self, Ajp};
 use super::stream::{self, Got};
-use crate::exchange::calls::{Call, CallId, Order};
-use crate::exchange::Message;
 use crate::lifecycle::clock::Clock;
+use crate::messages::calls::{Call, CallId, DependencyCommand};
+use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{self, Reply};
 
@@ -137,8 +137,8 @@
     executor: Rc<LocalExecutor<'a>>,
     target: Target,
     sockets: Sockets,
-    orders: Receiver<Order>,
-    module: Sender<Message>,
+    orders: Receiver<DependencyCommand>,
+    module: Sender<AdmissionMessage>,
     clock: Clock,
     log: Logger,
     pool: Pool,
@@ -150,8 +150,8 @@
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         (target, sockets): (Target, Sockets),
-        orders: Receiver<Order>,
-        module: Sender<Message>,
+        orders: Receiver<DependencyCommand>,
+        module: Sender<AdmissionMessage>,
         clock: Clock,
         log: Logger,
     ) -> Dependency<'a> {
@@ -179,15 +179,15 @@
                 self.pool.borrow_mut().expire();
             }
             match order {
-                Some(Order::Call(call)) => {
+                Some(DependencyCommand::Call(call)) => {
                     // A second call of the same name gives up the first: dropping it closes its connection.
                     self.calls.remove(&call.id);
                     if !self.begin(call).await {
                         return;
                     }
                 }
-                Some(Order::GiveUp(id)) => drop(self.calls.remove(&id)),
-                Some(Order::Address(address)) => {
+                Some(DependencyCommand::Cancel(id)) => drop(self.calls.remove(&id)),
+                Some(DependencyCommand::SetAddress(address)) => {
                     // Connections of calls still under way go back to the old pool, which ends with them.
                     self.target.platform = Some(address);
                     self.pool = Idle::new(self.sockets.idle.clone());
@@ -206,7 +206,7 @@
         let address = call.address.or(self.target.platform);
         let (Some(address), Some(taken)) = (address, self.sockets.take()) else {
             debug!(self.log, "too many calls at once"; "request" => &*call.id.request);
-            let refused = Message::Called(call.id, Outcome::Rejected, 0, Vec::new());
+            let refused = AdmissionMessage::CallEnded(call.id, Outcome::Rejected, 0, Vec::new());
             return self.module.send(refused).await.is_ok();
         };
         let id = call.id.clone();
@@ -229,7 +229,7 @@
             let (outcome, reply) = one(address, &target, &pool, &call, span).await;
             drop(taken);
             let took = clock.now() - from;
-            let _ = module.send(Message::Called(call.id, outcome, took, reply)).await;
+            let _ = module.send(AdmissionMessage::CallEnded(call.id, outcome, took, reply)).await;
         }
     }
 }
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -5,7 +5,7 @@
 /// Plays `script` with the actor's mailboxes against a service at this listener.
 fn with_dependency<F: std::future::Future<Output = ()>>(
     most: usize,
-    script: impl FnOnce(Async<std::net::TcpListener>, Sender<Order>, Receiver<Message>) -> F,
+    script: impl FnOnce(Async<std::net::TcpListener>, Sender<DependencyCommand>, Receiver<AdmissionMessage>) -> F,
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -19,9 +19,9 @@
     async_io::block_on(executor.run(script(listener, orders, mail)));
 }
 
-fn call(id: &str, until: Micros) -> Order {
+fn call(id: &str, until: Micros) -> DependencyCommand {
     let id = CallId::plain(id.into());
-    Order::Call(Call { id, address: None, body: Rc::from(&[][..]), until })
+    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), until })
 }
 
 fn far() -> Micros {
@@ -40,9 +40,9 @@
     true
 }
 
-async fn called(mail: &Receiver<Message>) -> (String, Outcome) {
+async fn called(mail: &Receiver<AdmissionMessage>) -> (String, Outcome) {
     match mail.recv().await {
-        Ok(Message::Called(id, outcome, ..)) => (id.request.to_string(), outcome),
+        Ok(AdmissionMessage::CallEnded(id, outcome, ..)) => (id.request.to_string(), outcome),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -21,11 +21,11 @@
 use umberloom_operator_config::Record;
 use umberloom_quota::QuotaStatus;
 
-use crate::exchange::fleet::{News, Order, Present, RECORD};
-use crate::exchange::Message;
 use crate::memory::budget::Charge;
-use crate::wire::fleet::{frame, Answer, FleetView, Kind, Question, Reply, What};
-use crate::wire::record::Told as record_told;
+use crate::messages::fleet::{FleetCommand, FleetEvent, Reachability, REPLICATION_CHANNEL};
+use crate::messages::AdmissionMessage;
+use crate::wire::fleet::{frame, Answer, FleetView, FrameKind, Question, QuestionKind, Reply};
+use crate::wire::record::StoreAnswer as record_told;
 use link::Came;
 use record::{Keeper, Word};
 
@@ -79,7 +79,7 @@
 type From = (u64, Came);
 
 enum Next {
-    Order(Option<Order>),
+    Order(Option<FleetCommand>),
     Datagram,
     Frame(u64, Came),
     Accepted(TcpStream),
@@ -95,8 +95,8 @@
     name: MemberName,
     peers: usize,
     sockets: Rc<Sockets>,
-    orders: Receiver<Order>,
-    module: Sender<Message>,
+    orders: Receiver<FleetCommand>,
+    module: Sender<AdmissionMessage>,
     addresses: BTreeMap<MemberName, SocketAddr>,
     /// Streams to peers.
     outs: BTreeMap<MemberName, Out>,
@@ -107,7 +107,7 @@
     /// Where datagrams came from, for answers: the newest at the end.
     ways: VecDeque<(u64, SocketAddr)>,
     start: Instant,
-    told: (Present, Micros),
+    told: (Reachability, Micros),
     shares: Vec<(Rc<str>, QuotaStatus)>,
     mine: BuildInfo,
     record: Option<Keeper>,
@@ -124,8 +124,8 @@
         sockets: Sockets,
         (config, addresses, about, kept): (Config, Vec<SocketAddr>, BuildInfo, Option<Record>),
         (boot, seed): (u64, u64),
-        orders: Receiver<Order>,
-        module: Sender<Message>,
+        orders: Receiver<FleetCommand>,
+        module: Sender<AdmissionMessage>,
         charge: Charge,
         log: Logger,
     ) -> Result<Fleet<'a>, String> {
@@ -153,7 +153,7 @@
             next: 0,
             ways: VecDeque::new(),
             start: Instant::now(),
-            told: (Present::default(), 0),
+            told: (Reachability::default(), 0),
             shares: Vec::new(),
             mine: about,
             record: kept.map(|settings| Keeper::new(0, settings, seed ^ boot, log.clone())),
@@ -174,7 +174,7 @@
             let now = self.now();
             match next {
                 Next::Order(None) => return,
-                Next::Order(Some(Order::Part)) => {
+                Next::Order(Some(FleetCommand::AnnounceDeparture)) => {
                     self.membership.announce_departure(now);
                     self.carry_out(now);
                     return;
@@ -252,15 +252,15 @@
         }
     }
 
-    fn obey(&mut self, now: Micros, order: Order) {
+    fn obey(&mut self, now: Micros, order: FleetCommand) {
         match order {
-            Order::Matter(to, kind, bytes) => self.membership.send(now, &to, kind, bytes),
-            Order::Load(percent) => {
+            FleetCommand::Send(to, kind, bytes) => self.membership.send(now, &to, kind, bytes),
+            FleetCommand::SetLoad(percent) => {
                 self.load = percent;
                 self.membership.set_load(percent);
             }
-            Order::Shares(shares) => self.shares = shares,
-            Order::Set(told) => {
+            FleetCommand::PublishQuotas(shares) => self.shares = shares,
+            FleetCommand::Reconfigure(told) => {
                 let (config, addresses, about, kept) = *told;
                 if let (Some(keeper), Some(settings)) = (&mut self.record, kept) {
                     keeper.set(settings);
@@ -273,11 +273,11 @@
                 self.membership.set_build_info(now, about.clone());
                 self.mine = about;
             }
-            Order::Leave => {
+            FleetCommand::Leave => {
                 self.membership.leave(now);
                 self.record.iter_mut().for_each(|keeper| keeper.leave(now));
             }
-            Order::Part => {}
+            FleetCommand::AnnounceDeparture => {}
         }
     }
 
@@ -319,22 +319,22 @@
     fn frame(&mut self, now: Micros, id: u64, came: Came) {
         match came {
             Came::End => drop(self.ins.remove(&id)),
-            Came::Frame(Kind::Message, content) => {
+            Came::Frame(FrameKind::Message, content) => {
                 self.membership.handle_message(now, &content, ReturnPath::Stream(id))
             }
-            Came::Frame(Kind::Question, content) => {
+            Came::Frame(FrameKind::Question, content) => {
                 match self.key.open::<Question>(&content, content.len()) {
                     Ok(question) => self.answer(now, id, question),
                     Err(why) => debug!(self.log, "fleet: a question that is not believed"; "why" => ?why),
                 }
             }
-            Came::Frame(Kind::Answer, _) => {}
+            Came::Frame(FrameKind::Answer, _) => {}
         }
     }
 
     fn answer(&mut self, now: Micros, id: u64, question: Question) {
         let reply = match question.what {
-            What::Record(asked) => {
+            QuestionKind::Record(asked) => {
                 let Some(keeper) = &mut self.record else {
                     let why = "this server's file has no `record` in its fleet".to_owned();
                     return self.reply(id, question.number, Reply::Record(record_told::Refused(why)));
@@ -343,8 +343,8 @@
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
                 return keeper.ask(now, unix, (id, question.number), asked);
             }
-            What::Members => Reply::Members(self.view(now)),
-            What::Explain(name) => match self.membership.explain(now, &name) {
+            QuestionKind::Members => Reply::Members(self.view(now)),
+            QuestionKind::Explain(name) => match self.membership.explain(now, &name) {
                 Some(evidence) => Reply::Explain(evidence),
                 None => {
                     let members = self.membership.members(now);
@@ -358,7 +358,7 @@
     fn reply(&mut self, id: u64, number: u64, reply: Reply) {
         let answer = self.key.seal(&Answer { number, reply });
         if let Some((answers, _)) = self.ins.get(&id) {
-            let _ = answers.try_send(frame(Kind::Answer, &answer));
+            let _ = answers.try_send(frame(FrameKind::Answer, &answer));
         }
     }
 
@@ -386,8 +386,8 @@
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Stream(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), false),
-                Action::Bulk(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), true),
+                Action::Stream(to, bytes) => self.stream(&to, frame(FrameKind::Message, &bytes), false),
+                Action::Bulk(to, bytes) => self.stream(&to, frame(FrameKind::Message, &bytes), true),
                 Action::Reply(ReturnPath::Datagram(way), bytes) => {
                     if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
@@ -395,20 +395,20 @@
                 }
                 Action::Reply(ReturnPath::Stream(id), bytes) => {
                     if let Some((answers, _)) = self.ins.get(&id) {
-                        let _ = answers.try_send(frame(Kind::Message, &bytes));
+                        let _ = answers.try_send(frame(FrameKind::Message, &bytes));
                     }
                 }
             }
         }
         for matter in self.membership.take_messages() {
-            if let (RECORD, Some(keeper)) = (matter.channel, &mut self.record) {
+            if let (REPLICATION_CHANNEL, Some(keeper)) = (matter.channel, &mut self.record) {
                 keeper.hear(now, &matter.from, matter.boot, &matter.payload);
                 continue;
             }
             let from = (matter.from, matter.boot);
-            let news = News::Matter { from, kind: matter.channel, bytes: matter.payload };
+            let news = FleetEvent::MessageReceived { from, channel: matter.channel, payload: matter.payload };
             // A module that has no time for it now is one whose loans have to wait.
-            let _ = self.module.try_send(Message::Fleet(news));
+            let _ = self.module.try_send(AdmissionMessage::Fleet(news));
         }
         for told in self.membership.take_events() {
             self.log(now, told);
@@ -433,15 +433,18 @@
         let members = self.membership.members(now);
         let named = || members.iter().filter(|m| m.named);
         let same = |shares: u64| shares == self.mine.shares;
-        let present = Present {
-            differ: named().any(|m| m.reached && !same(m.about.shares)),
-            all: named().all(|m| m.reached && same(m.about.shares)),
-            silenced: self.membership.is_fenced(),
-            reached,
+        let present = Reachability {
+            quota_basis_differs: named().any(|m| m.reached && !same(m.about.shares)),
+            all_agree: named().all(|m| m.reached && same(m.about.shares)),
+            fenced: self.membership.is_fenced(),
+            reachable: reached,
         };
         self.told.1 = now;
         if present != self.told.0
-            && self.module.try_send(Message::Fleet(News::Present(present.clone()))).is_ok()
+            && self
+                .module
+                .try_send(AdmissionMessage::Fleet(FleetEvent::ReachabilityChanged(present.clone())))
+                .is_ok()
         {
             self.told.0 = present;
         }
@@ -455,7 +458,7 @@
             Event::MemberStateChanged { name, from, to, cause } => {
                 info!(self.log, "member"; "name" => &*name, "from" => %from, "to" => %to, "cause" => cause);
             }
-            Event::Doubled(name, older, newer) => {
+            Event::NameConflict(name, older, newer) => {
                 warn!(self.log, "two processes of one name"; "name" => &*name, "older" => older, "newer" => newer);
             }
             Event::Fenced(by) => {
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -9,7 +9,7 @@
 use futures_lite::{future, AsyncReadExt};
 
 use crate::peers::stream;
-use crate::wire::fleet::{self, Kind, HEAD};
+use crate::wire::fleet::{self, FrameKind, HEAD};
 
 /// Frames that may wait to be written to a member; more are lost, as on a network.
 pub const WAITING: usize = 64;
@@ -27,7 +27,7 @@
 /// What came over a stream that others opened.
 pub enum Came {
     /// A frame.
-    Frame(Kind, Vec<u8>),
+    Frame(FrameKind, Vec<u8>),
     /// Its end.
     End,
 }
@@ -106,7 +106,7 @@
 }
 
 /// The next frame; `None` if the stream has been idle, or says what makes no sense.
-async fn frame(stream: &Async<TcpStream>) -> Result<Option<(Kind, Vec<u8>)>> {
+async fn frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut first = [0; 1];
     let Some(begun) = stream::within(2 * IDLE, reader.read_exact(&mut first)).await else { return Ok(None) };
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/record.rs
@@ -17,8 +17,8 @@
 use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
 use umberloom_store::{Batch, Config as StoreConfig, StoreError};
 
-use crate::exchange::fleet::RECORD;
-use crate::wire::record::{Asked, Told as Answer, PART};
+use crate::messages::fleet::REPLICATION_CHANNEL;
+use crate::wire::record::{StoreAnswer as Answer, StoreQuestion, PART};
 
 /// Batches that may wait for the disk's thread.
 const QUEUE: usize = 64;
@@ -284,10 +284,10 @@
             for action in actions {
                 match action {
                     Action::Send(to, bytes, Priority::Heartbeat | Priority::Vote) => {
-                        membership.send(now, &to, RECORD, bytes)
+                        membership.send(now, &to, REPLICATION_CHANNEL, bytes)
                     }
                     Action::Send(to, bytes, Priority::Entry | Priority::Snapshot) => {
-                        membership.send_bulk(now, &to, RECORD, bytes)
+                        membership.send_bulk(now, &to, REPLICATION_CHANNEL, bytes)
                     }
                     Action::Persist(number, batch) => self.held.push_back((number, batch)),
                     Action::Quarantine(why) => aside = Some(why),
@@ -355,7 +355,7 @@
     }
 
     /// An operator asks; the answer comes with [`Keeper::take_answers`].
-    pub fn ask(&mut self, now: Micros, at_ms: u64, to: (u64, u64), asked: Asked) {
+    pub fn ask(&mut self, now: Micros, at_ms: u64, to: (u64, u64), asked: StoreQuestion) {
         let refuse = |why: RequestError| Answer::Refused(why.to_string());
         let Some(record) = &mut self.record else {
             let why =
@@ -368,32 +368,32 @@
             return self.answers.push((to, refuse(RequestError::Busy)));
         }
         let answer = match asked {
-            Asked::Status => Answer::Status(Box::new(record.status(now))),
-            Asked::History(most) => {
+            StoreQuestion::Status => Answer::Status(Box::new(record.status(now))),
+            StoreQuestion::History(most) => {
                 let lines = record.state().history().rev().take(most as usize).cloned().collect();
                 Answer::History(lines)
             }
-            Asked::Hand(name, votes) => match record.set_voter(now, &name, votes) {
+            StoreQuestion::Hand(name, votes) => match record.set_voter(now, &name, votes) {
                 Ok(()) => Answer::Taken,
                 Err(why) => refuse(why),
             },
-            Asked::Adopt => match record.adopt(now, at_ms) {
+            StoreQuestion::Adopt => match record.adopt(now, at_ms) {
                 Ok(_) => Answer::Taken,
                 Err(why) => refuse(why),
             },
-            Asked::Show { name, latest: false, from } => show(record, now, &name, from),
-            Asked::Show { name, latest: true, from } => match record.request_read(now) {
+            StoreQuestion::Show { name, latest: false, from } => show(record, now, &name, from),
+            StoreQuestion::Show { name, latest: true, from } => match record.request_read(now) {
                 Ok(ticket) => {
                     let what = What::Show { ticket, name, from };
                     return self.pending.push(Pending { to, what, until: now + PATIENCE });
                 }
                 Err(why) => refuse(why),
             },
-            Asked::Write { id, entry } => {
+            StoreQuestion::Write { id, entry } => {
                 let what = What::Write { id, at_ms, entry, taken: None, tried: 0 };
                 return self.pending.push(Pending { to, what, until: now + PATIENCE });
             }
-            Asked::Export(from) => match record.export().map(|export| export.bytes()) {
+            StoreQuestion::Export(from) => match record.export().map(|export| export.bytes()) {
                 Some(all) => Answer::Bytes(part(&all, from), all.len() as u64),
                 None => refuse(RequestError::Outside),
             },
--- a/crates/server/src/peers/front.rs
+++ b/crates/server/src/peers/listener.rs
@@ -15,10 +15,10 @@
 use umberloom::interface::Micros;
 use umberloom_connection_admission::connection_table::{Admission, ConnectionState, ConnectionTable};
 
-use super::balancer::{Connection, Shared};
-use crate::exchange::caller::{Activity, Word};
-use crate::exchange::front::Order;
-use crate::lifecycle::rare::Rare;
+use super::connection::{Connection, Shared};
+use crate::lifecycle::log_throttle::LogThrottle;
+use crate::messages::caller::{ConnectionActivity, ConnectionCommand};
+use crate::messages::listener::ListenerCommand;
 
 /// Words that may wait to be taken.
 pub const MAILBOX: usize = 64;
@@ -30,8 +30,8 @@
 const RETRY: Duration = Duration::from_millis(20);
 
 struct Entry {
-    words: Sender<Word>,
-    activity: Rc<Activity>,
+    words: Sender<ConnectionCommand>,
+    activity: Rc<ConnectionActivity>,
     at_door: bool,
     /// When it was told to close.
     told: Cell<Option<Micros>>,
@@ -40,8 +40,8 @@
 impl Entry {
     /// One such word at a time: a connection that is slow to take its mail must keep room there for its answers.
     fn close_if_idle(&self, now: Micros) {
-        if self.words.is_empty() && self.words.try_send(Word::CloseIfIdle).is_ok() {
-            let since = self.told.get().filter(|told| *told >= self.activity.last.get());
+        if self.words.is_empty() && self.words.try_send(ConnectionCommand::CloseIfIdle).is_ok() {
+            let since = self.told.get().filter(|told| *told >= self.activity.last_active.get());
             self.told.set(since.or(Some(now)));
         }
     }
@@ -50,9 +50,9 @@
         ConnectionState {
             id,
             listener: 0,
-            open: self.activity.open.get(),
-            asked: self.activity.asked.get(),
-            last: self.activity.last.get(),
+            open: self.activity.open_requests.get(),
+            asked: self.activity.has_requested.get(),
+            last: self.activity.last_active.get(),
             told: self.told.get(),
             at_door: self.at_door,
         }
@@ -61,7 +61,7 @@
 
 enum Next {
     Accepted(TcpStream),
-    Order(Option<Order>),
+    Order(Option<ListenerCommand>),
     Over(u64),
     Look,
     /// What waits to be accepted is to be looked at again, after the word to finish.
@@ -73,7 +73,7 @@
     executor: Rc<LocalExecutor<'a>>,
     listener: Option<Async<TcpListener>>,
     shared: Shared,
-    orders: Receiver<Order>,
+    orders: Receiver<ListenerCommand>,
     /// Most connections at once, so that descriptors last.
     places: ConnectionTable,
     idle: Micros,
@@ -84,9 +84,9 @@
     over: (Sender<u64>, Receiver<u64>),
     /// When idle connections are looked for next, whatever else happens.
     look_at: Instant,
-    full: Rare,
+    full: LogThrottle,
     /// Nothing could be accepted.
-    short: RefCell<Rare>,
+    short: RefCell<LogThrottle>,
     log: Logger,
 }
 
@@ -96,7 +96,7 @@
         executor: Rc<LocalExecutor<'a>>,
         (listener, places): (Async<TcpListener>, ConnectionTable),
         shared: Shared,
-        orders: Receiver<Order>,
+        orders: Receiver<ListenerCommand>,
         idle: Micros,
     ) -> Front<'a> {
         let over = async_channel::bounded(places.all().max(1));
@@ -113,7 +113,7 @@
             next: 0,
             over,
             look_at: Instant::now() + LOOK_EVERY,
-            full: Rare::default(),
+            full: LogThrottle::default(),
             short: RefCell::default(),
             log,
         }
@@ -133,8 +133,8 @@
                     self.look_at = Instant::now() + LOOK_EVERY;
                     self.close_idle();
                 }
-                Next::Order(Some(Order::CloseIdle(span))) => self.idle = span,
-                Next::Order(Some(Order::Finish)) => self.finish().await,
+                Next::Order(Some(ListenerCommand::CloseIdle(span))) => self.idle = span,
+                Next::Order(Some(ListenerCommand::Drain)) => self.finish().await,
                 Next::Backlog => self.take_backlog().await,
                 Next::Order(None) => return,
             }
@@ -196,8 +196,8 @@
         let _ = stream.set_nodelay(true);
         // Sets it non-blocking too, whichever way it was accepted.
         let Ok(stream) = Async::new(stream) else { return };
-        let activity = Rc::new(Activity::default());
-        activity.finish.set(self.finishing);
+        let activity = Rc::new(ConnectionActivity::default());
+        activity.closing.set(self.finishing);
         let Some((connection, words)) = Connection::new(stream, self.shared.clone(), activity.clone()) else {
             return;
         };
@@ -238,7 +238,7 @@
 
     fn tell_full(&mut self) {
         if let Some(more) = self.full.tell(Instant::now()) {
-            let busy = self.all.values().filter(|entry| entry.activity.open.get() > 0).count();
+            let busy = self.all.values().filter(|entry| entry.activity.open_requests.get() > 0).count();
             let at_door = self.all.values().filter(|entry| entry.at_door).count();
             warn!(self.log, "no place for a connection"; "not_told" => more, "at_door" => at_door,
                 "busy" => busy, "places" => self.places.table());
@@ -264,9 +264,9 @@
     async fn finish(&mut self) {
         self.finishing = true;
         for entry in self.all.values() {
-            entry.activity.finish.set(true);
+            entry.activity.closing.set(true);
             // Only to wake it: where there is no room it has other words to wake for.
-            let _ = entry.words.try_send(Word::Finish);
+            let _ = entry.words.try_send(ConnectionCommand::Close);
         }
         self.take_backlog().await;
     }
--- a/crates/server/src/peers/front/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -6,10 +6,10 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
 use super::*;
-use crate::exchange::caller::{Answer, ReplyTo};
-use crate::exchange::Message;
 use crate::memory::budget::Budget;
-use crate::peers::balancer;
+use crate::messages::caller::{ReplyTo, Response};
+use crate::messages::AdmissionMessage;
+use crate::peers::connection;
 use crate::peers::stream;
 use crate::wire::fastcgi;
 use crate::wire::responder::OPEN;
@@ -22,9 +22,9 @@
 
 struct Bench {
     address: std::net::SocketAddr,
-    mail: Receiver<Message>,
-    log: Rc<RefCell<Vec<Message>>>,
-    orders: Sender<Order>,
+    mail: Receiver<AdmissionMessage>,
+    log: Rc<RefCell<Vec<AdmissionMessage>>>,
+    orders: Sender<ListenerCommand>,
     shared: Shared,
     executor: Rc<LocalExecutor<'static>>,
 }
@@ -37,7 +37,7 @@
     /// Answers the next health check.
     async fn answer_check(&self) {
         match within(self.mail.recv()).await {
-            Ok(Message::Check(check)) => check.reply_to.answer(Answer::Health(true)),
+            Ok(AdmissionMessage::HealthCheck(check)) => check.reply_to.respond(Response::Health(true)),
             other => panic!("{other:?}"),
         }
     }
@@ -52,12 +52,12 @@
     }
 
     /// A connection without a front, whose actor has looked at it once and waits, with the other end of it.
-    async fn alone(&self) -> (Client, Rc<Activity>, Sender<Word>) {
+    async fn alone(&self) -> (Client, Rc<ConnectionActivity>, Sender<ConnectionCommand>) {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
         let client = Async::<TcpStream>::connect(address).await.expect("connected");
         let (stream, _) = listener.accept().await.expect("accepted");
-        let activity = Rc::new(Activity::default());
+        let activity = Rc::new(ConnectionActivity::default());
         let (connection, words) =
             Connection::new(stream, self.shared.clone(), activity.clone()).expect("memory for it");
         self.executor.spawn(connection.run()).detach();
@@ -182,8 +182,8 @@
         let mut closed = bench.connect().await;
         assert_eq!(status(&mut closed).await, None);
         for message in bench.log.borrow_mut().drain(..) {
-            let Message::Check(check) = message else { panic!("{message:?}") };
-            check.reply_to.answer(Answer::Health(true));
+            let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
+            check.reply_to.respond(Response::Health(true));
         }
         for client in &mut served {
             assert_eq!(status(client).await, Some(0));
@@ -224,16 +224,17 @@
 
 #[test]
 fn the_mailbox_has_room_for_every_answer() {
-    let (words, mail) = async_channel::bounded(balancer::MAILBOX);
-    let (activity, told) = (Rc::new(Activity::default()), Cell::new(None));
+    let (words, mail) = async_channel::bounded(connection::MAILBOX);
+    let (activity, told) = (Rc::new(ConnectionActivity::default()), Cell::new(None));
     let entry = Entry { words: words.clone(), activity, at_door: false, told };
     // Its actor waits for the module, and takes nothing for a long while.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
-    entry.words.try_send(Word::Finish).expect("room for the end");
+    entry.words.try_send(ConnectionCommand::Close).expect("room for the end");
     for slot in 0..OPEN {
-        ReplyTo::new(words.clone(), slot as u16, 7).answer(Answer::Failed);
+        ReplyTo::new(words.clone(), slot as u16, 7).respond(Response::Failed);
     }
-    let answers = std::iter::from_fn(|| mail.try_recv().ok()).filter(|w| matches!(w, Word::Answer(..)));
+    let answers =
+        std::iter::from_fn(|| mail.try_recv().ok()).filter(|w| matches!(w, ConnectionCommand::Respond(..)));
     assert_eq!(answers.count(), OPEN);
 }
 
@@ -257,7 +258,7 @@
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, _, words) = bench.alone().await;
         put(&client, &check());
-        words.try_send(Word::CloseIfIdle).expect("room");
+        words.try_send(ConnectionCommand::CloseIfIdle).expect("room");
         bench.answer_check().await;
         assert_eq!(status(&mut client).await, Some(0));
     });
@@ -271,7 +272,7 @@
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
             let (mut client, _, words) = bench.alone().await;
             put(&client, &bytes[..cut]);
-            words.try_send(Word::CloseIfIdle).expect("room");
+            words.try_send(ConnectionCommand::CloseIfIdle).expect("room");
             assert_eq!(rest(&mut client).await, (Vec::new(), true), "{cut}");
         }
     });
@@ -286,9 +287,9 @@
         ask(&mut client).await;
         bench.answer_check().await;
         assert_eq!(status(&mut client).await, Some(0));
-        while words.try_send(Word::Answer(9, 0, Answer::Failed)).is_ok() {}
-        activity.finish.set(true);
-        words.try_send(Word::Finish).expect_err("no room");
+        while words.try_send(ConnectionCommand::Respond(9, 0, Response::Failed)).is_ok() {}
+        activity.closing.set(true);
+        words.try_send(ConnectionCommand::Close).expect_err("no room");
         assert_eq!(rest(&mut client).await, (Vec::new(), true));
     });
 }
@@ -300,8 +301,8 @@
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, words) = bench.alone().await;
         put(&client, &check());
-        activity.finish.set(true);
-        words.try_send(Word::Finish).expect("room");
+        activity.closing.set(true);
+        words.try_send(ConnectionCommand::Close).expect("room");
         assert_eq!(status(&mut client).await, Some(2));
         assert_eq!(status(&mut client).await, None);
         assert!(bench.mail.is_empty());
@@ -316,7 +317,7 @@
         let busy = [bench.busy().await, bench.busy().await];
         // In one go, so that the front finds them all in the backlog with the word to finish before them.
         let mut waiting = Vec::new();
-        bench.orders.try_send(Order::Finish).expect("room");
+        bench.orders.try_send(ListenerCommand::Drain).expect("room");
         for _ in 0..20 {
             let client = std::net::TcpStream::connect(bench.address).expect("connected");
             let client = Async::new(client).expect("registered");
@@ -330,8 +331,8 @@
         // The socket is closed, and what was open before is still answered.
         Async::<TcpStream>::connect(bench.address).await.expect_err("refused");
         for message in bench.log.borrow_mut().drain(..) {
-            let Message::Check(check) = message else { panic!("{message:?}") };
-            check.reply_to.answer(Answer::Health(true));
+            let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
+            check.reply_to.respond(Response::Health(true));
         }
         for mut client in busy {
             assert_eq!(status(&mut client).await, Some(0));
--- a/crates/server/src/peers/mod.rs
+++ b/crates/server/src/peers/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod agent;
 pub mod ajp;
-pub mod balancer;
+pub mod command_log;
+pub mod connection;
 pub mod dependency;
 pub mod fleet;
-pub mod front;
-pub mod journal;
-pub mod list;
+pub mod listener;
+pub mod registration;
 pub mod stream;
--- a/crates/server/src/peers/list.rs
+++ b/crates/server/src/peers/registration.rs
@@ -11,7 +11,7 @@
 use umberloom_dependencies::probe_pacing::ProbePacer;
 
 use super::{dependency, stream};
-use crate::exchange::list::Word;
+use crate::messages::registration::RegistrationCommand;
 use crate::wire::http;
 
 /// Words that may wait to be taken.
@@ -31,7 +31,7 @@
 pub struct List {
     address: SocketAddr,
     path: String,
-    words: Receiver<Word>,
+    words: Receiver<RegistrationCommand>,
     /// Whether this server takes work, once that is known.
     accepting: Option<bool>,
     /// Reports in a row that got no answer.
@@ -50,7 +50,7 @@
         address: SocketAddr,
         name: &str,
         (servers, seed): (u32, u64),
-        words: Receiver<Word>,
+        words: Receiver<RegistrationCommand>,
         log: Logger,
     ) -> List {
         let path = format!("/announce/{name}");
@@ -73,7 +73,7 @@
     }
 
     /// Waits until it is time to report, for a word that comes before that; `None` at the end.
-    async fn next_word(&mut self) -> Option<Option<Word>> {
+    async fn next_word(&mut self) -> Option<Option<RegistrationCommand>> {
         let span = self.pause();
         let pause = async {
             if self.accepting.is_none() {
@@ -98,10 +98,10 @@
         Duration::from_micros(self.pace.next_try(TRIES, LONGEST))
     }
 
-    fn heed(&mut self, word: Word) {
+    fn heed(&mut self, word: RegistrationCommand) {
         match word {
-            Word::Accepting(accepting) => self.accepting = Some(accepting),
-            Word::Address(address) => (self.address, self.link) = (address, None),
+            RegistrationCommand::SetAccepting(accepting) => self.accepting = Some(accepting),
+            RegistrationCommand::SetAddress(address) => (self.address, self.link) = (address, None),
         }
     }
 
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/quota_leases.rs
@@ -13,30 +13,40 @@
 use umberloom_dependencies::Demand;
 use umberloom_quota::{CallId, Config, Message, Micros, QuotaStatus, SharedQuota};
 
-use crate::exchange::fleet::{News, Order, Present, ALLOWANCE};
+use crate::messages::fleet::{FleetCommand, FleetEvent, Reachability, QUOTA_CHANNEL};
 
 /// Time between two words to the fleet's actor about how they stand.
 const TELL_EVERY: Micros = 200_000;
 
 /// What is shared, by the dependency's name.
-pub struct Shares {
+pub struct QuotaLeases {
     all: BTreeMap<Rc<str>, SharedQuota>,
     /// Which one each call under way has its place from.
     calls: BTreeMap<CallId, Rc<str>>,
-    present: Present,
+    present: Reachability,
     start: Instant,
     seed: u64,
-    fleet: Option<Sender<Order>>,
+    fleet: Option<Sender<FleetCommand>>,
     told: Micros,
     said: Vec<(Rc<str>, QuotaStatus)>,
     log: Logger,
 }
 
-impl Shares {
+impl QuotaLeases {
     /// None yet.
-    pub fn new(fleet: Option<Sender<Order>>, seed: u64, log: Logger) -> Shares {
-        let (all, calls, present) = (BTreeMap::new(), BTreeMap::new(), Present::default());
-        Shares { all, calls, present, start: Instant::now(), seed, fleet, told: 0, said: Vec::new(), log }
+    pub fn new(fleet: Option<Sender<FleetCommand>>, seed: u64, log: Logger) -> QuotaLeases {
+        let (all, calls, present) = (BTreeMap::new(), BTreeMap::new(), Reachability::default());
+        QuotaLeases {
+            all,
+            calls,
+            present,
+            start: Instant::now(),
+            seed,
+            fleet,
+            told: 0,
+            said: Vec::new(),
+            log,
+        }
     }
 
     fn now(&self) -> Micros {
@@ -92,28 +102,33 @@
     }
 
     /// News of the fleet.
-    pub fn hear(&mut self, news: News) {
+    pub fn hear(&mut self, news: FleetEvent) {
         let now = self.now();
         match news {
-            News::Present(present) => {
-                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.silenced));
+            FleetEvent::ReachabilityChanged(present) => {
+                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.fenced));
                 self.present = present;
             }
-            News::Matter { from: (name, boot), kind: ALLOWANCE, bytes } => {
+            FleetEvent::MessageReceived { from: (name, boot), channel: QUOTA_CHANNEL, payload: bytes } => {
                 // What can't be read is of a program that says more than this one knows.
                 let Ok((about, message)) = postcard::from_bytes::<(String, Message)>(&bytes) else { return };
                 if let Some(allowance) = self.all.get_mut(about.as_str()) {
                     allowance.handle_message(now, &name, boot, &message);
                 }
             }
-            News::Matter { .. } => {}
+            FleetEvent::MessageReceived { .. } => {}
         }
     }
 
     /// What is due, with what is asked of a dependency now: how many calls may be in flight there.
     pub fn pass(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
         let now = self.now();
-        let Present { reached, differ, all, silenced } = &self.present;
+        let Reachability {
+            reachable: reached,
+            quota_basis_differs: differ,
+            all_agree: all,
+            fenced: silenced,
+        } = &self.present;
         let Some(allowance) = self.all.get_mut(dependency) else { return usize::MAX };
         allowance.set_fenced(now, *silenced);
         allowance.set_reachable(now, reached.clone(), *differ, *all);
@@ -124,7 +139,7 @@
             let bytes = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
             if let Some(fleet) = &self.fleet {
                 // A mailbox without room loses it, and the question is asked again.
-                let _ = fleet.try_send(Order::Matter(to, ALLOWANCE, bytes));
+                let _ = fleet.try_send(FleetCommand::Send(to, QUOTA_CHANNEL, bytes));
             }
         }
         demand.in_flight + free
@@ -155,7 +170,7 @@
         }
         self.said = views.clone();
         if let Some(fleet) = &self.fleet {
-            let _ = fleet.try_send(Order::Shares(views));
+            let _ = fleet.try_send(FleetCommand::PublishQuotas(views));
         }
     }
 }
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -3,7 +3,7 @@
 use super::fastcgi;
 use umberloom::interface::Micros;
 
-use crate::exchange::caller::{Answer, Work};
+use crate::messages::caller::{Response, WorkRequest};
 
 /// Prefix of the path of requests for work; the class follows.
 const WORK: &str = "/svc/";
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
     /// Work.
-    Work(Work),
+    Work(WorkRequest),
     /// Whether this server is well; `true`: whether work gets done.
     Health(bool),
 }
@@ -61,30 +61,30 @@
     let idempotency_key = keys.into_iter().flatten().next().filter(|k| (1..=KEY).contains(&k.len()));
     // A hint that makes no sense is none: the decisions do without where it is absent.
     let hint = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MOST_WORK_MS);
-    Ok(Ask::Work(Work {
+    Ok(Ask::Work(WorkRequest {
         id: id.to_owned(),
         class: class.to_owned(),
-        received: millis("HTTP_RECEIVED_AT").ok_or("no time of arrival")?,
+        received_at: millis("HTTP_RECEIVED_AT").ok_or("no time of arrival")?,
         budget: match get("HTTP_BUDGET_MS") {
             Some(_) => Some(millis("HTTP_BUDGET_MS").ok_or("no budget")?),
             None => None,
         },
-        again: mark || number_of_try > 1,
+        is_retry: mark || number_of_try > 1,
         tenant: get("HTTP_ACCOUNT").filter(|name| !name.is_empty()).map(String::from),
         cost: hint.map(|ms| (ms * 1_000.0) as Micros).filter(|cost| *cost > 0),
         sender: get("HTTP_SENT_BY").and_then(|v| v.trim().parse().ok()).ok_or("no sender")?,
-        held_kb: number("HTTP_FOOTPRINT_KB").filter(|&n| n > 0.0 && n < 2_000.0).ok_or("no footprint")?,
+        queued_kb: number("HTTP_FOOTPRINT_KB").filter(|&n| n > 0.0 && n < 2_000.0).ok_or("no footprint")?,
         rank: number("HTTP_PRIORITY_RANK").filter(|n| (0.0..1.0).contains(n)).ok_or("no rank")?,
-        key: get("HTTP_RESOURCE_KEY").filter(|k| !k.is_empty()).map(String::from),
+        subject_key: get("HTTP_RESOURCE_KEY").filter(|k| !k.is_empty()).map(String::from),
         idempotency_key: idempotency_key.map(String::from),
     }))
 }
 
 /// The answer as CGI: headers, among them the free value where there is one, an empty line, the body.
-pub fn encode(answer: &Answer, hint: Option<f64>) -> Vec<u8> {
+pub fn encode(answer: &Response, hint: Option<f64>) -> Vec<u8> {
     let (status, more, body): (&str, String, &[u8]) = match answer {
-        Answer::Served(result) => ("200 OK", String::new(), result),
-        Answer::Refused { stay_away, terminal } => {
+        Response::Served(result) => ("200 OK", String::new(), result),
+        Response::Rejected { retry_after: stay_away, terminal } => {
             let mut more = String::new();
             if *stay_away > 0 {
                 more.push_str(&format!("Back-Off-Ms: {}\r\n", stay_away.div_ceil(1_000)));
@@ -94,10 +94,10 @@
             }
             ("503 Service Unavailable", more, b"")
         }
-        Answer::Failed | Answer::Aborted => ("500 Internal Server Error", String::new(), b""),
-        Answer::Senseless => ("400 Bad Request", String::new(), b""),
-        Answer::Health(true) => ("200 OK", String::new(), b""),
-        Answer::Health(false) => ("500 Internal Server Error", String::new(), b""),
+        Response::Failed | Response::Aborted => ("500 Internal Server Error", String::new(), b""),
+        Response::BadRequest => ("400 Bad Request", String::new(), b""),
+        Response::Health(true) => ("200 OK", String::new(), b""),
+        Response::Health(false) => ("500 Internal Server Error", String::new(), b""),
     };
     let hint = hint.map(|value| format!("Server-Hint: {value:.4}\r\n")).unwrap_or_default();
     let mut bytes = format!(
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::exchange::caller::FAR;
-use crate::wire::noise;
+use crate::messages::caller::MAX_TIME_OFFSET;
+use crate::wire::test_bytes;
 
 fn params(change: impl Fn(&str) -> Option<&'static str>) -> Vec<u8> {
     let all = [
@@ -32,11 +32,11 @@
 fn every_field_is_read() {
     let Ok(Ask::Work(work)) = ask(&params(|_| None)) else { panic!("work") };
     assert_eq!((work.id.as_str(), work.class.as_str()), ("9b1f03aa5c7e2d41", "desk-search"));
-    assert_eq!((work.received, work.budget, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
-    assert_eq!((work.held_kb, work.rank), (24.5, 0.625));
-    assert_eq!(work.key.as_deref(), Some("7f3a9c21e0b4d655"));
+    assert_eq!((work.received_at, work.budget, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
+    assert_eq!((work.queued_kb, work.rank), (24.5, 0.625));
+    assert_eq!(work.subject_key.as_deref(), Some("7f3a9c21e0b4d655"));
     assert_eq!(work.idempotency_key, None, "absent unless sent");
-    assert_eq!((work.tenant, work.cost, work.again), (None, None, false), "absent unless sent");
+    assert_eq!((work.tenant, work.cost, work.is_retry), (None, None, false), "absent unless sent");
 }
 
 /// Guards against a keyed class of which nothing is served, and tenants that nobody tells apart: callers name these
@@ -49,7 +49,7 @@
     };
     let work =
         read(&[("HTTP_ACCOUNT", "south"), ("HTTP_ATTEMPT_AGAIN", "1"), ("HTTP_WORK_ESTIMATE", "163.18")]);
-    assert_eq!((work.tenant.as_deref(), work.cost, work.again), (Some("south"), Some(163_180), true));
+    assert_eq!((work.tenant.as_deref(), work.cost, work.is_retry), (Some("south"), Some(163_180), true));
     for name in ["HTTP_ONCE_KEY", "HTTP_IDEMPOTENCY_KEY"] {
         assert_eq!(read(&[(name, "tally-77-3")]).idempotency_key.as_deref(), Some("tally-77-3"));
         assert_eq!(read(&[(name, "")]).idempotency_key, None);
@@ -58,7 +58,7 @@
     let both = |one, other| ask(&params_and(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
     assert!(both("k", "k").is_ok());
     assert_eq!(both("k", "l"), Err("two idempotency keys"));
-    assert!(!read(&[("HTTP_ATTEMPT_AGAIN", "0")]).again && read(&[("HTTP_ATTEMPT", "2")]).again);
+    assert!(!read(&[("HTTP_ATTEMPT_AGAIN", "0")]).is_retry && read(&[("HTTP_ATTEMPT", "2")]).is_retry);
     assert_eq!(ask(&params_and(&[("HTTP_ATTEMPT_AGAIN", "maybe")])), Err("no mark of a further try"));
     for senseless in ["", "-3", "NaN", "inf", "1e12", "0.0000001"] {
         assert_eq!(read(&[("HTTP_WORK_ESTIMATE", senseless)]).cost, None, "{senseless}");
@@ -90,19 +90,22 @@
 #[test]
 fn times_far_off_make_no_sense() {
     let Ok(Ask::Work(work)) = ask(&params(|_| None)) else { panic!("work") };
-    assert!(work.is_timely(work.received) && work.is_timely(work.received + FAR));
-    assert!(work.is_timely(work.received - FAR) && !work.is_timely(work.received + FAR + 1));
+    assert!(work.is_timely(work.received_at) && work.is_timely(work.received_at + MAX_TIME_OFFSET));
+    assert!(
+        work.is_timely(work.received_at - MAX_TIME_OFFSET)
+            && !work.is_timely(work.received_at + MAX_TIME_OFFSET + 1)
+    );
     assert!(!work.is_timely(0));
-    assert!(!Work { budget: Some(FAR + 1), ..work }.is_timely(1_764_576_000_123_000));
+    assert!(!WorkRequest { budget: Some(MAX_TIME_OFFSET + 1), ..work }.is_timely(1_764_576_000_123_000));
 }
 
 #[test]
 fn damaged_parameters_are_refused_or_make_sense() {
     let (mut refused, mut read) = (0, 0);
-    for bytes in noise::damaged(&params(|_| None)) {
+    for bytes in test_bytes::damaged(&params(|_| None)) {
         match ask(&bytes) {
             Ok(Ask::Work(work)) => {
-                assert!(work.held_kb > 0.0 && work.rank < 1.0 && !work.id.is_empty());
+                assert!(work.queued_kb > 0.0 && work.rank < 1.0 && !work.id.is_empty());
                 read += 1;
             }
             Ok(Ask::Health(_)) => panic!("no such path was sent"),
@@ -127,18 +130,18 @@
 
 #[test]
 fn answers_have_their_status_and_fields() {
-    let text = |answer: Answer| String::from_utf8(encode(&answer, None)).expect("text");
-    let refused = text(Answer::Refused { stay_away: 250_001, terminal: true });
+    let text = |answer: Response| String::from_utf8(encode(&answer, None)).expect("text");
+    let refused = text(Response::Rejected { retry_after: 250_001, terminal: true });
     assert!(refused.starts_with("Status: 503 "), "{refused}");
     assert!(refused.contains("Back-Off-Ms: 251\r\n") && refused.contains("Final-Refusal: 1\r\n"));
-    let hinted = encode(&Answer::Failed, Some(0.25));
+    let hinted = encode(&Response::Failed, Some(0.25));
     assert!(String::from_utf8(hinted).expect("text").contains("\r\nServer-Hint: 0.2500\r\n"));
     assert!(!refused.contains("Server-Hint"));
-    let bare = text(Answer::Refused { stay_away: 0, terminal: false });
+    let bare = text(Response::Rejected { retry_after: 0, terminal: false });
     assert!(!bare.contains("Back-Off") && !bare.contains("Final"));
-    assert!(text(Answer::Failed).starts_with("Status: 500 "));
-    assert!(text(Answer::Senseless).starts_with("Status: 400 "));
+    assert!(text(Response::Failed).starts_with("Status: 500 "));
+    assert!(text(Response::BadRequest).starts_with("Status: 400 "));
     let body = vec![0u8, 255, 13, 10, 13, 10, 7];
-    let served = encode(&Answer::Served(body.clone()), None);
+    let served = encode(&Response::Served(body.clone()), None);
     assert!(served.starts_with(b"Status: 200 ") && served.ends_with(&[&b"\r\n\r\n"[..], &body].concat()));
 }
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -7,7 +7,7 @@
 use umberloom_membership::{Evidence, MemberView, MessageCounts, PartitionStatus};
 use umberloom_quota::QuotaStatus;
 
-use crate::wire::record::{self, Asked};
+use crate::wire::record::{self, StoreQuestion};
 
 /// The longest content.
 pub const LONGEST: usize = umberloom_membership::wire::LONGEST;
@@ -16,7 +16,7 @@
 
 /// What a frame carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     /// A message between members.
     Message,
     /// A question of an operator.
@@ -25,42 +25,44 @@
     Answer,
 }
 
-impl Kind {
+impl FrameKind {
     fn code(self) -> u8 {
         match self {
-            Kind::Message => 0,
-            Kind::Question => 1,
-            Kind::Answer => 2,
+            FrameKind::Message => 0,
+            FrameKind::Question => 1,
+            FrameKind::Answer => 2,
         }
     }
 
-    fn of(code: u8) -> Option<Kind> {
-        [Kind::Message, Kind::Question, Kind::Answer].into_iter().find(|kind| kind.code() == code)
+    fn of(code: u8) -> Option<FrameKind> {
+        [FrameKind::Message, FrameKind::Question, FrameKind::Answer]
+            .into_iter()
+            .find(|kind| kind.code() == code)
     }
 }
 
 /// A frame, ready to be written.
-pub fn frame(kind: Kind, content: &[u8]) -> Vec<u8> {
+pub fn frame(kind: FrameKind, content: &[u8]) -> Vec<u8> {
     let length = (content.len() + 1) as u32;
     [&length.to_be_bytes()[..], &[kind.code()], content].concat()
 }
 
 /// Kind and length of what follows a head; `None` if it makes no sense.
-pub fn head(bytes: [u8; HEAD]) -> Option<(Kind, usize)> {
+pub fn head(bytes: [u8; HEAD]) -> Option<(FrameKind, usize)> {
     let [a, b, c, d, code] = bytes;
     let length = (u32::from_be_bytes([a, b, c, d]) as usize).checked_sub(1)?;
-    Some((Kind::of(code)?, length)).filter(|_| length <= LONGEST)
+    Some((FrameKind::of(code)?, length)).filter(|_| length <= LONGEST)
 }
 
 /// What an operator wants to know.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum QuestionKind {
     /// Who is there.
     Members,
     /// Why this member is held for what it is.
     Explain(String),
     /// Something about the record.
-    Record(Asked),
+    Record(StoreQuestion),
 }
 
 /// A question; its number comes back with the answer.
@@ -69,7 +71,7 @@
     /// Drawn by who asks.
     pub number: u64,
     /// What is asked.
-    pub what: What,
+    pub what: QuestionKind,
 }
 
 /// One server's view of its fleet.
@@ -105,7 +107,7 @@
     /// There is no member of that name: these are known.
     Unknown(Vec<String>),
     /// About the record.
-    Record(record::Told),
+    Record(record::StoreAnswer),
 }
 
 /// An answer to the question of this number.
@@ -123,9 +125,9 @@
 
     #[test]
     fn a_frame_is_read_as_it_was_written_and_lengths_are_bounded() {
-        let written = frame(Kind::Question, b"abc");
+        let written = frame(FrameKind::Question, b"abc");
         let start: [u8; HEAD] = written[..HEAD].try_into().expect("a head");
-        assert_eq!((head(start), &written[HEAD..]), (Some((Kind::Question, 3)), &b"abc"[..]));
+        assert_eq!((head(start), &written[HEAD..]), (Some((FrameKind::Question, 3)), &b"abc"[..]));
         assert_eq!(head([0, 0, 0, 0, 0]), None);
         assert_eq!(head([0, 0, 0, 2, 9]), None);
         assert_eq!(head([255, 255, 255, 255, 0]), None);
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -147,7 +147,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::noise;
+    use super::super::test_bytes;
     use super::*;
 
     #[test]
@@ -191,7 +191,7 @@
         let chunked =
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         let mut kinds = [0; 3];
-        for bytes in noise::damaged(length).chain(noise::damaged(chunked)) {
+        for bytes in test_bytes::damaged(length).chain(test_bytes::damaged(chunked)) {
             for ended in [false, true] {
                 match reply(&bytes, ended) {
                     Ok(Some(read)) => {
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::Micros;
 
 use super::Malformed;
-use crate::exchange::RunEnd;
+use crate::messages::RunOutcome;
 
 /// The longest line that is read.
 pub const LONGEST: usize = 64 * 1024;
@@ -86,7 +86,7 @@
     /// The agent is up, since so long; `true`: it was starting then, `false`: it ran already.
     Greeting(bool, Micros),
     /// A run is over after this time.
-    Outcome(String, RunEnd, Micros),
+    Outcome(String, RunOutcome, Micros),
     /// A run waits for a call with this body; the number is that of the notice.
     Request(String, u64, Vec<u8>),
     /// Gauges.
@@ -131,10 +131,10 @@
         ("greeting", _) => Notice::Greeting(line.end == "starting", took),
         ("outcome", body) => {
             let end = match (line.end.as_str(), body) {
-                ("fine", Some(result)) => Some(RunEnd::Fine(result)),
-                ("fault", _) => Some(RunEnd::Fault),
-                ("broken_off", _) => Some(RunEnd::BrokenOff),
-                ("late", _) => Some(RunEnd::Late),
+                ("fine", Some(result)) => Some(RunOutcome::Success(result)),
+                ("fault", _) => Some(RunOutcome::Failed),
+                ("broken_off", _) => Some(RunOutcome::Aborted),
+                ("late", _) => Some(RunOutcome::NotStarted),
                 _ => None,
             };
             let id = line.id;
@@ -154,7 +154,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::noise;
+    use super::super::test_bytes;
     use super::*;
 
     fn text(command: Command) -> String {
@@ -190,12 +190,14 @@
         is(r#"{"op":"greeting","end":"starting"}"#, Notice::Greeting(true, 0), None);
         is(
             r#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#,
-            Notice::Outcome("a".into(), RunEnd::Fine(vec![0, 255]), 18_500),
+            Notice::Outcome("a".into(), RunOutcome::Success(vec![0, 255]), 18_500),
             Some(3),
         );
-        for (word, end) in
-            [("fault", RunEnd::Fault), ("broken_off", RunEnd::BrokenOff), ("late", RunEnd::Late)]
-        {
+        for (word, end) in [
+            ("fault", RunOutcome::Failed),
+            ("broken_off", RunOutcome::Aborted),
+            ("late", RunOutcome::NotStarted),
+        ] {
             let line = format!(r#"{{"op":"outcome","seq":3,"id":"a","end":"{word}","ms":1}}"#);
             is(&line, Notice::Outcome("a".into(), end, 1_000), Some(3));
         }
@@ -229,7 +231,7 @@
     #[test]
     fn damaged_lines_are_refused_or_still_a_notice() {
         let line = br#"{"op":"request","seq":4,"id":"9b1f03aa5c7e2d41","body":"AP8AP8AP8AP8"}"#;
-        let refused = noise::damaged(line).filter(|bytes| notice(bytes).is_err()).count();
+        let refused = test_bytes::damaged(line).filter(|bytes| notice(bytes).is_err()).count();
         assert!((100..500).contains(&refused), "{refused}");
     }
 
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -10,7 +10,7 @@
 pub mod responder;
 
 #[cfg(test)]
-mod noise;
+mod test_bytes;
 
 use std::fmt;
 
--- a/crates/server/src/wire/record.rs
+++ b/crates/server/src/wire/record.rs
@@ -9,7 +9,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asked {
+pub enum StoreQuestion {
     /// How this server's part stands.
     Status,
     /// A document, from this byte on; the latest by the word of a majority, or as it is here.
@@ -40,7 +40,7 @@
 
 /// What comes back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum StoreAnswer {
     /// How it stands.
     Status(Box<ReplicaStatus>),
     /// A document, or a part of it.
--- a/crates/server/src/wire/responder/tests.rs
+++ b/crates/server/src/wire/responder/tests.rs
@@ -1,4 +1,4 @@
-use super::super::noise;
+use super::super::test_bytes;
 use super::*;
 
 fn begin(slot: u16, role: u8, flags: u8) -> Vec<u8> {
@@ -183,7 +183,7 @@
 #[test]
 fn no_bytes_whatever_do_harm() {
     let sound = [request(1, b"params", b"body"), request(2, b"params", b"body")].concat();
-    for bytes in noise::damaged(&sound) {
+    for bytes in test_bytes::damaged(&sound) {
         let mut responder = Responder::default();
         let _ = feed(&mut responder, &bytes);
         assert!(responder.open() <= OPEN && responder.held() <= OPEN * (PARAMS + BODY));
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -11,8 +11,8 @@
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Outcome, ReplicaView, Role};
 
-use super::fleet::{Answer, FleetView, Question, Reply, What};
-use super::record::{Asked, Told};
+use super::fleet::{Answer, FleetView, Question, QuestionKind, Reply};
+use super::record::{StoreAnswer, StoreQuestion};
 
 const QUESTIONS: &str = include_str!("golden/questions.txt");
 const ANSWERS: &str = include_str!("golden/answers.txt");
@@ -171,28 +171,28 @@
 }
 
 fn questions() -> Vec<Question> {
-    let show = |latest| Asked::Show { name: "limits".to_owned(), latest, from: 70_000 };
+    let show = |latest| StoreQuestion::Show { name: "limits".to_owned(), latest, from: 70_000 };
     let record = [
-        Asked::Status,
+        StoreQuestion::Status,
         show(true),
         show(false),
-        Asked::History(20),
-        Asked::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
-        Asked::Hand("server-b".to_owned(), true),
-        Asked::Export(65_536),
-        Asked::Adopt,
+        StoreQuestion::History(20),
+        StoreQuestion::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
+        StoreQuestion::Hand("server-b".to_owned(), true),
+        StoreQuestion::Export(65_536),
+        StoreQuestion::Adopt,
     ];
-    let fleet = [What::Members, What::Explain("server-b".to_owned())];
-    let all = fleet.into_iter().chain(record.map(What::Record));
+    let fleet = [QuestionKind::Members, QuestionKind::Explain("server-b".to_owned())];
+    let all = fleet.into_iter().chain(record.map(QuestionKind::Record));
     all.map(|what| Question { number: 70_000, what }).collect()
 }
 
 fn answers() -> Vec<Answer> {
     let role = |role| {
         let standing = umberloom_replicated_store::ReplicaStatus { role, ..record_standing() };
-        Told::Status(Box::new(standing))
+        StoreAnswer::Status(Box::new(standing))
     };
-    let document = Told::Document {
+    let document = StoreAnswer::Document {
         version: 2,
         index: 300,
         by: "server-a".to_owned(),
@@ -200,17 +200,17 @@
         part: vec![1, 2, 255],
         age_ms: Some(40),
     };
-    let mut record: Vec<Told> =
+    let mut record: Vec<StoreAnswer> =
         [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(role).to_vec();
     record.extend([
         document,
-        Told::Nothing(vec!["limits".to_owned()]),
-        Told::History(history()),
-        Told::Taken,
-        Told::Bytes(vec![1, 2], 70_000),
-        Told::Refused("nobody leads".to_owned()),
+        StoreAnswer::Nothing(vec!["limits".to_owned()]),
+        StoreAnswer::History(history()),
+        StoreAnswer::Taken,
+        StoreAnswer::Bytes(vec![1, 2], 70_000),
+        StoreAnswer::Refused("nobody leads".to_owned()),
     ]);
-    record.extend(history().into_iter().map(|line| Told::Done(line.outcome)));
+    record.extend(history().into_iter().map(|line| StoreAnswer::Done(line.outcome)));
     let fleet = [
         Reply::Members(fleet_view()),
         Reply::Explain(evidence()),
