--- a/crates/loadtest/src/fleet.rs
+++ b/crates/loadtest/src/fleet.rs
@@ -9,7 +9,7 @@
 use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_protocol_fakes::dependency::{most_in_use, Span};
 
-use crate::fleet_chart;
+use crate::fleet_chart::{self, Sample};
 
 /// What the play is told.
 #[derive(Clone, Debug)]
@@ -26,17 +26,6 @@
     pub history: Option<PathBuf>,
 }
 
-/// What one server said of itself at one time.
-#[derive(Clone, Debug)]
-pub struct Sample {
-    /// Milliseconds from the start.
-    pub at: u64,
-    pub standing: char,
-    pub there: usize,
-    pub part: u64,
-    pub borrowed: u64,
-}
-
 /// Time between two looks.
 const LOOK: Duration = Duration::from_millis(500);
 /// Callers at each server; one after the other has the need.
--- a/crates/loadtest/src/fleet_chart.rs
+++ b/crates/loadtest/src/fleet_chart.rs
@@ -7,7 +7,20 @@
 use umberloom_fault_harness::Options;
 use umberloom_protocol_fakes::dependency::Span;
 
-use crate::fleet::Sample;
+/// What one server reported of itself at one moment.
+#[derive(Clone, Debug)]
+pub struct Sample {
+    /// Milliseconds from the start.
+    pub at: u64,
+    /// The initial of its partition status; `-` while it is down, `z` while it is stopped.
+    pub standing: char,
+    /// Members that it takes to be present.
+    pub there: usize,
+    /// Its own share of the quota, in concurrent calls.
+    pub part: u64,
+    /// Calls that it may make by leases of others.
+    pub borrowed: u64,
+}
 
 fn colour(standing: char) -> RGBColor {
     match standing {
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -3,13 +3,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use comfy_table::{presets, Table};
 use umberloom_fault_harness::traffic::{End, Traffic};
 use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
 use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_membership::Config;
 
 use crate::record_measures;
+use crate::tables::{percentile, table};
 
 /// What is measured.
 #[derive(Clone, Debug)]
@@ -42,19 +42,6 @@
     Store,
 }
 
-pub fn table(head: &[&str]) -> Table {
-    let mut table = Table::new();
-    table.load_preset(presets::ASCII_MARKDOWN);
-    table.set_header(head.to_vec());
-    table
-}
-
-pub fn quantile(times: &mut [u64], share: f64) -> String {
-    times.sort_unstable();
-    let place = ((times.len() as f64 * share).ceil() as usize).clamp(1, times.len().max(1)) - 1;
-    times.get(place).map_or("-".to_owned(), u64::to_string)
-}
-
 pub fn measure(options: &Options) -> Result<(), String> {
     let server = || options.server.clone().map_or_else(crate::demo::beside, Ok);
     match &options.what {
@@ -169,9 +156,9 @@
         out.add_row([
             count.to_string(),
             kills.to_string(),
-            quantile(&mut first, 0.5),
-            quantile(&mut last, 0.5),
-            quantile(&mut last, 0.99),
+            percentile(&mut first, 0.5),
+            percentile(&mut last, 0.5),
+            percentile(&mut last, 0.99),
             most,
         ]);
     }
@@ -232,9 +219,9 @@
         kills.add_row([
             count.to_string(),
             seeds.to_string(),
-            quantile(&mut known.clone(), 0.5),
-            quantile(&mut known, 0.99),
-            quantile(&mut healed, 0.5),
+            percentile(&mut known.clone(), 0.5),
+            percentile(&mut known, 0.99),
+            percentile(&mut healed, 0.5),
             most,
             format!("{:.0}", bytes / seeds as f64),
             format!("{:.1}", messages / seeds as f64),
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -10,6 +10,7 @@
 mod record_measures;
 mod report;
 mod site;
+mod tables;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -9,7 +9,7 @@
 use umberloom_store::fault_disk::FaultInjectingDisk;
 use umberloom_store::{Batch, Config as StoreConfig, Store};
 
-use crate::fleet_measures::{quantile, table};
+use crate::tables::{percentile, table};
 
 /// So many servers with a record of the product's own times.
 fn keeping(server: &Path, servers: usize, voters: usize, disk: bool) -> Result<Fleet, String> {
@@ -66,7 +66,7 @@
             threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
         });
         let ms = |times: &mut Vec<u64>, share| {
-            quantile(times, share)
+            percentile(times, share)
                 .parse::<f64>()
                 .map_or("-".to_owned(), |tenths| format!("{:.1}", tenths / 10.0))
         };
@@ -117,7 +117,7 @@
             fleet.until_kept(5)?;
         }
         let most = took.iter().max().map_or("-".to_owned(), u64::to_string);
-        let row = ["5".to_owned(), what.to_owned(), took.len().to_string(), quantile(&mut took, 0.5), most];
+        let row = ["5".to_owned(), what.to_owned(), took.len().to_string(), percentile(&mut took, 0.5), most];
         out.add_row(row);
     }
     println!("{out}");
@@ -160,7 +160,7 @@
                 a.server != returns && (a.at >= from) == inside && a.at < until
             };
             let mut took: Vec<u64> = asked.iter().filter(fits).map(|a| a.took.as_millis() as u64).collect();
-            quantile(&mut took, 0.99)
+            percentile(&mut took, 0.99)
         };
         let mb = bytes as f64 / 1e6;
         out.add_row([
@@ -201,7 +201,7 @@
             simulated.commit(batch).map_err(|e| e.to_string())?;
         }
         let written = (disk.written() - before.0) as f64 / (count as f64 * bytes as f64);
-        let p99 = quantile(&mut took, 0.99).parse::<f64>().unwrap_or(0.0) / 1_000.0;
+        let p99 = percentile(&mut took, 0.99).parse::<f64>().unwrap_or(0.0) / 1_000.0;
         out.add_row([
             bytes.to_string(),
             format!("{rate:.0}"),
--- /dev/null
+++ b/crates/loadtest/src/tables.rs
@@ -0,0 +1,19 @@
+//! Tables of measurements, as the pages in `docs/measurements` have them.
+
+use comfy_table::{presets, Table};
+
+/// An empty Markdown table with this header.
+pub fn table(header: &[&str]) -> Table {
+    let mut table = Table::new();
+    table.load_preset(presets::ASCII_MARKDOWN);
+    table.set_header(header.to_vec());
+    table
+}
+
+/// The value under which this share of the samples lies (nearest rank), or `-` without samples. Sorts the samples.
+pub fn percentile(samples: &mut [u64], share: f64) -> String {
+    samples.sort_unstable();
+    let rank = (samples.len() as f64 * share).ceil() as usize;
+    let index = rank.clamp(1, samples.len().max(1)) - 1;
+    samples.get(index).map_or("-".to_owned(), u64::to_string)
+}
