--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -103,7 +103,7 @@
 
     /// Refuses what makes no sense, and what this protocol has no words for.
     fn check(&self) -> Read<()> {
-        self.settings.check().map_err(|e| e.to_string())?;
+        self.settings.validate().map_err(|e| e.to_string())?;
         let set = &self.settings;
         let named = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
--- /dev/null
+++ b/src/admission/downstream_calls.rs
@@ -0,0 +1,164 @@
+//! Downstream calls: how many at once, for how long, when a failed dependency is probed. In microseconds.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+use super::*;
+
+const MAX_ATTEMPTS: u32 = 3; // of one call; and failures in a row after which calls are only probed
+const SLOW_FACTOR: f64 = 3.0; // of the best time: calls that typically take longer are slow
+const BEST_TIME_GROWTH: f64 = 1.001; // a call, so that the best time is forgotten
+const MIN_LIMIT_SHARE: f64 = 0.25; // of the quota: a lower limit makes no call quicker
+const MIN_BACKOFF: Micros = PROBE_INTERVAL / 4; // after a failed attempt, doubled with each
+
+#[derive(Default)]
+pub struct DownstreamCalls {
+    typical_time: Option<f64>,
+    best_time: f64,
+    limit: f64,
+    saw_success: bool, // since the last adjustment
+    saw_no_time: bool, // for a call, since the last adjustment
+    failures_in_row: u32,
+    probe_at: Micros,
+    cautious_until: Micros, // after the start or a failure, a quota under one call is kept call by call
+    abandoned_until: Vec<Micros>, // calls that timed out: the dependency may still work on them
+    mean_in_flight: f64,
+    updated_at: Micros,
+}
+
+/// This server's share of the calls that the dependency survives, with a margin.
+fn safe_quota(settings: &Settings) -> f64 {
+    settings.call_quota * SAFE_SHARE
+}
+
+impl DownstreamCalls {
+    pub fn new(now: Micros, settings: &Settings) -> DownstreamCalls {
+        let (limit, cautious_until) = (safe_quota(settings), now + settings.call_window);
+        let calls = DownstreamCalls { limit, cautious_until, updated_at: now, ..DownstreamCalls::default() };
+        DownstreamCalls { probe_at: calls.next_probe(now, 0, settings), ..calls }
+    }
+
+    pub fn update_mean(&mut self, now: Micros, calling: usize, settings: &Settings) {
+        let in_flight = (calling + self.abandoned_until.len()) as f64;
+        let kept = (-((now - self.updated_at) as f64) / settings.call_window.max(1) as f64).exp();
+        self.mean_in_flight = in_flight + (self.mean_in_flight - in_flight) * kept;
+        self.updated_at = now;
+        self.abandoned_until.retain(|&end| end > now);
+    }
+
+    /// How long one more call may take; 0: none may be made. Half of a quota under 1 is kept in the mean.
+    fn time_limit(&self, calling: usize, settings: &Settings) -> Micros {
+        let quota = safe_quota(settings);
+        let in_flight = (calling + self.abandoned_until.len()) as f64;
+        let spare = (if quota < 1.0 { quota / 2.0 } else { quota }) - self.mean_in_flight;
+        let has_room = spare > 0.0 && in_flight + 1.0 <= quota.min(self.limit).max(1.0);
+        if settings.downstream != Downstream::Shared || (has_room && quota >= 1.0) {
+            return Micros::MAX;
+        }
+        let time = if has_room { spare * settings.call_window as f64 } else { 0.0 };
+        (time as Micros).saturating_sub(settings.abandoned_call_lifetime)
+    }
+
+    /// The limit falls when calls take much longer than at best, and rises again slowly once they are quick.
+    fn record_success(&mut self, call_time: f64, settings: &Settings) {
+        self.saw_success = true;
+        let typical = self.typical_time.map_or(call_time, |typical| ewma(typical, call_time));
+        let best_time = typical.min(self.best_time * BEST_TIME_GROWTH);
+        self.best_time = self.typical_time.map_or(typical, |_| best_time);
+        self.typical_time = Some(typical);
+        let is_slow = typical > self.best_time * SLOW_FACTOR;
+        let step = if is_slow { -EWMA_WEIGHT * self.limit } else { EWMA_WEIGHT / self.limit };
+        let most = safe_quota(settings).max(1.0);
+        self.limit = (self.limit + step).clamp((most * MIN_LIMIT_SHARE).max(1.0), most);
+    }
+
+    /// Calls that would take too long are not made, and never found quick again: their time decays.
+    pub fn decay(&mut self) {
+        let is_stuck = std::mem::take(&mut self.saw_no_time) & !std::mem::take(&mut self.saw_success);
+        if let Some(typical) = self.typical_time.filter(|_| is_stuck) {
+            let decayed = self.best_time + DECAY * (typical - self.best_time);
+            self.typical_time = Some(decayed).filter(|t| *t > self.best_time * (1.0 + RELATIVE_TOLERANCE));
+        }
+    }
+
+    /// All servers lose a dependency at once: together they probe it as their quotas allow, each by its seed.
+    fn next_probe(&self, now: Micros, sequence: u64, settings: &Settings) -> Micros {
+        let quota = if settings.downstream == Downstream::Shared { safe_quota(settings) } else { 1.0 };
+        let least = if self.failures_in_row >= MAX_ATTEMPTS { PROBE_INTERVAL as f64 } else { 0.0 };
+        let call_time = self.typical_time.map_or(PROBE_INTERVAL as f64, |typical| typical.max(least));
+        let interval = call_time / if quota < 1.0 { quota / 2.0 } else { 1.0 };
+        let mut draw = DefaultHasher::new();
+        (settings.seed, sequence, now).hash(&mut draw);
+        let jitter = 0.5 + draw.finish() as f64 / u64::MAX as f64;
+        now + (interval.min(settings.call_window as f64) * jitter) as Micros
+    }
+}
+
+impl AdmissionController {
+    pub(super) fn handle_call_ended(&mut self, now: Micros, id: &RequestId, outcome: Outcome, time: Micros) {
+        let Some(request) = self.requests.in_stage_mut(id, Stage::Calling) else { return };
+        if outcome == Outcome::Ok {
+            request.stage = Stage::Running;
+            request.call_attempts = 0;
+            self.calls.failures_in_row = 0;
+            if now.saturating_sub(time) >= self.stall_end {
+                self.calls.record_success(time as f64, &self.settings);
+            }
+            return;
+        }
+        request.call_may_have_run |= !outcome.never_ran();
+        request.stage = Stage::AwaitingCall;
+        request.call_not_before = now + (MIN_BACKOFF << request.call_attempts.min(4));
+        let abandoned_until = now + self.settings.abandoned_call_lifetime;
+        self.calls.abandoned_until.extend((outcome == Outcome::TimedOut).then_some(abandoned_until));
+        // What rejects calls is overloaded, not down, and one service of several that failed is not all.
+        if !matches!(outcome, Outcome::Rejected | Outcome::Aborted) {
+            self.calls.failures_in_row += 1;
+            self.calls.cautious_until = now + self.settings.call_window;
+        }
+        self.calls.probe_at = self.calls.next_probe(now, self.requests.next_sequence, &self.settings);
+    }
+
+    pub(super) fn serve_calls(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let requests = self.requests.by_sequence.iter();
+        let awaiting = requests.filter(|(_, r)| !r.abandoned && r.stage == Stage::AwaitingCall);
+        let awaiting: Vec<u64> = awaiting.map(|(&sequence, _)| sequence).collect();
+        awaiting.into_iter().for_each(|sequence| self.serve_call(now, sequence, out));
+    }
+
+    fn serve_call(&mut self, now: Micros, sequence: u64, out: &mut Vec<Action>) {
+        let (settings, calls) = (&self.settings, &mut self.calls);
+        let time_limit = calls.time_limit(self.requests.count(Stage::Calling), settings);
+        let is_down = calls.failures_in_row >= MAX_ATTEMPTS;
+        let is_shut = is_down && now < calls.probe_at;
+        // Servers that start or recover together have no mean yet that would keep their calls apart.
+        let is_cautious = safe_quota(settings) < 1.0 && now < calls.cautious_until;
+        let is_early = is_cautious && settings.downstream == Downstream::Shared && now < calls.probe_at;
+        let typical = calls.typical_time.unwrap_or(0.0) as Micros;
+        let Some(request) = self.requests.by_sequence.get_mut(&sequence) else { return };
+        // After the call there is work left to do.
+        let rest = (self.run_times.expected(request, settings) * MIN_RUN_SHARE) as Micros;
+        let class = &settings.classes[request.class];
+        let until = if request.is_late { request.deadline } else { request.objective_end };
+        let has_no_time = now + typical + rest >= until;
+        calls.saw_no_time |= has_no_time;
+        let must_not_repeat = request.call_may_have_run && class.idempotency != Idempotency::Idempotent;
+        let is_hopeless = must_not_repeat || request.call_attempts >= MAX_ATTEMPTS || now + typical >= until;
+        if class.degraded_weight_share > 0.0 && (is_hopeless || is_shut || has_no_time) {
+            request.stage = Stage::Running;
+            out.push(Action::SkipCall(request.id.clone()));
+        } else if is_hopeless {
+            self.abandon(now, sequence, out);
+        } else if time_limit > typical && !is_shut && !is_early && now >= request.call_not_before {
+            request.stage = Stage::Calling;
+            request.call_attempts += 1;
+            if is_cautious || is_down {
+                calls.probe_at = calls.next_probe(now, self.requests.next_sequence, settings);
+            }
+            // A call that never ends must leave time for another, or for the run to go on without it.
+            let half = until.saturating_sub(now + rest) / 2;
+            let is_half_enough = half as f64 > typical as f64 * SLOW_FACTOR;
+            let time = if is_half_enough { half.min(time_limit) } else { time_limit };
+            out.push(Action::Call(request.id.clone(), until.min(now.saturating_add(time))));
+        }
+    }
+}
--- /dev/null
+++ b/src/admission/mod.rs
@@ -0,0 +1,241 @@
+//! The admission controller: what one server admits, runs and rejects.
+//!
+//! The ordinary path is the SWDS mechanism: one wait queue in arrival order, a search of its first places for
+//! the oldest request of the highest priority level whenever a slot is free, and a concurrency limit that
+//! climbs towards more completions. All else guards against one kind of overload or failure.
+
+mod caller_timeouts;
+mod concurrency_limit;
+mod connections;
+mod dispatch;
+mod downstream_calls;
+mod health;
+mod request;
+mod run_time;
+mod shedding;
+mod tenant_rates;
+
+use std::collections::BTreeMap;
+
+use self::request::{Request, RequestTable, Stage};
+use self::{caller_timeouts::CallerTimeouts, concurrency_limit::ConcurrencyLimit, connections::Connections};
+use self::{downstream_calls::DownstreamCalls, health::HealthMonitor};
+use self::{run_time::RunTimeModel, tenant_rates::TenantRates};
+use crate::interface::*;
+
+const CONTROL_INTERVAL: Micros = 500_000; // the CPU gauge looks back so far
+const PROBE_INTERVAL: Micros = 100_000; // after it something that failed is tried again
+const STALL_AFTER: Micros = 1_000_000; // time without a step, though timers are due much sooner
+const SAFE_SHARE: f64 = 0.85; // of the survivable concurrency, memory or calls is made use of
+const MIN_RUN_SHARE: f64 = 0.5; // of the expected run time: after a call, elsewhere, or at the lowest cost
+const WAIT_SHARE: f64 = 0.25; // of its spare time a request may wait here rather than elsewhere
+const EWMA_WEIGHT: f64 = 0.1; // of the newest sample
+const DECAY: f64 = 0.8; // of old evidence, in an interval without new
+const RELATIVE_TOLERANCE: f64 = 0.02; // times or shares that differ by less are taken for the same
+
+fn ewma(mean: f64, sample: f64) -> f64 {
+    mean + EWMA_WEIGHT * (sample - mean)
+}
+
+/// The decisions of one server, by [`AdmissionController::step`]. It does no I/O and reads no clock.
+pub struct AdmissionController {
+    settings: Settings,
+    started_at: Micros,
+    requests: RequestTable,
+    priority_weights: Vec<f64>, // of the classes, in ascending order
+    concurrency: ConcurrencyLimit,
+    calls: DownstreamCalls,
+    run_times: RunTimeModel,
+    health: HealthMonitor,
+    tenants: TenantRates,
+    connections: Connections,
+    caller_timeouts: CallerTimeouts,
+    drain_notified_at: Option<Micros>,
+    answer_by: Micros, // while draining: before the process is stopped
+    next_adjustment: Micros,
+    last_step: Micros,
+    stall_end: Micros,
+    is_timer_armed: bool,
+}
+
+impl AdmissionController {
+    /// A server that has just started. Fails with settings under which no decision could be right.
+    pub fn new(now: Micros, settings: Settings) -> Result<AdmissionController, InvalidSettings> {
+        settings.validate()?;
+        let mut priority_weights: Vec<f64> = settings.classes.iter().map(|c| c.priority_weight).collect();
+        priority_weights.sort_by(f64::total_cmp);
+        Ok(AdmissionController {
+            started_at: now,
+            requests: RequestTable::default(),
+            priority_weights,
+            concurrency: ConcurrencyLimit { slots: settings.cores as usize, step: -1, ..Default::default() },
+            calls: DownstreamCalls::new(now, &settings),
+            run_times: RunTimeModel::default(),
+            health: HealthMonitor::default(),
+            tenants: TenantRates { rates: vec![Default::default(); settings.tenants.len()], median_use: 0.0 },
+            connections: Connections { idle_timeout: settings.idle_timeout_max, ..Connections::default() },
+            caller_timeouts: CallerTimeouts::default(),
+            drain_notified_at: None,
+            answer_by: Micros::MAX,
+            next_adjustment: now + CONTROL_INTERVAL,
+            last_step: now,
+            stall_end: now,
+            is_timer_armed: false,
+            settings,
+        })
+    }
+
+    /// Takes in what happened and adds what is to be done about it. `now` must not go back.
+    pub fn step(&mut self, now: Micros, events: impl IntoIterator<Item = Event>, out: &mut Vec<Action>) {
+        self.stall_end = if now > self.last_step + STALL_AFTER { now } else { self.stall_end };
+        self.last_step = now;
+        self.calls.update_mean(now, self.requests.count(Stage::Calling), &self.settings);
+        events.into_iter().for_each(|event| self.handle_event(now, event, out));
+        let is_draining = self.drain_notified_at.is_some();
+        self.health.publish(is_draining, self.concurrency.core_demand, &self.settings, out);
+        self.abandon_expired(now, out);
+        self.shed_load(now, out);
+        self.evict_for_memory(now, out);
+        self.serve_calls(now, out);
+        self.dispatch(now, out);
+        if !self.is_timer_armed {
+            self.is_timer_armed = true;
+            out.push(Action::WakeAfter(self.sweep_interval()));
+        }
+    }
+
+    /// Time between timers: answers must be out within the slack after their deadline.
+    fn sweep_interval(&self) -> Micros {
+        (self.settings.answer_slack / 3).clamp(self.settings.tick.max(1_000), PROBE_INTERVAL)
+    }
+
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Arrived(arrival) => self.handle_arrival(now, arrival, out),
+            Event::RunEnded(id, outcome, run_time) => self.handle_run_ended(now, &id, outcome, run_time),
+            Event::NeedsCall(id) => {
+                let running = self.requests.in_stage_mut(&id, Stage::Running);
+                running.into_iter().for_each(|r| (r.stage, r.call_not_before) = (Stage::AwaitingCall, now));
+            }
+            Event::CallEnded(id, outcome, call_time) => self.handle_call_ended(now, &id, outcome, call_time),
+            Event::Cancelled(id) => {
+                let sequence = self.requests.sequence_of.get(&id).copied();
+                sequence.into_iter().for_each(|sequence| self.release(sequence, out));
+            }
+            Event::Drain { time_left, notified_ago } => self.handle_drain(now, time_left, notified_ago),
+            Event::Timer(gauges) => self.handle_timer(now, gauges, out),
+        }
+    }
+
+    fn handle_arrival(&mut self, now: Micros, arrival: Arrival, out: &mut Vec<Action>) {
+        let Some(class) = self.settings.classes.get(arrival.class).cloned() else {
+            return out.push(Action::Fail(arrival.id));
+        };
+        let received_at = now.saturating_sub(arrival.read_delay);
+        self.connections.record_arrival(now, arrival.caller, &self.settings);
+        let age = self.least_age(now, &arrival, &class);
+        let is_retry = arrival.is_retry || age as f64 > RELATIVE_TOLERANCE * class.deadline as f64;
+        self.health.retry_share = ewma(self.health.retry_share, f64::from(is_retry));
+        // What came during a stall waited for its end, not for this server to read.
+        if received_at >= self.stall_end {
+            self.health.read_delay = ewma(self.health.read_delay, arrival.read_delay as f64);
+        }
+        self.health.saw_arrival = true;
+        let sequence = self.requests.enqueue(self.new_request(now, &arrival, &class, age));
+        // What reached the machine after the drain grace is never run, so it goes elsewhere at once.
+        let grace = self.settings.drain_grace;
+        if self.drain_notified_at.is_some_and(|notified_at| received_at > notified_at + grace) {
+            self.abandon(now, sequence, out);
+        } else if arrival.duplicate_of.is_some() && class.idempotency != Idempotency::NotIdempotent {
+            // Once an attempt is known here no other may run: this one takes the other's answer.
+            self.requests.wait_queue.pop();
+            let request = self.requests.by_sequence.get_mut(&sequence);
+            request.into_iter().for_each(|request| request.stage = Stage::AwaitingDuplicate);
+            out.push(Action::AwaitDuplicate(arrival.id));
+        } else if class.idempotency == Idempotency::WithKey {
+            self.requests.idempotency_keys.insert(arrival.id.clone(), now + class.idempotency_window);
+            out.push(Action::RetainKey(arrival.id, class.idempotency_window));
+        }
+    }
+
+    fn new_request(&self, now: Micros, arrival: &Arrival, class: &Class, age: Micros) -> Request {
+        let received_at = now.saturating_sub(arrival.read_delay);
+        let class_deadline = (received_at + class.deadline).max(now);
+        let deadline =
+            arrival.caller_timeout.map_or(class_deadline, |timeout| now + timeout).min(self.answer_by);
+        let extra_time = (class.objective_per_cost * arrival.cost.unwrap_or(0) as f64) as Micros;
+        let objective = (class.latency_objective + extra_time).min(class.deadline);
+        let place = (arrival.rank.clamp(0.0, 1.0) * self.priority_weights.len() as f64) as usize;
+        Request {
+            id: arrival.id.clone(),
+            class: arrival.class,
+            tenant: arrival.tenant,
+            priority_weight: self.priority_weights[place.min(self.priority_weights.len() - 1)],
+            queued_kb: arrival.queued_kb,
+            cost: arrival.cost.map(|cost| cost as f64),
+            received_at,
+            deadline,
+            objective_end: deadline.min((received_at + objective).saturating_sub(age)),
+            ..Request::default()
+        }
+    }
+
+    /// By the timeout that the caller states; behind the first tier that is what its own request has left.
+    fn least_age(&mut self, now: Micros, arrival: &Arrival, class: &Class) -> Micros {
+        let Some(timeout) = arrival.caller_timeout.filter(|_| self.settings.tier == 0) else {
+            // A retry was rejected by some server, as this one rejects.
+            let was_rejected = arrival.is_retry && arrival.caller_timeout.is_none();
+            return if was_rejected { self.health.retry_age as Micros } else { 0 };
+        };
+        let received_at = now.saturating_sub(arrival.read_delay);
+        // Nobody waits for longer than a client does; who says so must not be learned from.
+        let share = ((now + timeout - received_at) as f64 / class.deadline as f64).min(1.0);
+        if received_at >= self.stall_end {
+            self.caller_timeouts.record(share, !arrival.is_retry);
+        }
+        (self.caller_timeouts.elapsed_share(share) * class.deadline as f64) as Micros
+    }
+
+    fn handle_run_ended(&mut self, now: Micros, id: &RequestId, outcome: Outcome, run_time: Micros) {
+        let sequence = self.requests.sequence_of.get(id).copied();
+        let Some(request) = sequence.and_then(|sequence| self.requests.remove(sequence)) else { return };
+        if request.stage != Stage::AwaitingDuplicate && matches!(outcome, Outcome::Ok | Outcome::Error) {
+            self.concurrency.completions += 1;
+            self.health.record_run(now, outcome == Outcome::Error);
+            if outcome == Outcome::Ok {
+                self.run_times.record(request.class, request.cost, run_time as f64);
+            }
+        }
+    }
+
+    fn handle_drain(&mut self, now: Micros, time_left: Micros, notified_ago: Micros) {
+        let margin = self.settings.answer_slack.max(3 * self.sweep_interval());
+        self.answer_by = now + time_left.saturating_sub(margin);
+        self.drain_notified_at = Some(now.saturating_sub(notified_ago));
+        self.requests.by_sequence.values_mut().for_each(|r| r.deadline = r.deadline.min(self.answer_by));
+    }
+
+    fn handle_timer(&mut self, now: Micros, gauges: Gauges, out: &mut Vec<Action>) {
+        self.is_timer_armed = false;
+        let core_demand = &mut self.concurrency.core_demand;
+        *core_demand = ewma(*core_demand, gauges.on_cores.unwrap_or(*core_demand));
+        if now < self.next_adjustment {
+            return;
+        }
+        self.next_adjustment = now + CONTROL_INTERVAL;
+        let settings = &self.settings;
+        self.requests.idempotency_keys.retain(|_, expires_at| *expires_at > now);
+        self.connections.caller_last_seen.retain(|_, seen| *seen + settings.idle_timeout_max > now);
+        self.health.decay();
+        self.calls.decay();
+        let idle_timeout = self.connections.adjust_idle_timeout(gauges.connections.unwrap_or(0.0), settings);
+        out.extend(idle_timeout.map(Action::CloseIdle));
+        self.tenants.update_median(now, settings);
+        // A preemption asked for during a stall had no effect: ask again.
+        let may_preempt = settings.preemption != Preemption::Never;
+        let requests = self.requests.by_sequence.values().filter(|_| may_preempt);
+        let stray = requests.filter(|request| request.abandoned && request.stage == Stage::Running);
+        out.extend(stray.map(|request| Action::Preempt(request.id.clone())));
+        self.concurrency.adjust(gauges, self.requests.count(Stage::Running), now - self.started_at, settings);
+    }
+}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -165,7 +165,7 @@
 
 impl Settings {
     /// Refuses settings under which no decision could be right.
-    pub fn check(&self) -> Result<(), InvalidSettings> {
+    pub fn validate(&self) -> Result<(), InvalidSettings> {
         let positive = |v: f64| v.is_finite() && v > 0.0;
         let share = |v: f64| v.is_finite() && v >= 0.0;
         let rules = [
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! umberloom decides, inside each server of a fleet, what that server takes, runs and turns away.
+//! umberloom decides, inside each server of a fleet, what that server admits, runs and rejects.
 //!
-//! The decisions are in [`choice`]; what goes in and comes out is in [`interface`]. The library
-//! reads no clock, starts no thread and does no I/O: time and events come in, actions go out.
+//! The decisions are in [`admission`]; what goes in and comes out is in [`interface`]. The library reads no
+//! clock, starts no thread and does no I/O: time and events come in, actions go out.
 
-pub mod choice;
+pub mod admission;
 pub mod interface;
 
-pub use choice::AdmissionController;
+pub use admission::AdmissionController;
