--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,55 +1,55 @@
-//! What the decision module is told and what it may ask for.
+//! Settings, events and actions of the admission controller.
 //!
-//! Whoever hosts a [`crate::Server`] translates its own protocol into these types and carries out
-//! the actions. Times are microseconds on one clock of the host, which only goes forward.
+//! The host of an [`AdmissionController`](crate::AdmissionController) translates its own protocol into these types
+//! and executes the actions. Times are microseconds on one monotonic clock of the host.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Names a request; means nothing beyond that.
+/// An opaque identifier of a request.
 pub type RequestId = Arc<str>;
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again does no harm.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats carry a key; it must run once only within its window.
+    /// Duplicates carry an idempotency key; it must run only once within the window.
     WithKey,
-    /// It must not run again once it may have run.
+    /// It must not run again once it may have run, and duplicates can't be told.
     NotIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this span of the first try earns the full worth.
+    /// An answer within this time of the first attempt earns the full priority weight.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's own work.
+    /// The objective grows by this multiple of the request's cost.
     pub objective_per_cost: f64,
-    /// How long a client waits in all, over all its tries.
+    /// How long a client waits in all, over all its attempts.
     pub deadline: Micros,
-    /// Worth of a request.
+    /// What an answer is worth, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the weight that an answer after the objective still earns.
     pub late_weight_share: f64,
-    /// Whether it may be repeated.
+    /// Whether it may take effect more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: how long after its arrival a request may come again.
+    /// With a key: how long after its arrival duplicates of a request may come.
     pub idempotency_window: Micros,
-    /// Its requests may call below.
+    /// Its requests may make downstream calls.
     pub calls_downstream: bool,
-    /// Share of the worth that an answer without the call earns; 0: the call can't be left out.
+    /// Share of the weight that a degraded answer, without the call, earns; 0: the call can't be skipped.
     pub degraded_weight_share: f64,
 }
 
 /// A tenant and its quota over the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all servers, within its share.
+    /// Requests a second over all servers.
     pub quota_per_s: f64,
 }
 
@@ -60,98 +60,98 @@
     None,
     /// One dependency that all servers share.
     Shared,
-    /// A next tier of servers that run this code too.
+    /// A next tier of servers that have an admission controller too.
     NextTier,
 }
 
 /// What can be done with running work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preemption {
-    /// It can't be stopped.
+    /// It can't be preempted.
     Never,
-    /// Stopped work is lost.
+    /// Preempted work is lost.
     Abort,
-    /// Stopped work keeps its progress and its memory.
+    /// Preempted work keeps its progress and its memory.
     Pause,
 }
 
-/// How callers understand the value sent with every answer.
+/// How callers understand the load hint that goes with every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadHintKind {
-    /// No value is sent.
+    /// No hint is sent.
     None,
-    /// Callers send nothing of lower rank.
+    /// Callers send no request of a lower rank.
     MinRank,
-    /// Each caller has at most so many requests out here.
+    /// Each caller has at most so many requests in flight here.
     Tokens,
-    /// The chance that a caller does not pass this server over.
+    /// The probability that a caller considers this server.
     Weight,
 }
 
-/// All that a server is told when it starts.
+/// What is configured for one server, fixed from its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Seed for random numbers.
+    /// Seed of the jitter in probe times.
     pub seed: u64,
-    /// Its cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Its memory in kilobytes.
+    /// Memory for requests, in kilobytes.
     pub memory_kb: f64,
-    /// Memory of a running request over that of a held one.
+    /// Memory of a running request as a multiple of that of a queued one.
     pub run_memory_factor: f64,
-    /// Memory of a kept key.
+    /// Memory of a retained idempotency key, in kilobytes.
     pub key_kb: f64,
-    /// It has just been started and is cold.
+    /// The server has just been started and warms up.
     pub starts_cold: bool,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a share of its class's worth.
+    /// Share of its class's weight that a request beyond its tenant's quota earns.
     pub over_quota_weight_share: f64,
-    /// Place of this server's tier, 0 for the one that clients' callers reach.
+    /// Index of this server's tier; 0 is the one that clients' callers reach.
     pub tier: u32,
-    /// Servers of this tier.
+    /// Number of servers in this tier.
     pub servers: u32,
-    /// Callers of this tier.
+    /// Number of callers of this tier.
     pub callers: u32,
     /// What requests call.
     pub downstream: Downstream,
-    /// For [`Below::Common`]: this server's share of the calls that the dependency survives.
+    /// For [`Downstream::Shared`]: this server's share of the concurrent calls that the dependency survives.
     pub call_quota: f64,
-    /// The span over which calls in hand are averaged.
+    /// Time over which calls in flight are averaged.
     pub call_window: Micros,
-    /// How long at most an abandoned call stays in the dependency's hands.
+    /// How long the dependency may still work on an abandoned call.
     pub abandoned_call_lifetime: Micros,
-    /// What can be done with running work.
+    /// How running work can be stopped.
     pub preemption: Preemption,
-    /// How the free value is understood.
+    /// How callers understand the load hint.
     pub load_hint: LoadHintKind,
     /// How long an answer to a read may serve other reads of its key; 0: never.
     pub shared_read_ttl: Micros,
-    /// The longest advice to stay away that is heeded; 0: none is passed on.
+    /// The longest Retry-After that callers honour; 0: none is passed on.
     pub retry_after_max: Micros,
-    /// Callers close connections that have carried nothing for this long.
+    /// Callers close connections after this idle time.
     pub idle_timeout_max: Micros,
-    /// Price of a new connection, in points of the result for one a request; 0: none.
+    /// Cost of a new connection, as a share of what an answered request is worth; 0: none.
     pub connection_cost: f64,
-    /// After its due time an answer is still valid for this long.
+    /// An answer is still valid so long after its deadline.
     pub answer_slack: Micros,
-    /// What arrives later than this after the notice to leave must not run.
+    /// What arrives later than this after the drain notice must not run.
     pub drain_grace: Micros,
-    /// Requests on the cores, for each core, that a warm server survives.
+    /// Requests that want a core, for each core, above which a warm server fails.
     pub overload_per_core: f64,
-    /// The span over which that crowd is averaged.
+    /// Time over which that overload is averaged.
     pub overload_window: Micros,
-    /// Share of its speed at which a cold server starts, at least.
+    /// Least share of its speed at which a server starts that warms up.
     pub warm_up_initial_speed: f64,
-    /// After this a cold server is warm.
+    /// Time from the start after which a server is warm.
     pub warm_up_time: Micros,
-    /// Events come at most this often.
+    /// Least time between steps.
     pub tick: Micros,
 }
 
-/// Settings that make no sense.
+/// Settings under which no decision could be right, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSettings(pub &'static str);
 
@@ -164,7 +164,10 @@
 impl std::error::Error for InvalidSettings {}
 
 impl Settings {
-    /// Refuses settings under which no decision could be right.
+    /// Checks the ranges of all values.
+    ///
+    /// # Errors
+    /// The first rule that does not hold.
     pub fn validate(&self) -> Result<(), InvalidSettings> {
         let positive = |v: f64| v.is_finite() && v > 0.0;
         let share = |v: f64| v.is_finite() && v >= 0.0;
@@ -190,135 +193,135 @@
     }
 }
 
-/// A request that has been read and is now held.
+/// A request that has been read and waits for a decision.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its name.
+    /// Its identifier, new for each attempt.
     pub id: RequestId,
-    /// Place of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Place of its tenant in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: usize,
-    /// Number of the calling party.
+    /// Number of the caller.
     pub caller: u64,
-    /// How long its caller still waits, where that is told.
+    /// How long its caller still waits, if stated.
     pub caller_timeout: Option<Micros>,
-    /// Time since it reached the machine.
+    /// Time from its arrival at the machine until it was read.
     pub read_delay: Micros,
-    /// Memory while held, in kilobytes.
+    /// Memory while queued, in kilobytes.
     pub queued_kb: f64,
-    /// Its place from 0 to under 1 among all requests, the least worth first.
+    /// Its quantile, from 0 to under 1, among all requests by priority weight.
     pub rank: f64,
-    /// Expected work, where that is told.
+    /// Expected work, if stated.
     pub cost: Option<Micros>,
-    /// The kept request that this one repeats.
+    /// The known request with the same idempotency key.
     pub duplicate_of: Option<RequestId>,
-    /// Marked as a further try.
+    /// Marked as a retry.
     pub is_retry: bool,
 }
 
-/// How a run or a call ended.
+/// How a run or a downstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Well.
+    /// With success.
     Ok,
     /// Failed; a call may have taken effect.
     Error,
-    /// A call was turned away without being looked at.
+    /// A call was rejected: it did not run.
     Rejected,
-    /// A call was given up; it may have taken effect.
+    /// A call did not end in time; it may have taken effect.
     TimedOut,
-    /// What lies below was not reached.
+    /// The dependency was not reached.
     Unreachable,
-    /// A call was cut off; it may have taken effect.
+    /// The connection of a call was lost; it may have taken effect.
     ConnectionLost,
-    /// A run was stopped, or ended at a call. Of a call that covers several services: it ended without what was
-    /// needed and may have had effects, which says nothing of the others.
+    /// A run was preempted, or ended while it waited for a call. Of a call to several services: it ended without
+    /// a required response and may have had effects, which says nothing of the other services.
     Aborted,
-    /// Nothing was begun.
+    /// Nothing was started.
     NotStarted,
 }
 
 impl Outcome {
-    /// Proves that the call never ran.
+    /// Whether this proves that a call never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotStarted)
     }
 }
 
-/// The server's own gauges; those that a host lacks are absent.
+/// Readings of the server's gauges; those that a host lacks are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Share of the cores busy of late.
+    /// Share of the cores that was busy over the last half second.
     pub cpu: Option<f64>,
-    /// All that wants a core now.
+    /// Number of tasks that want a core now.
     pub on_cores: Option<f64>,
     /// Share of the memory in use.
     pub memory: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
 
-/// Something the server is told.
+/// What happened at the host.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request was read and is held.
+    /// A request was read.
     Arrived(Arrival),
-    /// A run or a shared answer has concluded.
+    /// A run, or the wait for a duplicate's answer, ended after this time.
     RunEnded(RequestId, Outcome, Micros),
-    /// A running request can't go on without a call.
+    /// A running request needs a downstream call to go on.
     NeedsCall(RequestId),
-    /// A call ended.
+    /// A downstream call ended after this time.
     CallEnded(RequestId, Outcome, Micros),
     /// Nobody waits for the request any more.
     Cancelled(RequestId),
-    /// Notice to leave.
+    /// The server is to drain.
     Drain {
-        /// The process is stopped after this span.
+        /// The process is stopped after this time.
         time_left: Micros,
-        /// So long ago the notice came: its grace counts from then, however late a host could tell.
+        /// Time since the notice: the drain grace counts from then.
         notified_ago: Micros,
     },
-    /// A timer is due.
+    /// The timer of [`Action::WakeAfter`] is due.
     Timer(Gauges),
 }
 
-/// Something the server wants done.
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a held request, or go on with a paused one.
+    /// Run a queued request.
     Admit(RequestId),
-    /// Stop running work. Not an answer.
+    /// Stop running work. This is not an answer.
     Preempt(RequestId),
-    /// Turn the request away; this try never ran.
+    /// Answer that this attempt is rejected.
     Reject {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// How long the caller should stay away; 0: no advice.
+        /// How long the caller should wait before it retries; 0: not stated.
         retry_after: Micros,
-        /// Ask the caller not to try elsewhere.
+        /// Ask the caller not to try another server.
         terminal: bool,
     },
-    /// Answer with an error, without a promise.
+    /// Answer with an error; the request may have run.
     Fail(RequestId),
-    /// Make the call that a request waits for, to be given up at the stated time.
+    /// Make the downstream call that a request waits for, with this deadline.
     Call(RequestId, Micros),
-    /// Go on without the call.
+    /// Go on without the call, to a degraded answer.
     SkipCall(RequestId),
-    /// Keep the request's key for this span.
+    /// Retain the request's idempotency key for this time.
     RetainKey(RequestId, Micros),
-    /// Forget the request's key.
+    /// Forget the request's idempotency key.
     ReleaseKey(RequestId),
-    /// Answer by the result of the request that this one repeats.
+    /// Answer with the result of the request that this one duplicates.
     AwaitDuplicate(RequestId),
-    /// Set what health checks are told, from store.
+    /// Set the readiness that health checks are answered with from now on.
     SetReady(bool),
-    /// Set the free value.
+    /// Set the load hint that goes with every answer.
     SetLoadHint(f64),
-    /// Close connections that have carried nothing for this long.
+    /// Close connections that have been idle for this time.
     CloseIdle(Micros),
-    /// Come back with a timer after this span.
+    /// Send [`Event::Timer`] after this time.
     WakeAfter(Micros),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
