--- /dev/null
+++ b/tests/abandonment.rs
@@ -0,0 +1,70 @@
+//! What becomes of requests whose latency objective has passed, by their idempotency.
+
+mod common;
+use common::*;
+use umberloom::interface::*;
+
+fn settings_with_idempotency(effect: Idempotency) -> Settings {
+    let mut settings = default_settings();
+    settings.preemption = Preemption::Never;
+    settings.classes[0].idempotency = effect;
+    settings
+}
+
+/// Guards against holding what was given up until near its deadline, to keep its client from asking again:
+/// a safe run past its aim is turned away at once with a time to come back, and stopped where it can be.
+#[test]
+fn an_idempotent_run_past_its_objective_is_rejected_at_once() {
+    let mut controller = controller(default_settings());
+    let actions = send(&mut controller, 0, &[("long", 0)]);
+    assert_eq!(admitted(&actions), ["long"]);
+    let before_objective = step(&mut controller, 2 * SEC - 10 * MS, vec![busy_timer()]);
+    assert!(rejection(&before_objective, "long").is_none(), "its aim is 2 s: {before_objective:?}");
+    let past_objective = step(&mut controller, 2 * SEC, vec![busy_timer()]);
+    let (retry_after, terminal) = rejection(&past_objective, "long").expect("answered at its aim");
+    assert!(retry_after > 0 && terminal, "a time to come back, and nowhere else: {past_objective:?}");
+    assert!(past_objective.contains(&Action::Preempt(id("long"))));
+}
+
+/// Guards against a keyed run that was given up being refused after it ran (a duplicate by the rules) or
+/// held to its deadline: it is failed at its aim, and its repeat will join it.
+#[test]
+fn a_keyed_run_past_its_objective_is_failed_and_not_rejected() {
+    let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
+    send(&mut controller, 0, &[("write", 0)]);
+    let past_objective = step(&mut controller, 2 * SEC, vec![busy_timer()]);
+    assert_eq!(failed(&past_objective), ["write"]);
+    assert!(rejection(&past_objective, "write").is_none());
+    assert!(!past_objective.iter().any(|a| matches!(a, Action::Preempt(_))), "it can't be stopped here");
+}
+
+/// Guards against failing an unsafe write while it runs, which invites a second, unmarked one: it goes on
+/// to its end, and is failed only at its due time.
+#[test]
+fn a_non_idempotent_run_goes_on_past_its_objective_until_its_deadline() {
+    let mut controller = controller(settings_with_idempotency(Idempotency::NotIdempotent));
+    send(&mut controller, 0, &[("sale", 0)]);
+    let past_objective = step(&mut controller, 3 * SEC, vec![busy_timer()]);
+    assert!(
+        failed(&past_objective).is_empty() && rejection(&past_objective, "sale").is_none(),
+        "{past_objective:?}"
+    );
+    let due = step(&mut controller, 6 * SEC - MS, vec![busy_timer()]);
+    assert_eq!(failed(&due), ["sale"]);
+}
+
+/// Guards against holding a repeat that waits for another's answer until its deadline: past its aim it is
+/// worth nothing, and it is failed at once, never refused.
+#[test]
+fn a_duplicate_past_its_objective_is_failed_at_once() {
+    let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
+    send(&mut controller, 0, &[("a", 0)]);
+    let again = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
+    let actions = step(&mut controller, 10 * MS, vec![Event::Arrived(again)]);
+    assert!(actions.contains(&Action::AwaitDuplicate(id("b"))), "{actions:?}");
+    let before_objective = step(&mut controller, 2 * SEC - 20 * MS, vec![busy_timer()]);
+    assert!(failed(&before_objective).is_empty(), "{before_objective:?}");
+    let past_objective = step(&mut controller, 2 * SEC + 10 * MS, vec![busy_timer()]);
+    assert!(failed(&past_objective).contains(&"b".to_owned()), "{past_objective:?}");
+    assert!(rejection(&past_objective, "b").is_none());
+}
--- /dev/null
+++ b/tests/caller_timeouts.rs
@@ -0,0 +1,101 @@
+//! The age of attempts, learned from the timeouts that callers usually state.
+
+mod common;
+use common::*;
+use umberloom::interface::*;
+use umberloom::AdmissionController;
+
+/// Sends attempts with the timeout `waits`, one at a time, each served at once.
+fn serve_with_timeout(
+    controller: &mut AdmissionController,
+    from: Micros,
+    count: usize,
+    waits: Micros,
+) -> Micros {
+    for n in 0..count {
+        let name = format!("{from}-{n}");
+        step(controller, from + n as u64 * 10 * MS, vec![Event::Arrived(arrival(&name, 0, waits))]);
+        step(controller, from + n as u64 * 10 * MS + MS, vec![run_ended(&name, MS)]);
+    }
+    from + count as u64 * 10 * MS
+}
+
+#[test]
+fn a_longer_timeout_than_usual_shows_a_later_attempt() {
+    let mut controller = controller(default_settings());
+    let now = serve_with_timeout(&mut controller, 0, 20, 2_400 * MS);
+    // 3.5 s of 6 s are left: it is 2.5 s old and its aim of 2 s has passed.
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
+    assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "{actions:?}");
+    let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("young", 0, 5_000 * MS))]);
+    assert_eq!(admitted(&actions), ["young"], "one second old");
+}
+
+#[test]
+fn timeouts_beyond_the_deadline_are_not_learned() {
+    let mut controller = controller(default_settings());
+    let now = serve_with_timeout(&mut controller, 0, 20, 600 * SEC);
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("usual", 0, 5_000 * MS))]);
+    assert_eq!(admitted(&actions), ["usual"], "a second old at most: {actions:?}");
+}
+
+#[test]
+fn a_shorter_timeout_than_usual_shows_earlier_attempts() {
+    let mut controller = controller(default_settings());
+    let now = serve_with_timeout(&mut controller, 0, 20, 5_000 * MS);
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("walked", 0, 2_900 * MS))]);
+    assert_eq!(rejection(&actions, "walked").map(|r| r.1), Some(true), "2.1 s old: {actions:?}");
+}
+
+#[test]
+fn a_changed_usual_timeout_is_learned() {
+    let mut controller = controller(default_settings());
+    let now = serve_with_timeout(&mut controller, 0, 40, 2_400 * MS);
+    let now = serve_with_timeout(&mut controller, now, 80, 5_000 * MS);
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("first", 0, 5_000 * MS))]);
+    assert_eq!(admitted(&actions), ["first"], "old evidence does not stay");
+}
+
+#[test]
+fn two_usual_timeouts_are_learned() {
+    let mut controller = controller(default_settings());
+    let mut now = 0;
+    for n in 0..60 {
+        // Attempts wait 2.4 s, and a third of the tries get the client's 3 s whole.
+        let waits = if n % 3 == 0 { 3_000 * MS } else { 2_400 * MS };
+        now = serve_with_timeout(&mut controller, now, 1, waits);
+    }
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("whole", 0, 3_000 * MS))]);
+    assert_eq!(admitted(&actions), ["whole"], "not three seconds old: {actions:?}");
+    let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
+    assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "2.5 s old: {actions:?}");
+}
+
+#[test]
+fn timeouts_are_not_learned_behind_the_first_tier() {
+    let mut settings = default_settings();
+    settings.tier = 1;
+    let mut controller = controller(settings);
+    let now = serve_with_timeout(&mut controller, 0, 20, 5_000 * MS);
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("short", 0, 2_500 * MS))]);
+    assert_eq!(admitted(&actions), ["short"]);
+}
+
+/// Guards against work on what is late already: where callers tell no wait, a marked try is as old as one
+/// that was turned away here and stayed away as told.
+#[test]
+fn retries_without_a_timeout_are_as_old_as_rejected_requests() {
+    let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
+    let untold = |name: &str, queued: Micros, retry: bool| {
+        Event::Arrived(Arrival {
+            caller_timeout: None,
+            read_delay: queued,
+            is_retry: retry,
+            ..arrival(name, 1, 0)
+        })
+    };
+    let old = (0..30).map(|n| untold(&format!("o{n}"), 1_900 * MS, false)).collect();
+    assert_eq!(rejected(&step(&mut controller, now, old)).len(), 30, "no time for any");
+    let actions = step(&mut controller, now + MS, vec![untold("again", 0, true), untold("fresh", 0, false)]);
+    assert_eq!(rejected(&actions), ["again"]);
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings, events and a small host for the tests: it carries out actions as a machine would and
-//! keeps score of the four rules.
+//! Settings, events and a small host for the tests: it executes actions as a server would and checks
+//! the four guarantees.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
 
-pub fn class(worth: f64) -> Class {
+pub fn class(priority_weight: f64) -> Class {
     Class {
         latency_objective: 2 * SEC,
         objective_per_cost: 0.0,
         deadline: 6 * SEC,
-        priority_weight: worth,
+        priority_weight,
         late_weight_share: 0.0,
         idempotency: Idempotency::Idempotent,
         idempotency_window: 5 * SEC,
@@ -24,8 +24,8 @@
     }
 }
 
-/// Two cores, two classes (worth 1 and 3), no tenants, nothing below.
-pub fn settings() -> Settings {
+/// Two cores, two classes of weights 1 and 3, no tenants and no downstream.
+pub fn default_settings() -> Settings {
     Settings {
         seed: 7,
         cores: 2,
@@ -80,37 +80,37 @@
 }
 
 /// One step; returns the actions.
-pub fn step(server: &mut AdmissionController, now: Micros, events: Vec<Event>) -> Vec<Action> {
-    let mut out = Vec::new();
-    server.step(now, events, &mut out);
-    out
+pub fn step(controller: &mut AdmissionController, now: Micros, events: Vec<Event>) -> Vec<Action> {
+    let mut actions = Vec::new();
+    controller.step(now, events, &mut actions);
+    actions
 }
 
 /// One step with one request of each given name and class.
-pub fn send(server: &mut AdmissionController, now: Micros, names: &[(&str, usize)]) -> Vec<Action> {
+pub fn send(controller: &mut AdmissionController, now: Micros, names: &[(&str, usize)]) -> Vec<Action> {
     let events = names.iter().map(|(n, c)| Event::Arrived(arrival(n, *c, 6 * SEC))).collect();
-    step(server, now, events)
+    step(controller, now, events)
 }
 
-/// A server that knows from two runs that work is short.
-pub fn taught(set: Settings) -> AdmissionController {
-    let mut server = AdmissionController::new(0, set).expect("sound settings");
+/// A controller that knows short run times from two runs.
+pub fn controller_with_short_runs(settings: Settings) -> AdmissionController {
+    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
     for (name, class) in [("v", 0), ("w", 1)] {
-        send(&mut server, 0, &[(name, class)]);
-        step(&mut server, 0, vec![ended(name, MS)]);
+        send(&mut controller, 0, &[(name, class)]);
+        step(&mut controller, 0, vec![run_ended(name, MS)]);
     }
-    server
+    controller
 }
 
-pub fn busy() -> Event {
+pub fn busy_timer() -> Event {
     Event::Timer(Gauges { cpu: Some(1.0), on_cores: Some(2.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
-pub fn idle() -> Event {
+pub fn idle_timer() -> Event {
     Event::Timer(Gauges { cpu: Some(0.2), on_cores: Some(0.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
-pub fn ended(name: &str, took: Micros) -> Event {
+pub fn run_ended(name: &str, took: Micros) -> Event {
     Event::RunEnded(id(name), Outcome::Ok, took)
 }
 
@@ -120,7 +120,7 @@
     names.collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<String> {
+pub fn rejected(actions: &[Action]) -> Vec<String> {
     let names = actions.iter().filter_map(|a| match a {
         Action::Reject { id, .. } => Some(id.to_string()),
         _ => None,
@@ -134,7 +134,44 @@
     names.collect()
 }
 
-/// A small repeatable random source for generated events.
+pub fn controller(settings: Settings) -> AdmissionController {
+    AdmissionController::new(0, settings).expect("sound settings")
+}
+
+pub fn rejection(actions: &[Action], name: &str) -> Option<(Micros, bool)> {
+    actions.iter().find_map(|a| match a {
+        Action::Reject { id, retry_after, terminal } if **id == *name => Some((*retry_after, *terminal)),
+        _ => None,
+    })
+}
+
+/// A controller that knows run times of `run`, with both cores taken from the returned time on.
+pub fn saturated_controller(settings: Settings, run: Micros) -> (AdmissionController, Micros) {
+    let mut controller = controller(settings);
+    let mut now = 0;
+    for n in 0..8 {
+        let (a, b) = (format!("a{n}"), format!("b{n}"));
+        send(&mut controller, now, &[(&a, 0), (&b, 1)]);
+        now += run;
+        step(&mut controller, now, vec![run_ended(&a, run), run_ended(&b, run)]);
+    }
+    send(&mut controller, now, &[("run0", 0), ("run1", 1)]);
+    (controller, now)
+}
+
+pub fn new_caller_arrival(n: u64) -> Event {
+    Event::Arrived(Arrival { caller: 100 + n, ..arrival(&format!("s{n}"), 0, 6 * SEC) })
+}
+
+/// A controller that knows short run times, with both slots taken by requests of the low class.
+pub fn controller_with_two_running(settings: Settings) -> AdmissionController {
+    let mut controller = controller_with_short_runs(settings);
+    let actions = send(&mut controller, 0, &[("x", 0), ("y", 0)]);
+    assert_eq!(admitted(&actions), ["x", "y"]);
+    controller
+}
+
+/// A small seeded generator (xorshift) for generated events.
 pub struct Random(pub u64);
 
 impl Random {
@@ -155,196 +192,196 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum At {
-    Held,
+enum Stage {
+    Queued,
     Running,
-    Joined,
-    Below,
+    AwaitingDuplicate,
+    AwaitingCall,
     Calling,
 }
 
-struct Item {
+struct TrackedRequest {
     class: usize,
     reached: Micros,
     due: Micros,
     kb: f64,
-    at: At,
+    stage: Stage,
     answered: bool,
     ran: bool,
-    gone: bool,
+    cancelled: bool,
     call_may_have_run: bool,
     started: Micros,
 }
 
-/// Carries out actions and checks each of the four rules after every step.
+/// Executes actions and checks each of the four guarantees after every step.
 pub struct Host {
-    pub set: Settings,
-    pub server: AdmissionController,
+    pub settings: Settings,
+    pub controller: AdmissionController,
     pub now: Micros,
-    pub notice: Option<(Micros, Micros)>,
-    pub most_running: usize,
-    pub most_calling: usize,
-    pub most_memory: f64,
+    pub drain: Option<(Micros, Micros)>,
+    pub max_running: usize,
+    pub max_calling: usize,
+    pub max_memory: f64,
     pub served: usize,
-    pub refused: usize,
+    pub rejected: usize,
     pub failed: usize,
-    items: BTreeMap<RequestId, Item>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     keys: BTreeMap<RequestId, Micros>,
     pub wake: Option<Micros>,
 }
 
 impl Host {
-    pub fn new(set: Settings) -> Host {
-        let server = AdmissionController::new(0, set.clone()).expect("the settings make sense");
+    pub fn new(settings: Settings) -> Host {
+        let controller = AdmissionController::new(0, settings.clone()).expect("the settings make sense");
         Host {
-            set,
-            server,
+            settings,
+            controller,
             now: 0,
-            notice: None,
-            most_running: 0,
-            most_calling: 0,
-            most_memory: 0.0,
+            drain: None,
+            max_running: 0,
+            max_calling: 0,
+            max_memory: 0.0,
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
-            items: BTreeMap::new(),
+            requests: BTreeMap::new(),
             keys: BTreeMap::new(),
             wake: None,
         }
     }
 
-    /// Names of the requests at a stage that `pick` chooses from.
+    /// Requests that run.
     pub fn running(&self) -> Vec<RequestId> {
-        self.at(At::Running)
+        self.in_stage(Stage::Running)
     }
 
     pub fn calling(&self) -> Vec<RequestId> {
-        self.at(At::Calling)
+        self.in_stage(Stage::Calling)
     }
 
-    pub fn joined(&self) -> Vec<RequestId> {
-        self.at(At::Joined)
+    pub fn awaiting_duplicate(&self) -> Vec<RequestId> {
+        self.in_stage(Stage::AwaitingDuplicate)
     }
 
-    pub fn held(&self) -> Vec<RequestId> {
-        self.at(At::Held)
+    pub fn queued(&self) -> Vec<RequestId> {
+        self.in_stage(Stage::Queued)
     }
 
-    pub fn open(&self) -> usize {
-        self.items.values().filter(|i| !i.answered && !i.gone).count()
+    pub fn unanswered(&self) -> usize {
+        self.requests.values().filter(|i| !i.answered && !i.cancelled).count()
     }
 
     pub fn may_call(&self, id: &RequestId) -> bool {
-        self.items.get(id).is_some_and(|i| self.set.classes[i.class].calls_downstream && !i.answered)
+        self.requests.get(id).is_some_and(|i| self.settings.classes[i.class].calls_downstream && !i.answered)
     }
 
-    fn at(&self, at: At) -> Vec<RequestId> {
-        self.items.iter().filter(|(_, i)| i.at == at).map(|(id, _)| id.clone()).collect()
+    fn in_stage(&self, stage: Stage) -> Vec<RequestId> {
+        self.requests.iter().filter(|(_, i)| i.stage == stage).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The id of a live kept key, any.
-    pub fn kept(&self) -> Option<RequestId> {
+    /// A request whose idempotency key is retained.
+    pub fn retained_key(&self) -> Option<RequestId> {
         self.keys.iter().find(|(_, end)| **end > self.now).map(|(id, _)| id.clone())
     }
 
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
         for event in &events {
-            self.note(event);
+            self.record_event(event);
         }
-        let mut out = Vec::new();
-        self.server.step(self.now, events, &mut out);
-        for action in &out {
-            self.obey(action);
+        let mut actions = Vec::new();
+        self.controller.step(self.now, events, &mut actions);
+        for action in &actions {
+            self.execute(action);
         }
-        self.check();
-        out
+        self.check_invariants();
+        actions
     }
 
-    fn note(&mut self, event: &Event) {
+    fn record_event(&mut self, event: &Event) {
         match event {
             Event::Arrived(a) => {
-                let class = &self.set.classes[a.class];
+                let class = &self.settings.classes[a.class];
                 let reached = self.now - a.read_delay;
                 let due = a.caller_timeout.map_or((reached + class.deadline).max(self.now), |w| self.now + w);
-                let item = Item {
+                let request = TrackedRequest {
                     class: a.class,
                     reached,
                     due,
                     kb: a.queued_kb,
-                    at: At::Held,
+                    stage: Stage::Queued,
                     answered: false,
                     ran: false,
-                    gone: false,
+                    cancelled: false,
                     call_may_have_run: false,
                     started: 0,
                 };
-                assert!(self.items.insert(a.id.clone(), item).is_none(), "ids are new");
+                assert!(self.requests.insert(a.id.clone(), request).is_none(), "ids are new");
             }
             Event::RunEnded(id, outcome, _) => {
-                if let Some(item) = self.items.remove(id) {
+                if let Some(request) = self.requests.remove(id) {
                     let answers = matches!(outcome, Outcome::Ok | Outcome::Error);
-                    assert!(answers || item.answered || item.gone, "{id} ended without an answer");
-                    self.served += usize::from(!item.answered && answers);
+                    assert!(answers || request.answered || request.cancelled, "{id} ended without an answer");
+                    self.served += usize::from(!request.answered && answers);
                 }
             }
-            Event::NeedsCall(id) => self.move_to(id, At::Below),
+            Event::NeedsCall(id) => self.set_stage(id, Stage::AwaitingCall),
             Event::CallEnded(id, outcome, _) => {
                 let ok = *outcome == Outcome::Ok;
-                if let Some(item) = self.items.get_mut(id) {
-                    item.call_may_have_run = !outcome.never_ran() && !ok;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.call_may_have_run = !outcome.never_ran() && !ok;
                 }
-                self.move_to(id, if ok { At::Running } else { At::Below });
+                self.set_stage(id, if ok { Stage::Running } else { Stage::AwaitingCall });
             }
             Event::Cancelled(id) => {
-                let drop = self.items.get_mut(id).is_some_and(|item| {
-                    item.gone = true;
-                    matches!(item.at, At::Held | At::Joined)
+                let drop = self.requests.get_mut(id).is_some_and(|request| {
+                    request.cancelled = true;
+                    matches!(request.stage, Stage::Queued | Stage::AwaitingDuplicate)
                 });
                 if drop {
-                    self.items.remove(id);
+                    self.requests.remove(id);
                 }
             }
             Event::Drain { time_left: left, notified_ago: ago } => {
-                self.notice = Some((self.now - ago, self.now + left))
+                self.drain = Some((self.now - ago, self.now + left));
             }
             Event::Timer(_) => self.wake = None,
         }
     }
 
-    fn move_to(&mut self, id: &RequestId, at: At) {
-        if let Some(item) = self.items.get_mut(id) {
-            item.at = at;
+    fn set_stage(&mut self, id: &RequestId, stage: Stage) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.stage = stage;
         }
     }
 
-    fn obey(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match action {
             Action::Admit(id) => self.admit(id),
             Action::Reject { id, .. } => {
-                let item = self.items.get(id).expect("refuses what is here");
-                let safe = self.set.classes[item.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !item.ran, "rule 2: {id} ran and is turned away");
-                self.refused += 1;
-                self.answer(id);
+                let request = self.requests.get(id).expect("refuses what is here");
+                let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+                assert!(safe || !request.ran, "rule 2: {id} ran and is turned away");
+                self.rejected += 1;
+                self.record_answer(id);
             }
             Action::Fail(id) => {
                 self.failed += 1;
-                self.answer(id);
+                self.record_answer(id);
             }
             Action::Call(id, _) => {
-                let item = self.items.get_mut(id).expect("calls for what is here");
-                assert_eq!(item.at, At::Below);
-                let safe = self.set.classes[item.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !item.call_may_have_run, "rule 2: the call of {id} is made again");
-                item.at = At::Calling;
+                let request = self.requests.get_mut(id).expect("calls for what is here");
+                assert_eq!(request.stage, Stage::AwaitingCall);
+                let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+                assert!(safe || !request.call_may_have_run, "rule 2: the call of {id} is made again");
+                request.stage = Stage::Calling;
             }
             Action::SkipCall(id) => {
-                let item = self.items.get_mut(id).expect("skips for what is here");
+                let request = self.requests.get_mut(id).expect("skips for what is here");
                 assert!(
-                    self.set.classes[item.class].degraded_weight_share > 0.0,
+                    self.settings.classes[request.class].degraded_weight_share > 0.0,
                     "that call can't be left out"
                 );
-                item.at = At::Running;
+                request.stage = Stage::Running;
             }
             Action::RetainKey(id, span) => {
                 self.keys.insert(id.clone(), self.now + span);
@@ -352,58 +389,65 @@
             Action::ReleaseKey(id) => {
                 self.keys.remove(id);
             }
-            Action::AwaitDuplicate(id) => self.move_to(id, At::Joined),
+            Action::AwaitDuplicate(id) => self.set_stage(id, Stage::AwaitingDuplicate),
             Action::Preempt(id) => {
-                assert!(self.set.preemption != Preemption::Never, "nothing can be stopped here");
-                assert!(self.items.get(id).is_none_or(|i| i.answered || i.gone), "stops only what is over");
+                assert!(self.settings.preemption != Preemption::Never, "nothing can be stopped here");
+                assert!(
+                    self.requests.get(id).is_none_or(|i| i.answered || i.cancelled),
+                    "stops only what is over"
+                );
             }
             Action::WakeAfter(after) => self.wake = Some(self.now + after),
             Action::SetLoadHint(x) => {
-                assert!(self.set.load_hint != LoadHintKind::None && *x >= 0.0, "no value is sent here");
+                assert!(self.settings.load_hint != LoadHintKind::None && *x >= 0.0, "no value is sent here");
             }
             Action::SetReady(_) | Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
 
     fn admit(&mut self, id: &RequestId) {
-        let item = self.items.get_mut(id).expect("admits what is here");
-        assert_eq!(item.at, At::Held, "{id} is not held");
-        assert!(!item.ran, "rule 2: {id} runs twice");
-        if let Some((notice, _)) = self.notice {
-            assert!(item.reached <= notice + self.set.drain_grace, "rule 3: {id} came too late to run");
+        let request = self.requests.get_mut(id).expect("admits what is here");
+        assert_eq!(request.stage, Stage::Queued, "{id} is not held");
+        assert!(!request.ran, "rule 2: {id} runs twice");
+        if let Some((drain, _)) = self.drain {
+            assert!(
+                request.reached <= drain + self.settings.drain_grace,
+                "rule 3: {id} came too late to run"
+            );
         }
-        item.at = At::Running;
-        item.ran = true;
-        item.started = self.now;
+        request.stage = Stage::Running;
+        request.ran = true;
+        request.started = self.now;
     }
 
-    fn answer(&mut self, id: &RequestId) {
-        let item = self.items.get_mut(id).expect("answers what is here");
-        assert!(!item.answered, "rule 1: {id} is answered twice");
-        item.answered = true;
-        if matches!(item.at, At::Held | At::Joined) {
-            self.items.remove(id);
+    fn record_answer(&mut self, id: &RequestId) {
+        let request = self.requests.get_mut(id).expect("answers what is here");
+        assert!(!request.answered, "rule 1: {id} is answered twice");
+        request.answered = true;
+        if matches!(request.stage, Stage::Queued | Stage::AwaitingDuplicate) {
+            self.requests.remove(id);
         }
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let now = self.now;
         self.keys.retain(|_, end| *end > now);
-        for (id, item) in &self.items {
-            let waits = !item.answered && !item.gone;
-            assert!(!waits || now <= item.due + self.set.answer_slack, "rule 1: {id} is overdue");
-            if let Some((_, stop)) = self.notice {
+        for (id, request) in &self.requests {
+            let waits = !request.answered && !request.cancelled;
+            assert!(!waits || now <= request.due + self.settings.answer_slack, "rule 1: {id} is overdue");
+            if let Some((_, stop)) = self.drain {
                 assert!(!waits || now < stop, "rule 3: {id} is unanswered at the stop");
             }
         }
-        let kb = |i: &Item| match i.at {
-            At::Held | At::Joined => i.kb,
-            _ => i.kb * self.set.run_memory_factor,
+        let kb = |i: &TrackedRequest| match i.stage {
+            Stage::Queued | Stage::AwaitingDuplicate => i.kb,
+            _ => i.kb * self.settings.run_memory_factor,
         };
-        let memory = self.items.values().map(kb).sum::<f64>() + self.keys.len() as f64 * self.set.key_kb;
-        assert!(memory <= self.set.memory_kb, "rule 4: {memory} kB of {}", self.set.memory_kb);
-        self.most_memory = self.most_memory.max(memory / self.set.memory_kb);
-        self.most_running = self.most_running.max(self.at(At::Running).len());
-        self.most_calling = self.most_calling.max(self.at(At::Calling).len());
+        let memory =
+            self.requests.values().map(kb).sum::<f64>() + self.keys.len() as f64 * self.settings.key_kb;
+        assert!(memory <= self.settings.memory_kb, "rule 4: {memory} kB of {}", self.settings.memory_kb);
+        self.max_memory = self.max_memory.max(memory / self.settings.memory_kb);
+        self.max_running = self.max_running.max(self.in_stage(Stage::Running).len());
+        self.max_calling = self.max_calling.max(self.in_stage(Stage::Calling).len());
     }
 }
--- a/tests/shared.rs
+++ b/tests/shared_dependency.rs
@@ -1,4 +1,4 @@
-//! What many servers that do not talk send together to what they all call.
+//! Calls of many independent servers to one shared dependency.
 
 mod common;
 use common::*;
@@ -6,40 +6,40 @@
 use umberloom::interface::*;
 use umberloom::AdmissionController;
 
-/// A server with its part of the `whole` calls that what they all call survives.
-fn server(number: u32, servers: u32, whole: f64) -> AdmissionController {
-    let mut set = settings();
-    set.classes.iter_mut().for_each(|c| {
+/// A controller with its quota of the calls that the dependency survives.
+fn controller(number: u32, servers: u32, capacity: f64) -> AdmissionController {
+    let mut settings = default_settings();
+    settings.classes.iter_mut().for_each(|c| {
         (c.calls_downstream, c.degraded_weight_share) = (true, 0.0);
         (c.latency_objective, c.deadline) = (100 * SEC, 100 * SEC);
     });
-    (set.downstream, set.call_quota, set.seed) =
-        (Downstream::Shared, whole / f64::from(servers), u64::from(number));
-    (set.servers, set.memory_kb) = (servers, 1e9);
-    AdmissionController::new(0, set).expect("sound settings")
+    (settings.downstream, settings.call_quota, settings.seed) =
+        (Downstream::Shared, capacity / f64::from(servers), u64::from(number));
+    (settings.servers, settings.memory_kb) = (servers, 1e9);
+    AdmissionController::new(0, settings).expect("sound settings")
 }
 
 /// A fleet of which each server always has requests at a call.
 struct Fleet {
     all: Vec<AdmissionController>,
     /// Calls under way, in the order in which they end: when, whose, and which.
-    under_way: VecDeque<(Micros, usize, RequestId)>,
+    in_flight: VecDeque<(Micros, usize, RequestId)>,
     begun: VecDeque<Micros>,
     last: Micros,
     next: u64,
 }
 
 impl Fleet {
-    fn new(servers: u32, whole: f64) -> Fleet {
-        let all = (0..servers).map(|n| server(n, servers, whole)).collect();
-        Fleet { all, under_way: VecDeque::new(), begun: VecDeque::new(), last: 0, next: 0 }
+    fn new(servers: u32, capacity: f64) -> Fleet {
+        let all = (0..servers).map(|n| controller(n, servers, capacity)).collect();
+        Fleet { all, in_flight: VecDeque::new(), begun: VecDeque::new(), last: 0, next: 0 }
     }
 
     /// One step of all servers, with the ends of calls that take so long and end so.
     fn step(&mut self, now: Micros, took: Micros, outcome: Outcome) {
-        let mut events: Vec<Vec<Event>> = self.all.iter().map(|_| vec![busy()]).collect();
-        while self.under_way.front().is_some_and(|(end, ..)| *end <= now) {
-            let (_, n, name) = self.under_way.pop_front().expect("one");
+        let mut events: Vec<Vec<Event>> = self.all.iter().map(|_| vec![busy_timer()]).collect();
+        while self.in_flight.front().is_some_and(|(end, ..)| *end <= now) {
+            let (_, n, name) = self.in_flight.pop_front().expect("one");
             events[n].push(Event::CallEnded(name.clone(), outcome, took));
             if outcome == Outcome::Ok {
                 events[n].push(Event::RunEnded(name, Outcome::Ok, took));
@@ -52,8 +52,8 @@
             }
             // What an action brings about is told at once.
             while !events.is_empty() {
-                let out = step(&mut self.all[n], now, std::mem::take(&mut events));
-                for action in out {
+                let actions = step(&mut self.all[n], now, std::mem::take(&mut events));
+                for action in actions {
                     match action {
                         Action::Admit(name) => events.push(Event::NeedsCall(name)),
                         // A run at a call ends with its request, one that is stopped as it is told.
@@ -61,7 +61,7 @@
                             events.push(Event::RunEnded(name, Outcome::Aborted, 0));
                         }
                         Action::Call(name, _) => {
-                            self.under_way.push_back((now + took, n, name));
+                            self.in_flight.push_back((now + took, n, name));
                             self.begun.push_back(now);
                             self.last = now;
                         }
@@ -77,13 +77,13 @@
 /// calls that it survives and 2 x root of N + 2 for chance, at 1 to 30 servers. Down is 3 s in which each call fails at once;
 /// then calls take 100 ms. Tries of 100 ms count together, as a call would last so long.
 #[test]
-fn probes_and_first_calls_of_all_servers_stay_within_what_is_survived() {
-    for (servers, whole) in [1, 2, 5, 12, 20, 24, 30]
+fn probes_and_first_calls_of_all_servers_stay_within_the_capacity() {
+    for (servers, capacity) in [1, 2, 5, 12, 20, 24, 30]
         .into_iter()
-        .flat_map(|servers| [1.0, 2.0, 5.0, 10.0, 30.0, 100.0].map(|whole| (servers, whole)))
+        .flat_map(|servers| [1.0, 2.0, 5.0, 10.0, 30.0, 100.0].map(|capacity| (servers, capacity)))
     {
-        let most = whole + 2.0 * f64::sqrt(whole) + 2.0;
-        let mut fleet = Fleet::new(servers, whole);
+        let most = capacity + 2.0 * f64::sqrt(capacity) + 2.0;
+        let mut fleet = Fleet::new(servers, capacity);
         for now in (0..6 * SEC).step_by(5 * MS as usize) {
             let down = (SEC..4 * SEC).contains(&now);
             let (took, outcome) = if down { (5 * MS, Outcome::Unreachable) } else { (100 * MS, Outcome::Ok) };
@@ -94,10 +94,10 @@
             // The tries by which each server learns that it is down are three, and end at once.
             let learns = (SEC..SEC + 500 * MS).contains(&now);
             let together = if learns { 0 } else { fleet.begun.len() };
-            assert!(together as f64 <= most, "{servers} servers, {together} of {whole} at {now}");
+            assert!(together as f64 <= most, "{servers} servers, {together} of {capacity} at {now}");
         }
         // A share so small that a single call that hangs would be more than it in the mean is not used at all.
-        let usable = whole / f64::from(servers) > 0.2;
-        assert!(!usable || fleet.last > 4 * SEC, "{servers} servers, {whole}: calls are made again");
+        let usable = capacity / f64::from(servers) > 0.2;
+        assert!(!usable || fleet.last > 4 * SEC, "{servers} servers, {capacity}: calls are made again");
     }
 }
