--- a/crates/dependencies/src/aggregation.rs
+++ b/crates/dependencies/src/aggregation.rs
@@ -179,6 +179,29 @@
         assert_eq!(read, envelope);
     }
 
+    /// The bytes that runs get for each reason, written down before any variant was renamed.
+    #[test]
+    fn every_missing_reason_keeps_its_word_in_the_json() {
+        let words = [
+            (MissingReason::OutOfTime, "out-of-time"),
+            (MissingReason::NoTime, "no-time"),
+            (MissingReason::NoPlace, "no-place"),
+            (MissingReason::BreakerOpen, "breaker-open"),
+            (MissingReason::Refused, "refused"),
+            (MissingReason::Unreachable, "unreachable"),
+            (MissingReason::Failed, "failed"),
+            (MissingReason::NoBudget, "no-budget"),
+            (MissingReason::Cut, "cut"),
+        ];
+        for (reason, word) in words {
+            let response = AggregateResponse { parts: vec![("a".into(), Part::LeftOut(reason))] };
+            let json =
+                format!(r#"{{"version":1,"parts":[{{"name":"a","state":"left-out","why":"{word}"}}]}}"#);
+            assert_eq!(String::from_utf8(response.encode()).as_deref(), Ok(json.as_str()));
+            assert_eq!(AggregateResponse::decode(json.as_bytes()), Ok(response));
+        }
+    }
+
     #[test]
     fn what_does_not_fit_is_told() {
         for text in [
--- a/crates/dependencies/tests/engine/hard_cases.rs
+++ b/crates/dependencies/tests/engine/hard_cases.rs
@@ -27,8 +27,8 @@
         let end = world.end_of(1);
         let wanted = match slow {
             // Needed: it may have its share twice over, and fails with that.
-            "a" => (200 * MS, "Stopped"),
-            "b" => (300 * MS, "Stopped"),
+            "a" => (200 * MS, "Aborted"),
+            "b" => (300 * MS, "Aborted"),
             _ => (300 * MS, "a: fresh, b: fresh, c: OutOfTime"),
         };
         assert_eq!((end.at, parts(&end).as_str()), wanted);
