--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -9,28 +9,28 @@
 
 /// One process under a name: a later start wins over an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct Identity {
     /// Its name.
     pub name: MemberName,
     /// Its start, in Unix microseconds, as its own clock had it.
-    pub boot: u64,
+    pub boot_id: u64,
     /// How often it has come back after the others held it for failed.
     pub renewal: u32,
 }
 
-impl foca::Identity for Id {
+impl foca::Identity for Identity {
     type Addr = MemberName;
 
     /// Held for failed while it lives, it comes back at once, and says so by a higher number.
-    fn renew(&self) -> Option<Id> {
-        Some(Id { renewal: self.renewal.wrapping_add(1), ..self.clone() })
+    fn renew(&self) -> Option<Identity> {
+        Some(Identity { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> MemberName {
         self.name.clone()
     }
 
-    fn win_addr_conflict(&self, other: &Id) -> bool {
-        (self.boot, self.renewal) > (other.boot, other.renewal)
+    fn win_addr_conflict(&self, other: &Identity) -> bool {
+        (self.boot_id, self.renewal) > (other.boot_id, other.renewal)
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -7,14 +7,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::{Config, ConfigError};
-use crate::identity::{Id, MemberName};
+use crate::identity::{Identity, MemberName};
 use crate::member::{Evidence, Known, MemberState, MemberView};
-use crate::partition::{Count, PartitionStatus, PartitionTracker};
-use crate::session::{Link, Next};
+use crate::partition::{PartitionStatus, PartitionTracker, ReachCount};
+use crate::session::{Disposition, Session};
 use crate::swim::{Came, Swim};
-use crate::view::{digest, Disagreement};
+use crate::view::{digest, ViewDivergence};
 use crate::wire::{
-    Body, BuildInfo, Header, Key, Message, RejectReason, SenderStatus, ViewRow, LONGEST, LONGEST_DATAGRAM,
+    Body, BuildInfo, Header, Key, Message, RejectReason, SenderStatus, ViewRow, MAX_DATAGRAM_LEN,
+    MAX_MESSAGE_LEN,
 };
 use crate::Micros;
 
@@ -152,7 +153,7 @@
     key: std::rc::Rc<KeyBox>,
     about: BuildInfo,
     swim: Swim,
-    links: BTreeMap<MemberName, Link>,
+    links: BTreeMap<MemberName, Session>,
     known: BTreeMap<MemberName, Known>,
     /// By which way guests were last heard.
     guests: BTreeMap<MemberName, ReturnPath>,
@@ -163,7 +164,7 @@
     looked: Micros,
     look_at: Micros,
     view: (Vec<ViewRow>, u64),
-    disagreements: BTreeMap<MemberName, Disagreement>,
+    disagreements: BTreeMap<MemberName, ViewDivergence>,
     load: u8,
     leaving: bool,
     gone: bool,
@@ -196,9 +197,9 @@
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
-        let id = Id { name: config.name.clone(), boot: boot.max(1), renewal: 0 };
+        let id = Identity { name: config.name.clone(), boot_id: boot.max(1), renewal: 0 };
         let swim = Swim::new(id, &config, seed);
-        let keeper = PartitionTracker::new(now, config.timing, config.stale());
+        let keeper = PartitionTracker::new(now, config.timing, config.evidence_timeout());
         let mut membership = Membership {
             key: std::rc::Rc::new(KeyBox(Key::new(&config.fleet, &config.secret))),
             about: BuildInfo { zone: config.zone.to_string(), ..BuildInfo::default() },
@@ -235,7 +236,7 @@
     fn link_roster(&mut self, now: Micros) {
         for peer in &self.config.peers {
             let link = self.links.entry(peer.name.clone());
-            link.or_insert_with(|| Link::new(peer.name.clone(), true)).named = true;
+            link.or_insert_with(|| Session::new(peer.name.clone(), true)).named = true;
             self.known.entry(peer.name.clone()).or_insert_with(|| Known::new(now));
             self.guests.remove(&peer.name);
         }
@@ -274,16 +275,16 @@
         if self.gone {
             return;
         }
-        let most = if matches!(via, ReturnPath::Datagram(_)) { LONGEST_DATAGRAM } else { LONGEST };
+        let most = if matches!(via, ReturnPath::Datagram(_)) { MAX_DATAGRAM_LEN } else { MAX_MESSAGE_LEN };
         let message: Message = match self.key.0.open(bytes, most) {
             Ok(message) => message,
             Err(why) => return self.refuse(now, why, None),
         };
-        if message.head.from == self.config.name {
+        if message.header.sender == self.config.name {
             // Our own name: an echo of ours, or another process that has it. The others settle which.
-            return self.refuse(now, RejectReason::Replayed, Some(&message.head.from));
+            return self.refuse(now, RejectReason::Replayed, Some(&message.header.sender));
         }
-        let from = message.head.from.clone();
+        let from = message.header.sender.clone();
         if !self.links.contains_key(&from) && !self.welcome_guest(&message) {
             return self.refuse(now, RejectReason::NoRoom, Some(&from));
         }
@@ -298,19 +299,19 @@
 
     /// Makes a place for who is not in the roster.
     fn welcome_guest(&mut self, message: &Message) -> bool {
-        let room = self.guests.len() < GUESTS && message.head.from.len() <= crate::config::LONGEST_NAME;
+        let room = self.guests.len() < GUESTS && message.header.sender.len() <= crate::config::MAX_NAME_LEN;
         if room {
-            let name = message.head.from.clone();
+            let name = message.header.sender.clone();
             self.guests.insert(name.clone(), ReturnPath::Datagram(0));
-            self.links.insert(name.clone(), Link::new(name, false));
+            self.links.insert(name.clone(), Session::new(name, false));
         }
         room
     }
 
     fn handshake(&mut self, now: Micros, from: &MemberName, message: Message, via: ReturnPath) {
-        let (boot, fresh) = (message.head.boot, self.random.next_u64());
-        let ours = message.head.to_boot == self.boot_id();
-        let (since, stale) = (self.from, self.config.stale());
+        let (boot, fresh) = (message.header.boot_id, self.random.next_u64());
+        let ours = message.header.receiver_boot_id == self.boot_id();
+        let (since, stale) = (self.from, self.config.evidence_timeout());
         let Some(link) = self.links.get_mut(from) else { return };
         if !link.named {
             self.guests.insert(from.clone(), via);
@@ -379,13 +380,13 @@
         let body = Body::Superseded(link.boot, u32::try_from(age).unwrap_or(u32::MAX));
         // Back the way it came: the address of that name leads to the other one.
         let head = Header {
-            from: self.config.name.clone(),
-            boot: self.boot_id(),
-            to_boot: boot,
-            seq: 0,
-            twice: false,
+            sender: self.config.name.clone(),
+            boot_id: self.boot_id(),
+            receiver_boot_id: boot,
+            sequence: 0,
+            sent_twice: false,
         };
-        let bytes = self.key.0.seal(&Message { head, note: None, body });
+        let bytes = self.key.0.seal(&Message { header: head, sender_status: None, body });
         self.act(Action::Reply(via, bytes));
     }
 
@@ -405,28 +406,28 @@
     }
 
     fn rename(&mut self, now: Micros, boot: u64) {
-        let id = Id { name: self.config.name.clone(), boot, renewal: 0 };
+        let id = Identity { name: self.config.name.clone(), boot_id: boot, renewal: 0 };
         let came = self.swim.rename(now, id);
         self.tell(Event::Unfenced(boot));
         self.view.0.clear();
-        self.links.values_mut().for_each(|link| *link = Link::new(link.name.clone(), link.named));
+        self.links.values_mut().for_each(|link| *link = Session::new(link.name.clone(), link.named));
         self.carry(now, came);
     }
 
     fn session(&mut self, now: Micros, from: &MemberName, message: Message, via: ReturnPath, size: u64) {
         let mine = self.boot_id();
-        let Message { head, note, body } = message;
+        let Message { header: head, sender_status: note, body } = message;
         let Some(link) = self.links.get_mut(from) else { return };
-        match link.message(mine, head.boot, head.to_boot, head.seq) {
-            Next::Take => {}
+        match link.message(mine, head.boot_id, head.receiver_boot_id, head.sequence) {
+            Disposition::Take => {}
             // The other copy has come already.
-            Next::Drop(_) if head.twice => return,
-            Next::Drop(why) => return self.refuse(now, why, Some(from)),
-            Next::Tell => {
-                self.tell_superseded(now, from, head.boot, via);
+            Disposition::Drop(_) if head.sent_twice => return,
+            Disposition::Drop(why) => return self.refuse(now, why, Some(from)),
+            Disposition::Tell => {
+                self.tell_superseded(now, from, head.boot_id, via);
                 return self.refuse(now, RejectReason::Superseded, Some(from));
             }
-            Next::Ask(why) => {
+            Disposition::Ask(why) => {
                 if !link.named {
                     self.guests.insert(from.clone(), via);
                 }
@@ -444,7 +445,7 @@
         }
         self.counts.heard = (self.counts.heard.0 + 1, self.counts.heard.1 + size);
         if let Some(note) = note {
-            self.noted(now, from, head.boot, note);
+            self.noted(now, from, head.boot_id, note);
         }
         match body {
             Body::Gossip(bytes) => {
@@ -459,7 +460,7 @@
             Body::Channel(kind, bytes) => {
                 bounded(
                     &mut self.matters,
-                    ReceivedMessage { from: from.clone(), boot: head.boot, channel: kind, payload: bytes },
+                    ReceivedMessage { from: from.clone(), boot: head.boot_id, channel: kind, payload: bytes },
                 );
             }
             Body::ViewRequest => self.send_body(now, from, Body::View(self.view.0.clone()), Way::Both),
@@ -474,7 +475,7 @@
 
     /// What a member says of itself.
     fn noted(&mut self, now: Micros, from: &MemberName, boot: u64, note: SenderStatus) {
-        let (ours, stale) = (self.view.1, self.config.stale());
+        let (ours, stale) = (self.view.1, self.config.evidence_timeout());
         let Some(link) = self.links.get_mut(from) else { return };
         link.note = Some((now, note));
         if let Some(known) =
@@ -484,7 +485,7 @@
             self.refresh(now);
         }
         let Some(link) = self.links.get_mut(from).filter(|link| link.named) else { return };
-        if note.view == ours {
+        if note.view_digest == ours {
             link.differs = None;
             if self.disagreements.remove(from).is_some() {
                 self.tell(Event::ViewsConverged(from.clone()));
@@ -492,10 +493,11 @@
             return;
         }
         let since = *link.differs.get_or_insert(now);
-        let long = now - since >= self.config.timing.disagree && link.is_reached(now, self.from, stale);
+        let long =
+            now - since >= self.config.timing.divergence_timeout && link.is_reached(now, self.from, stale);
         if long && !self.disagreements.contains_key(from) {
             let found =
-                Disagreement { with: from.clone(), since, ours: self.view.0.clone(), theirs: Vec::new() };
+                ViewDivergence { peer: from.clone(), since, ours: self.view.0.clone(), theirs: Vec::new() };
             self.disagreements.insert(from.clone(), found);
             self.tell(Event::ViewsDiverged(from.clone()));
             self.send_body(now, from, Body::ViewRequest, Way::Both);
@@ -546,8 +548,8 @@
     /// Nothing that was believed before counts until it is heard again.
     fn distrust(&mut self, now: Micros, cause: String) {
         self.from = now;
-        self.links.values_mut().for_each(Link::forget);
-        if let Some((from, to)) = self.keeper.distrust(now, self.config.stale()) {
+        self.links.values_mut().for_each(Session::forget);
+        if let Some((from, to)) = self.keeper.reset(now, self.config.evidence_timeout()) {
             self.tell(Event::PartitionStatusChanged { from, to, cause });
         }
     }
@@ -560,8 +562,8 @@
             }
             self.silenced = Some((0, now + SILENT_FOR));
         }
-        let (beat, silenced) = (self.config.beat(), self.silenced.is_some());
-        let gone = |link: &Link| !link.named && link.heard.is_some_and(|at| now > at + GUEST_GONE);
+        let (beat, silenced) = (self.config.heartbeat_interval(), self.silenced.is_some());
+        let gone = |link: &Session| !link.named && link.heard.is_some_and(|at| now > at + GUEST_GONE);
         let old: Vec<MemberName> =
             self.links.values().filter(|link| gone(link)).map(|l| l.name.clone()).collect();
         for name in old {
@@ -569,7 +571,7 @@
             self.guests.remove(&name);
             self.known.remove(&name);
         }
-        let due = |link: &&Link| link.boot == 0 || link.sent.is_none_or(|at| now >= at + beat);
+        let due = |link: &&Session| link.boot == 0 || link.sent.is_none_or(|at| now >= at + beat);
         let due: Vec<(MemberName, u64)> =
             self.links.values().filter(due).map(|l| (l.name.clone(), l.boot)).collect();
         for (name, boot) in due {
@@ -591,10 +593,13 @@
         if self.silenced.is_some() {
             return;
         }
-        let (stale, every) = (self.config.stale(), self.config.beat().max(2 * self.config.timing.probe));
+        let (stale, every) = (
+            self.config.evidence_timeout(),
+            self.config.heartbeat_interval().max(2 * self.config.timing.probe_interval),
+        );
         let rests = self.swim.rests();
         let (swim, from) = (&self.swim, self.from);
-        let apart = |link: &&mut Link| {
+        let apart = |link: &&mut Session| {
             link.named
                 && now >= link.mended + every
                 && link.is_reached(now, from, stale)
@@ -620,7 +625,7 @@
 
     /// Holds members for what they are now, and counts who is reached.
     fn refresh(&mut self, now: Micros) {
-        let mut changed = self.view.0.is_empty() || self.view.0.len() != self.config.roster();
+        let mut changed = self.view.0.is_empty() || self.view.0.len() != self.config.roster_size();
         for member in self.swim.members() {
             let name = &member.id().name;
             if !self.links.contains_key(name) {
@@ -628,9 +633,9 @@
             }
             let known = self.known.entry(name.clone()).or_insert_with(|| Known::new(now));
             let id = member.id();
-            changed |= known.boot != id.boot;
-            (known.boot, known.incarnation, known.renewal) = (id.boot, member.incarnation(), id.renewal);
-            let leaves = known.leaving == Some(id.boot);
+            changed |= known.boot != id.boot_id;
+            (known.boot, known.incarnation, known.renewal) = (id.boot_id, member.incarnation(), id.renewal);
+            let leaves = known.leaving == Some(id.boot_id);
             let (to, cause) = match member.state() {
                 foca::State::Alive if leaves => (MemberState::Leaving, "it said that it leaves"),
                 foca::State::Alive => (MemberState::Present, "it answers, to us or to others"),
@@ -656,8 +661,8 @@
         if self.silenced.is_some() {
             return;
         }
-        if let Some((from, to)) = self.keeper.count(now, count) {
-            let Count { roster, reached, left } = count;
+        if let Some((from, to)) = self.keeper.update(now, count) {
+            let ReachCount { roster, reached, left } = count;
             let cause =
                 format!("{reached} of {roster} reached, {left} left; not reached: {}", self.unreached(now));
             self.tell(Event::PartitionStatusChanged { from, to, cause });
@@ -668,8 +673,8 @@
     fn see(&mut self) {
         let row = |name: &MemberName, boot: u64, there: bool| ViewRow {
             name: name.clone(),
-            boot: if there { boot } else { 0 },
-            there,
+            boot_id: if there { boot } else { 0 },
+            present: there,
         };
         let mut rows = vec![row(&self.config.name, self.boot_id(), true)];
         rows.extend(self.config.peers.iter().map(|peer| {
@@ -681,21 +686,21 @@
         self.view = (rows, digest);
     }
 
-    fn count(&self, now: Micros) -> Count {
-        let stale = self.config.stale();
+    fn count(&self, now: Micros) -> ReachCount {
+        let stale = self.config.evidence_timeout();
         let named = || self.links.values().filter(|link| link.named);
-        let left = |link: &&Link| self.known.get(&link.name).is_some_and(|k| k.state == MemberState::Left);
-        Count {
-            roster: self.config.roster(),
+        let left = |link: &&Session| self.known.get(&link.name).is_some_and(|k| k.state == MemberState::Left);
+        ReachCount {
+            roster: self.config.roster_size(),
             reached: 1 + named().filter(|link| link.is_reached(now, self.from, stale)).count(),
             left: named().filter(left).filter(|link| !link.is_reached(now, self.from, stale)).count(),
         }
     }
 
     fn unreached(&self, now: Micros) -> String {
-        let stale = self.config.stale();
+        let stale = self.config.evidence_timeout();
         let off = self.links.values().filter(|l| l.named && !l.is_reached(now, self.from, stale));
-        let word = |link: &Link| match link.is_heard(now, self.from, stale) {
+        let word = |link: &Session| match link.is_heard(now, self.from, stale) {
             true => format!("{} (it does not hear us)", link.name),
             false => link.name.to_string(),
         };
@@ -749,9 +754,9 @@
         }
         for (before, after) in came.renamed {
             let speaks = self.links.get(&before.name);
-            let live =
-                speaks.is_some_and(|l| l.boot == before.boot && l.is_heard(now, self.from, STALL_THRESHOLD));
-            if before.boot != after.boot && live {
+            let live = speaks
+                .is_some_and(|l| l.boot == before.boot_id && l.is_heard(now, self.from, STALL_THRESHOLD));
+            if before.boot_id != after.boot_id && live {
                 self.ask(now, &before.name);
             }
         }
@@ -769,13 +774,13 @@
             return;
         }
         let shakes = asks || matches!(body, Body::Welcome(..));
-        let (mine, stale) = (self.boot_id(), self.config.stale());
+        let (mine, stale) = (self.boot_id(), self.config.evidence_timeout());
         let note = SenderStatus {
-            hears_you_ms: u32::MAX,
-            view: self.view.1,
-            standing: self.keeper.get().0,
-            load: self.load,
-            sick: self.swim.health.sick() as u8,
+            heard_receiver_ms: u32::MAX,
+            view_digest: self.view.1,
+            partition_status: self.keeper.get().0,
+            load_percent: self.load,
+            health_score: self.swim.health.score() as u8,
             leaving: self.leaving,
         };
         let Some(link) = self.links.get_mut(to) else { return };
@@ -784,7 +789,7 @@
         }
         let heard = link.heard.filter(|at| *at >= self.from);
         let hears = heard.map_or(u32::MAX, |at| u32::try_from((now - at) / 1_000).unwrap_or(u32::MAX - 1));
-        let note = (!shakes).then_some(SenderStatus { hears_you_ms: hears, ..note });
+        let note = (!shakes).then_some(SenderStatus { heard_receiver_ms: hears, ..note });
         let to_boot = match &body {
             // To who asked, whoever that is by now.
             Body::Welcome(..) => link.offered_to().unwrap_or(link.boot),
@@ -799,18 +804,24 @@
         let stream = way != Way::Gossip || (tried && !by_datagram);
         let seq = link.next_seq();
         let twice = stream && way != Way::Bulk;
-        let head = Header { from: self.config.name.clone(), boot: mine, to_boot, seq, twice };
+        let head = Header {
+            sender: self.config.name.clone(),
+            boot_id: mine,
+            receiver_boot_id: to_boot,
+            sequence: seq,
+            sent_twice: twice,
+        };
         if !shakes {
             link.sent = Some(now);
         }
-        let bytes = self.key.0.seal(&Message { head, note, body });
+        let bytes = self.key.0.seal(&Message { header: head, sender_status: note, body });
         if let Some(via) = guest {
             return self.act(Action::Reply(via, bytes));
         }
         if way == Way::Bulk {
             return self.act(Action::Bulk(to.clone(), bytes));
         }
-        let fits = bytes.len() <= LONGEST_DATAGRAM;
+        let fits = bytes.len() <= MAX_DATAGRAM_LEN;
         if stream || !fits {
             self.act(Action::Stream(to.clone(), bytes.clone()));
         }
@@ -859,7 +870,7 @@
 
     /// The start of this process, as others know it.
     pub fn boot_id(&self) -> u64 {
-        self.swim.id().boot
+        self.swim.id().boot_id
     }
 
     /// How this server stands.
@@ -884,12 +895,12 @@
 
     /// How sick this server is, from 0 to 8.
     pub fn health_score(&self) -> u32 {
-        self.swim.health.sick()
+        self.swim.health.score()
     }
 
     /// Named members that are reached now, with the starts of their processes.
     pub fn reachable(&self, now: Micros) -> Vec<(MemberName, u64)> {
-        let stale = self.config.stale();
+        let stale = self.config.evidence_timeout();
         let named = self.links.values().filter(|l| l.named && l.is_reached(now, self.from, stale));
         named.map(|link| (link.name.clone(), link.boot)).collect()
     }
@@ -897,7 +908,7 @@
     /// Every member, by name.
     pub fn members(&self, now: Micros) -> Vec<MemberView> {
         let ms = |at: Micros| now.saturating_sub(at) / 1_000;
-        let view = |link: &Link| {
+        let view = |link: &Session| {
             let fallback = Known::new(self.began);
             let known = self.known.get(&link.name).unwrap_or(&fallback);
             MemberView {
@@ -910,8 +921,10 @@
                 renewal: known.renewal,
                 heard_ms: link.heard.map(ms),
                 hears_us_ms: link.hears_us(now).map(|age| age / 1_000),
-                reached: link.is_reached(now, self.from, self.config.stale()),
-                says: link.note.map(|(_, note)| (note.standing, note.load, note.sick)),
+                reached: link.is_reached(now, self.from, self.config.evidence_timeout()),
+                says: link
+                    .note
+                    .map(|(_, note)| (note.partition_status, note.load_percent, note.health_score)),
                 about: link.about.clone(),
                 differs_ms: link.differs.map(ms),
             }
@@ -926,7 +939,7 @@
         let mut say = |what: String, age_ms| found.push(Evidence { what, age_ms });
         if *name == *self.config.name {
             let (standing, since) = self.keeper.get();
-            let Count { roster, reached, left } = self.count(now);
+            let ReachCount { roster, reached, left } = self.count(now);
             say(format!("this server stands as {standing}"), ms(since));
             say(
                 format!("{reached} of {roster} reached, {left} left; not reached: {}", self.unreached(now)),
@@ -968,7 +981,13 @@
             None => say("it has not said that it hears this server".to_owned(), None),
         }
         if let Some((at, note)) = link.note {
-            let SenderStatus { standing, load, sick, leaving, .. } = note;
+            let SenderStatus {
+                partition_status: standing,
+                load_percent: load,
+                health_score: sick,
+                leaving,
+                ..
+            } = note;
             let leaves = if leaving { ", leaving" } else { "" };
             say(format!("it says: {standing}, load {load} %, sick {sick} of 8{leaves}"), ms(at));
         }
@@ -982,7 +1001,7 @@
     }
 
     /// Living members whose views have differed from ours for long.
-    pub fn disagreements(&self) -> impl Iterator<Item = &Disagreement> {
+    pub fn view_divergences(&self) -> impl Iterator<Item = &ViewDivergence> {
         self.disagreements.values()
     }
 
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -40,7 +40,7 @@
 
 /// What is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Count {
+pub struct ReachCount {
     /// Members that the operator named, this server included.
     pub roster: usize,
     /// Of these, how many are reached, this server included.
@@ -49,15 +49,17 @@
     pub left: usize,
 }
 
-impl Count {
+impl ReachCount {
     /// The standing that this would be, taken by itself. A majority is one of all that were named: those who left
     /// may come back.
-    pub fn standing(self) -> PartitionStatus {
+    pub fn status(self) -> PartitionStatus {
         let most = 2 * self.reached > self.roster;
         match self {
-            Count { roster, reached, left } if reached + left >= roster && most => PartitionStatus::Whole,
+            ReachCount { roster, reached, left } if reached + left >= roster && most => {
+                PartitionStatus::Whole
+            }
             _ if most => PartitionStatus::Majority,
-            Count { reached: 0 | 1, .. } => PartitionStatus::Alone,
+            ReachCount { reached: 0 | 1, .. } => PartitionStatus::Alone,
             _ => PartitionStatus::Minority,
         }
     }
@@ -97,21 +99,21 @@
     }
 
     /// Nothing that was believed before counts: unsure, at once.
-    pub fn distrust(&mut self, now: Micros, settle: Micros) -> Option<(PartitionStatus, PartitionStatus)> {
+    pub fn reset(&mut self, now: Micros, settle: Micros) -> Option<(PartitionStatus, PartitionStatus)> {
         self.unsure_until = now + settle;
         self.wanted = (PartitionStatus::Unsure, now);
         self.take_up(now, PartitionStatus::Unsure)
     }
 
     /// How long a better standing must hold now.
-    pub fn rise(&self) -> Micros {
-        self.timing.rise << self.flaps
+    pub fn upgrade_delay(&self) -> Micros {
+        self.timing.upgrade_delay << self.flaps
     }
 
     /// Takes a count in; tells a change, from and to.
-    pub fn count(&mut self, now: Micros, count: Count) -> Option<(PartitionStatus, PartitionStatus)> {
-        let wanted = count.standing();
-        if now.saturating_sub(self.since) >= self.timing.calm {
+    pub fn update(&mut self, now: Micros, count: ReachCount) -> Option<(PartitionStatus, PartitionStatus)> {
+        let wanted = count.status();
+        if now.saturating_sub(self.since) >= self.timing.stable_after {
             self.flaps = 0;
         }
         if wanted != self.wanted.0 {
@@ -125,11 +127,12 @@
         }
         let apart = now.saturating_sub(self.since);
         let holds = now.saturating_sub(self.wanted.1);
-        if wanted < self.standing && apart >= self.timing.damp {
+        if wanted < self.standing && apart >= self.timing.min_status_duration {
             self.flaps = (self.flaps + 1).min(3);
             return self.take_up(now, wanted);
         }
-        if wanted > self.standing && apart >= self.timing.damp && holds >= self.rise() {
+        if wanted > self.standing && apart >= self.timing.min_status_duration && holds >= self.upgrade_delay()
+        {
             return self.take_up(now, wanted);
         }
         None
@@ -154,8 +157,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn count(roster: usize, reached: usize, left: usize) -> Count {
-        Count { roster, reached, left }
+    fn count(roster: usize, reached: usize, left: usize) -> ReachCount {
+        ReachCount { roster, reached, left }
     }
 
     #[test]
@@ -173,7 +176,7 @@
             (count(2, 1, 1), PartitionStatus::Alone),
         ];
         for (count, wanted) in cases {
-            assert_eq!(count.standing(), wanted, "{count:?}");
+            assert_eq!(count.status(), wanted, "{count:?}");
         }
     }
 
@@ -181,32 +184,32 @@
     fn it_falls_at_once_rises_late_and_is_unsure_after_a_standstill() {
         let timing = Timing::default();
         let mut keeper = PartitionTracker::new(0, timing, 1_200_000);
-        assert_eq!(keeper.count(100_000, count(3, 2, 0)), None);
+        assert_eq!(keeper.update(100_000, count(3, 2, 0)), None);
         assert_eq!(
-            keeper.count(1_200_000, count(3, 2, 0)),
+            keeper.update(1_200_000, count(3, 2, 0)),
             Some((PartitionStatus::Unsure, PartitionStatus::Majority))
         );
         // Better: only once it has held.
-        assert_eq!(keeper.count(2_300_000, count(3, 3, 0)), None);
+        assert_eq!(keeper.update(2_300_000, count(3, 3, 0)), None);
         assert_eq!(
-            keeper.count(2_800_000, count(3, 3, 0)),
+            keeper.update(2_800_000, count(3, 3, 0)),
             Some((PartitionStatus::Majority, PartitionStatus::Whole))
         );
         // Worse: at once, but for the damping.
-        assert_eq!(keeper.count(2_900_000, count(3, 1, 0)), None);
+        assert_eq!(keeper.update(2_900_000, count(3, 1, 0)), None);
         assert_eq!(
-            keeper.count(3_800_000, count(3, 1, 0)),
+            keeper.update(3_800_000, count(3, 1, 0)),
             Some((PartitionStatus::Whole, PartitionStatus::Alone))
         );
-        assert_eq!(keeper.rise(), 2 * timing.rise);
+        assert_eq!(keeper.upgrade_delay(), 2 * timing.upgrade_delay);
         assert_eq!(
-            keeper.distrust(3_900_000, 1_200_000),
+            keeper.reset(3_900_000, 1_200_000),
             Some((PartitionStatus::Alone, PartitionStatus::Unsure))
         );
-        assert_eq!(keeper.count(4_000_000, count(3, 2, 0)), None);
+        assert_eq!(keeper.update(4_000_000, count(3, 2, 0)), None);
         // Everyone was heard: nothing to wait for.
         assert_eq!(
-            keeper.count(4_100_000, count(3, 3, 0)),
+            keeper.update(4_100_000, count(3, 3, 0)),
             Some((PartitionStatus::Unsure, PartitionStatus::Whole))
         );
     }
@@ -221,15 +224,15 @@
             let (mut now, mut last) = (0, None);
             for (ms, reached) in counts {
                 now += ms * 1_000;
-                if keeper.count(now, count(5, reached, 0)).is_some() {
+                if keeper.update(now, count(5, reached, 0)).is_some() {
                     if let Some(last) = last {
-                        prop_assert!(now - last >= timing.damp);
+                        prop_assert!(now - last >= timing.min_status_duration);
                     }
                     last = Some(now);
                 }
-                let held = now - keeper.get().1 >= timing.damp;
+                let held = now - keeper.get().1 >= timing.min_status_duration;
                 if held && keeper.get().0 != PartitionStatus::Unsure {
-                    prop_assert!(keeper.get().0 <= count(5, reached, 0).standing());
+                    prop_assert!(keeper.get().0 <= count(5, reached, 0).status());
                 }
             }
         }
--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -53,7 +53,7 @@
 
 /// What a link knows of the process at its other end.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct Session {
     /// Its name.
     pub name: MemberName,
     /// Named by the operator; else a guest.
@@ -84,7 +84,7 @@
 
 /// What a message of a session that has not been proven asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Disposition {
     /// Believe it.
     Take,
     /// Drop it, and ask who is there.
@@ -95,10 +95,10 @@
     Drop(RejectReason),
 }
 
-impl Link {
+impl Session {
     /// Nothing is known yet.
-    pub fn new(name: MemberName, named: bool) -> Link {
-        Link {
+    pub fn new(name: MemberName, named: bool) -> Session {
+        Session {
             name,
             named,
             boot: 0,
@@ -175,29 +175,29 @@
 
     fn prove(&mut self, boot: u64) {
         if self.boot != boot {
-            let Link { name, named, seq, hello, offered, .. } = self;
+            let Session { name, named, seq, hello, offered, .. } = self;
             let fresh =
-                Link { seq: *seq, hello: *hello, offered: *offered, ..Link::new(name.clone(), *named) };
-            *self = Link { boot, ..fresh };
+                Session { seq: *seq, hello: *hello, offered: *offered, ..Session::new(name.clone(), *named) };
+            *self = Session { boot, ..fresh };
         }
     }
 
     /// A message that claims to be of a session, sent by a process that started at `boot` to one at `to_boot`.
-    pub fn message(&mut self, mine: u64, boot: u64, to_boot: u64, seq: u64) -> Next {
+    pub fn message(&mut self, mine: u64, boot: u64, to_boot: u64, seq: u64) -> Disposition {
         if boot < self.boot {
-            return Next::Tell;
+            return Disposition::Tell;
         }
         if boot > self.boot {
-            return Next::Ask(RejectReason::Unproven);
+            return Disposition::Ask(RejectReason::Unproven);
         }
         if to_boot != mine {
             // It does not know yet that we are another process than it spoke with.
-            return Next::Ask(RejectReason::NotForUs);
+            return Disposition::Ask(RejectReason::NotForUs);
         }
         if self.window.accept(seq) {
-            Next::Take
+            Disposition::Take
         } else {
-            Next::Drop(RejectReason::Replayed)
+            Disposition::Drop(RejectReason::Replayed)
         }
     }
 
@@ -217,7 +217,8 @@
     /// How long ago it heard us, by its own word.
     pub fn hears_us(&self, now: Micros) -> Option<Micros> {
         let (at, note) = self.note?;
-        let said = (note.hears_you_ms != u32::MAX).then_some(Micros::from(note.hears_you_ms) * 1_000)?;
+        let said =
+            (note.heard_receiver_ms != u32::MAX).then_some(Micros::from(note.heard_receiver_ms) * 1_000)?;
         Some(said + now.saturating_sub(at))
     }
 
@@ -239,27 +240,27 @@
 
     #[test]
     fn only_who_answers_now_is_believed() {
-        let mut link = Link::new("b".into(), true);
-        assert_eq!(link.message(1, 5, 1, 1), Next::Ask(RejectReason::Unproven));
+        let mut link = Session::new("b".into(), true);
+        assert_eq!(link.message(1, 5, 1, 1), Disposition::Ask(RejectReason::Unproven));
         let number = link.ask(0, 77).expect("a question");
         assert!(!link.welcomed(5, 78) && link.welcomed(5, number));
-        assert_eq!(link.message(1, 5, 1, 1), Next::Take);
-        assert_eq!(link.message(1, 5, 1, 1), Next::Drop(RejectReason::Replayed));
-        assert_eq!(link.message(1, 5, 9, 2), Next::Ask(RejectReason::NotForUs));
+        assert_eq!(link.message(1, 5, 1, 1), Disposition::Take);
+        assert_eq!(link.message(1, 5, 1, 1), Disposition::Drop(RejectReason::Replayed));
+        assert_eq!(link.message(1, 5, 9, 2), Disposition::Ask(RejectReason::NotForUs));
         // The answer to an old question, once more.
         assert!(!link.welcomed(5, number));
         // A later process must answer before the earlier one is superseded.
-        assert_eq!(link.message(1, 6, 1, 1), Next::Ask(RejectReason::Unproven));
+        assert_eq!(link.message(1, 6, 1, 1), Disposition::Ask(RejectReason::Unproven));
         assert_eq!(link.boot, 5);
         let offered = link.asked(6, 99).expect("not superseded");
         assert!(!link.ready(7, offered) && link.ready(6, offered));
-        assert_eq!((link.boot, link.message(1, 5, 1, 3)), (6, Next::Tell));
+        assert_eq!((link.boot, link.message(1, 5, 1, 3)), (6, Disposition::Tell));
         assert_eq!(link.asked(5, 1), None);
     }
 
     #[test]
     fn questions_are_few_and_keep_their_number_while_an_answer_may_come() {
-        let mut link = Link::new("b".into(), true);
+        let mut link = Session::new("b".into(), true);
         assert_eq!(link.ask(0, 3), Some(3));
         assert_eq!(link.ask(1, 4), None);
         assert_eq!(link.ask(HELLO_EVERY, 5), Some(3));
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -13,41 +13,41 @@
 use rand::SeedableRng;
 
 use crate::config::Config;
-use crate::health::{Health, Sign};
-use crate::identity::{Id, MemberName};
-use crate::wire::GOSSIP;
+use crate::health::{HealthSignal, LocalHealth};
+use crate::identity::{Identity, MemberName};
+use crate::wire::MAX_GOSSIP_LEN;
 use crate::Micros;
 
 /// What comes out of one step of `foca`.
 #[derive(Default)]
 struct Out {
-    send: Vec<(Id, Vec<u8>)>,
-    timers: Vec<(Timer<Id>, Duration)>,
-    signs: Vec<Sign>,
+    send: Vec<(Identity, Vec<u8>)>,
+    timers: Vec<(Timer<Identity>, Duration)>,
+    signs: Vec<HealthSignal>,
     /// The latest incarnation that we sent under.
     incarnation: u16,
     /// Someone's state has changed.
     changed: bool,
     /// Two processes of one name were both held to be there: the earlier and the later.
-    renamed: Vec<(Id, Id)>,
+    renamed: Vec<(Identity, Identity)>,
 }
 
-impl Runtime<Id> for &mut Out {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<Identity> for &mut Out {
+    fn notify(&mut self, notification: Notification<'_, Identity>) {
         match notification {
             Notification::DataReceived(header) => {
                 if matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. }) {
-                    self.signs.push(Sign::ProbeAnswered);
+                    self.signs.push(HealthSignal::ProbeAnswered);
                 }
             }
             Notification::DataSent(header) => {
                 if header.src_incarnation > self.incarnation {
-                    self.signs.push(Sign::Suspected);
+                    self.signs.push(HealthSignal::Suspected);
                 }
                 self.incarnation = header.src_incarnation;
             }
             Notification::ProbeFailed(..) => {
-                self.signs.push(Sign::ProbeFailed);
+                self.signs.push(HealthSignal::ProbeFailed);
                 self.changed = true;
             }
             Notification::Rename(before, after) => {
@@ -58,22 +58,22 @@
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: Identity, data: &[u8]) {
         self.send.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
         self.timers.push((event, after));
     }
 }
 
 /// The protocol, its timers and this server's health.
 pub struct Swim {
-    foca: Foca<Id, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
-    timers: BTreeMap<(Micros, u64), Timer<Id>>,
+    foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
+    timers: BTreeMap<(Micros, u64), Timer<Identity>>,
     next: u64,
     incarnation: u16,
-    pub health: Health,
+    pub health: LocalHealth,
     probe: Micros,
     suspect: Micros,
     setting: foca::Config,
@@ -87,7 +87,7 @@
     /// Someone's state may have changed.
     pub changed: bool,
     /// A later process has taken the place of an earlier one.
-    pub renamed: Vec<(Id, Id)>,
+    pub renamed: Vec<(Identity, Identity)>,
 }
 
 fn setting(config: &Config) -> foca::Config {
@@ -100,26 +100,26 @@
         })
     };
     // Rounds that news takes to reach everyone grow with the logarithm of the fleet (SWIM, 4.1).
-    let rounds = 4 + 3 * (config.roster() as f64).log2().ceil() as u8;
+    let rounds = 4 + 3 * (config.roster_size() as f64).log2().ceil() as u8;
     foca::Config {
-        probe_period: often(timing.probe),
+        probe_period: often(timing.probe_interval),
         // The other half is for those who are asked to try.
-        probe_rtt: often(timing.probe * 2 / 5),
+        probe_rtt: often(timing.probe_interval * 2 / 5),
         num_indirect_probes: NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN),
         max_transmissions: NonZeroU8::new(rounds).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: often(config.suspect()),
+        suspect_to_down_after: often(config.suspicion_timeout()),
         // A name is kept for a day after it failed; a new start under it takes its place at once.
         remove_down_after: Some(Duration::from_secs(86_400)),
-        max_packet_size: NonZeroUsize::new(GOSSIP).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_GOSSIP_LEN).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: periodic(Duration::from_secs(10), 1),
-        periodic_announce_to_down_members: periodic(often(2 * timing.probe), 2),
-        periodic_gossip: periodic(often(timing.probe * 2 / 5), 3),
+        periodic_announce_to_down_members: periodic(often(2 * timing.probe_interval), 2),
+        periodic_gossip: periodic(often(timing.probe_interval * 2 / 5), 3),
     }
 }
 
 impl Swim {
-    pub fn new(id: Id, config: &Config, seed: u64) -> Swim {
+    pub fn new(id: Identity, config: &Config, seed: u64) -> Swim {
         let setting = setting(config);
         let random = ChaCha8Rng::seed_from_u64(seed);
         Swim {
@@ -127,34 +127,34 @@
             timers: BTreeMap::new(),
             next: 0,
             incarnation: 0,
-            health: Health::default(),
-            probe: config.timing.probe,
-            suspect: config.suspect(),
+            health: LocalHealth::default(),
+            probe: config.timing.probe_interval,
+            suspect: config.suspicion_timeout(),
             setting,
         }
     }
 
     /// The roster has changed.
     pub fn set(&mut self, config: &Config) {
-        self.suspect = config.suspect();
+        self.suspect = config.suspicion_timeout();
         let new = setting(config);
         self.setting.max_transmissions = new.max_transmissions;
         self.set_suspect();
     }
 
     fn set_suspect(&mut self) {
-        self.setting.suspect_to_down_after = Duration::from_micros(self.health.stretch(self.suspect));
+        self.setting.suspect_to_down_after = Duration::from_micros(self.health.scale(self.suspect));
         // Only what may change while it runs is different.
         let _ = self.foca.set_config(self.setting.clone());
     }
 
     /// Our name and start.
-    pub fn id(&self) -> &Id {
+    pub fn id(&self) -> &Identity {
         self.foca.identity()
     }
 
     /// Everyone that it has heard of.
-    pub fn members(&self) -> impl Iterator<Item = &Member<Id>> {
+    pub fn members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_membership_state()
     }
 
@@ -163,7 +163,7 @@
         act(self, &mut out);
         self.incarnation = out.incarnation;
         let before = self.health;
-        out.signs.iter().for_each(|sign| self.health.note(*sign));
+        out.signs.iter().for_each(|sign| self.health.record(*sign));
         if self.health != before {
             self.set_suspect();
         }
@@ -171,11 +171,11 @@
             let after = after.as_micros() as Micros;
             // Both of a probe's limits, so that their order stays.
             let stretched = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
-            let after = if stretched { self.health.stretch(after) } else { after };
+            let after = if stretched { self.health.scale(after) } else { after };
             self.next += 1;
             self.timers.insert((now + after, self.next), timer);
         }
-        let send = out.send.into_iter().map(|(id, bytes)| (id.name, id.boot, bytes)).collect();
+        let send = out.send.into_iter().map(|(id, bytes)| (id.name, id.boot_id, bytes)).collect();
         Came { send, changed: out.changed, renamed: out.renamed }
     }
 
@@ -190,8 +190,8 @@
         let held = self.members().find(|m| m.id().name == *name).map(|m| (m.id().clone(), m.state()));
         // Held for failed, it is to hear of it from the announcement, and comes back by itself.
         let id = match &held {
-            Some((id, _)) if id.boot == boot => id.clone(),
-            _ => Id { name: name.clone(), boot, renewal: 0 },
+            Some((id, _)) if id.boot_id == boot => id.clone(),
+            _ => Identity { name: name.clone(), boot_id: boot, renewal: 0 },
         };
         let failed = held.is_some_and(|(old, state)| old == id && state == foca::State::Down);
         self.step(now, |swim, mut out| {
@@ -211,7 +211,8 @@
 
     /// Whether this process is held to be there.
     pub fn holds(&self, name: &MemberName, boot: u64) -> bool {
-        self.members().any(|m| m.id().name == *name && m.id().boot == boot && m.state() != foca::State::Down)
+        self.members()
+            .any(|m| m.id().name == *name && m.id().boot_id == boot && m.state() != foca::State::Down)
     }
 
     /// When the next timer is due.
@@ -224,12 +225,12 @@
         let later = self.timers.split_off(&(now + 1, 0));
         let due = std::mem::replace(&mut self.timers, later);
         let late = due.first_key_value().is_some_and(|((at, _), _)| now - at > self.probe / 2);
-        let mut due: Vec<Timer<Id>> = due.into_values().collect();
+        let mut due: Vec<Timer<Identity>> = due.into_values().collect();
         // `foca` wants timers that are late together in its own order.
         due.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
         self.step(now, |swim, out| {
             if late {
-                out.signs.push(Sign::Late);
+                out.signs.push(HealthSignal::TimerLate);
             }
             for timer in due {
                 drop(swim.foca.handle_timer(timer, &mut *out));
@@ -249,7 +250,7 @@
     }
 
     /// From now on under this identity.
-    pub fn rename(&mut self, now: Micros, id: Id) -> Came {
+    pub fn rename(&mut self, now: Micros, id: Identity) -> Came {
         self.step(now, |swim, mut out| drop(swim.foca.change_identity(id, &mut out)))
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -15,8 +15,8 @@
     for row in rows {
         hasher.update(&(row.name.len() as u32).to_le_bytes());
         hasher.update(row.name.as_bytes());
-        hasher.update(&row.boot.to_le_bytes());
-        hasher.update(&[u8::from(row.there)]);
+        hasher.update(&row.boot_id.to_le_bytes());
+        hasher.update(&[u8::from(row.present)]);
     }
     let mut first = [0; 8];
     first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
@@ -25,9 +25,9 @@
 
 /// Two living members that have held different views for long.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Disagreement {
+pub struct ViewDivergence {
     /// The other.
-    pub with: MemberName,
+    pub peer: MemberName,
     /// Since when.
     pub since: Micros,
     /// Our view when it was found.
@@ -36,12 +36,12 @@
     pub theirs: Vec<ViewRow>,
 }
 
-impl Disagreement {
+impl ViewDivergence {
     /// Where the two views part, one line each.
     pub fn differences(&self) -> Vec<String> {
         let word = |row: Option<&ViewRow>| match row {
             None => "not in its roster".to_owned(),
-            Some(row) if row.there => format!("there, started at {}", row.boot),
+            Some(row) if row.present => format!("there, started at {}", row.boot_id),
             Some(_) => "not there".to_owned(),
         };
         let find = |rows: &[ViewRow], name: &MemberName| word(rows.iter().find(|r| r.name == *name));
@@ -49,7 +49,7 @@
             self.ours.iter().chain(&self.theirs).map(|row| &row.name).collect();
         let both = names.into_iter().map(|name| (name, find(&self.ours, name), find(&self.theirs, name)));
         both.filter(|(_, ours, theirs)| ours != theirs)
-            .map(|(name, ours, theirs)| format!("{name}: {ours} here, {theirs} for {}", self.with))
+            .map(|(name, ours, theirs)| format!("{name}: {ours} here, {theirs} for {}", self.peer))
             .collect()
     }
 }
@@ -60,12 +60,12 @@
 
     #[test]
     fn a_digest_tells_views_apart_and_differences_are_named() {
-        let row = |name: &str, boot, there| ViewRow { name: name.into(), boot, there };
+        let row = |name: &str, boot, there| ViewRow { name: name.into(), boot_id: boot, present: there };
         let (ours, theirs) =
             (vec![row("a", 1, true), row("b", 2, true)], vec![row("a", 1, true), row("b", 0, false)]);
         assert_eq!(digest(&ours), digest(&ours.clone()));
         assert_ne!(digest(&ours), digest(&theirs));
-        let found = Disagreement { with: "c".into(), since: 0, ours, theirs };
+        let found = ViewDivergence { peer: "c".into(), since: 0, ours, theirs };
         assert_eq!(found.differences(), ["b: there, started at 2 here, not there for c"]);
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -10,13 +10,13 @@
 use crate::partition::PartitionStatus;
 
 /// The form of messages that this program writes and understands.
-pub const FORM: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// The longest datagram: under the smallest path MTU in common use, headers and seal included (RFC 8085, 3.2).
-pub const LONGEST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_LEN: usize = 1_400;
 /// The longest message over a stream.
-pub const LONGEST: usize = 64 * 1_024;
+pub const MAX_MESSAGE_LEN: usize = 64 * 1_024;
 /// Room for what a member says of itself around a gossip message.
-pub const GOSSIP: usize = 1_100;
+pub const MAX_GOSSIP_LEN: usize = 1_100;
 
 const TAG: usize = 4;
 const MAC: usize = 16;
@@ -71,30 +71,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// Its sender.
-    pub from: MemberName,
+    pub sender: MemberName,
     /// The start of the sending process.
-    pub boot: u64,
+    pub boot_id: u64,
     /// The start of the process that it is for; 0 before that is known.
-    pub to_boot: u64,
+    pub receiver_boot_id: u64,
     /// Its number in the session.
-    pub seq: u64,
+    pub sequence: u64,
     /// It goes by datagram and by stream, so that it is to be expected twice.
-    pub twice: bool,
+    pub sent_twice: bool,
 }
 
 /// What a server says of itself with everything it sends in a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SenderStatus {
     /// How long ago it last heard the receiver, in milliseconds; `u32::MAX` is never.
-    pub hears_you_ms: u32,
+    pub heard_receiver_ms: u32,
     /// Digest of its view, see [`crate::view`].
-    pub view: u64,
+    pub view_digest: u64,
     /// Its standing.
-    pub standing: PartitionStatus,
+    pub partition_status: PartitionStatus,
     /// How loaded it is, in percent.
-    pub load: u8,
+    pub load_percent: u8,
     /// How sick it is, from 0 to 8, see [`crate::health`].
-    pub sick: u8,
+    pub health_score: u8,
     /// It has been told to end.
     pub leaving: bool,
 }
@@ -120,9 +120,9 @@
     /// The member.
     pub name: MemberName,
     /// The start of its process; 0 if never seen.
-    pub boot: u64,
+    pub boot_id: u64,
     /// Whether it is held to be there.
-    pub there: bool,
+    pub present: bool,
 }
 
 /// What a message says.
@@ -152,9 +152,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// From whom and for whom.
-    pub head: Header,
+    pub header: Header,
     /// Within a session: what the sender says of itself.
-    pub note: Option<SenderStatus>,
+    pub sender_status: Option<SenderStatus>,
     /// What it says.
     pub body: Body,
 }
@@ -171,7 +171,7 @@
 
     /// A message, ready to send.
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
-        let mut out = vec![FORM];
+        let mut out = vec![FORMAT_VERSION];
         out.extend_from_slice(&self.tag);
         out.extend_from_slice(&[0; MAC]);
         // Only a type without a serial form could fail here, and there is none.
@@ -196,7 +196,7 @@
         if blake3::Hash::from(self.full(rest)).as_bytes()[..MAC] != head[1 + TAG..] {
             return Err(RejectReason::Damaged);
         }
-        if head[0] != FORM {
+        if head[0] != FORMAT_VERSION {
             return Err(RejectReason::Form);
         }
         postcard::from_bytes(rest).map_err(|_| RejectReason::Form)
@@ -226,20 +226,21 @@
     use proptest::prelude::*;
 
     fn message(body: Body) -> Message {
-        let head = Header { from: "a".into(), boot: 7, to_boot: 8, seq: 9, twice: false };
-        Message { head, note: None, body }
+        let head =
+            Header { sender: "a".into(), boot_id: 7, receiver_boot_id: 8, sequence: 9, sent_twice: false };
+        Message { header: head, sender_status: None, body }
     }
 
     #[test]
     fn what_is_foreign_damaged_or_too_new_is_told_apart() {
         let (key, other) = (Key::new("f", "s"), Key::new("g", "s"));
         let sealed = key.seal(&message(Body::Hello(5)));
-        assert_eq!(key.open(&sealed, LONGEST), Ok(message(Body::Hello(5))));
-        assert_eq!(other.open::<Message>(&sealed, LONGEST), Err(RejectReason::Foreign));
-        assert_eq!(Key::new("f", "t").open::<Message>(&sealed, LONGEST), Err(RejectReason::Damaged));
+        assert_eq!(key.open(&sealed, MAX_MESSAGE_LEN), Ok(message(Body::Hello(5))));
+        assert_eq!(other.open::<Message>(&sealed, MAX_MESSAGE_LEN), Err(RejectReason::Foreign));
+        assert_eq!(Key::new("f", "t").open::<Message>(&sealed, MAX_MESSAGE_LEN), Err(RejectReason::Damaged));
         assert_eq!(key.open::<Message>(&sealed, 10), Err(RejectReason::TooLong));
-        let newer = [&[FORM + 1], &sealed[1..]].concat();
-        assert_eq!(key.open::<Message>(&newer, LONGEST), Err(RejectReason::Form));
+        let newer = [&[FORMAT_VERSION + 1], &sealed[1..]].concat();
+        assert_eq!(key.open::<Message>(&newer, MAX_MESSAGE_LEN), Err(RejectReason::Form));
     }
 
     proptest! {
@@ -250,8 +251,8 @@
             let mut sealed = key.seal(&message(Body::Channel(1, vec![3; 40])));
             let place = place % sealed.len();
             sealed[place] ^= 1 << bit;
-            prop_assert!(key.open::<Message>(&sealed, LONGEST).is_err());
-            prop_assert!(key.open::<Message>(&noise, LONGEST).is_err());
+            prop_assert!(key.open::<Message>(&sealed, MAX_MESSAGE_LEN).is_err());
+            prop_assert!(key.open::<Message>(&noise, MAX_MESSAGE_LEN).is_err());
         }
     }
 }
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -11,8 +11,9 @@
 /// Short times, so that a run has many rounds.
 fn quick(config: &mut Config) {
     let timing = &mut config.timing;
-    (timing.probe, timing.suspect, timing.beat) = (200_000, 600_000, 150_000);
-    (timing.rise, timing.damp) = (200_000, 500_000);
+    (timing.probe_interval, timing.suspicion_timeout, timing.heartbeat_interval) =
+        (200_000, 600_000, 150_000);
+    (timing.upgrade_delay, timing.min_status_duration) = (200_000, 500_000);
 }
 
 fn usual(_: &mut Config) {}
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,20 +1,27 @@
 //! The bytes of each kind of message between members, as written by commit 604394b: servers of that version and of this
 //! one form one fleet while a new version is rolled out.
 
-use umberloom_membership::wire::{Body, BuildInfo, Header, Key, Message, SenderStatus, ViewRow, LONGEST};
+use umberloom_membership::wire::{
+    Body, BuildInfo, Header, Key, Message, SenderStatus, ViewRow, MAX_MESSAGE_LEN,
+};
 use umberloom_membership::PartitionStatus;
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let head =
-        Header { from: "server-a".into(), boot: 1_700_000_000_000_001, to_boot: 77, seq: 300, twice: true };
+    let head = Header {
+        sender: "server-a".into(),
+        boot_id: 1_700_000_000_000_001,
+        receiver_boot_id: 77,
+        sequence: 300,
+        sent_twice: true,
+    };
     let note = SenderStatus {
-        hears_you_ms: 1_234,
-        view: 0x0123_4567_89ab_cdef,
-        standing: PartitionStatus::Majority,
-        load: 42,
-        sick: 3,
+        heard_receiver_ms: 1_234,
+        view_digest: 0x0123_4567_89ab_cdef,
+        partition_status: PartitionStatus::Majority,
+        load_percent: 42,
+        health_score: 3,
         leaving: true,
     };
     let about = BuildInfo {
@@ -25,8 +32,8 @@
         shares: 1 << 40,
     };
     let rows = vec![
-        ViewRow { name: "server-a".into(), boot: 5, there: true },
-        ViewRow { name: "server-b".into(), boot: 0, there: false },
+        ViewRow { name: "server-a".into(), boot_id: 5, present: true },
+        ViewRow { name: "server-b".into(), boot_id: 0, present: false },
     ];
     let bodies = [
         ("hello", Body::Hello(5)),
@@ -40,7 +47,7 @@
         ("ask-view", Body::ViewRequest),
         ("view", Body::View(rows)),
     ];
-    let message = |body| Message { head: head.clone(), note: Some(note), body };
+    let message = |body| Message { header: head.clone(), sender_status: Some(note), body };
     let mut all: Vec<(&str, Message)> =
         bodies.into_iter().map(|(name, body)| (name, message(body))).collect();
     let standings = [
@@ -51,10 +58,10 @@
         PartitionStatus::Whole,
     ];
     for (name, standing) in ["unsure", "alone", "minority", "majority", "whole"].into_iter().zip(standings) {
-        let note = Some(SenderStatus { standing, hears_you_ms: u32::MAX, ..note });
-        all.push((name, Message { head: head.clone(), note, body: Body::ViewRequest }));
+        let note = Some(SenderStatus { partition_status: standing, heard_receiver_ms: u32::MAX, ..note });
+        all.push((name, Message { header: head.clone(), sender_status: note, body: Body::ViewRequest }));
     }
-    all.push(("no-note", Message { head, note: None, body: Body::Hello(1) }));
+    all.push(("no-note", Message { header: head, sender_status: None, body: Body::Hello(1) }));
     all
 }
 
@@ -83,6 +90,6 @@
     for (line, (name, message)) in golden.into_iter().zip(messages()) {
         let (golden_name, sealed) = line.split_once(' ').expect("a name and bytes");
         assert_eq!(golden_name, name);
-        assert_eq!(key.open::<Message>(&bytes(sealed), LONGEST), Ok(message), "{name}");
+        assert_eq!(key.open::<Message>(&bytes(sealed), MAX_MESSAGE_LEN), Ok(message), "{name}");
     }
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::Config as Dependencies;
-use umberloom_membership::config::{Config, Peer, Timing, MOST_PEERS};
+use umberloom_membership::config::{Config, Peer, Timing, MAX_PEERS};
 use umberloom_quota as allowance;
 
 use crate::node::Reader;
@@ -49,7 +49,15 @@
         let peers = self.membership.peers.iter().map(|peer| peer.name.clone());
         let me = self.membership.name.clone();
         let roster = peers.chain([me.clone()]).collect();
-        allowance::Config { whole, roster, me, loan, call, delivery, drift }
+        allowance::Config {
+            total: whole,
+            roster,
+            own_name: me,
+            lease: loan,
+            max_call: call,
+            max_delivery: delivery,
+            clock_drift: drift,
+        }
     }
 
     /// What two servers must have in common to go by the same parts.
@@ -111,7 +119,7 @@
         timing,
     };
     for mistake in membership.validate() {
-        let place = mistake.peer.and_then(|place| places.get(place.min(MOST_PEERS)).copied());
+        let place = mistake.peer.and_then(|place| places.get(place.min(MAX_PEERS)).copied());
         reader.fault(place.unwrap_or(at), mistake.what);
     }
     let kept = reader.one(within, "record");
@@ -192,20 +200,21 @@
     reader.leaf(node);
     let mut from = reader.properties(node);
     let found = Timing {
-        probe: from.millis("probe-ms", unless_set.probe),
-        suspect: from.millis("suspect-ms", unless_set.suspect),
-        beat: from.millis("beat-ms", unless_set.beat),
-        rise: from.millis("rise-ms", unless_set.rise),
-        damp: from.millis("damp-ms", unless_set.damp),
-        calm: from.millis("calm-ms", unless_set.calm),
-        disagree: from.millis("disagree-ms", unless_set.disagree),
+        probe_interval: from.millis("probe-ms", unless_set.probe_interval),
+        suspicion_timeout: from.millis("suspect-ms", unless_set.suspicion_timeout),
+        heartbeat_interval: from.millis("beat-ms", unless_set.heartbeat_interval),
+        upgrade_delay: from.millis("rise-ms", unless_set.upgrade_delay),
+        min_status_duration: from.millis("damp-ms", unless_set.min_status_duration),
+        stable_after: from.millis("calm-ms", unless_set.stable_after),
+        divergence_timeout: from.millis("disagree-ms", unless_set.divergence_timeout),
     };
     from.done();
     found
 }
 
 fn loans(reader: &mut Reader, node: Option<&KdlNode>) -> Loans {
-    let allowance::Config { loan, call, delivery, drift, .. } = allowance::Config::new(1, &["a"], "a");
+    let allowance::Config { lease: loan, max_call: call, max_delivery: delivery, clock_drift: drift, .. } =
+        allowance::Config::new(1, &["a"], "a");
     let unless_set = Loans { loan, call, delivery, drift };
     let Some(node) = node else { return unless_set };
     reader.leaf(node);
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -32,8 +32,8 @@
     assert_eq!((&*fleet.membership.name, &*fleet.membership.zone), ("n1", "west"));
     assert_eq!(fleet.addresses[1], "127.0.0.1:7403".parse().expect("an address"));
     assert_eq!(fleet.shared, [("billing".to_owned(), 40)]);
-    assert_eq!((fleet.membership.timing.probe, fleet.loans.call), (250_000, 800_000));
-    assert_eq!((fleet.allowance(40).part(), operator.dependencies.dependencies[1].ceiling()), (14, 10));
+    assert_eq!((fleet.membership.timing.probe_interval, fleet.loans.call), (250_000, 800_000));
+    assert_eq!((fleet.allowance(40).own_share(), operator.dependencies.dependencies[1].ceiling()), (14, 10));
     // The server's own name among its peers is known only with the configuration.
     let mine = Known { classes: None, name: Some("n2") };
     let faults = parse_known("f", FLEET, mine).expect_err("its own name").to_string();
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Calls at once that the dependency survives from all servers.
-    pub whole: u32,
+    pub total: u32,
     /// Everyone who has a part, this server included.
     pub roster: Vec<MemberName>,
     /// This server.
-    pub me: MemberName,
+    pub own_name: MemberName,
     /// How long a loan lasts.
-    pub loan: Micros,
+    pub lease: Micros,
     /// The longest time that a call may state.
-    pub call: Micros,
+    pub max_call: Micros,
     /// How long a call may be on its way before the dependency begins to count its time.
-    pub delivery: Micros,
+    pub max_delivery: Micros,
     /// How far the rate of a server's clock may be off, as a share.
-    pub drift: f64,
+    pub clock_drift: f64,
 }
 
 /// A loan is long beside the time to ask for it (some ms) and short beside an outage.
@@ -34,63 +34,74 @@
 
 impl Config {
     /// An allowance with the usual times.
-    pub fn new(whole: u32, roster: &[&str], me: &str) -> Config {
+    pub fn new(total: u32, roster: &[&str], me: &str) -> Config {
         let roster = roster.iter().map(|name| MemberName::from(*name)).collect();
-        Config { whole, roster, me: me.into(), loan: LOAN, call: CALL, delivery: DELIVERY, drift: DRIFT }
+        Config {
+            total,
+            roster,
+            own_name: me.into(),
+            lease: LOAN,
+            max_call: CALL,
+            max_delivery: DELIVERY,
+            clock_drift: DRIFT,
+        }
     }
 
     /// This server's part.
-    pub fn part(&self) -> u32 {
-        parts(self.whole, &self.roster)
+    pub fn own_share(&self) -> u32 {
+        quota_shares(self.total, &self.roster)
             .into_iter()
-            .find(|(name, _)| *name == self.me)
+            .find(|(name, _)| *name == self.own_name)
             .map_or(0, |(_, part)| part)
     }
 
     /// A time as the holder of what it bounds counts it on a clock that may run fast.
-    pub(crate) fn longer(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 + 2.0 * self.drift)).ceil() as Micros
+    pub(crate) fn scale_up_for_drift(&self, span: Micros) -> Micros {
+        (span as f64 * (1.0 + 2.0 * self.clock_drift)).ceil() as Micros
     }
 
     /// The same for the one who must have stopped by then, on a clock that may run slow.
-    pub(crate) fn shorter(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 - 2.0 * self.drift)) as Micros
+    pub(crate) fn scale_down_for_drift(&self, span: Micros) -> Micros {
+        (span as f64 * (1.0 - 2.0 * self.clock_drift)) as Micros
     }
 
     /// What an earlier process under this name may still be using: calls that it began, and its loans with the calls
     /// that they serve, which end before they do.
-    pub fn quiet(&self) -> Micros {
-        self.longer(self.loan + self.call + 2 * self.delivery)
+    pub fn quarantine(&self) -> Micros {
+        self.scale_up_for_drift(self.lease + self.max_call + 2 * self.max_delivery)
     }
 
     /// By which two servers can tell whether they go by the same parts.
     pub fn basis(&self) -> String {
         let mut roster: Vec<&str> = self.roster.iter().map(|name| &**name).collect();
         roster.sort_unstable();
-        format!("{} {:?} {} {} {} {}", self.whole, roster, self.loan, self.call, self.delivery, self.drift)
+        format!(
+            "{} {:?} {} {} {} {}",
+            self.total, roster, self.lease, self.max_call, self.max_delivery, self.clock_drift
+        )
     }
 
     /// All that is wrong with it.
     pub fn validate(&self) -> Vec<String> {
         let mut found = Vec::new();
         let sorted: std::collections::BTreeSet<&MemberName> = self.roster.iter().collect();
-        if self.roster.is_empty() || sorted.len() < self.roster.len() || !sorted.contains(&self.me) {
+        if self.roster.is_empty() || sorted.len() < self.roster.len() || !sorted.contains(&self.own_name) {
             found.push("a roster names everyone once, this server too".to_owned());
         }
-        if (self.whole as usize) < self.roster.len() {
-            let (whole, all) = (self.whole, self.roster.len());
+        if (self.total as usize) < self.roster.len() {
+            let (whole, all) = (self.total, self.roster.len());
             found.push(format!("{whole} calls over {all} servers: each needs a part of one call at least"));
         }
-        let times = [self.loan, self.call];
+        let times = [self.lease, self.max_call];
         if times.iter().any(|time| !(20 * MS..=60_000 * MS).contains(time)) {
             found.push("loans and calls last from 20 ms to a minute".to_owned());
         }
-        if self.loan < self.call / 4 || self.delivery > self.loan / 4 {
+        if self.lease < self.max_call / 4 || self.max_delivery > self.lease / 4 {
             found.push(
                 "a loan lasts for a quarter of a call at least, and for four times a delivery".to_owned(),
             );
         }
-        if !(0.0..=0.1).contains(&self.drift) {
+        if !(0.0..=0.1).contains(&self.clock_drift) {
             found.push("clocks drift by a share from 0 to 0.1".to_owned());
         }
         found
@@ -98,7 +109,7 @@
 }
 
 /// Everyone's part: the same for all, the rest by the order of names.
-pub fn parts(whole: u32, roster: &[MemberName]) -> Vec<(MemberName, u32)> {
+pub fn quota_shares(whole: u32, roster: &[MemberName]) -> Vec<(MemberName, u32)> {
     let mut names: Vec<MemberName> = roster.to_vec();
     names.sort();
     let count = names.len().max(1) as u32;
@@ -114,8 +125,8 @@
     fn parts_add_up_to_the_whole_and_do_not_depend_on_the_order() {
         for whole in 3..40 {
             let (one, other) = (["c", "a", "b"].map(MemberName::from), ["b", "c", "a"].map(MemberName::from));
-            assert_eq!(parts(whole, &one), parts(whole, &other));
-            assert_eq!(parts(whole, &one).iter().map(|(_, part)| part).sum::<u32>(), whole);
+            assert_eq!(quota_shares(whole, &one), quota_shares(whole, &other));
+            assert_eq!(quota_shares(whole, &one).iter().map(|(_, part)| part).sum::<u32>(), whole);
         }
     }
 
@@ -127,9 +138,9 @@
             Config::new(10, &["a", "a"], "a"),
             Config::new(10, &["a", "b"], "c"),
             Config::new(1, &["a", "b"], "a"),
-            Config { loan: 1, ..sound.clone() },
-            Config { delivery: 1_900_000, ..sound.clone() },
-            Config { drift: f64::NAN, ..sound.clone() },
+            Config { lease: 1, ..sound.clone() },
+            Config { max_delivery: 1_900_000, ..sound.clone() },
+            Config { clock_drift: f64::NAN, ..sound.clone() },
         ];
         for config in cases {
             assert!(!config.validate().is_empty(), "{config:?}");
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -44,7 +44,7 @@
 mod ledger;
 mod quota;
 
-pub use config::{parts, Config};
+pub use config::{quota_shares, Config};
 pub use ledger::CallId;
 pub use quota::{ChangeCause, Message, QuotaStatus, SharedQuota};
 
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::Config;
-use crate::ledger::{Borrowed, CallId, Ledger, Lent, Loan, Use};
+use crate::ledger::{Borrowed, CallId, CallPermit, LeaseId, Ledger, Loan};
 use crate::{MemberName, Micros};
 
 /// Questions that may be without an answer: two rounds to everyone in a large fleet.
@@ -127,7 +127,7 @@
         }
         Ok(SharedQuota {
             part: 0,
-            grow_at: Some(now + config.quiet()),
+            grow_at: Some(now + config.quarantine()),
             started: false,
             silenced: false,
             ledger: Ledger::default(),
@@ -156,14 +156,14 @@
             return Ok(());
         }
         // What runs by the longer of the old and the new times has run out after the longer quiet.
-        let quiet = config.quiet().max(self.config.quiet());
+        let quiet = config.quarantine().max(self.config.quarantine());
         self.config = config;
-        if self.config.part() < self.part {
-            self.part = self.config.part();
+        if self.config.own_share() < self.part {
+            self.part = self.config.own_share();
             self.moved = (ChangeCause::Part, now);
         }
         self.grow_at =
-            (self.started && self.config.part() > self.part).then_some(now + quiet).or(self.grow_at);
+            (self.started && self.config.own_share() > self.part).then_some(now + quiet).or(self.grow_at);
         Ok(())
     }
 
@@ -175,7 +175,7 @@
         // heard of this process for its part to be its own.
         let hindered = if self.started { !all } else { differ };
         if hindered && self.grow_at.is_some() {
-            let quiet = now + self.config.quiet();
+            let quiet = now + self.config.quarantine();
             if self.started {
                 self.grow_at = Some(quiet);
             } else {
@@ -188,7 +188,7 @@
     pub fn set_fenced(&mut self, now: Micros, silenced: bool) {
         if self.silenced && !silenced {
             // As after a start: the other one may still use what it had.
-            (self.part, self.started, self.grow_at) = (0, false, Some(now + self.config.quiet()));
+            (self.part, self.started, self.grow_at) = (0, false, Some(now + self.config.quarantine()));
         }
         if silenced && !self.silenced {
             self.moved = (ChangeCause::Silenced, now);
@@ -214,14 +214,14 @@
         if self.grow_at.is_some_and(|at| now >= at) {
             self.grow_at = None;
             self.moved = (if self.started { ChangeCause::Part } else { ChangeCause::Settled }, now);
-            (self.part, self.started) = (self.config.part(), true);
+            (self.part, self.started) = (self.config.own_share(), true);
         }
         let used = self.ledger.used_of(None);
         if now >= self.peaks[0].0 + PEAK {
             self.peaks = [(now, used), self.peaks[0]];
         }
         self.peaks[0].1 = self.peaks[0].1.max(used);
-        self.asks.retain(|_, asked| now < asked.at + self.config.loan);
+        self.asks.retain(|_, asked| now < asked.at + self.config.lease);
         self.denied.retain(|_, until| now < *until);
         self.ask(now);
         self.give_back(now);
@@ -242,9 +242,11 @@
             return 0;
         }
         let own = self.part.saturating_sub(self.ledger.lent() + self.ledger.used_of(None));
-        let lasts = |until: Micros| until >= now + self.config.delivery + LEAST;
+        let lasts = |until: Micros| until >= now + self.config.max_delivery + LEAST;
         let loans = self.ledger.borrowed.iter().filter(|(_, loan)| lasts(loan.until));
-        own + loans.map(|(key, loan)| loan.places.saturating_sub(self.ledger.used_of(Some(key)))).sum::<u32>()
+        own + loans
+            .map(|(key, loan)| loan.permits.saturating_sub(self.ledger.used_of(Some(key))))
+            .sum::<u32>()
     }
 
     /// A place for a call that would like to state a time up to `until`: the time that it may state, if there is one.
@@ -255,10 +257,12 @@
         if self.silenced || self.ledger.calls.contains_key(&call) {
             return None;
         }
-        let until = until.min(now + self.config.call);
+        let until = until.min(now + self.config.max_call);
         let own = self.part > self.ledger.lent() + self.ledger.used_of(None);
-        let loan =
-            self.ledger.longest_free().map(|(key, ends)| (key, ends.saturating_sub(self.config.delivery)));
+        let loan = self
+            .ledger
+            .longest_free()
+            .map(|(key, ends)| (key, ends.saturating_sub(self.config.max_delivery)));
         let (until, loan) = match loan {
             // A loan that lasts for all of it leaves our own place to calls that it would not last for.
             Some((key, ends)) if ends >= until => (until, Some(key)),
@@ -267,9 +271,9 @@
             _ => return None,
         };
         if let Some(found) = loan.as_ref().and_then(|key| self.ledger.borrowed.get_mut(key)) {
-            found.used = now;
+            found.last_used_at = now;
         }
-        let used = Use { until: until + self.config.delivery, loan };
+        let used = CallPermit { until: until + self.config.max_delivery, lease: loan };
         self.ledger.calls.insert(call, used);
         Some(until)
     }
@@ -283,9 +287,10 @@
     /// Asks for places while calls wait and none are free.
     fn ask(&mut self, now: Micros) {
         let (waiting, level) = self.need;
-        let soon = self.config.loan / 4;
-        let ending =
-            |(key, loan): (&Loan, &Borrowed)| loan.until < now + soon && self.ledger.used_of(Some(key)) > 0;
+        let soon = self.config.lease / 4;
+        let ending = |(key, loan): (&LeaseId, &Borrowed)| {
+            loan.until < now + soon && self.ledger.used_of(Some(key)) > 0
+        };
         let going = self.ledger.borrowed.iter().any(ending);
         if self.silenced
             || now < self.asked_at + ASK_EVERY
@@ -301,7 +306,7 @@
             return;
         }
         self.asked_at = now;
-        let each = waiting.max(1).div_ceil(to.len() as u32).min(self.config.whole);
+        let each = waiting.max(1).div_ceil(to.len() as u32).min(self.config.total);
         for name in to {
             self.next += 1;
             self.asks.insert((name.clone(), self.next), Asked { at: now });
@@ -314,11 +319,12 @@
         if self.need.0 > 0 {
             return;
         }
-        let unused = |(key, loan): (&Loan, &Borrowed)| {
-            let idle = now >= loan.used + self.config.loan / 4 && self.ledger.used_of(Some(key)) == 0;
+        let unused = |(key, loan): (&LeaseId, &Borrowed)| {
+            let idle =
+                now >= loan.last_used_at + self.config.lease / 4 && self.ledger.used_of(Some(key)) == 0;
             idle.then(|| key.clone())
         };
-        let unused: Vec<Loan> = self.ledger.borrowed.iter().filter_map(unused).collect();
+        let unused: Vec<LeaseId> = self.ledger.borrowed.iter().filter_map(unused).collect();
         for key in unused {
             self.ledger.borrowed.remove(&key);
             self.out.push((key.0, Message::Return(key.2)));
@@ -333,9 +339,9 @@
             Message::Grant(number, loan, places, span) => {
                 let Some(asked) = self.asks.remove(&(from.clone(), number)) else { return };
                 // From before it was asked, and by a clock that may run slow.
-                let until = asked.at + self.config.shorter(span.min(self.config.loan));
+                let until = asked.at + self.config.scale_down_for_drift(span.min(self.config.lease));
                 if now < until && self.ledger.borrowed.len() < LOANS && !self.silenced {
-                    let lent = Borrowed { places, until, used: now };
+                    let lent = Borrowed { permits: places, until, last_used_at: now };
                     self.ledger.borrowed.insert((from.clone(), boot, loan), lent);
                     self.moved = (ChangeCause::Borrowed, now);
                 }
@@ -347,7 +353,8 @@
             }
             Message::Return(loan) => {
                 // It stopped using it before it said so.
-                if self.ledger.lent.get(&loan).is_some_and(|lent| lent.to == *from && lent.boot == boot) {
+                if self.ledger.lent.get(&loan).is_some_and(|lent| lent.borrower == *from && lent.boot == boot)
+                {
                     self.ledger.lent.remove(&loan);
                     self.moved = (ChangeCause::LoanBack, now);
                 }
@@ -380,10 +387,10 @@
             return self.out.push((from.clone(), Message::Deny(number)));
         }
         self.next += 1;
-        let until = now + self.config.longer(self.config.loan);
-        self.ledger.lent.insert(self.next, Lent { to: from.clone(), boot, places, until });
+        let until = now + self.config.scale_up_for_drift(self.config.lease);
+        self.ledger.lent.insert(self.next, Loan { borrower: from.clone(), boot, permits: places, until });
         self.moved = (ChangeCause::Lent, now);
-        self.out.push((from.clone(), Message::Grant(number, self.next, places, self.config.loan)));
+        self.out.push((from.clone(), Message::Grant(number, self.next, places, self.config.lease)));
     }
 
     /// Messages for other servers.
@@ -394,9 +401,9 @@
     /// How it stands and why.
     pub fn status(&self, now: Micros) -> QuotaStatus {
         QuotaStatus {
-            whole: self.config.whole,
+            whole: self.config.total,
             part: self.part,
-            wanted: self.config.part(),
+            wanted: self.config.own_share(),
             lent: self.ledger.lent(),
             borrowed: self.ledger.borrowed(),
             used: self.ledger.calls.len() as u32,
@@ -410,14 +417,14 @@
     pub fn check_invariants(&self, now: Micros) -> Result<(), String> {
         let ledger = &self.ledger;
         let (own, lent) = (ledger.used_of(None), ledger.lent());
-        let most = self.config.part().max(self.part);
+        let most = self.config.own_share().max(self.part);
         // A part that has just shrunk may still be in use beyond it, but nothing begins then.
         if self.part > most || (own + lent > self.part && self.available(now) > ledger.borrowed()) {
             return Err(format!("{own} used and {lent} lent of a part of {}", self.part));
         }
         for (key, loan) in &ledger.borrowed {
-            let over = ledger.calls.values().any(|c| c.loan.as_ref() == Some(key) && c.until > loan.until);
-            if over || ledger.used_of(Some(key)) > loan.places {
+            let over = ledger.calls.values().any(|c| c.lease.as_ref() == Some(key) && c.until > loan.until);
+            if over || ledger.used_of(Some(key)) > loan.permits {
                 return Err(format!("the loan {key:?} serves more than it may"));
             }
         }
--- a/crates/quota/tests/whole.rs
+++ b/crates/quota/tests/whole.rs
@@ -263,7 +263,7 @@
 fn a_part_grows_only_when_all_go_by_the_same_and_shrinks_at_once() {
     let all = ["a", "b", "c", "d"];
     let config = |whole, roster: &[&str]| Config::new(whole, roster, "a");
-    let quiet = config(40, &all).quiet();
+    let quiet = config(40, &all).quarantine();
     let mut a = SharedQuota::new(0, config(40, &all), 1).expect("sound");
     a.handle_timeout(quiet);
     assert_eq!(a.available(quiet), 10);
@@ -294,7 +294,7 @@
 #[test]
 fn a_call_that_is_given_up_keeps_its_place_until_its_time_has_run_out() {
     let config = Config::new(2, &["a", "b"], "a");
-    let (quiet, delivery) = (config.quiet(), config.delivery);
+    let (quiet, delivery) = (config.quarantine(), config.max_delivery);
     let mut a = SharedQuota::new(0, config, 1).expect("sound");
     a.handle_timeout(quiet);
     let until = a.acquire(quiet, 1, quiet + 400_000).expect("a place");
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -96,7 +96,7 @@
         let read = load_operator(&path, known.as_ref())?;
         let (dependencies, plans) = (read.services.len(), read.dependencies.plans.len());
         let fleet = read.fleet.as_ref().map_or_else(String::new, |fleet| {
-            format!(", a fleet of {} that shares {}", fleet.membership.roster(), fleet.shared.len())
+            format!(", a fleet of {} that shares {}", fleet.membership.roster_size(), fleet.shared.len())
         });
         println!("{}: sound, {dependencies} dependencies and {plans} plans{fleet}", path.display());
     }
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -16,7 +16,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
-use umberloom_membership::wire::{BuildInfo, Key, LONGEST_DATAGRAM};
+use umberloom_membership::wire::{BuildInfo, Key, MAX_DATAGRAM_LEN};
 use umberloom_membership::{Action, Config, Event, MemberName, Membership, Micros, ReturnPath};
 use umberloom_operator_config::Record;
 use umberloom_quota::QuotaStatus;
@@ -282,7 +282,7 @@
     }
 
     fn datagrams(&mut self, now: Micros) {
-        let mut bytes = [0; LONGEST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..AT_ONCE {
             let Ok((size, from)) = self.sockets.datagrams.get_ref().recv_from(&mut bytes) else { return };
             let way = self.way(from);
@@ -372,7 +372,7 @@
             silenced: member.is_fenced(),
             members: member.members(now),
             allowances: self.shares.iter().map(|(name, view)| (name.to_string(), view.clone())).collect(),
-            disagreements: member.disagreements().map(|d| (d.with.to_string(), d.differences())).collect(),
+            disagreements: member.view_divergences().map(|d| (d.peer.to_string(), d.differences())).collect(),
             counts: member.counts().clone(),
         }
     }
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -10,7 +10,7 @@
 use crate::wire::record::{self, Asked};
 
 /// The longest content.
-pub const LONGEST: usize = umberloom_membership::wire::LONGEST;
+pub const LONGEST: usize = umberloom_membership::wire::MAX_MESSAGE_LEN;
 /// Bytes before the content.
 pub const HEAD: usize = 5;
 
