--- a/crates/fault-harness/src/history.rs
+++ b/crates/fault-harness/src/history.rs
@@ -28,7 +28,7 @@
 pub struct History(Arc<Mutex<Vec<Event>>>);
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl History {
--- a/crates/fault-harness/src/linear.rs
+++ b/crates/fault-harness/src/linear.rs
@@ -63,7 +63,7 @@
             match began.get(&value) {
                 None => found.push(format!("{name}: {value} was read and never written")),
                 Some(at) if *at > ended => {
-                    found.push(format!("{name}: {value} was read before it was written"))
+                    found.push(format!("{name}: {value} was read before it was written"));
                 }
                 Some(_) => {}
             }
--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -130,7 +130,7 @@
         place.store = None;
         let told = StoreConfig { most: 64 << 20, ..StoreConfig::new("record") };
         let mut store = Store::open(&place.disk, &told);
-        if store.as_ref().is_err_and(|why| why.is_damage()) {
+        if store.as_ref().is_err_and(umberloom_store::StoreError::is_damage) {
             self.aside.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
             let _ = Store::quarantine(&place.disk, &told);
             store = Store::open(&place.disk, &told);
@@ -252,7 +252,7 @@
         let mut again = None;
         match due {
             Due::Mail { from, boot, bytes, .. } => {
-                record.handle_message(now, &self.names[from], boot, &bytes)
+                record.handle_message(now, &self.names[from], boot, &bytes);
             }
             Due::Pass(_, of) if of == boot => {
                 record.set_reachable(reached, 0);
@@ -301,7 +301,7 @@
                 Action::Quarantine(why) => aside = Some(why),
             }
         }
-        self.finish(n, reads);
+        self.finish(n, &reads);
         if let Some(why) = aside {
             self.aside.push((n, why));
             let place = &mut self.places[n];
@@ -365,7 +365,7 @@
         self.carry_out(n);
     }
 
-    fn finish(&mut self, n: usize, reads: Vec<(u64, ReadOutcome)>) {
+    fn finish(&mut self, n: usize, reads: &[(u64, ReadOutcome)]) {
         let (now, place) = (self.now, &self.places[n]);
         let Some(record) = &place.record else { return };
         let operations = &mut self.operations;
--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -76,7 +76,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Callers {
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -168,8 +168,94 @@
 
 fn as_it_is(_: &mut Config) {}
 
+/// Microseconds of virtual time.
+const SECOND: u64 = 1_000_000;
+
+/// What one seed of a virtual fleet showed.
+struct KillAndPartition {
+    /// When each member knew of a kill, in milliseconds after it.
+    detection_ms: Vec<u64>,
+    /// How long after a partition all views agreed again, in milliseconds.
+    agreement_ms: u64,
+    /// Traffic of one member without faults.
+    bytes_per_s: f64,
+    messages_per_s: f64,
+}
+
+/// Kills and restarts one member, then cuts the fleet in halves for ten seconds.
+fn kill_and_partition(count: usize, seed: u64) -> Result<KillAndPartition, String> {
+    let mut fleet = VirtualFleet::new(count, seed, as_it_is);
+    fleet.run(30 * SECOND)?;
+    let (bytes_before, messages_before) = (fleet.bytes, fleet.messages);
+    fleet.run(40 * SECOND)?;
+    let per_member_second = |total: u64| total as f64 / 10.0 / count as f64;
+    let bytes_per_s = per_member_second(fleet.bytes - bytes_before);
+    let messages_per_s = per_member_second(fleet.messages - messages_before);
+
+    let killed_at = fleet.now;
+    fleet.kill(1);
+    fleet.run(killed_at + 30 * SECOND)?;
+    let times = fleet.failed_at(1, killed_at);
+    if times.len() < count - 1 {
+        return Err(format!("seed {seed}: {} of {} know of the kill after 30 s", times.len(), count - 1));
+    }
+    let detection_ms = times.iter().map(|time| (time - killed_at) / 1_000).collect();
+
+    fleet.start(1);
+    fleet.run(fleet.now + 20 * SECOND)?;
+    for a in 0..count / 2 {
+        for b in count / 2..count {
+            fleet.cut.insert((a, b));
+            fleet.cut.insert((b, a));
+        }
+    }
+    fleet.run(fleet.now + 10 * SECOND)?;
+    fleet.cut.clear();
+    let agreed = fleet.until_agreed(60 * SECOND)?;
+    let agreed = agreed.ok_or_else(|| format!("seed {seed}: views differ a minute after the cut"))?;
+    Ok(KillAndPartition { detection_ms, agreement_ms: agreed / 1_000, bytes_per_s, messages_per_s })
+}
+
+/// One row of the table of kills and partitions: all seeds of a fleet of this size.
+fn kill_row(count: usize, seeds: u64) -> Result<[String; 8], String> {
+    let runs = (0..seeds).map(|seed| kill_and_partition(count, seed)).collect::<Result<Vec<_>, _>>()?;
+    let mut detection: Vec<u64> = runs.iter().flat_map(|run| run.detection_ms.iter().copied()).collect();
+    let mut agreement: Vec<u64> = runs.iter().map(|run| run.agreement_ms).collect();
+    let bytes: f64 = runs.iter().map(|run| run.bytes_per_s).sum();
+    let messages: f64 = runs.iter().map(|run| run.messages_per_s).sum();
+    Ok([
+        count.to_string(),
+        seeds.to_string(),
+        percentile(&mut detection, 0.5),
+        percentile(&mut detection, 0.99),
+        percentile(&mut agreement, 0.5),
+        agreement.iter().max().map_or("-".to_owned(), u64::to_string),
+        format!("{:.0}", bytes / seeds as f64),
+        format!("{:.1}", messages / seeds as f64),
+    ])
+}
+
+/// One row of the table of losses: suspicions and failures of a fleet whose network loses this share of messages.
+fn loss_row(count: usize, loss: f64) -> Result<[String; 5], String> {
+    let mut fleet = VirtualFleet::new(count, 99, as_it_is);
+    fleet.run(30 * SECOND)?;
+    fleet.network = Network { loss, ..Network::default() };
+    let from = fleet.now;
+    fleet.run(from + 60 * SECOND)?;
+    let hours = 60.0 / 3_600.0 * count as f64;
+    // Each is told by everyone who hears of it: an accusation is counted once for each who holds it.
+    let (suspected, failed) = fleet.accusations(from);
+    let each = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
+    Ok([
+        count.to_string(),
+        format!("{:.0}", loss * 100.0),
+        format!("{hours:.1}"),
+        each(suspected),
+        each(failed),
+    ])
+}
+
 fn virtual_time(counts: &[usize], seeds: u64) -> Result<(), String> {
-    let second = 1_000_000;
     let mut kills = table(&[
         "members",
         "seeds",
@@ -182,67 +268,9 @@
     ]);
     let mut losses = table(&["members", "loss %", "member hours", "suspicions an hour", "failures an hour"]);
     for &count in counts {
-        let (mut known, mut healed, mut bytes, mut messages) = (Vec::new(), Vec::new(), 0.0, 0.0);
-        for seed in 0..seeds {
-            let mut fleet = VirtualFleet::new(count, seed, as_it_is);
-            fleet.run(30 * second)?;
-            let before = (fleet.bytes, fleet.messages);
-            fleet.run(40 * second)?;
-            bytes += (fleet.bytes - before.0) as f64 / 10.0 / count as f64;
-            messages += (fleet.messages - before.1) as f64 / 10.0 / count as f64;
-            let at = fleet.now;
-            fleet.kill(1);
-            fleet.run(at + 30 * second)?;
-            let times = fleet.failed_at(1, at);
-            if times.len() < count - 1 {
-                return Err(format!(
-                    "seed {seed}: {} of {} know of the kill after 30 s",
-                    times.len(),
-                    count - 1
-                ));
-            }
-            known.extend(times.iter().map(|t| (t - at) / 1_000));
-            fleet.start(1);
-            fleet.run(fleet.now + 20 * second)?;
-            for a in 0..count / 2 {
-                for b in count / 2..count {
-                    fleet.cut.insert((a, b));
-                    fleet.cut.insert((b, a));
-                }
-            }
-            fleet.run(fleet.now + 10 * second)?;
-            fleet.cut.clear();
-            let agreed = fleet.until_agreed(60 * second)?;
-            healed.push(agreed.ok_or(format!("seed {seed}: views differ a minute after the cut"))? / 1_000);
-        }
-        let most = healed.iter().max().map_or("-".to_owned(), u64::to_string);
-        kills.add_row([
-            count.to_string(),
-            seeds.to_string(),
-            percentile(&mut known.clone(), 0.5),
-            percentile(&mut known, 0.99),
-            percentile(&mut healed, 0.5),
-            most,
-            format!("{:.0}", bytes / seeds as f64),
-            format!("{:.1}", messages / seeds as f64),
-        ]);
+        kills.add_row(kill_row(count, seeds)?);
         for loss in [0.0, 0.05, 0.2, 0.3] {
-            let mut fleet = VirtualFleet::new(count, 99, as_it_is);
-            fleet.run(30 * second)?;
-            fleet.network = Network { loss, ..Network::default() };
-            let from = fleet.now;
-            fleet.run(from + 60 * second)?;
-            let hours = 60.0 / 3_600.0 * count as f64;
-            // Each is told by everyone who hears of it: an accusation is counted once for each who holds it.
-            let (suspected, failed) = fleet.accusations(from);
-            let each = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
-            losses.add_row([
-                count.to_string(),
-                format!("{:.0}", loss * 100.0),
-                format!("{hours:.1}"),
-                each(suspected),
-                each(failed),
-            ]);
+            losses.add_row(loss_row(count, loss)?);
         }
     }
     println!("{kills}\n\n{losses}");
@@ -284,7 +312,9 @@
             let mut fleet = if on { Fleet::whole(rig)? } else { Fleet::start(rig)? };
             fleet.ask(6, Duration::from_millis(4));
             std::thread::sleep(Duration::from_secs(2));
-            let cpu = |fleet: &Fleet| -> u64 { fleet.servers.iter().filter_map(|s| s.cpu_us()).sum() };
+            let cpu = |fleet: &Fleet| -> u64 {
+                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_us).sum()
+            };
             let asked = |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |traffic| traffic.asked().len());
             let before = (cpu(&fleet), asked(&fleet));
             std::thread::sleep(Duration::from_secs(seconds));
@@ -323,7 +353,9 @@
                 fleet.until_all("whole")?;
             }
             std::thread::sleep(Duration::from_secs(3));
-            let cpu = |fleet: &Fleet| -> u64 { fleet.servers.iter().filter_map(|s| s.cpu_us()).sum() };
+            let cpu = |fleet: &Fleet| -> u64 {
+                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_us).sum()
+            };
             let sent = |fleet: &Fleet| -> u64 {
                 let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b);
                 pairs.map(|(a, b)| fleet.direction(a, b).carried().1).sum()
--- a/crates/protocol-fakes/src/dependency.rs
+++ b/crates/protocol-fakes/src/dependency.rs
@@ -106,7 +106,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// The service. It ends with this value.
--- a/crates/protocol-fakes/src/farm.rs
+++ b/crates/protocol-fakes/src/farm.rs
@@ -131,7 +131,7 @@
                 Ok(Heard::Link(link)) => self.link = Some(link),
                 Ok(Heard::Line(line)) => self.obey(&line),
                 Ok(Heard::Over(id)) if self.runs.get(&id).is_some_and(|run| run.waits.is_some()) => {
-                    self.freeze(&id)
+                    self.freeze(&id);
                 }
                 Ok(Heard::Over(_)) => {}
                 Err(RecvTimeoutError::Timeout) => {}
