--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -7,7 +7,7 @@
 use umberloom::interface::{Downstream, Settings};
 
 use super::keys_known;
-use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object, Read};
+use umberloom_settings::fields::{integer, integer_or, number_or, object, text, Object};
 use umberloom_settings::shape::Shape;
 use umberloom_settings::{class_names, locate, settings, tenant_names, GaugeNames};
 
@@ -64,7 +64,7 @@
             Some(line) => format!("configuration {}:{line}", path.display()),
             None => format!("configuration {}", path.display()),
         };
-        let mut config = Config::parse(&bytes).map_err(|why| match locate::named(&why) {
+        let mut config = Config::parse(&bytes).map_err(|why| match locate::quoted_field(&why) {
             Some(field) => format!("{}: {why}", at(field)),
             None => place(why),
         })?;
@@ -77,7 +77,7 @@
     }
 
     /// Reads and checks a configuration.
-    pub fn parse(bytes: &[u8]) -> Read<Config> {
+    pub fn parse(bytes: &[u8]) -> Result<Config, String> {
         let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
         let Value::Object(top) = value else { return Err("expected an object".into()) };
         let options = object(&top, "settings")?;
@@ -88,7 +88,7 @@
             agent: address(&top, "agent")?,
             announce: address(&top, "announce")?,
             records: if top.contains_key("records") { Some(address(&top, "records")?) } else { None },
-            stop: whole(&top, "stop_ms")?.saturating_mul(1_000),
+            stop: integer(&top, "stop_ms")?.saturating_mul(1_000),
             limits: limits(&top)?,
             shape: Shape::read(options)?,
             settings: set,
@@ -102,7 +102,7 @@
     }
 
     /// Refuses what makes no sense, and what this protocol has no words for.
-    fn check(&self) -> Read<()> {
+    fn check(&self) -> Result<(), String> {
         self.settings.validate().map_err(|e| e.to_string())?;
         let set = &self.settings;
         let named = |name: &String| !name.is_empty() && !name.contains('/');
@@ -128,7 +128,7 @@
     /// Whether a running program can go over to `new`: only addresses of peers and the time to leave may
     /// differ. Names the first field that may not. What describes a start (`seed`, `fresh_start`) is not
     /// compared, as it says nothing of a process that has started.
-    pub fn can_become(&self, new: &Config) -> Read<()> {
+    pub fn can_become(&self, new: &Config) -> Result<(), String> {
         let mut settings = new.settings.clone();
         (settings.seed, settings.starts_cold) = (self.settings.seed, self.settings.starts_cold);
         let same = [
@@ -153,16 +153,16 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
 
-fn address(o: &Object, field: &str) -> Read<SocketAddr> {
+fn address(o: &Object, field: &str) -> Result<SocketAddr, String> {
     text(o, field)?.parse().map_err(|_| format!("field `{field}`: expected an address and a port"))
 }
 
-fn seed(o: &Object) -> Read<u64> {
+fn seed(o: &Object) -> Result<u64, String> {
     u64::from_str_radix(text(o, "seed")?, 16).map_err(|_| "field `seed`: expected hex digits".to_owned())
 }
 
-fn limits(o: &Object) -> Read<Limits> {
+fn limits(o: &Object) -> Result<Limits, String> {
     let o = object(o, "limits")?;
-    let memory = whole(o, "memory_mb")?.saturating_mul(1 << 20) as usize;
-    Ok(Limits { cores: number_or(o, "cores", 1.0)?, memory, sockets: whole_or(o, "sockets", 1024)? as usize })
+    let memory = integer(o, "memory_mb")?.saturating_mul(1 << 20) as usize;
+    Ok(Limits { cores: number_or(o, "cores", 1.0)?, memory, sockets: integer_or(o, "sockets", 1024)? as usize })
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,101 +1,144 @@
 //! Typed access to the fields of a JSON object, with errors that name the field.
+//!
+//! A field whose value is null counts as absent.
 
 use serde_json::{Map, Value};
 
+use crate::SettingsError;
+
 /// A JSON object.
 pub type Object = Map<String, Value>;
-/// What reading gives, or one plain sentence on what was wrong.
-pub type Read<T> = Result<T, String>;
 
-/// The error for a field that is not as expected.
-pub fn wrong<T>(field: &str, expected: &str) -> Read<T> {
-    Err(format!("field `{field}`: expected {expected}"))
-}
+const UNSIGNED_INTEGER: &str = "a whole number of 0 or more";
 
-/// A field's value; absent and null are the same.
-pub fn get<'a>(o: &'a Object, field: &str) -> Option<&'a Value> {
-    o.get(field).filter(|v| !v.is_null())
+/// A field's value, if it is present and not null.
+pub fn get<'a>(object: &'a Object, field: &str) -> Option<&'a Value> {
+    object.get(field).filter(|value| !value.is_null())
 }
 
-/// A field that may be absent, read by `read`.
+/// An optional field, converted by `convert`; `expected` describes its type in the error.
+///
+/// # Errors
+/// The field is present and `convert` gives `None`.
 pub fn optional<'a, T>(
-    o: &'a Object,
+    object: &'a Object,
     field: &str,
     expected: &str,
-    read: fn(&'a Value) -> Option<T>,
-) -> Read<Option<T>> {
-    match get(o, field) {
-        None => Ok(None),
-        Some(v) => read(v).map_or_else(|| wrong(field, expected), |t| Ok(Some(t))),
-    }
+    convert: fn(&'a Value) -> Option<T>,
+) -> Result<Option<T>, SettingsError> {
+    let Some(value) = get(object, field) else { return Ok(None) };
+    let converted = convert(value).ok_or_else(|| SettingsError::unexpected(field, expected))?;
+    Ok(Some(converted))
 }
 
-/// A field that must be there, read by `read`.
+/// A required field, converted by `convert`; `expected` describes its type in the error.
+///
+/// # Errors
+/// The field is absent, or `convert` gives `None`.
 pub fn required<'a, T>(
-    o: &'a Object,
+    object: &'a Object,
     field: &str,
     expected: &str,
-    read: fn(&'a Value) -> Option<T>,
-) -> Read<T> {
-    optional(o, field, expected, read)?.map_or_else(|| wrong(field, expected), Ok)
+    convert: fn(&'a Value) -> Option<T>,
+) -> Result<T, SettingsError> {
+    optional(object, field, expected, convert)?.ok_or_else(|| SettingsError::unexpected(field, expected))
 }
 
-/// A whole number.
-pub fn whole(o: &Object, field: &str) -> Read<u64> {
-    required(o, field, "a whole number of 0 or more", Value::as_u64)
+/// A required unsigned integer.
+///
+/// # Errors
+/// The field is absent or has another type.
+pub fn integer(object: &Object, field: &str) -> Result<u64, SettingsError> {
+    required(object, field, UNSIGNED_INTEGER, Value::as_u64)
 }
 
-/// A whole number, or `absent`.
-pub fn whole_or(o: &Object, field: &str, absent: u64) -> Read<u64> {
-    Ok(optional(o, field, "a whole number of 0 or more", Value::as_u64)?.unwrap_or(absent))
+/// An optional unsigned integer.
+///
+/// # Errors
+/// The field has another type.
+pub fn integer_or(object: &Object, field: &str, default: u64) -> Result<u64, SettingsError> {
+    Ok(optional(object, field, UNSIGNED_INTEGER, Value::as_u64)?.unwrap_or(default))
 }
 
-/// A number.
-pub fn number(o: &Object, field: &str) -> Read<f64> {
-    required(o, field, "a number", Value::as_f64)
+/// A required number.
+///
+/// # Errors
+/// The field is absent or has another type.
+pub fn number(object: &Object, field: &str) -> Result<f64, SettingsError> {
+    required(object, field, "a number", Value::as_f64)
 }
 
-/// A number, or `absent`.
-pub fn number_or(o: &Object, field: &str, absent: f64) -> Read<f64> {
-    Ok(optional(o, field, "a number", Value::as_f64)?.unwrap_or(absent))
+/// An optional number.
+///
+/// # Errors
+/// The field has another type.
+pub fn number_or(object: &Object, field: &str, default: f64) -> Result<f64, SettingsError> {
+    Ok(optional(object, field, "a number", Value::as_f64)?.unwrap_or(default))
 }
 
-/// A mark; absent means false.
-pub fn flag(o: &Object, field: &str) -> Read<bool> {
-    Ok(optional(o, field, "true or false", Value::as_bool)?.unwrap_or(false))
+/// An optional boolean; false by default.
+///
+/// # Errors
+/// The field has another type.
+pub fn flag(object: &Object, field: &str) -> Result<bool, SettingsError> {
+    Ok(optional(object, field, "true or false", Value::as_bool)?.unwrap_or(false))
 }
 
-/// A text.
-pub fn text<'a>(o: &'a Object, field: &str) -> Read<&'a str> {
-    required(o, field, "a text", Value::as_str)
+/// A required string.
+///
+/// # Errors
+/// The field is absent or has another type.
+pub fn text<'a>(object: &'a Object, field: &str) -> Result<&'a str, SettingsError> {
+    required(object, field, "a text", Value::as_str)
 }
 
-/// A text, or `absent`.
-pub fn text_or<'a>(o: &'a Object, field: &str, absent: &'a str) -> Read<&'a str> {
-    Ok(optional(o, field, "a text", Value::as_str)?.unwrap_or(absent))
+/// An optional string.
+///
+/// # Errors
+/// The field has another type.
+pub fn text_or<'a>(object: &'a Object, field: &str, default: &'a str) -> Result<&'a str, SettingsError> {
+    Ok(optional(object, field, "a text", Value::as_str)?.unwrap_or(default))
 }
 
-/// An object.
-pub fn object<'a>(o: &'a Object, field: &str) -> Read<&'a Object> {
-    required(o, field, "an object", Value::as_object)
+/// A required object.
+///
+/// # Errors
+/// The field is absent or has another type.
+pub fn object<'a>(object: &'a Object, field: &str) -> Result<&'a Object, SettingsError> {
+    required(object, field, "an object", Value::as_object)
 }
 
-/// An array; absent means empty.
-pub fn list<'a>(o: &'a Object, field: &str) -> Read<&'a [Value]> {
-    Ok(optional(o, field, "an array", Value::as_array)?.map_or(&[], Vec::as_slice))
+/// An optional array; empty by default.
+///
+/// # Errors
+/// The field has another type.
+pub fn list<'a>(object: &'a Object, field: &str) -> Result<&'a [Value], SettingsError> {
+    Ok(optional(object, field, "an array", Value::as_array)?.map_or(&[], Vec::as_slice))
 }
 
-/// An array of objects; absent means empty.
-pub fn objects<'a>(o: &'a Object, field: &str) -> Read<Vec<&'a Object>> {
-    let items = list(o, field)?.iter().map(Value::as_object).collect::<Option<Vec<_>>>();
-    items.map_or_else(|| wrong(field, "an array of objects"), Ok)
+/// An optional array of objects; empty by default.
+///
+/// # Errors
+/// The field or one of its elements has another type.
+pub fn objects<'a>(object: &'a Object, field: &str) -> Result<Vec<&'a Object>, SettingsError> {
+    let objects = list(object, field)?.iter().map(Value::as_object).collect::<Option<Vec<_>>>();
+    objects.ok_or_else(|| SettingsError::unexpected(field, "an array of objects"))
 }
 
-/// A text that is one of the known words; `absent` stands for a missing one.
-pub fn one_of<T: Copy>(o: &Object, field: &str, absent: &str, known: &[(&str, T)]) -> Read<T> {
-    let word = text_or(o, field, absent)?;
-    known.iter().find(|(name, _)| *name == word).map_or_else(
-        || wrong(field, &known.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(" or ")),
-        |(_, value)| Ok(*value),
-    )
+/// A string that is one of the `known` words, translated; an absent one counts as `default`.
+///
+/// # Errors
+/// The field has another type, or its word is not known.
+pub fn one_of<T: Copy>(
+    object: &Object,
+    field: &str,
+    default: &str,
+    known: &[(&str, T)],
+) -> Result<T, SettingsError> {
+    let word = text_or(object, field, default)?;
+    if let Some((_, value)) = known.iter().find(|(name, _)| *name == word) {
+        return Ok(*value);
+    }
+    let names: Vec<&str> = known.iter().map(|(name, _)| *name).collect();
+    Err(SettingsError::unexpected(field, &names.join(" or ")))
 }
--- a/crates/settings/src/locate.rs
+++ b/crates/settings/src/locate.rs
@@ -1,123 +1,112 @@
-//! Where in a JSON text a field stands, so that a complaint about it can name its line.
+//! The line of a JSON text on which a field stands, so that an error about the field can name it.
 
-/// One step of a path: a key, or a place in a list.
+/// One part of a path: a key of an object, or an index of a list.
 #[derive(Debug, PartialEq)]
-enum Step<'a> {
+enum PathPart<'a> {
     Key(&'a str),
-    Place(usize),
+    Index(usize),
 }
 
-/// The steps of a path as complaints name it: `classes[1].write`, `family_info.key_kb`.
-fn steps(path: &str) -> Option<Vec<Step<'_>>> {
-    let mut all = Vec::new();
+/// Splits a path as errors name it: `classes[1].write`, `family_info.key_kb`.
+fn parse_path(path: &str) -> Option<Vec<PathPart<'_>>> {
+    let mut parts = Vec::new();
     for part in path.split('.') {
-        let (key, places) = part.split_once('[').map_or((part, ""), |(key, rest)| (key, rest));
+        let (key, indexes) = part.split_once('[').unwrap_or((part, ""));
         if !key.is_empty() {
-            all.push(Step::Key(key));
+            parts.push(PathPart::Key(key));
         }
-        for place in places.split('[').filter(|p| !p.is_empty()) {
-            all.push(Step::Place(place.strip_suffix(']')?.parse().ok()?));
+        for index in indexes.split('[').filter(|index| !index.is_empty()) {
+            parts.push(PathPart::Index(index.strip_suffix(']')?.parse().ok()?));
         }
     }
-    (!all.is_empty()).then_some(all)
+    (!parts.is_empty()).then_some(parts)
 }
 
+/// An object or list that is open at the scanner's position.
 enum Frame<'a> {
     Object { key: Option<&'a str>, expects_key: bool },
-    List { place: usize },
+    List { index: usize },
 }
 
-/// The line, from 1, of the first field whose path ends with `path`; `None` where there is none, or the path
-/// is not one.
+/// Walks through a JSON text and keeps the path to its position.
+struct Scanner<'a> {
+    text: &'a str,
+    position: usize,
+    line: usize,
+    frames: Vec<Frame<'a>>,
+}
+
+/// The line, from 1, of the first field whose path ends with `path`; `None` where there is none, or `path` is not a
+/// path.
 pub fn line_of(text: &str, path: &str) -> Option<usize> {
-    let wanted = steps(path)?;
-    let bytes = text.as_bytes();
-    let (mut stack, mut line, mut at) = (Vec::<Frame>::new(), 1, 0);
-    while at < bytes.len() {
-        match bytes[at] {
-            b'\n' => line += 1,
-            b'"' => {
-                let start = at + 1;
-                at += 1;
-                while at < bytes.len() && bytes[at] != b'"' {
-                    at += if bytes[at] == b'\\' { 2 } else { 1 };
-                }
-                let word = text.get(start..at.min(bytes.len()))?;
-                if let Some(Frame::Object { key, expects_key: true }) = stack.last_mut() {
-                    *key = Some(word);
-                    let here: Vec<Step> = stack
-                        .iter()
-                        .filter_map(|frame| match frame {
-                            Frame::Object { key, .. } => key.map(Step::Key),
-                            Frame::List { place } => Some(Step::Place(*place)),
-                        })
-                        .collect();
-                    if here.ends_with(&wanted) {
-                        return Some(line);
-                    }
-                }
-            }
-            b'{' => stack.push(Frame::Object { key: None, expects_key: true }),
-            b'[' => stack.push(Frame::List { place: 0 }),
-            b'}' | b']' => drop(stack.pop()),
-            b':' => {
-                if let Some(Frame::Object { expects_key, .. }) = stack.last_mut() {
-                    *expects_key = false;
-                }
+    let wanted = parse_path(path)?;
+    let mut scanner = Scanner { text, position: 0, line: 1, frames: Vec::new() };
+    while let Some(&byte) = text.as_bytes().get(scanner.position) {
+        if byte == b'"' {
+            let word = scanner.read_string()?;
+            if scanner.enter_key(word) && scanner.path().ends_with(&wanted) {
+                return Some(scanner.line);
             }
-            b',' => match stack.last_mut() {
-                Some(Frame::Object { expects_key, .. }) => *expects_key = true,
-                Some(Frame::List { place }) => *place += 1,
-                None => {}
-            },
-            _ => {}
+        } else {
+            scanner.read_punctuation(byte);
         }
-        at += 1;
+        scanner.position += 1;
     }
     None
 }
 
-/// The first name between backticks in a complaint, where complaints name the field they are about.
-pub fn named(why: &str) -> Option<&str> {
-    why.split('`').nth(1)
+/// The first text between backticks in an error message, where messages name the field that they are about.
+pub fn quoted_field(message: &str) -> Option<&str> {
+    message.split('`').nth(1)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const TEXT: &str = r#"{
-  "name": "n1",
-  "settings": {
-    "classes": [
-      { "name": "a", "effect": "read_like" },
-      { "name": "b\"", "write": true,
-        "effect": "read_like" }
-    ],
-    "family_info": { "key_kb": 0 }
-  }
-}"#;
+impl<'a> Scanner<'a> {
+    /// Moves to the closing quote of the string that begins here, and returns its text with escapes as they are.
+    fn read_string(&mut self) -> Option<&'a str> {
+        let bytes = self.text.as_bytes();
+        let start = self.position + 1;
+        self.position = start;
+        while self.position < bytes.len() && bytes[self.position] != b'"' {
+            self.position += if bytes[self.position] == b'\\' { 2 } else { 1 };
+        }
+        self.text.get(start..self.position.min(bytes.len()))
+    }
 
-    #[test]
-    fn a_field_is_found_by_the_end_of_its_path() {
-        assert_eq!(line_of(TEXT, "classes[1].write"), Some(6));
-        assert_eq!(line_of(TEXT, "classes[1].effect"), Some(7));
-        assert_eq!(line_of(TEXT, "classes[0].effect"), Some(5));
-        assert_eq!(line_of(TEXT, "family_info.key_kb"), Some(9));
-        assert_eq!(line_of(TEXT, "name"), Some(2));
+    /// Whether the string is a key, which is then the last part of the path.
+    fn enter_key(&mut self, word: &'a str) -> bool {
+        let Some(Frame::Object { key, expects_key: true }) = self.frames.last_mut() else { return false };
+        *key = Some(word);
+        true
     }
 
-    #[test]
-    fn what_is_not_there_has_no_line() {
-        assert_eq!(line_of(TEXT, "classes[2].write"), None);
-        assert_eq!(line_of(TEXT, "classes[x].write"), None);
-        assert_eq!(line_of(TEXT, ""), None);
-        assert_eq!(line_of("{\"a\": \"unended", "a"), Some(1));
+    fn read_punctuation(&mut self, byte: u8) {
+        match byte {
+            b'\n' => self.line += 1,
+            b'{' => self.frames.push(Frame::Object { key: None, expects_key: true }),
+            b'[' => self.frames.push(Frame::List { index: 0 }),
+            b'}' | b']' => drop(self.frames.pop()),
+            b':' => {
+                if let Some(Frame::Object { expects_key, .. }) = self.frames.last_mut() {
+                    *expects_key = false;
+                }
+            }
+            b',' => match self.frames.last_mut() {
+                Some(Frame::Object { expects_key, .. }) => *expects_key = true,
+                Some(Frame::List { index }) => *index += 1,
+                None => {}
+            },
+            _ => {}
+        }
     }
 
-    #[test]
-    fn the_named_field_is_the_first_between_backticks() {
-        assert_eq!(named("field `classes[1].write`: a write needs `effect`"), Some("classes[1].write"));
-        assert_eq!(named("no field"), None);
+    fn path(&self) -> Vec<PathPart<'a>> {
+        let part = |frame: &Frame<'a>| match frame {
+            Frame::Object { key, .. } => key.map(PathPart::Key),
+            Frame::List { index } => Some(PathPart::Index(*index)),
+        };
+        self.frames.iter().filter_map(part).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,32 +1,48 @@
-//! Names in the settings that a host needs and the module does not.
+//! Names in the settings object that a host needs and the admission controller does not.
 
 use umberloom::interface::Gauges;
 
-use crate::fields::{list, object, objects, text, wrong, Object, Read};
+use crate::fields::{list, object, objects, text, Object};
+use crate::SettingsError;
 
 /// The names of the classes, in their order.
-pub fn class_names(options: &Object) -> Read<Vec<String>> {
-    objects(options, "classes")?.into_iter().map(|o| text(o, "name").map(String::from)).collect()
+///
+/// # Errors
+/// A class has no name.
+pub fn class_names(options: &Object) -> Result<Vec<String>, SettingsError> {
+    names(options, "classes")
 }
 
 /// The names of the tenants, in their order.
-pub fn tenant_names(options: &Object) -> Read<Vec<String>> {
-    objects(options, "realms")?.into_iter().map(|o| text(o, "name").map(String::from)).collect()
+///
+/// # Errors
+/// A tenant has no name.
+pub fn tenant_names(options: &Object) -> Result<Vec<String>, SettingsError> {
+    names(options, "realms")
 }
 
-/// The names of an instance's gauges, in the order in which their values come.
+fn names(options: &Object, field: &str) -> Result<Vec<String>, SettingsError> {
+    objects(options, field)?.into_iter().map(|entry| text(entry, "name").map(String::from)).collect()
+}
+
+/// The names of a server's gauges, in the order in which their values come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GaugeNames(Vec<String>);
 
 impl GaugeNames {
-    /// The names in `options`.
-    pub fn read(options: &Object) -> Read<GaugeNames> {
-        let names = list(object(options, "family_info")?, "meters")?;
-        let names = names.iter().map(|v| v.as_str().map(String::from)).collect::<Option<Vec<_>>>();
-        names.map_or_else(|| wrong("family_info.meters", "an array of texts"), |names| Ok(GaugeNames(names)))
+    /// Reads the names from the settings object.
+    ///
+    /// # Errors
+    /// `family_info` is absent, or `meters` is not an array of strings.
+    pub fn read(options: &Object) -> Result<GaugeNames, SettingsError> {
+        let meters = list(object(options, "family_info")?, "meters")?;
+        let names = meters.iter().map(|meter| meter.as_str().map(String::from)).collect::<Option<Vec<_>>>();
+        let names =
+            names.ok_or_else(|| SettingsError::unexpected("family_info.meters", "an array of texts"))?;
+        Ok(GaugeNames(names))
     }
 
-    /// The gauges with these values; names that nobody asks for are passed over.
+    /// The readings for these values; gauges with other names are ignored.
     pub fn gauges(&self, values: impl IntoIterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in self.0.iter().zip(values) {
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,31 +1,38 @@
-//! What requests say of themselves: the part of a deployment's shape that a host needs and the module does not.
+//! How requests come at a deployment, which a host needs to know and the admission controller does not.
 
-use crate::fields::{flag, object, optional, text_or, Object, Read};
+use serde_json::Value;
+
+use crate::fields::{flag, object, optional, text_or, Object};
+use crate::SettingsError;
+
+const LOAD_REPORT_WORDS: [&str; 4] = ["", "silent", "pull", "piggyback"];
 
 /// How requests come at this deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Each states how long its caller waits.
+    /// Each request states how long its caller waits.
     pub passes_deadline: bool,
-    /// Further tries are marked as such.
+    /// Retries are marked as such.
     pub marks_retry: bool,
 }
 
 impl Shape {
-    /// The shape that `options` describe. Each setting stands by itself: whether waits are stated, whether running work
-    /// can be stopped and how load is reported come in any mix.
-    pub fn read(options: &Object) -> Read<Shape> {
+    /// Reads the shape from the settings object. Its fields are independent of each other: whether timeouts are
+    /// stated, whether running work can be preempted and how load is reported come in any combination.
+    ///
+    /// # Errors
+    /// A field has the wrong type, or a word that is not known.
+    pub fn read(options: &Object) -> Result<Shape, SettingsError> {
         let info = object(options, "family_info")?;
-        let passes = optional(info, "passes_deadline", "true or false", serde_json::Value::as_bool)?;
-        let passes_deadline = passes.unwrap_or(true);
+        let passes_deadline = optional(info, "passes_deadline", "true or false", Value::as_bool)?;
         let empty = Object::new();
-        let part = |name| optional(options, name, "an object", serde_json::Value::as_object);
-        let report = text_or(part("load_report")?.unwrap_or(&empty), "how", "")?;
-        if !["", "silent", "pull", "piggyback"].contains(&report) {
-            return Err("field `load_report.how`: expected silent or pull or piggyback".into());
+        let part = |name| optional(options, name, "an object", Value::as_object);
+        let load_report = text_or(part("load_report")?.unwrap_or(&empty), "how", "")?;
+        if !LOAD_REPORT_WORDS.contains(&load_report) {
+            return Err(SettingsError::unexpected("load_report.how", "silent or pull or piggyback"));
         }
         let marks_retry = flag(part("client_habits")?.unwrap_or(&empty), "marks_retry")?;
-        Ok(Shape { passes_deadline, marks_retry })
+        Ok(Shape { passes_deadline: passes_deadline.unwrap_or(true), marks_retry })
     }
 }
 
--- a/crates/sim-adapter/src/decode.rs
+++ b/crates/sim-adapter/src/decode.rs
@@ -1,118 +1,145 @@
-//! larch-ca68 batches to events and settings.
+//! Decodes a line of the simulator's larch-ca68 protocol into events and settings.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde_json::Value;
+use thiserror::Error;
 use umberloom::interface::{Arrival, Event, Gauges, Micros, Outcome, RequestId, Settings};
 use umberloom_settings::fields::{
-    flag, get, list, number_or, object, optional, required, text, whole, whole_or, wrong, Object, Read,
+    flag, get, integer, integer_or, list, number_or, object, optional, required, text, Object,
 };
-use umberloom_settings::{settings, GaugeNames};
+use umberloom_settings::{settings, GaugeNames, SettingsError};
+
+/// A line that can't be decoded.
+#[derive(Debug, Error)]
+pub enum DecodeError {
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    #[error("expected an object")]
+    NotAnObject,
+    #[error(transparent)]
+    Field(#[from] SettingsError),
+}
 
 /// One line of input.
 pub struct Batch {
-    /// The clock.
+    /// The simulator's time.
     pub now: Micros,
-    /// What happened, and to which instance.
-    pub news: Vec<(u64, News)>,
+    /// In the order in which they happened.
+    pub inputs: Vec<Input>,
+}
+
+/// What happened to one instance.
+pub struct Input {
+    pub instance: u64,
+    pub kind: InputKind,
 }
 
 /// What can happen to an instance.
-pub enum News {
+pub enum InputKind {
     /// It starts with these settings.
     Start(Settings),
     /// Its process has died.
     Stop,
-    /// It is told something.
+    /// An event for its admission controller.
     Event(Event),
 }
 
-/// The names of the gauges of each instance, in the order in which they come.
+/// Decodes lines. It keeps the names of each instance's gauges, whose values come in the order of the names.
 #[derive(Default)]
-pub struct Layouts(BTreeMap<u64, GaugeNames>);
+pub struct Decoder {
+    gauge_names: BTreeMap<u64, GaugeNames>,
+}
+
+impl Decoder {
+    /// Decodes one line of input.
+    pub fn decode(&mut self, line: &str) -> Result<Batch, DecodeError> {
+        let Value::Object(top) = serde_json::from_str(line)? else { return Err(DecodeError::NotAnObject) };
+        let now = integer(&top, "sim_time_us")?;
+        let news = required(&top, "news", "an array", Value::as_array)?;
+        let mut inputs = Vec::with_capacity(news.len());
+        for item in news {
+            let item =
+                item.as_object().ok_or_else(|| SettingsError::unexpected("news", "an array of objects"))?;
+            let instance = integer(item, "who")?;
+            inputs.push(Input { instance, kind: self.input_kind(item, instance)? });
+        }
+        Ok(Batch { now, inputs })
+    }
+
+    fn input_kind(&mut self, item: &Object, instance: u64) -> Result<InputKind, SettingsError> {
+        let event = match text(item, "op")? {
+            "power_on" => {
+                let options = object(item, "options")?;
+                self.gauge_names.insert(instance, GaugeNames::read(options)?);
+                return Ok(InputKind::Start(settings(options, integer(item, "init_seed")?)?));
+            }
+            "crash_now" => return Ok(InputKind::Stop),
+            "ingress" => Event::Arrived(arrival(item)?),
+            "completed" => {
+                Event::RunEnded(request_id(item)?, outcome(item)?, integer_or(item, "wait_time_us", 0)?)
+            }
+            "stalled_on_call" => Event::NeedsCall(request_id(item)?),
+            "call_result" => {
+                Event::CallEnded(request_id(item)?, outcome(item)?, integer_or(item, "wait_time_us", 0)?)
+            }
+            "left" => Event::Cancelled(request_id(item)?),
+            "notice" => Event::Drain { time_left: integer(item, "grace_us")?, notified_ago: 0 },
+            "bell" => Event::Timer(self.gauges(item, instance)?),
+            _ => return Err(SettingsError::unexpected("op", "an event of the wire")),
+        };
+        Ok(InputKind::Event(event))
+    }
+
+    fn gauges(&self, item: &Object, instance: u64) -> Result<Gauges, SettingsError> {
+        let values = list(item, "feedback")?.iter().map(Value::as_f64).collect::<Option<Vec<_>>>();
+        let values = values.ok_or_else(|| SettingsError::unexpected("feedback", "an array of numbers"))?;
+        Ok(self.gauge_names.get(&instance).map(|names| names.gauges(values)).unwrap_or_default())
+    }
+}
 
-fn id(o: &Object) -> Read<RequestId> {
-    Ok(Arc::from(text(o, "txn")?))
+fn request_id(item: &Object) -> Result<RequestId, SettingsError> {
+    Ok(Arc::from(text(item, "txn")?))
 }
 
-/// An id that may be left out or written as 0.
-fn repeats(o: &Object) -> Read<Option<RequestId>> {
-    match get(o, "forerunner") {
+/// The request that an arrival duplicates; the field is absent or 0 where there is none.
+fn duplicate_of(item: &Object) -> Result<Option<RequestId>, SettingsError> {
+    match get(item, "forerunner") {
         None => Ok(None),
-        Some(Value::Number(n)) if n.as_u64() == Some(0) => Ok(None),
-        Some(Value::String(s)) => Ok(Some(Arc::from(s.as_str()))),
-        Some(_) => wrong("forerunner", "a text"),
+        Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
+        Some(Value::String(id)) => Ok(Some(Arc::from(id.as_str()))),
+        Some(_) => Err(SettingsError::unexpected("forerunner", "a text")),
     }
 }
 
-fn outcome(o: &Object) -> Read<Outcome> {
-    match whole(o, "disposition")? {
+fn outcome(item: &Object) -> Result<Outcome, SettingsError> {
+    match integer(item, "disposition")? {
         0 => Ok(Outcome::Ok),
         5 => Ok(Outcome::Error),
         11 => Ok(Outcome::Rejected),
+        104 => Ok(Outcome::ConnectionLost),
         110 => Ok(Outcome::TimedOut),
         111 => Ok(Outcome::Unreachable),
-        104 => Ok(Outcome::ConnectionLost),
-        125 => Ok(Outcome::Aborted),
         114 => Ok(Outcome::NotStarted),
-        _ => wrong("disposition", "one of 0, 5, 11, 104, 110, 111, 114, 125"),
-    }
-}
-
-/// Reads one line of input.
-pub fn batch(line: &str, layouts: &mut Layouts) -> Read<Batch> {
-    let value: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-    let Value::Object(top) = value else { return Err("expected an object".into()) };
-    let now = whole(&top, "sim_time_us")?;
-    let all = required(&top, "news", "an array", Value::as_array)?;
-    let mut news = Vec::with_capacity(all.len());
-    for item in all {
-        let Some(o) = item.as_object() else { return wrong("news", "an array of objects") };
-        let who = whole(o, "who")?;
-        news.push((who, one(o, who, layouts)?));
+        125 => Ok(Outcome::Aborted),
+        _ => Err(SettingsError::unexpected("disposition", "one of 0, 5, 11, 104, 110, 111, 114, 125")),
     }
-    Ok(Batch { now, news })
-}
-
-fn one(o: &Object, who: u64, layouts: &mut Layouts) -> Read<News> {
-    let event = match text(o, "op")? {
-        "power_on" => {
-            let options = object(o, "options")?;
-            layouts.0.insert(who, GaugeNames::read(options)?);
-            return Ok(News::Start(settings(options, whole(o, "init_seed")?)?));
-        }
-        "crash_now" => return Ok(News::Stop),
-        "ingress" => Event::Arrived(arrival(o)?),
-        "completed" => Event::RunEnded(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
-        "stalled_on_call" => Event::NeedsCall(id(o)?),
-        "call_result" => Event::CallEnded(id(o)?, outcome(o)?, whole_or(o, "wait_time_us", 0)?),
-        "left" => Event::Cancelled(id(o)?),
-        "notice" => Event::Drain { time_left: whole(o, "grace_us")?, notified_ago: 0 },
-        "bell" => Event::Timer(gauges(o, layouts.0.get(&who))?),
-        _ => return wrong("op", "an event of the wire"),
-    };
-    Ok(News::Event(event))
 }
 
-fn arrival(o: &Object) -> Read<Arrival> {
+fn arrival(item: &Object) -> Result<Arrival, SettingsError> {
+    let cost = optional(item, "cost_us", "a whole number of 0 or more", Value::as_u64)?;
     Ok(Arrival {
-        id: id(o)?,
-        class: whole(o, "tier_class")? as usize,
-        tenant: whole_or(o, "billing", 0)? as usize,
-        caller: whole_or(o, "author", 0)?,
-        caller_timeout: Some(whole_or(o, "grace_us", 0)?).filter(|&w| w > 0),
-        read_delay: whole_or(o, "queued_for_us", 0)?,
-        queued_kb: number_or(o, "footprint", 0.0)?,
-        rank: number_or(o, "precedence", 0.0)?,
-        cost: optional(o, "cost_us", "a whole number of 0 or more", Value::as_u64)?.filter(|&c| c > 0),
-        duplicate_of: repeats(o)?,
-        is_retry: flag(o, "retry")?,
+        id: request_id(item)?,
+        class: integer(item, "tier_class")? as usize,
+        tenant: integer_or(item, "billing", 0)? as usize,
+        caller: integer_or(item, "author", 0)?,
+        caller_timeout: Some(integer_or(item, "grace_us", 0)?).filter(|&timeout| timeout > 0),
+        read_delay: integer_or(item, "queued_for_us", 0)?,
+        queued_kb: number_or(item, "footprint", 0.0)?,
+        rank: number_or(item, "precedence", 0.0)?,
+        cost: cost.filter(|&cost| cost > 0),
+        duplicate_of: duplicate_of(item)?,
+        is_retry: flag(item, "retry")?,
     })
 }
-
-fn gauges(o: &Object, names: Option<&GaugeNames>) -> Read<Gauges> {
-    let values = list(o, "feedback")?.iter().map(Value::as_f64).collect::<Option<Vec<_>>>();
-    let Some(values) = values else { return wrong("feedback", "an array of numbers") };
-    Ok(names.map(|names| names.gauges(values)).unwrap_or_default())
-}
--- a/crates/sim-adapter/src/encode.rs
+++ b/crates/sim-adapter/src/encode.rs
@@ -1,14 +1,17 @@
-//! Actions to larch-ca68 replies.
+//! Encodes actions as a reply of the simulator's larch-ca68 protocol.
 
 use serde::Serialize;
 use umberloom::interface::{Action, Micros};
 
-/// The name of every timer: the module has one purpose for them, to be called again.
-const TIMER: &str = "wake";
+/// The name of every timer: an admission controller has only one.
+const TIMER_NAME: &str = "wake";
+const REPLY_START: &[u8] = b"{\"do\":[";
+const REPLY_END: &[u8] = b"]}\n";
 
+/// An action on the wire.
 #[derive(Serialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
-enum Line<'a> {
+enum WireAction<'a> {
     Admit { who: u64, txn: &'a str },
     Interrupt { who: u64, txn: &'a str },
     Deny { who: u64, txn: &'a str, backoff_us: Micros, terminal: bool },
@@ -26,59 +29,60 @@
     Crash { who: u64, text: &'a str },
 }
 
-impl<'a> Line<'a> {
-    fn of(who: u64, action: &'a Action) -> Line<'a> {
+impl<'a> WireAction<'a> {
+    fn new(instance: u64, action: &'a Action) -> WireAction<'a> {
+        let who = instance;
         match action {
-            Action::Admit(txn) => Line::Admit { who, txn },
-            Action::Preempt(txn) => Line::Interrupt { who, txn },
-            Action::Reject { id, retry_after: stay_away, terminal } => {
-                Line::Deny { who, txn: id, backoff_us: *stay_away, terminal: *terminal }
+            Action::Admit(txn) => WireAction::Admit { who, txn },
+            Action::Preempt(txn) => WireAction::Interrupt { who, txn },
+            Action::Reject { id, retry_after, terminal } => {
+                WireAction::Deny { who, txn: id, backoff_us: *retry_after, terminal: *terminal }
             }
-            Action::Fail(txn) => Line::Lose { who, txn },
-            Action::Call(txn, until) => Line::CallDep { who, txn, expire_at_us: *until },
-            Action::SkipCall(txn) => Line::Bypass { who, txn },
-            Action::RetainKey(txn, span) => Line::Remember { who, txn, span_us: *span },
-            Action::ReleaseKey(txn) => Line::ReleaseKey { who, txn },
-            Action::AwaitDuplicate(txn) => Line::Attach { who, txn },
-            Action::SetReady(good) => Line::Readiness { who, enable: *good, from_state: true },
-            Action::SetLoadHint(x) => Line::Say { who, x: *x },
-            Action::CloseIdle(span) => Line::Idle { who, span_us: *span },
-            Action::WakeAfter(wait) => Line::Arm { who, wait_us: *wait, nonce: TIMER },
-            Action::Log(text) => Line::Debug { who, text },
+            Action::Fail(txn) => WireAction::Lose { who, txn },
+            Action::Call(txn, deadline) => WireAction::CallDep { who, txn, expire_at_us: *deadline },
+            Action::SkipCall(txn) => WireAction::Bypass { who, txn },
+            Action::RetainKey(txn, window) => WireAction::Remember { who, txn, span_us: *window },
+            Action::ReleaseKey(txn) => WireAction::ReleaseKey { who, txn },
+            Action::AwaitDuplicate(txn) => WireAction::Attach { who, txn },
+            Action::SetReady(ready) => WireAction::Readiness { who, enable: *ready, from_state: true },
+            Action::SetLoadHint(hint) => WireAction::Say { who, x: *hint },
+            Action::CloseIdle(timeout) => WireAction::Idle { who, span_us: *timeout },
+            Action::WakeAfter(delay) => WireAction::Arm { who, wait_us: *delay, nonce: TIMER_NAME },
+            Action::Log(text) => WireAction::Debug { who, text },
         }
     }
 }
 
-/// The reply to one batch, written piece by piece.
+/// The reply to one batch.
 #[derive(Default)]
 pub struct Reply {
     text: Vec<u8>,
 }
 
 impl Reply {
-    /// Adds an action of instance `who`.
-    pub fn push(&mut self, who: u64, action: &Action) {
-        self.write(&Line::of(who, action));
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u64, action: &Action) {
+        self.write(&WireAction::new(instance, action));
     }
 
-    /// Declares that the decisions of instance `who` can't be made.
-    pub fn crash(&mut self, who: u64, text: &str) {
-        self.write(&Line::Crash { who, text });
+    /// Adds that an instance can't start, with the reason.
+    pub fn push_crash(&mut self, instance: u64, reason: &str) {
+        self.write(&WireAction::Crash { who: instance, text: reason });
     }
 
-    fn write(&mut self, line: &Line) {
-        self.text.extend_from_slice(if self.text.is_empty() { b"{\"do\":[" } else { b"," });
-        // Writing plain fields into memory can't fail; were it to, the line would be cut and seen.
-        let _ = serde_json::to_writer(&mut self.text, line);
-    }
-
-    /// The finished line; the next `push` begins a new one.
+    /// The finished line; the next action begins a new one.
     pub fn finish(&mut self) -> Vec<u8> {
         let mut line = std::mem::take(&mut self.text);
         if line.is_empty() {
-            line.extend_from_slice(b"{\"do\":[");
+            line.extend_from_slice(REPLY_START);
         }
-        line.extend_from_slice(b"]}\n");
+        line.extend_from_slice(REPLY_END);
         line
     }
+
+    fn write(&mut self, action: &WireAction) {
+        self.text.extend_from_slice(if self.text.is_empty() { REPLY_START } else { b"," });
+        // Serializing plain fields into memory can't fail; if it did, the simulator would reject the cut line.
+        let _ = serde_json::to_writer(&mut self.text, action);
+    }
 }
--- a/crates/sim-adapter/src/tests.rs
+++ b/crates/sim-adapter/src/tests.rs
@@ -1,8 +1,11 @@
 //! The codec on each message, and the adapter as a program.
 
-use super::*;
 use umberloom::interface::*;
 
+use crate::decode::{Decoder, Input, InputKind};
+use crate::encode::Reply;
+use crate::host::serve;
+
 const OPTIONS: &str = r#"{"classes":[{"aim_us":1300000,"credit":1.0,"effect":"read_like","hard_limit_us":3300000,
 "late_worth":0.0,"name":"a","repeat_window_us":5000000},{"aim_us":2200000,"credit":3.0,"effect":"idempotency_key",
 "hard_limit_us":5400000,"late_worth":0.2,"name":"b","repeat_window_us":4000000}],"family":"server","unheard_of":[1],
@@ -19,55 +22,66 @@
     format!(r#"{{"op":"power_on","who":{who},"init_seed":5,"options":{options}}}"#)
 }
 
-fn read(news: &str) -> Result<Vec<(u64, decode::News)>, String> {
-    let mut layouts = decode::Layouts::default();
-    let line = format!(r#"{{"sim_time_us":9,"news":[{},{news}]}}"#, start(3));
-    decode::batch(&line, &mut layouts).map(|b| b.news.into_iter().skip(1).collect())
-}
-
+/// The event in one item of `news`, for an instance that was started before.
 fn event(news: &str) -> Event {
-    match read(news).expect("a sound line").pop() {
-        Some((3, decode::News::Event(event))) => event,
+    let line = format!(r#"{{"sim_time_us":9,"news":[{},{news}]}}"#, start(3));
+    let batch = Decoder::default().decode(&line).expect("a valid line");
+    match batch.inputs.into_iter().nth(1) {
+        Some(Input { instance: 3, kind: InputKind::Event(event) }) => event,
         _ => panic!("one event of instance 3"),
     }
 }
 
-fn talk(lines: &[String]) -> (Result<(), String>, String) {
-    let mut out = Vec::new();
-    let end = serve(lines.join("\n").as_bytes(), &mut out);
-    (end, String::from_utf8(out).expect("text"))
+/// Serves these lines; the result as text, and the replies.
+fn exchange(lines: &[String]) -> (Result<(), String>, String) {
+    let mut output = Vec::new();
+    let result = serve(lines.join("\n").as_bytes(), &mut output);
+    (result.map_err(|error| error.to_string()), String::from_utf8(output).expect("text"))
 }
 
 #[test]
-fn settings_are_read() {
-    let mut layouts = decode::Layouts::default();
+fn settings_are_decoded() {
     let line = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
-    let batch = decode::batch(&line, &mut layouts).expect("a sound line");
-    let Some((3, decode::News::Start(set))) = batch.news.first() else { panic!("a start of instance 3") };
-    assert_eq!((batch.now, set.seed, set.cores, set.tier, set.servers, set.callers), (9, 5, 6, 1, 10, 3));
+    let batch = Decoder::default().decode(&line).expect("a valid line");
+    let Some(Input { instance: 3, kind: InputKind::Start(settings) }) = batch.inputs.first() else {
+        panic!("a start of instance 3")
+    };
+    assert_eq!(
+        (batch.now, settings.seed, settings.cores, settings.tier, settings.servers, settings.callers),
+        (9, 5, 6, 1, 10, 3)
+    );
     assert_eq!(
-        (set.preemption, set.downstream, set.load_hint),
+        (settings.preemption, settings.downstream, settings.load_hint),
         (Preemption::Pause, Downstream::Shared, LoadHintKind::MinRank)
     );
     assert_eq!(
-        (set.classes[0].idempotency, set.classes[1].idempotency),
+        (settings.classes[0].idempotency, settings.classes[1].idempotency),
         (Idempotency::Idempotent, Idempotency::WithKey)
     );
     assert_eq!(
         (
-            set.classes[0].calls_downstream,
-            set.classes[0].degraded_weight_share,
-            set.classes[1].calls_downstream
+            settings.classes[0].calls_downstream,
+            settings.classes[0].degraded_weight_share,
+            settings.classes[1].calls_downstream
         ),
         (true, 0.3, false)
     );
-    assert_eq!((set.classes[1].late_weight_share, set.classes[1].idempotency_window), (0.2, 4_000_000));
-    assert_eq!((set.tenants[0].quota_per_s, set.over_quota_weight_share, set.starts_cold), (36.5, 0.1, true));
-    assert_eq!((set.overload_per_core, set.answer_slack, set.retry_after_max), (8.0, 60_000, 1_000_000));
+    assert_eq!(
+        (settings.classes[1].late_weight_share, settings.classes[1].idempotency_window),
+        (0.2, 4_000_000)
+    );
+    assert_eq!(
+        (settings.tenants[0].quota_per_s, settings.over_quota_weight_share, settings.starts_cold),
+        (36.5, 0.1, true)
+    );
+    assert_eq!(
+        (settings.overload_per_core, settings.answer_slack, settings.retry_after_max),
+        (8.0, 60_000, 1_000_000)
+    );
 }
 
 #[test]
-fn an_arrival_is_read_whole_and_bare() {
+fn arrivals_are_decoded_with_all_fields_and_with_few() {
     let full = r#"{"op":"ingress","who":3,"txn":"rq_b","author":17,"grace_us":240000,"footprint":24.5,
         "queued_for_us":1850,"billing":2,"subject":45,"forerunner":"rq_a","precedence":0.625,"tier_class":1,
         "cost_us":12000,"retry":true}"#;
@@ -87,27 +101,42 @@
 }
 
 #[test]
-fn every_other_event_is_read() {
-    let is = |text: &str, wanted: &str| assert_eq!(format!("{:?}", event(text)), wanted);
-    is(
-        r#"{"op":"completed","who":3,"txn":"a","disposition":125,"wait_time_us":5}"#,
-        r#"Ended("a", Stopped, 5)"#,
-    );
-    is(r#"{"op":"completed","who":3,"txn":"a","disposition":114}"#, r#"Ended("a", Moot, 0)"#);
-    is(r#"{"op":"stalled_on_call","who":3,"txn":"a"}"#, r#"NeedsCall("a")"#);
-    for (code, name) in
-        [(0, "Ok"), (5, "Error"), (11, "Refused"), (110, "TimedOut"), (111, "Unreachable"), (104, "Cut")]
-    {
+fn other_events_are_decoded() {
+    let run = |line: &str| match event(line) {
+        Event::RunEnded(id, outcome, run_time) => (id.to_string(), outcome, run_time),
+        other => panic!("{line}: {other:?}"),
+    };
+    let call = |line: &str| match event(line) {
+        Event::CallEnded(id, outcome, call_time) => (id.to_string(), outcome, call_time),
+        other => panic!("{line}: {other:?}"),
+    };
+    let expected = |outcome, time| ("a".to_owned(), outcome, time);
+    let line = r#"{"op":"completed","who":3,"txn":"a","disposition":125,"wait_time_us":5}"#;
+    assert_eq!(run(line), expected(Outcome::Aborted, 5));
+    let line = r#"{"op":"completed","who":3,"txn":"a","disposition":114}"#;
+    assert_eq!(run(line), expected(Outcome::NotStarted, 0));
+    let needs_call = event(r#"{"op":"stalled_on_call","who":3,"txn":"a"}"#);
+    assert!(matches!(&needs_call, Event::NeedsCall(id) if &**id == "a"), "{needs_call:?}");
+    for (code, outcome) in [
+        (0, Outcome::Ok),
+        (5, Outcome::Error),
+        (11, Outcome::Rejected),
+        (110, Outcome::TimedOut),
+        (111, Outcome::Unreachable),
+        (104, Outcome::ConnectionLost),
+    ] {
         let line =
             format!(r#"{{"op":"call_result","who":3,"txn":"a","disposition":{code},"wait_time_us":7}}"#);
-        is(&line, &format!(r#"Called("a", {name}, 7)"#));
+        assert_eq!(call(&line), expected(outcome, 7));
     }
-    is(r#"{"op":"left","who":3,"txn":"a"}"#, r#"Gone("a")"#);
-    is(r#"{"op":"notice","who":3,"grace_us":44}"#, "Leave { left: 44, ago: 0 }");
+    let cancelled = event(r#"{"op":"left","who":3,"txn":"a"}"#);
+    assert!(matches!(&cancelled, Event::Cancelled(id) if &**id == "a"), "{cancelled:?}");
+    let drain = event(r#"{"op":"notice","who":3,"grace_us":44}"#);
+    assert!(matches!(drain, Event::Drain { time_left: 44, notified_ago: 0 }), "{drain:?}");
 }
 
 #[test]
-fn gauges_come_in_the_order_of_their_names_and_unknown_ones_are_disregarded() {
+fn gauges_are_decoded_in_the_order_of_their_names() {
     let Event::Timer(g) = event(r#"{"op":"bell","who":3,"nonce":"n","feedback":[120,0.62,0.41,9,3]}"#) else {
         panic!("a timer")
     };
@@ -118,7 +147,7 @@
 }
 
 #[test]
-fn every_action_is_written() {
+fn every_action_is_encoded() {
     let id: RequestId = "a".into();
     let cases = [
         (Action::Admit(id.clone()), r#"{"op":"admit","who":3,"txn":"a"}"#),
@@ -139,24 +168,24 @@
         (Action::WakeAfter(500), r#"{"op":"arm","who":3,"wait_us":500,"nonce":"wake"}"#),
         (Action::Log("hi".into()), r#"{"op":"debug","who":3,"text":"hi"}"#),
     ];
-    for (action, wanted) in cases {
-        let mut reply = encode::Reply::default();
+    for (action, expected) in cases {
+        let mut reply = Reply::default();
         reply.push(3, &action);
-        assert_eq!(String::from_utf8(reply.finish()).expect("text"), format!("{{\"do\":[{wanted}]}}\n"));
+        assert_eq!(String::from_utf8(reply.finish()).expect("text"), format!("{{\"do\":[{expected}]}}\n"));
     }
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let (end, out) = talk(&[r#"{"sim_time_us":8412250,"news":[]}"#.into()]);
+    let (end, out) = exchange(&[r#"{"sim_time_us":8412250,"news":[]}"#.into()]);
     assert_eq!((end, out.as_str()), (Ok(()), "{\"do\":[]}\n"));
 }
 
 #[test]
-fn a_request_is_admitted_over_the_wire() {
+fn a_request_is_admitted() {
     let first = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
     let request = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"footprint":9,"grace_us":900000}"#;
-    let (end, out) = talk(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#)]);
+    let (end, out) = exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#)]);
     assert_eq!(end, Ok(()));
     assert!(
         out.lines().nth(1).expect("two replies").contains(r#"{"op":"admit","who":3,"txn":"x"}"#),
@@ -165,7 +194,7 @@
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn errors_name_the_line_and_the_field() {
     let bad = [
         ("nonsense", "not JSON"),
         ("[]", "expected an object"),
@@ -181,7 +210,7 @@
         (r#"{"sim_time_us":1,"news":[{"op":"left","who":3,"txn":"a"}]}"#, "instance 3 was never started"),
     ];
     for (line, wanted) in bad {
-        let (end, out) = talk(&[r#"{"sim_time_us":1,"news":[]}"#.into(), line.into()]);
+        let (end, out) = exchange(&[r#"{"sim_time_us":1,"news":[]}"#.into(), line.into()]);
         let why = end.expect_err(line);
         assert!(why.starts_with("line 2: ") && why.contains(wanted), "{line}: {why}");
         assert_eq!(out, "{\"do\":[]}\n", "only replies are written");
@@ -189,22 +218,22 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_crash_with_a_plain_text() {
+fn invalid_settings_crash_the_instance_with_the_reason() {
     let line =
         format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3).replace("\"n_cores\":6", "\"n_cores\":0"));
-    let (end, out) = talk(&[line]);
+    let (end, out) = exchange(&[line]);
     assert_eq!(end, Ok(()));
     assert!(out.contains(r#"{"op":"crash","who":3,"text":"settings make no sense: a server needs"#), "{out}");
 }
 
 #[test]
-fn a_restart_under_the_same_number_knows_nothing_of_the_life_before() {
+fn a_restarted_instance_has_no_requests() {
     let first = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
     let request = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"footprint":9,"grace_us":900000}"#;
     let again = format!(r#"{{"sim_time_us":20,"news":[{{"op":"crash_now","who":3}},{}]}}"#, start(3));
     let late = r#"{"sim_time_us":999999,"news":[{"op":"bell","who":3,"nonce":"wake","feedback":[]}]}"#;
     let (end, out) =
-        talk(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#), again, late.into()]);
+        exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#), again, late.into()]);
     assert_eq!(end, Ok(()));
     assert!(!out.lines().last().expect("replies").contains("\"x\""), "{out}");
 }
