--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -6,13 +6,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberloom_membership::MemberName;
-use umberloom_replicated_store::entry::{Content, Document};
-use umberloom_replicated_store::log::SPACES;
+use umberloom_replicated_store::entry::{Content, DocumentUpdate};
+use umberloom_replicated_store::log::KEYSPACES;
 use umberloom_replicated_store::{
     Action, Config, Entry, Event, Micros, Outcome, ReadOutcome, Replica, Role, StoredReplica,
 };
 use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
-use umberloom_store::{Batch, Config as StoreConfig, Store};
+use umberloom_store::{Config as StoreConfig, Store, WriteBatch};
 
 use crate::linear::Operation;
 
@@ -128,7 +128,7 @@
         let place = &mut self.places[n];
         place.boot += 1;
         place.store = None;
-        let told = StoreConfig { most: 64 << 20, ..StoreConfig::new("record") };
+        let told = StoreConfig { max_bytes: 64 << 20, ..StoreConfig::new("record") };
         let mut store = Store::open(&place.disk, &told);
         if store.as_ref().is_err_and(|why| why.is_damage()) {
             self.aside.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
@@ -136,7 +136,8 @@
             store = Store::open(&place.disk, &told);
         }
         let Ok(store) = store else { return };
-        let rows = SPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).unwrap_or_default()));
+        let rows =
+            KEYSPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).unwrap_or_default()));
         let image = StoredReplica::read(rows.to_vec());
         place.store = Some(store);
         place.record = image.ok().and_then(|image| Replica::new(now, config, image, seed).ok());
@@ -168,7 +169,7 @@
     /// Its disk is what it was; the process has ended before.
     pub fn put_back(&mut self, n: usize, image: BTreeMap<std::path::PathBuf, Vec<u8>>) {
         self.kill(n, false);
-        self.places[n].disk.put_back(image);
+        self.places[n].disk.restore(image);
     }
 
     /// It is not run until then; what comes for it waits.
@@ -238,7 +239,7 @@
 
     /// Its disk says that it has synced, and has not, from now on.
     pub fn lie(&mut self, n: usize) {
-        self.places[n].disk.set(Faults { syncs_lie: true, ..Faults::default() });
+        self.places[n].disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
     }
 
     fn step(&mut self, n: usize, due: Due) -> Result<(), String> {
@@ -266,7 +267,7 @@
         if record.role() == Role::Leader {
             // One leader a term, of one record.
             let standing = record.status(now);
-            let first = *self.leaders.entry((standing.record, standing.term)).or_insert(n);
+            let first = *self.leaders.entry((standing.store_id, standing.term)).or_insert(n);
             if first != n {
                 return Err(format!("m{first} and m{n} both lead in term {}", standing.term));
             }
@@ -311,7 +312,7 @@
         }
     }
 
-    fn persist(&mut self, n: usize, number: u64, batch: Batch) {
+    fn persist(&mut self, n: usize, number: u64, batch: WriteBatch) {
         let place = &mut self.places[n];
         let wrote = place.store.as_mut().map(|store| store.commit(batch));
         if matches!(wrote, Some(Ok(_))) {
@@ -325,8 +326,9 @@
     pub fn write(&mut self, n: usize, name: &str, expect: Option<u64>) {
         self.next_id += 1;
         let id = self.next_id;
-        let content = Content::Here(id.to_le_bytes().to_vec());
-        let entry = Entry::Document(Document { name: name.to_owned(), expect, content });
+        let content = Content::Inline(id.to_le_bytes().to_vec());
+        let entry =
+            Entry::Document(DocumentUpdate { name: name.to_owned(), expected_version: expect, content });
         let (now, boot) = (self.now, self.places[n].boot);
         let Some(record) = &mut self.places[n].record else { return };
         let given = record.propose(now, id, 0, &entry);
@@ -380,7 +382,7 @@
             }
             match &asked.what {
                 Ask::Write(id) => match record.outcome(*id) {
-                    Some(Outcome::Done(version)) => operations[asked.operation].done(now, version, *id),
+                    Some(Outcome::Applied(version)) => operations[asked.operation].done(now, version, *id),
                     Some(_) => operations[asked.operation].refused(now),
                     None => return true,
                 },
@@ -426,11 +428,12 @@
         let stand = |n: usize| {
             let Some(record) = self.places[n].record.as_ref() else { return format!("m{n} is down") };
             let s = record.status(self.now);
-            let copies = s.copies.iter().map(|c| format!("{}{}", c.name, if c.votes { "*" } else { "" }));
+            let copies =
+                s.replicas.iter().map(|c| format!("{}{}", c.server, if c.is_voter { "*" } else { "" }));
             let copies: Vec<String> = copies.collect();
             format!(
                 "m{n} {} of {:04x} term {} leader {:?} applied {} commit {} last {} frozen {} fetching {:?}: {}",
-                s.role, s.record as u16, s.term, s.leader, s.applied, s.commit, s.last, s.frozen, s.catching_up,
+                s.role, s.store_id as u16, s.term, s.leader, s.applied, s.commit, s.last_index, s.frozen, s.catching_up,
                 copies.join(" ")
             )
         };
@@ -443,12 +446,12 @@
         let records: Vec<&Replica> = self.places.iter().filter_map(|place| place.record.as_ref()).collect();
         let Some(leader) = self.leader().and_then(|n| self.record(n)) else { return false };
         let stands = leader.status(self.now);
-        let votes = stands.copies.iter().filter(|c| c.votes).count();
+        let votes = stands.replicas.iter().filter(|c| c.is_voter).count();
         let same = |r: &&Replica| {
-            r.state().index == leader.state().index
-                && r.state().chain == leader.state().chain
+            r.state().applied == leader.state().applied
+                && r.state().rolling_digest == leader.state().rolling_digest
                 && matches!(r.role(), Role::Learner | Role::Voter | Role::Leader)
         };
-        votes == voters && stands.copies.len() == records.len() && records.iter().all(same)
+        votes == voters && stands.replicas.len() == records.len() && records.iter().all(same)
     }
 }
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -7,7 +7,7 @@
 use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_store::disk::RealDisk;
 use umberloom_store::fault_disk::FaultInjectingDisk;
-use umberloom_store::{Batch, Config as StoreConfig, Store};
+use umberloom_store::{Config as StoreConfig, Store, WriteBatch};
 
 use crate::fleet_measures::{quantile, table};
 
@@ -187,7 +187,7 @@
         let count = 400u64;
         for n in 0..count {
             let at = Instant::now();
-            let batch = Batch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
+            let batch = WriteBatch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
             store.commit(batch).map_err(|e| e.to_string())?;
             took.push(at.elapsed().as_micros() as u64);
         }
@@ -195,12 +195,12 @@
         // What reaches the medium is counted on a simulated one, which takes the same operations.
         let disk = FaultInjectingDisk::new(1);
         let mut simulated = Store::open(&disk, &StoreConfig::new("store")).map_err(|e| e.to_string())?;
-        let before = (disk.written(), disk.syncs());
+        let before = (disk.bytes_written(), disk.syncs());
         for n in 0..count {
-            let batch = Batch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
+            let batch = WriteBatch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
             simulated.commit(batch).map_err(|e| e.to_string())?;
         }
-        let written = (disk.written() - before.0) as f64 / (count as f64 * bytes as f64);
+        let written = (disk.bytes_written() - before.0) as f64 / (count as f64 * bytes as f64);
         let p99 = quantile(&mut took, 0.99).parse::<f64>().unwrap_or(0.0) / 1_000.0;
         out.add_row([
             bytes.to_string(),
@@ -216,7 +216,8 @@
         let config = StoreConfig::new(folder.join(format!("rows-{rows}")));
         let mut store = Store::open(&RealDisk, &config).map_err(|e| e.to_string())?;
         for from in (0..rows).step_by(500) {
-            let batch = (from..from + 500).fold(Batch::new(), |b, n| b.put(2, &n.to_be_bytes(), &[7; 1_000]));
+            let batch =
+                (from..from + 500).fold(WriteBatch::new(), |b, n| b.put(2, &n.to_be_bytes(), &[7; 1_000]));
             store.commit(batch).map_err(|e| e.to_string())?;
         }
         let file = config.file();
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -45,10 +45,14 @@
     let mut from = reader.properties(node);
     let config = Config {
         voters: from.whole("voters", usual, (1, 5)) as usize,
-        election: from.millis("election-ms", unless_set.election),
+        election_timeout: from.millis("election-ms", unless_set.election_timeout),
         replace_after: from.whole("replace-after-s", unless_set.replace_after / 1_000_000, (1, 86_400))
             * 1_000_000,
-        catch_up: from.whole("catch-up-kb", unless_set.catch_up >> 10, (64, 1 << 20)) << 10,
+        catch_up_bytes_per_second: from.whole(
+            "catch-up-kb",
+            unless_set.catch_up_bytes_per_second >> 10,
+            (64, 1 << 20),
+        ) << 10,
         ..unless_set
     };
     from.done();
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -73,10 +73,14 @@
     let operator = parse("f", &text, None).unwrap_or_else(|faults| panic!("{faults}"));
     let record = operator.fleet.and_then(|fleet| fleet.record).expect("a record");
     assert_eq!(
-        (record.config.election, record.config.replace_after, record.config.catch_up),
+        (
+            record.config.election_timeout,
+            record.config.replace_after,
+            record.config.catch_up_bytes_per_second
+        ),
         (500_000, 9_000_000, 102_400)
     );
-    assert_eq!((record.most, record.scrub, record.config.others.len()), (4 << 20, 7_000_000, 2));
+    assert_eq!((record.most, record.scrub, record.config.peers.len()), (4 << 20, 7_000_000, 2));
     assert_eq!(record.folder, Some("r".into()));
     let cases = [
         ("voters=3", "voters=2", "found 2 voters, expected 3 or 5"),
--- a/crates/replicated-store/src/divergence.rs
+++ b/crates/replicated-store/src/divergence.rs
@@ -6,53 +6,53 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// No voter differs, or too few have been compared.
-    Fine,
+    NoDivergence,
     /// A majority of the voters agree with each other and not with us: these. Our copy is wrong.
-    WeDiffer(Vec<u64>),
+    LocalDiverged(Vec<u64>),
     /// A majority agrees with us, and these don't: their copies are wrong.
-    TheyDiffer(Vec<u64>),
+    PeersDiverged(Vec<u64>),
     /// Copies differ and no majority agrees: nobody can tell which is right.
-    NobodyKnows,
+    NoMajority,
 }
 
 /// What is known of one other voter.
 #[derive(Clone, Debug)]
-pub struct Other {
+pub struct PeerComparison {
     /// Its copy.
-    pub copy: u64,
+    pub replica_id: u64,
     /// Whether its digest at some index is the same as ours there; `None`: not compared.
-    pub same: Option<bool>,
+    pub matches: Option<bool>,
     /// What it says now: the last entry that it applied, and the digest after that. Only two that say the same here agree;
     /// what they once found of each other may be from before one of them went wrong.
-    pub says: (u64, Digest),
+    pub position: (u64, Digest),
 }
 
 /// Decides; `others` are all voters but us, and `votes` says whether we are one more.
-pub fn verdict(votes: bool, others: &[Other]) -> Verdict {
+pub fn verdict(votes: bool, others: &[PeerComparison]) -> Verdict {
     let quorum = (others.len() + usize::from(votes)) / 2 + 1;
-    let differ: Vec<&Other> = others.iter().filter(|other| other.same == Some(false)).collect();
+    let differ: Vec<&PeerComparison> = others.iter().filter(|other| other.matches == Some(false)).collect();
     if differ.is_empty() {
-        return Verdict::Fine;
+        return Verdict::NoDivergence;
     }
-    let with_us = usize::from(votes) + others.iter().filter(|other| other.same == Some(true)).count();
+    let with_us = usize::from(votes) + others.iter().filter(|other| other.matches == Some(true)).count();
     if with_us >= quorum {
-        return Verdict::TheyDiffer(differ.iter().map(|other| other.copy).collect());
+        return Verdict::PeersDiverged(differ.iter().map(|other| other.replica_id).collect());
     }
     // The largest group of those who differ from us and say the same.
-    let group = |one: &&Other| -> Vec<u64> {
-        differ.iter().filter(|other| other.says == one.says).map(|other| other.copy).collect()
+    let group = |one: &&PeerComparison| -> Vec<u64> {
+        differ.iter().filter(|other| other.position == one.position).map(|other| other.replica_id).collect()
     };
     let largest = differ.iter().map(group).max_by_key(Vec::len).unwrap_or_default();
     if largest.len() >= quorum {
-        return Verdict::WeDiffer(largest);
+        return Verdict::LocalDiverged(largest);
     }
     // As long as some voter could still tip it, nothing is said: one that was not compared, or two at different entries.
-    let open = others.iter().filter(|other| other.same.is_none()).count();
-    let apart = differ.iter().any(|one| differ.iter().any(|other| one.says.0 != other.says.0));
+    let open = others.iter().filter(|other| other.matches.is_none()).count();
+    let apart = differ.iter().any(|one| differ.iter().any(|other| one.position.0 != other.position.0));
     if with_us + open >= quorum || largest.len() + open >= quorum || apart {
-        return Verdict::Fine;
+        return Verdict::NoDivergence;
     }
-    Verdict::NobodyKnows
+    Verdict::NoMajority
 }
 
 #[cfg(test)]
@@ -61,33 +61,36 @@
 
     #[test]
     fn the_majority_is_right_and_without_one_nobody_knows() {
-        let other =
-            |copy, same: Option<bool>, index, digest: u8| Other { copy, same, says: (index, [digest; 16]) };
+        let other = |copy, same: Option<bool>, index, digest: u8| PeerComparison {
+            replica_id: copy,
+            matches: same,
+            position: (index, [digest; 16]),
+        };
         let (yes, no) = (Some(true), Some(false));
         let cases = [
-            (vec![other(2, yes, 9, 1), other(3, yes, 9, 1)], true, Verdict::Fine),
-            (vec![other(2, yes, 9, 1), other(3, no, 9, 2)], true, Verdict::TheyDiffer(vec![3])),
-            (vec![other(2, no, 9, 2), other(3, no, 9, 2)], true, Verdict::WeDiffer(vec![2, 3])),
+            (vec![other(2, yes, 9, 1), other(3, yes, 9, 1)], true, Verdict::NoDivergence),
+            (vec![other(2, yes, 9, 1), other(3, no, 9, 2)], true, Verdict::PeersDiverged(vec![3])),
+            (vec![other(2, no, 9, 2), other(3, no, 9, 2)], true, Verdict::LocalDiverged(vec![2, 3])),
             // They differ from us and from each other.
-            (vec![other(2, no, 9, 2), other(3, no, 9, 3)], true, Verdict::NobodyKnows),
+            (vec![other(2, no, 9, 2), other(3, no, 9, 3)], true, Verdict::NoMajority),
             // At different entries nothing can be said of the two.
-            (vec![other(2, no, 9, 2), other(3, no, 8, 3)], true, Verdict::Fine),
-            (vec![other(2, no, 9, 2), other(3, None, 0, 0)], true, Verdict::Fine),
+            (vec![other(2, no, 9, 2), other(3, no, 8, 3)], true, Verdict::NoDivergence),
+            (vec![other(2, no, 9, 2), other(3, None, 0, 0)], true, Verdict::NoDivergence),
             (
                 vec![other(2, no, 9, 2), other(3, no, 9, 2), other(4, yes, 9, 1), other(5, None, 0, 0)],
                 true,
-                Verdict::Fine,
+                Verdict::NoDivergence,
             ),
             (
                 vec![other(2, no, 9, 2), other(3, no, 9, 2), other(4, no, 9, 2), other(5, yes, 9, 1)],
                 true,
-                Verdict::WeDiffer(vec![2, 3, 4]),
+                Verdict::LocalDiverged(vec![2, 3, 4]),
             ),
             // One that learns counts for nothing itself.
             (
                 vec![other(2, yes, 9, 1), other(3, no, 9, 2), other(4, no, 9, 2)],
                 false,
-                Verdict::WeDiffer(vec![3, 4]),
+                Verdict::LocalDiverged(vec![3, 4]),
             ),
         ];
         for (others, votes, wanted) in cases {
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest content of one entry; documents are written in parts.
-pub const LONGEST: usize = 32 << 10;
+pub const MAX_ENTRY_BYTES: usize = 32 << 10;
 /// The longest document.
-pub const LONGEST_DOCUMENT: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 /// The longest name of a document, and of who writes.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Drawn by who writes; the same entry written twice is applied once.
 pub type EntryId = u128;
@@ -34,15 +34,15 @@
     /// Its number.
     pub id: EntryId,
     /// Who wrote it: a server's name.
-    pub by: String,
+    pub author: String,
     /// When, by that server's clock, in Unix milliseconds: for people, never for decisions.
-    pub at_ms: u64,
+    pub written_at_ms: u64,
     /// What it is about.
     pub kind: u16,
     /// The form of its content.
-    pub form: u16,
+    pub format_version: u16,
     /// The content, in that form.
-    pub content: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// What this program knows how to apply.
@@ -51,29 +51,29 @@
     /// A remark, for the history.
     Note(String),
     /// A piece of a document that is being written.
-    Part(Part),
+    Part(DocumentPart),
     /// A document takes on this content.
-    Document(Document),
+    Document(DocumentUpdate),
 }
 
 /// A piece of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct DocumentPart {
     /// Digest of the whole document.
-    pub whole: Digest,
+    pub document_digest: Digest,
     /// Which piece, from 0.
-    pub number: u16,
+    pub index: u16,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
 /// A document's new version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Document {
+pub struct DocumentUpdate {
     /// Its name.
     pub name: String,
     /// Only if it has this version now; 0 is for one that is not there. Without it whatever is there.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
     /// Its content, if that is short; else the pieces before have it.
     pub content: Content,
 }
@@ -82,75 +82,89 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// Here.
-    Here(Vec<u8>),
+    Inline(Vec<u8>),
     /// In so many pieces of a whole with this digest.
     Parts(Digest, u16),
     /// There is none any more: the document is taken out.
-    None,
+    Removed,
 }
 
 const NOTE: u16 = 1;
 const PART: u16 = 2;
 const DOCUMENT: u16 = 3;
 /// The form of each kind that this program writes.
-const FORM: u16 = 1;
+const FORMAT_VERSION: u16 = 1;
 
 impl Entry {
     /// In its envelope.
-    pub fn seal(&self, id: EntryId, by: &str, at_ms: u64) -> Envelope {
+    pub fn to_envelope(&self, id: EntryId, by: &str, at_ms: u64) -> Envelope {
         // Types without a serial form could fail here, and there are none.
         let (kind, content) = match self {
             Entry::Note(text) => (NOTE, postcard::to_allocvec(text)),
             Entry::Part(part) => (PART, postcard::to_allocvec(part)),
             Entry::Document(document) => (DOCUMENT, postcard::to_allocvec(document)),
         };
-        Envelope { id, by: by.to_owned(), at_ms, kind, form: FORM, content: content.unwrap_or_default() }
+        Envelope {
+            id,
+            author: by.to_owned(),
+            written_at_ms: at_ms,
+            kind,
+            format_version: FORMAT_VERSION,
+            payload: content.unwrap_or_default(),
+        }
     }
 
     /// The entries that make a document take on this content.
-    pub fn document(name: &str, bytes: Vec<u8>, expect: Option<u64>) -> Vec<Entry> {
+    pub fn document(name: &str, bytes: Vec<u8>, expected_version: Option<u64>) -> Vec<Entry> {
         let name = name.to_owned();
-        if bytes.len() <= LONGEST / 2 {
-            return vec![Entry::Document(Document { name, expect, content: Content::Here(bytes) })];
+        if bytes.len() <= MAX_ENTRY_BYTES / 2 {
+            return vec![Entry::Document(DocumentUpdate {
+                name,
+                expected_version,
+                content: Content::Inline(bytes),
+            })];
         }
         let whole = digest(&[&bytes]);
-        let pieces = bytes.chunks(LONGEST / 2).zip(0u16..);
-        let mut all: Vec<Entry> =
-            pieces.map(|(p, number)| Entry::Part(Part { whole, number, bytes: p.to_vec() })).collect();
+        let pieces = bytes.chunks(MAX_ENTRY_BYTES / 2).zip(0u16..);
+        let mut all: Vec<Entry> = pieces
+            .map(|(p, number)| {
+                Entry::Part(DocumentPart { document_digest: whole, index: number, bytes: p.to_vec() })
+            })
+            .collect();
         let content = Content::Parts(whole, all.len() as u16);
-        all.push(Entry::Document(Document { name, expect, content }));
+        all.push(Entry::Document(DocumentUpdate { name, expected_version, content }));
         all
     }
 }
 
 impl Envelope {
     /// What it says; `None`: it is of a newer program.
-    pub fn open(&self) -> Option<Entry> {
-        let content = &self.content;
-        match (self.kind, self.form) {
-            (NOTE, FORM) => postcard::from_bytes(content).ok().map(Entry::Note),
-            (PART, FORM) => postcard::from_bytes(content).ok().map(Entry::Part),
-            (DOCUMENT, FORM) => postcard::from_bytes(content).ok().map(Entry::Document),
+    pub fn decode(&self) -> Option<Entry> {
+        let content = &self.payload;
+        match (self.kind, self.format_version) {
+            (NOTE, FORMAT_VERSION) => postcard::from_bytes(content).ok().map(Entry::Note),
+            (PART, FORMAT_VERSION) => postcard::from_bytes(content).ok().map(Entry::Part),
+            (DOCUMENT, FORMAT_VERSION) => postcard::from_bytes(content).ok().map(Entry::Document),
             _ => None,
         }
     }
 
     /// Its bytes in the log.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// One read from the log.
-    pub fn read(bytes: &[u8]) -> Option<Envelope> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Envelope> {
         postcard::from_bytes(bytes).ok()
     }
 
     /// Its kind, for people.
     pub fn kind_name(&self) -> &'static str {
-        match (self.kind, self.form) {
-            (NOTE, FORM) => "note",
-            (PART, FORM) => "part of a document",
-            (DOCUMENT, FORM) => "document",
+        match (self.kind, self.format_version) {
+            (NOTE, FORMAT_VERSION) => "note",
+            (PART, FORMAT_VERSION) => "part of a document",
+            (DOCUMENT, FORMAT_VERSION) => "document",
             _ => "of a newer program",
         }
     }
--- a/crates/replicated-store/src/lib.rs
+++ b/crates/replicated-store/src/lib.rs
@@ -36,5 +36,4 @@
 };
 pub use state::{Outcome, State};
 
-/// Microseconds, on a clock that goes forward only.
-pub type Micros = u64;
+pub use umberloom_membership::Micros;
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -8,32 +8,32 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot, SnapshotMetadata};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use serde::{Deserialize, Serialize};
-use umberloom_store::{Batch, Row};
+use umberloom_store::{Row, WriteBatch};
 
 use crate::entry::{digest, Digest};
 use crate::state::State;
 
 /// The spaces of the store: what this copy is, the log by index, the snapshot in pieces, pieces that are still coming.
-pub const SPACES: [u8; 4] = [1, 2, 3, 4];
-const COPY: u8 = SPACES[0];
-const ENTRIES: u8 = SPACES[1];
-const SNAPSHOT: u8 = SPACES[2];
-const COMING: u8 = SPACES[3];
+pub const KEYSPACES: [u8; 4] = [1, 2, 3, 4];
+const IDENTITY: u8 = KEYSPACES[0];
+const ENTRIES: u8 = KEYSPACES[1];
+const SNAPSHOT: u8 = KEYSPACES[2];
+const INCOMING_CHUNKS: u8 = KEYSPACES[3];
 /// Bytes of one piece of a snapshot, on disk and between members.
-pub const PIECE: usize = 32 << 10;
+pub const CHUNK_BYTES: usize = 32 << 10;
 
 /// Snapshots from before that are kept in memory.
-const OLDER: usize = 2;
+const MAX_PREVIOUS_SNAPSHOTS: usize = 2;
 
 /// Which copy this is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copy {
+pub struct ReplicaIdentity {
     /// The record; 0 while it has joined none.
-    pub record: u64,
+    pub store_id: u64,
     /// Its own number, drawn when it began; 0 is none.
-    pub id: u64,
+    pub replica_id: u64,
     /// The server that it belongs to, so that a folder that was copied to another is seen.
-    pub name: String,
+    pub server: String,
     /// How often a process has begun with it.
     pub starts: u64,
 }
@@ -54,8 +54,8 @@
     }
 
     /// In how many pieces it goes.
-    pub fn pieces(&self) -> u32 {
-        (self.length as usize).div_ceil(PIECE) as u32
+    pub fn chunk_count(&self) -> u32 {
+        (self.length as usize).div_ceil(CHUNK_BYTES) as u32
     }
 }
 
@@ -63,16 +63,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct StoredReplica {
     /// Which copy.
-    pub copy: Copy,
-    hard: HardState,
-    meta: SnapshotMetadata,
+    pub identity: ReplicaIdentity,
+    hard_state: HardState,
+    snapshot_metadata: SnapshotMetadata,
     /// The state of the snapshot, its bytes and what they are known by.
     pub state: Option<State>,
-    bytes: Vec<u8>,
+    snapshot_bytes: Vec<u8>,
     manifest: Manifest,
     entries: VecDeque<Entry>,
     /// Pieces that had come of a snapshot under way.
-    pub coming: Vec<(Digest, u32, Vec<u8>)>,
+    pub incoming_chunks: Vec<(Digest, u32, Vec<u8>)>,
 }
 
 impl StoredReplica {
@@ -83,21 +83,21 @@
         let mut entries = Vec::new();
         for (space, rows) in rows {
             match space {
-                COPY => {
+                IDENTITY => {
                     for (name, value) in rows {
                         match name.as_slice() {
                             b"copy" => {
-                                image.copy =
+                                image.identity =
                                     postcard::from_bytes(&value).map_err(|e| format!("copy: {e}"))?;
                                 found = true;
                             }
                             b"hard" => {
                                 let hard = HardState::parse_from_bytes(&value);
-                                image.hard = hard.map_err(|e| format!("hard: {e}"))?;
+                                image.hard_state = hard.map_err(|e| format!("hard: {e}"))?;
                             }
                             b"snapshot" => {
                                 let meta = SnapshotMetadata::parse_from_bytes(&value);
-                                image.meta = meta.map_err(|e| format!("snapshot: {e}"))?;
+                                image.snapshot_metadata = meta.map_err(|e| format!("snapshot: {e}"))?;
                             }
                             _ => {}
                         }
@@ -105,11 +105,11 @@
                 }
                 SNAPSHOT => state = rows.into_iter().flat_map(|(_, piece)| piece).collect(),
                 ENTRIES => entries = rows,
-                COMING => {
+                INCOMING_CHUNKS => {
                     for (name, piece) in rows {
                         if let Some((digest, number)) = name.split_first_chunk::<16>() {
                             let number = number.try_into().map(u32::from_be_bytes).unwrap_or(u32::MAX);
-                            image.coming.push((*digest, number, piece));
+                            image.incoming_chunks.push((*digest, number, piece));
                         }
                     }
                 }
@@ -118,88 +118,103 @@
         }
         for (_, value) in entries {
             let entry = Entry::parse_from_bytes(&value).map_err(|e| format!("an entry: {e}"))?;
-            let wanted = image.entries.back().map_or(image.meta.index + 1, |last| last.index + 1);
-            if entry.index != wanted && entry.index > image.meta.index {
+            let wanted =
+                image.entries.back().map_or(image.snapshot_metadata.index + 1, |last| last.index + 1);
+            if entry.index != wanted && entry.index > image.snapshot_metadata.index {
                 return Err(format!("entry {} where {wanted} was expected", entry.index));
             }
-            if entry.index > image.meta.index {
+            if entry.index > image.snapshot_metadata.index {
                 image.entries.push_back(entry);
             }
         }
         if !state.is_empty() {
-            image.state = Some(State::read(&state).ok_or("the state can't be read")?);
-            (image.manifest, image.bytes) = (Manifest::of(&state), state);
+            image.state = Some(State::from_bytes(&state).ok_or("the state can't be read")?);
+            (image.manifest, image.snapshot_bytes) = (Manifest::of(&state), state);
         }
         Ok(found.then_some(image))
     }
 
     /// The last entry, and the term that it had seen.
     pub fn last(&self) -> (u64, u64) {
-        (self.hard.term, self.entries.back().map_or(self.meta.index, |e| e.index))
+        (self.hard_state.term, self.entries.back().map_or(self.snapshot_metadata.index, |e| e.index))
     }
 }
 
 /// The row that says which copy this is.
-pub fn copy_batch(copy: &Copy) -> Batch {
-    Batch::new().put(COPY, b"copy", &postcard::to_allocvec(copy).unwrap_or_default())
+pub fn identity_batch(copy: &ReplicaIdentity) -> WriteBatch {
+    WriteBatch::new().put(IDENTITY, b"copy", &postcard::to_allocvec(copy).unwrap_or_default())
 }
 
 /// The row of a piece that has come.
-pub fn coming_batch(of: &Digest, number: u32, bytes: &[u8]) -> Batch {
-    Batch::new().put(COMING, &[&of[..], &number.to_be_bytes()].concat(), bytes)
+pub fn chunk_batch(of: &Digest, number: u32, bytes: &[u8]) -> WriteBatch {
+    WriteBatch::new().put(INCOMING_CHUNKS, &[&of[..], &number.to_be_bytes()].concat(), bytes)
 }
 
 /// The log in memory.
 #[derive(Debug, Default)]
 pub struct Log {
-    hard: HardState,
-    conf: ConfState,
-    meta: SnapshotMetadata,
-    state: Rc<Vec<u8>>,
+    hard_state: HardState,
+    conf_state: ConfState,
+    snapshot_metadata: SnapshotMetadata,
+    snapshot_bytes: Rc<Vec<u8>>,
     manifest: Manifest,
     /// Snapshots from before, for those who still fetch one of them.
-    older: VecDeque<(Digest, Rc<Vec<u8>>)>,
+    previous_snapshots: VecDeque<(Digest, Rc<Vec<u8>>)>,
     entries: VecDeque<Entry>,
     /// Somebody needs a snapshot of this entry or a later one; 0 is nobody.
-    wanted: Cell<u64>,
+    requested_snapshot: Cell<u64>,
 }
 
 impl Log {
     /// A new record's, whose first state, after the entry of this index, is known to its founder alone. Whatever rows
     /// there are of another record go.
-    pub fn bootstrap(founder: u64, index: u64, state: Vec<u8>) -> (Log, Batch) {
+    pub fn bootstrap(founder: u64, index: u64, state: Vec<u8>) -> (Log, WriteBatch) {
         let mut log = Log::default();
-        (log.hard.term, log.hard.commit) = (1, index);
+        (log.hard_state.term, log.hard_state.commit) = (1, index);
         let mut conf = ConfState::default();
         conf.voters.push(founder);
         let mut meta = SnapshotMetadata::default();
         (meta.index, meta.term) = (index, 1);
         meta.set_conf_state(conf);
-        let gone = Batch::new().remove_range(ENTRIES, &[0], &[255; 9]).remove_range(COMING, &[0], &[255; 21]);
-        let batch = gone.then(log.put_snapshot(meta, Rc::new(state))).then(log.hard_batch());
+        let gone = WriteBatch::new().remove_range(ENTRIES, &[0], &[255; 9]).remove_range(
+            INCOMING_CHUNKS,
+            &[0],
+            &[255; 21],
+        );
+        let batch = gone.then(log.put_snapshot(meta, Rc::new(state))).then(log.hard_state_batch());
         (log, batch)
     }
 
     /// As it was on disk.
     pub fn load(image: StoredReplica) -> Log {
-        let StoredReplica { mut hard, meta, bytes, manifest, entries, .. } = image;
+        let StoredReplica {
+            mut hard_state, snapshot_metadata, snapshot_bytes: bytes, manifest, entries, ..
+        } = image;
         // A commit index alone is not made durable, and a snapshot is of what was agreed on.
-        hard.commit = hard.commit.max(meta.index);
-        let conf = meta.get_conf_state().clone();
-        Log { hard, conf, meta, state: Rc::new(bytes), manifest, entries, ..Log::default() }
+        hard_state.commit = hard_state.commit.max(snapshot_metadata.index);
+        let conf_state = snapshot_metadata.get_conf_state().clone();
+        Log {
+            hard_state,
+            conf_state,
+            snapshot_metadata,
+            snapshot_bytes: Rc::new(bytes),
+            manifest,
+            entries,
+            ..Log::default()
+        }
     }
 
-    fn hard_batch(&self) -> Batch {
-        Batch::new().put(COPY, b"hard", &self.hard.write_to_bytes().unwrap_or_default())
+    fn hard_state_batch(&self) -> WriteBatch {
+        WriteBatch::new().put(IDENTITY, b"hard", &self.hard_state.write_to_bytes().unwrap_or_default())
     }
 
     /// Takes up what a step of the library wants to be durable.
-    pub fn append(&mut self, entries: Vec<Entry>, hard: Option<&HardState>) -> Batch {
-        let mut batch = Batch::new();
+    pub fn append(&mut self, entries: Vec<Entry>, hard: Option<&HardState>) -> WriteBatch {
+        let mut batch = WriteBatch::new();
         if let Some(first) = entries.first().map(|e| e.index) {
-            let known = self.last();
+            let known = self.last_entry_index();
             // What stood there before was never committed.
-            self.entries.truncate((first.saturating_sub(self.meta.index + 1)) as usize);
+            self.entries.truncate((first.saturating_sub(self.snapshot_metadata.index + 1)) as usize);
             if known >= first {
                 batch = batch.remove_range(ENTRIES, &first.to_be_bytes(), &(known + 1).to_be_bytes());
             }
@@ -210,68 +225,70 @@
             self.entries.push_back(entry);
         }
         if let Some(hard) = hard {
-            self.hard = hard.clone();
-            batch = batch.then(self.hard_batch());
+            self.hard_state = hard.clone();
+            batch = batch.then(self.hard_state_batch());
         }
         batch
     }
 
     /// Who votes and learns from now on.
-    pub fn set_conf(&mut self, conf: ConfState) {
-        self.conf = conf;
+    pub fn set_conf_state(&mut self, conf: ConfState) {
+        self.conf_state = conf;
     }
 
     /// Who votes and learns.
-    pub fn conf(&self) -> &ConfState {
-        &self.conf
+    pub fn conf_state(&self) -> &ConfState {
+        &self.conf_state
     }
 
     /// Replaces everything up to its index by a snapshot that came.
-    pub fn install(&mut self, meta: SnapshotMetadata, state: Rc<Vec<u8>>) -> Batch {
-        let (first, last) = (self.meta.index, self.last());
+    pub fn install(&mut self, meta: SnapshotMetadata, state: Rc<Vec<u8>>) -> WriteBatch {
+        let (first, last) = (self.snapshot_metadata.index, self.last_entry_index());
         self.entries.clear();
-        self.hard.commit = self.hard.commit.max(meta.index);
-        self.hard.term = self.hard.term.max(meta.term);
-        let gone = Batch::new().remove_range(ENTRIES, &first.to_be_bytes(), &(last + 1).to_be_bytes());
-        let done = gone.remove_range(COMING, &[0], &[255; 21]);
-        done.then(self.put_snapshot(meta, state)).then(self.hard_batch())
+        self.hard_state.commit = self.hard_state.commit.max(meta.index);
+        self.hard_state.term = self.hard_state.term.max(meta.term);
+        let gone = WriteBatch::new().remove_range(ENTRIES, &first.to_be_bytes(), &(last + 1).to_be_bytes());
+        let done = gone.remove_range(INCOMING_CHUNKS, &[0], &[255; 21]);
+        done.then(self.put_snapshot(meta, state)).then(self.hard_state_batch())
     }
 
-    fn put_snapshot(&mut self, meta: SnapshotMetadata, state: Rc<Vec<u8>>) -> Batch {
-        self.conf = meta.get_conf_state().clone();
+    fn put_snapshot(&mut self, meta: SnapshotMetadata, state: Rc<Vec<u8>>) -> WriteBatch {
+        self.conf_state = meta.get_conf_state().clone();
         let row = meta.write_to_bytes().unwrap_or_default();
-        let mut batch = Batch::new().remove_range(SNAPSHOT, &[0], &[255; 5]).put(COPY, b"snapshot", &row);
-        for (number, piece) in (0u32..).zip(state.chunks(PIECE)) {
+        let mut batch =
+            WriteBatch::new().remove_range(SNAPSHOT, &[0], &[255; 5]).put(IDENTITY, b"snapshot", &row);
+        for (number, piece) in (0u32..).zip(state.chunks(CHUNK_BYTES)) {
             batch = batch.put(SNAPSHOT, &number.to_be_bytes(), piece);
         }
-        self.older.push_back((self.manifest.digest, self.state.clone()));
-        if self.older.len() > OLDER {
-            self.older.pop_front();
+        self.previous_snapshots.push_back((self.manifest.digest, self.snapshot_bytes.clone()));
+        if self.previous_snapshots.len() > MAX_PREVIOUS_SNAPSHOTS {
+            self.previous_snapshots.pop_front();
         }
-        (self.meta, self.manifest, self.state) = (meta, Manifest::of(&state), state);
+        (self.snapshot_metadata, self.manifest, self.snapshot_bytes) = (meta, Manifest::of(&state), state);
         batch
     }
 
     /// Makes a snapshot of the state after `applied`, and takes the entries up to there out.
-    pub fn compact(&mut self, applied: u64, state: Vec<u8>) -> Batch {
-        let Ok(term) = self.term(applied) else { return Batch::new() };
-        let first = self.meta.index + 1;
-        self.entries.drain(..(applied - self.meta.index) as usize);
+    pub fn compact(&mut self, applied: u64, state: Vec<u8>) -> WriteBatch {
+        let Ok(term) = self.term(applied) else { return WriteBatch::new() };
+        let first = self.snapshot_metadata.index + 1;
+        self.entries.drain(..(applied - self.snapshot_metadata.index) as usize);
         let mut meta = SnapshotMetadata::default();
         (meta.index, meta.term) = (applied, term);
-        meta.set_conf_state(self.conf.clone());
-        let gone = Batch::new().remove_range(ENTRIES, &first.to_be_bytes(), &(applied + 1).to_be_bytes());
+        meta.set_conf_state(self.conf_state.clone());
+        let gone =
+            WriteBatch::new().remove_range(ENTRIES, &first.to_be_bytes(), &(applied + 1).to_be_bytes());
         gone.then(self.put_snapshot(meta, Rc::new(state)))
     }
 
     /// Whether a member waits for a newer snapshot.
-    pub fn is_wanted(&self) -> bool {
-        self.wanted.get() > self.meta.index
+    pub fn is_snapshot_requested(&self) -> bool {
+        self.requested_snapshot.get() > self.snapshot_metadata.index
     }
 
     /// The last entry.
-    pub fn last(&self) -> u64 {
-        self.entries.back().map_or(self.meta.index, |e| e.index)
+    pub fn last_entry_index(&self) -> u64 {
+        self.entries.back().map_or(self.snapshot_metadata.index, |e| e.index)
     }
 
     /// Entries since the snapshot, and their bytes.
@@ -281,25 +298,25 @@
     }
 
     /// The term that is durable, and the vote.
-    pub fn hard(&self) -> &HardState {
-        &self.hard
+    pub fn hard_state(&self) -> &HardState {
+        &self.hard_state
     }
 
     /// The snapshot: its index, what it is known by, and its bytes.
-    pub fn snapshot_bytes(&self) -> (u64, Manifest, Rc<Vec<u8>>) {
-        (self.meta.index, self.manifest, self.state.clone())
+    pub fn latest_snapshot(&self) -> (u64, Manifest, Rc<Vec<u8>>) {
+        (self.snapshot_metadata.index, self.manifest, self.snapshot_bytes.clone())
     }
 
     /// The bytes of the snapshot with this digest, if it is the last one or one shortly before.
-    pub fn snapshot_by(&self, digest: &Digest) -> Option<Rc<Vec<u8>>> {
+    pub fn snapshot_with_digest(&self, digest: &Digest) -> Option<Rc<Vec<u8>>> {
         if self.manifest.digest == *digest {
-            return Some(self.state.clone());
+            return Some(self.snapshot_bytes.clone());
         }
-        self.older.iter().find(|(older, _)| older == digest).map(|(_, state)| state.clone())
+        self.previous_snapshots.iter().find(|(older, _)| older == digest).map(|(_, state)| state.clone())
     }
 
     /// What an operator's export holds: index, kind (0: content) and bytes of each entry since the snapshot, up to this one.
-    pub fn entries_to(&self, last: u64) -> Vec<(u64, u64, Vec<u8>)> {
+    pub fn entries_through(&self, last: u64) -> Vec<(u64, u64, Vec<u8>)> {
         let one = |e: &Entry| (e.index, e.get_entry_type() as u64, e.data.to_vec());
         self.entries.iter().take_while(|e| e.index <= last).map(one).collect()
     }
@@ -307,7 +324,7 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
+        Ok(RaftState { hard_state: self.hard_state.clone(), conf_state: self.conf_state.clone() })
     }
 
     fn entries(
@@ -317,55 +334,56 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low <= self.meta.index {
+        if low <= self.snapshot_metadata.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.last_entry_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let range = (low - self.meta.index - 1) as usize..(high - self.meta.index - 1) as usize;
+        let range = (low - self.snapshot_metadata.index - 1) as usize
+            ..(high - self.snapshot_metadata.index - 1) as usize;
         let mut found: Vec<Entry> = self.entries.range(range).cloned().collect();
         raft::util::limit_size(&mut found, max_size.into());
         Ok(found)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.meta.index {
-            return Ok(self.meta.term);
+        if index == self.snapshot_metadata.index {
+            return Ok(self.snapshot_metadata.term);
         }
-        if index < self.meta.index {
+        if index < self.snapshot_metadata.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = self.entries.get((index - self.meta.index - 1) as usize);
+        let entry = self.entries.get((index - self.snapshot_metadata.index - 1) as usize);
         entry.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.meta.index + 1)
+        Ok(self.snapshot_metadata.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.last_entry_index())
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
         // One from before a member was taken in means nothing to it.
-        let conf = self.meta.get_conf_state();
+        let conf = self.snapshot_metadata.get_conf_state();
         let knows = [&conf.voters, &conf.learners, &conf.learners_next].iter().any(|ids| ids.contains(&to));
         // One that asks by itself has no room for what there was when it last tried: it gets what there is now.
-        let asked = if request_index > 0 { self.hard.commit.max(request_index) } else { 0 };
-        let needed = match self.wanted.get() {
-            0 if !knows => self.meta.index + 1,
+        let asked = if request_index > 0 { self.hard_state.commit.max(request_index) } else { 0 };
+        let needed = match self.requested_snapshot.get() {
+            0 if !knows => self.snapshot_metadata.index + 1,
             0 => asked,
             before => before,
         };
-        if self.meta.index < needed {
-            self.wanted.set(needed);
+        if self.snapshot_metadata.index < needed {
+            self.requested_snapshot.set(needed);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
-        self.wanted.set(0);
+        self.requested_snapshot.set(0);
         let mut snapshot = Snapshot::default();
-        snapshot.set_metadata(self.meta.clone());
+        snapshot.set_metadata(self.snapshot_metadata.clone());
         snapshot.data = postcard::to_allocvec(&self.manifest).unwrap_or_default().into();
         Ok(snapshot)
     }
--- a/crates/replicated-store/src/replica/told.rs
+++ b/crates/replicated-store/src/replica/events.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Digest;
-use crate::rollback::Seen;
+use crate::rollback::DurableProgress;
 use crate::Micros;
 
 /// What a server is to the record.
@@ -47,7 +47,7 @@
     /// A member is taken in, promoted, replaced or demoted.
     ConfigurationChange(String),
     /// Others remember this copy further than it is.
-    RollbackDetected(Seen),
+    RollbackDetected(DurableProgress),
     /// This copy is not the same as those of a majority.
     LocalDivergence(Vec<u64>),
     /// These copies are not the same as ours and a majority's.
@@ -78,7 +78,7 @@
     /// It took too long; a write may still be applied.
     TimedOut,
     /// No rule allows it: why.
-    Rule(String),
+    NotAllowed(String),
 }
 
 impl fmt::Display for RequestError {
@@ -91,7 +91,7 @@
             }
             RequestError::Busy => f.write_str("too much waits already"),
             RequestError::TimedOut => f.write_str("it took too long; a write may still be applied"),
-            RequestError::Rule(why) => f.write_str(why),
+            RequestError::NotAllowed(why) => f.write_str(why),
         }
     }
 }
@@ -102,16 +102,18 @@
     /// Everything that was done before the read was asked for is in the state now.
     Ready,
     /// No majority has said so in time.
-    Refused(RequestError),
+    Failed(RequestError),
 }
 
 /// How this server's part stands, for people.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// The record's number; 0 is none.
-    pub record: u64,
+    #[serde(rename = "record")]
+    pub store_id: u64,
     /// This copy's number.
-    pub copy: u64,
+    #[serde(rename = "copy")]
+    pub replica_id: u64,
     /// What this server is to it.
     pub role: Role,
     /// The term.
@@ -123,17 +125,21 @@
     /// See `applied`.
     pub commit: u64,
     /// See `applied`.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_index: u64,
     /// How long ago a leader was heard, in milliseconds; by that the age of a local read is known.
     pub leader_heard_ms: Option<u64>,
     /// Digest after the last applied entry.
-    pub chain: Digest,
+    #[serde(rename = "chain")]
+    pub rolling_digest: Digest,
     /// All copies that belong to it.
-    pub copies: Vec<ReplicaView>,
+    #[serde(rename = "copies")]
+    pub replicas: Vec<ReplicaView>,
     /// Pieces of a snapshot that are there, of how many.
     pub catching_up: Option<(u32, u32)>,
     /// Entries kept for a newer program.
-    pub unknown: u64,
+    #[serde(rename = "unknown")]
+    pub unsupported_entries: u64,
     /// Nothing is written: copies differ.
     pub frozen: bool,
 }
@@ -142,13 +148,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaView {
     /// Its number.
-    pub copy: u64,
+    #[serde(rename = "copy")]
+    pub replica_id: u64,
     /// Its server, and the zone of that.
-    pub name: String,
+    #[serde(rename = "name")]
+    pub server: String,
     /// See `name`.
     pub zone: String,
     /// Whether it votes.
-    pub votes: bool,
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
     /// What it last said that it had applied, and how long ago that was, in milliseconds.
     pub applied: Option<u64>,
     /// See `applied`.
--- a/crates/replicated-store/src/rollback.rs
+++ b/crates/replicated-store/src/rollback.rs
@@ -13,102 +13,108 @@
 use umberloom_membership::MemberName;
 
 /// Copies that are remembered; beyond that the one with the lowest number goes, which is none in particular.
-const MOST: usize = 4_096;
+const MAX_REMEMBERED_REPLICAS: usize = 4_096;
 
 /// How far a copy was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Seen {
+pub struct DurableProgress {
     /// How often a process had begun with it.
     pub starts: u64,
     /// Its term.
     pub term: u64,
     /// Its last durable entry.
-    pub last: u64,
+    pub last_index: u64,
 }
 
-impl Seen {
+impl DurableProgress {
     /// Whether a copy at `self` can have become one at `now`: starts and terms never fall. Entries may, when a later
     /// leader has others in their place: then the term is a later one.
-    pub fn leads_to(&self, now: &Seen) -> bool {
-        self.starts <= now.starts && self.term <= now.term && (self.last <= now.last || self.term < now.term)
+    pub fn can_precede(&self, now: &DurableProgress) -> bool {
+        self.starts <= now.starts
+            && self.term <= now.term
+            && (self.last_index <= now.last_index || self.term < now.term)
     }
 
-    fn further(self, other: Seen) -> Seen {
+    fn furthest(self, other: DurableProgress) -> DurableProgress {
         let last = match self.term.cmp(&other.term) {
-            std::cmp::Ordering::Greater => self.last,
-            std::cmp::Ordering::Less => other.last,
-            std::cmp::Ordering::Equal => self.last.max(other.last),
+            std::cmp::Ordering::Greater => self.last_index,
+            std::cmp::Ordering::Less => other.last_index,
+            std::cmp::Ordering::Equal => self.last_index.max(other.last_index),
         };
-        Seen { starts: self.starts.max(other.starts), term: self.term.max(other.term), last }
+        DurableProgress {
+            starts: self.starts.max(other.starts),
+            term: self.term.max(other.term),
+            last_index: last,
+        }
     }
 }
 
 /// What this server remembers of the copies of others.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(BTreeMap<u64, Seen>);
+pub struct PeerProgress(BTreeMap<u64, DurableProgress>);
 
-impl Memory {
+impl PeerProgress {
     /// A copy says how far it is.
-    pub fn note(&mut self, copy: u64, seen: Seen) {
+    pub fn record(&mut self, copy: u64, seen: DurableProgress) {
         if copy == 0 {
             return;
         }
-        if self.0.len() >= MOST && !self.0.contains_key(&copy) {
+        if self.0.len() >= MAX_REMEMBERED_REPLICAS && !self.0.contains_key(&copy) {
             self.0.pop_first();
         }
         let known = self.0.entry(copy).or_default();
-        *known = known.further(seen);
+        *known = known.furthest(seen);
     }
 
     /// How far a copy was, as far as is remembered.
-    pub fn of(&self, copy: u64) -> Option<Seen> {
+    pub fn progress_of(&self, copy: u64) -> Option<DurableProgress> {
         self.0.get(&copy).copied()
     }
 }
 
 /// A copy that has begun and waits to hear what others remember of it.
 #[derive(Clone, Debug)]
-pub struct Returning {
-    at: Seen,
-    heard: BTreeMap<MemberName, Option<Seen>>,
+pub struct RollbackCheck {
+    own_progress: DurableProgress,
+    answers: BTreeMap<MemberName, Option<DurableProgress>>,
 }
 
 /// What came of the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Not enough have said something.
-    Wait,
+    Undecided,
     /// Take part.
-    Sound,
+    UpToDate,
     /// Somebody remembers it further than it is: so far.
-    SetBack(Seen),
+    RolledBack(DurableProgress),
 }
 
-impl Returning {
+impl RollbackCheck {
     /// A copy that was read from a disk, this far.
-    pub fn new(at: Seen) -> Returning {
-        Returning { at, heard: BTreeMap::new() }
+    pub fn new(own_progress: DurableProgress) -> RollbackCheck {
+        RollbackCheck { own_progress, answers: BTreeMap::new() }
     }
 
     /// A member says what it remembers.
-    pub fn hear(&mut self, from: &MemberName, of_us: Option<Seen>) {
-        self.heard.insert(from.clone(), of_us);
+    pub fn handle_answer(&mut self, from: &MemberName, of_us: Option<DurableProgress>) {
+        self.answers.insert(from.clone(), of_us);
     }
 
     /// Whether it may take part, among voters of these names but its own: as many as make a majority with it must have
     /// said something, so that every majority that it was part of has one who would know.
     pub fn verdict(&self, others: &[MemberName]) -> Verdict {
-        let mine = Seen { starts: self.at.starts, ..self.at };
-        let further = self.heard.values().flatten().find(|seen| !seen.leads_to(&mine));
+        let mine = DurableProgress { starts: self.own_progress.starts, ..self.own_progress };
+        let further = self.answers.values().flatten().find(|seen| !seen.can_precede(&mine));
         if let Some(seen) = further {
-            return Verdict::SetBack(*seen);
+            return Verdict::RolledBack(*seen);
         }
-        let said = others.iter().filter(|name| self.heard.contains_key(*name)).count();
+        let said = others.iter().filter(|name| self.answers.contains_key(*name)).count();
         let needed = others.len().div_ceil(2);
         if said >= needed {
-            Verdict::Sound
+            Verdict::UpToDate
         } else {
-            Verdict::Wait
+            Verdict::Undecided
         }
     }
 }
@@ -117,8 +123,8 @@
 mod tests {
     use super::*;
 
-    fn seen(starts: u64, term: u64, last: u64) -> Seen {
-        Seen { starts, term, last }
+    fn seen(starts: u64, term: u64, last: u64) -> DurableProgress {
+        DurableProgress { starts, term, last_index: last }
     }
 
     #[test]
@@ -126,31 +132,31 @@
         let others: Vec<MemberName> = ["b", "c", "d", "e"].map(MemberName::from).to_vec();
         // Its own state; what two of four others say; what comes of it.
         let cases = [
-            (seen(3, 5, 90), [Some(seen(2, 5, 90)), Some(seen(2, 4, 80))], Verdict::Sound),
-            (seen(3, 5, 90), [None, None], Verdict::Sound),
-            (seen(3, 5, 90), [Some(seen(2, 6, 70)), None], Verdict::SetBack(seen(2, 6, 70))),
-            (seen(3, 5, 90), [None, Some(seen(2, 5, 91))], Verdict::SetBack(seen(2, 5, 91))),
-            (seen(3, 5, 90), [Some(seen(4, 5, 90)), None], Verdict::SetBack(seen(4, 5, 90))),
+            (seen(3, 5, 90), [Some(seen(2, 5, 90)), Some(seen(2, 4, 80))], Verdict::UpToDate),
+            (seen(3, 5, 90), [None, None], Verdict::UpToDate),
+            (seen(3, 5, 90), [Some(seen(2, 6, 70)), None], Verdict::RolledBack(seen(2, 6, 70))),
+            (seen(3, 5, 90), [None, Some(seen(2, 5, 91))], Verdict::RolledBack(seen(2, 5, 91))),
+            (seen(3, 5, 90), [Some(seen(4, 5, 90)), None], Verdict::RolledBack(seen(4, 5, 90))),
             // A later leader has put others in the place of entries that were never committed.
-            (seen(3, 6, 60), [Some(seen(2, 5, 70)), None], Verdict::Sound),
+            (seen(3, 6, 60), [Some(seen(2, 5, 70)), None], Verdict::UpToDate),
         ];
         for (mine, said, wanted) in cases {
-            let mut returning = Returning::new(mine);
-            assert_eq!(returning.verdict(&others), Verdict::Wait);
-            returning.hear(&others[0], said[0]);
-            returning.hear(&others[1], said[1]);
+            let mut returning = RollbackCheck::new(mine);
+            assert_eq!(returning.verdict(&others), Verdict::Undecided);
+            returning.handle_answer(&others[0], said[0]);
+            returning.handle_answer(&others[1], said[1]);
             assert_eq!(returning.verdict(&others), wanted, "{mine:?} {said:?}");
         }
-        assert_eq!(Returning::new(seen(1, 1, 1)).verdict(&[]), Verdict::Sound);
+        assert_eq!(RollbackCheck::new(seen(1, 1, 1)).verdict(&[]), Verdict::UpToDate);
     }
 
     #[test]
     fn memory_goes_forward_and_has_a_bound() {
-        let mut memory = Memory::default();
-        memory.note(7, seen(1, 4, 50));
-        memory.note(7, seen(1, 3, 90));
-        assert_eq!(memory.of(7), Some(seen(1, 4, 50)));
-        (1..=2 * MOST as u64).for_each(|copy| memory.note(copy, seen(1, 1, 1)));
-        assert_eq!(memory.0.len(), MOST);
+        let mut memory = PeerProgress::default();
+        memory.record(7, seen(1, 4, 50));
+        memory.record(7, seen(1, 3, 90));
+        assert_eq!(memory.progress_of(7), Some(seen(1, 4, 50)));
+        (1..=2 * MAX_REMEMBERED_REPLICAS as u64).for_each(|copy| memory.record(copy, seen(1, 1, 1)));
+        assert_eq!(memory.0.len(), MAX_REMEMBERED_REPLICAS);
     }
 }
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 
 use umberloom_membership::MemberName;
-use umberloom_replicated_store::entry::{Content, Document, Entry, Envelope, Part};
+use umberloom_replicated_store::entry::{Content, DocumentPart, DocumentUpdate, Entry, Envelope};
 use umberloom_replicated_store::export::Export;
-use umberloom_replicated_store::log::{Manifest, StoredReplica, SPACES};
-use umberloom_replicated_store::message::{self, PeerMessage, Status};
-use umberloom_replicated_store::rollback::Seen;
+use umberloom_replicated_store::log::{Manifest, StoredReplica, KEYSPACES};
+use umberloom_replicated_store::message::{self, PeerMessage, StatusMessage};
+use umberloom_replicated_store::rollback::DurableProgress;
 use umberloom_replicated_store::state::{HistoryLine, Outcome};
 use umberloom_replicated_store::State;
 use umberloom_store::disk::RealDisk;
@@ -28,50 +28,52 @@
 }
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let seen = Seen { starts: 3, term: 500, last: 70_000 };
-    let status = Status {
-        record: u64::MAX - 2,
-        copy: 77,
-        from: 5,
-        seen,
-        votes: true,
+    let seen = DurableProgress { starts: 3, term: 500, last_index: 70_000 };
+    let status = StatusMessage {
+        store_id: u64::MAX - 2,
+        replica_id: 77,
+        adopted_from: 5,
+        durable: seen,
+        is_voter: true,
         applied: 69_999,
-        chain: [7; 16],
+        rolling_digest: [7; 16],
         leader: Some(MemberName::from("server-b")),
-        reaches: vec![MemberName::from("server-b"), MemberName::from("server-c")],
-        of_you: Some(Seen { starts: 1, term: 2, last: 3 }),
-        fetches: true,
+        reachable: vec![MemberName::from("server-b"), MemberName::from("server-c")],
+        receiver_progress: Some(DurableProgress { starts: 1, term: 2, last_index: 3 }),
+        fetching_snapshot: true,
         snapshot: (60_000, Manifest { digest: [9; 16], length: 123_456 }),
-        load: 42,
+        load_percent: 42,
     };
     vec![
         ("status", PeerMessage::Status(Box::new(status))),
         ("status-empty", PeerMessage::Status(Box::default())),
         ("raft", PeerMessage::Raft(300, vec![1, 2, 3])),
-        ("hop", PeerMessage::Hop(MemberName::from("server-c"), vec![4, 5])),
-        ("passed", PeerMessage::Passed(MemberName::from("server-a"), 1_700_000_000_000_001, vec![6])),
+        ("hop", PeerMessage::Relay(MemberName::from("server-c"), vec![4, 5])),
+        ("passed", PeerMessage::Relayed(MemberName::from("server-a"), 1_700_000_000_000_001, vec![6])),
         ("join", PeerMessage::Join(77, MemberName::from("east"))),
-        ("hand", PeerMessage::Hand(MemberName::from("server-b"), true)),
-        ("ask", PeerMessage::Ask([1; 16], 400)),
-        ("piece", PeerMessage::Piece([1; 16], 400, vec![255, 0])),
+        ("hand", PeerMessage::SetVoter(MemberName::from("server-b"), true)),
+        ("ask", PeerMessage::ChunkRequest([1; 16], 400)),
+        ("piece", PeerMessage::Chunk([1; 16], 400, vec![255, 0])),
     ]
 }
 
 fn entries() -> Vec<(&'static str, Entry)> {
-    let document = |expect, content| Entry::Document(Document { name: "limits".to_owned(), expect, content });
+    let document = |expect, content| {
+        Entry::Document(DocumentUpdate { name: "limits".to_owned(), expected_version: expect, content })
+    };
     vec![
         ("note", Entry::Note("a remark".to_owned())),
-        ("part", Entry::Part(Part { whole: [3; 16], number: 2, bytes: vec![1, 2, 3] })),
-        ("document", document(Some(300), Content::Here(b"forty".to_vec()))),
+        ("part", Entry::Part(DocumentPart { document_digest: [3; 16], index: 2, bytes: vec![1, 2, 3] })),
+        ("document", document(Some(300), Content::Inline(b"forty".to_vec()))),
         ("document-in-parts", document(None, Content::Parts([3; 16], 5))),
-        ("document-removed", document(None, Content::None)),
+        ("document-removed", document(None, Content::Removed)),
     ]
 }
 
 #[test]
 fn messages_are_written_byte_for_byte_as_before() {
     let lines: Vec<String> =
-        messages().iter().map(|(name, word)| format!("{name} {}", hex(&message::write(word)))).collect();
+        messages().iter().map(|(name, word)| format!("{name} {}", hex(&message::encode(word)))).collect();
     assert_eq!(lines.join("\n"), MESSAGES.trim_end());
 }
 
@@ -81,13 +83,13 @@
     assert_eq!(golden.len(), messages().len());
     for (line, (name, word)) in golden.into_iter().zip(messages()) {
         let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
-        assert_eq!((golden_name, message::read(&bytes(written))), (name, Some(word)));
+        assert_eq!((golden_name, message::decode(&bytes(written))), (name, Some(word)));
     }
 }
 
 #[test]
 fn log_entries_are_written_byte_for_byte_as_before() {
-    let write = |entry: &Entry| hex(&entry.seal(1 << 100, "server-a", 1_700_000_000_123).bytes());
+    let write = |entry: &Entry| hex(&entry.to_envelope(1 << 100, "server-a", 1_700_000_000_123).to_bytes());
     let lines: Vec<String> =
         entries().iter().map(|(name, entry)| format!("{name} {}", write(entry))).collect();
     assert_eq!(lines.join("\n"), ENVELOPES.trim_end());
@@ -99,24 +101,24 @@
     assert_eq!(golden.len(), entries().len());
     for (line, (name, entry)) in golden.into_iter().zip(entries()) {
         let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
-        let envelope = Envelope::read(&bytes(written)).expect("an envelope");
-        assert_eq!((golden_name, envelope.open()), (name, Some(entry)));
-        assert_eq!((envelope.id, envelope.by.as_str()), (1 << 100, "server-a"));
-        assert_eq!(envelope.at_ms, 1_700_000_000_123);
+        let envelope = Envelope::from_bytes(&bytes(written)).expect("an envelope");
+        assert_eq!((golden_name, envelope.decode()), (name, Some(entry)));
+        assert_eq!((envelope.id, envelope.author.as_str()), (1 << 100, "server-a"));
+        assert_eq!(envelope.written_at_ms, 1_700_000_000_123);
     }
 }
 
 /// The history that the three servers had agreed on when they were stopped, oldest line first.
 fn expected_history() -> Vec<(String, Outcome)> {
     vec![
-        ("document limits".to_owned(), Outcome::Done(1)),
-        ("document limits".to_owned(), Outcome::Done(2)),
-        ("document routes".to_owned(), Outcome::Done(1)),
-        ("document large".to_owned(), Outcome::Done(1)),
-        ("document retired".to_owned(), Outcome::Done(1)),
-        ("document retired".to_owned(), Outcome::Done(2)),
+        ("document limits".to_owned(), Outcome::Applied(1)),
+        ("document limits".to_owned(), Outcome::Applied(2)),
+        ("document routes".to_owned(), Outcome::Applied(1)),
+        ("document large".to_owned(), Outcome::Applied(1)),
+        ("document retired".to_owned(), Outcome::Applied(1)),
+        ("document retired".to_owned(), Outcome::Applied(2)),
         ("document limits".to_owned(), Outcome::Conflict(2)),
-        ("rolled back the spring limits".to_owned(), Outcome::Done(0)),
+        ("rolled back the spring limits".to_owned(), Outcome::Applied(0)),
     ]
 }
 
@@ -132,9 +134,10 @@
         [("large", 1, &large), ("limits", 2, b"fifty"), ("routes", 1, routes)];
     assert_eq!(held, expected);
     let lines: Vec<&HistoryLine> = state.history().collect();
-    let found: Vec<(String, Outcome)> = lines.iter().map(|l| (l.what.clone(), l.outcome.clone())).collect();
+    let found: Vec<(String, Outcome)> =
+        lines.iter().map(|l| (l.description.clone(), l.outcome.clone())).collect();
     assert_eq!(found, expected_history());
-    assert!(lines.iter().all(|line| line.by.1 > 1_700_000_000_000), "{lines:?}");
+    assert!(lines.iter().all(|line| line.author.1 > 1_700_000_000_000), "{lines:?}");
 }
 
 /// The rows of a store that a server of the earlier version left behind.
@@ -145,7 +148,8 @@
     std::fs::copy(golden.join("rows.redb"), folder.join("rows.redb")).expect("copied");
     let rows = {
         let store = Store::open(&RealDisk, &StoreConfig::new(&folder)).expect("a sound store");
-        let all = SPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).expect("sound rows")));
+        let all =
+            KEYSPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).expect("sound rows")));
         all.to_vec()
     };
     std::fs::remove_dir_all(&folder).expect("removed");
@@ -156,12 +160,12 @@
 fn stores_of_the_earlier_version_hold_every_document_and_line_of_history() {
     for (n, name) in ["n1", "n2", "n3"].into_iter().enumerate() {
         let image = image_of(&format!("store-{n}"));
-        assert_eq!(image.copy.name, name);
-        assert_eq!(image.copy.starts, 1);
+        assert_eq!(image.identity.server, name);
+        assert_eq!(image.identity.starts, 1);
         let mut state = image.state.clone().expect("a snapshot");
         let (_, last) = image.last();
         let log = umberloom_replicated_store::log::Log::load(image);
-        for (index, kind, bytes) in log.entries_to(last) {
+        for (index, kind, bytes) in log.entries_through(last) {
             match kind {
                 0 => drop(state.apply(index, &bytes)),
                 _ => state.apply_members(index, &bytes, |_| {}),
@@ -173,13 +177,13 @@
 
 #[test]
 fn an_export_of_the_earlier_version_is_sound_and_complete() {
-    let export = Export::read(EXPORT).expect("an export");
+    let export = Export::from_bytes(EXPORT).expect("an export");
     let verified = export.verify().expect("sound");
     let documents =
         [("large".to_owned(), 1, 40_000), ("limits".to_owned(), 2, 5), ("routes".to_owned(), 1, 27)];
-    assert_eq!((verified.documents, verified.unknown), (documents.to_vec(), 0));
-    assert_eq!(export.bytes(), EXPORT);
-    let mut state = State::read(&export.state).expect("a state");
+    assert_eq!((verified.documents, verified.unsupported_entries), (documents.to_vec(), 0));
+    assert_eq!(export.to_bytes(), EXPORT);
+    let mut state = State::from_bytes(&export.snapshot).expect("a state");
     for (index, kind, bytes) in &export.entries {
         match kind {
             0 => drop(state.apply(*index, bytes)),
--- a/crates/replicated-store/tests/virtual_records.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -12,7 +12,7 @@
 
 /// Short times, so that a run has many elections.
 fn quick(config: &mut Config) {
-    (config.election, config.replace_after) = (200_000, 2 * SECOND);
+    (config.election_timeout, config.replace_after) = (200_000, 2 * SECOND);
 }
 
 fn five(config: &mut Config) {
@@ -189,10 +189,10 @@
         fleet.cut = cut(leader, &others).into_iter().collect();
         fleet.run(fleet.now + SECOND).expect("sound");
         let (from, hub) = (fleet.told.len(), others[0]);
-        let before = fleet.record(hub).map_or(0, |r| r.state().index);
+        let before = fleet.record(hub).map_or(0, |r| r.state().applied);
         let mut random = ChaCha8Rng::seed_from_u64(1);
         busy(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
-        let after = fleet.record(hub).map_or(0, |r| r.state().index);
+        let after = fleet.record(hub).map_or(0, |r| r.state().applied);
         assert!(after > before + 30, "{name}: {before} to {after}");
         let led = fleet.told[from..]
             .iter()
@@ -239,8 +239,8 @@
     let replaced = |f: &VirtualRecord| {
         let stands = f.leader().and_then(|n| f.record(n)).map(|r| r.status(f.now));
         stands.is_some_and(|s| {
-            s.copies.iter().filter(|c| c.votes).count() == 3
-                && !s.copies.iter().any(|c| c.votes && c.name == format!("m{voter}"))
+            s.replicas.iter().filter(|c| c.is_voter).count() == 3
+                && !s.replicas.iter().any(|c| c.is_voter && c.server == format!("m{voter}"))
         })
     };
     fleet.until(10 * SECOND, replaced).expect("replaced");
@@ -295,14 +295,16 @@
     fleet.until(10 * SECOND, frozen).expect("frozen");
     assert!(fleet.aside.is_empty(), "nobody can tell which is wrong: {:?}", fleet.aside);
     let leader = fleet.leader().expect("a leader");
-    let before = fleet.record(leader).map(|r| r.state().index);
+    let before = fleet.record(leader).map(|r| r.state().applied);
     fleet.write(leader, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
-    assert_eq!(fleet.record(leader).map(|r| r.state().index), before, "written although frozen");
+    assert_eq!(fleet.record(leader).map(|r| r.state().applied), before, "written although frozen");
     fleet.adopt(2).expect("decided");
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
     let state = fleet.record(0).expect("runs").state();
-    assert!(state.get("x").is_some() && state.history().any(|line| line.what.starts_with("adopted from")));
+    assert!(
+        state.get("x").is_some() && state.history().any(|line| line.description.starts_with("adopted from"))
+    );
     fleet.write(1, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
     assert_eq!(fleet.record(0).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
@@ -340,7 +342,7 @@
 fn one_that_is_far_behind_catches_up_and_is_killed_on_the_way() {
     fn slow(config: &mut Config) {
         quick(config);
-        config.catch_up = 400 << 10;
+        config.catch_up_bytes_per_second = 400 << 10;
     }
     let mut fleet = settled(3, 3, 12, slow);
     let behind = (0..3).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -126,7 +126,7 @@
 fn same_record(old: Option<&Record>, new: Option<&Record>) -> bool {
     let alike = |record: &Record| {
         let mut record = record.clone();
-        record.config.others.clear();
+        record.config.peers.clear();
         record
     };
     old.map(alike) == new.map(alike)
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/record.rs
@@ -9,13 +9,13 @@
 use slog::{error, info, warn, Logger};
 use umberloom_membership::{MemberName, Membership};
 use umberloom_operator_config::Record as Settings;
-use umberloom_replicated_store::log::SPACES;
+use umberloom_replicated_store::log::KEYSPACES;
 use umberloom_replicated_store::{
     Action, Entry, EntryId, Event, Micros, Priority, ReadOutcome, Replica, RequestError, StoredReplica,
 };
 use umberloom_store::disk::RealDisk;
 use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
-use umberloom_store::{Batch, Config as StoreConfig, StoreError};
+use umberloom_store::{Config as StoreConfig, StoreError, WriteBatch};
 
 use crate::exchange::fleet::RECORD;
 use crate::wire::record::{Asked, Told as Answer, PART};
@@ -65,7 +65,7 @@
     writer: Option<Writer>,
     disk: (Sender<Word>, Receiver<Word>),
     /// Batches that the thread's queue has no room for yet.
-    held: VecDeque<(u64, Batch)>,
+    held: VecDeque<(u64, WriteBatch)>,
     reopen: Option<Micros>,
     back_off: Micros,
     opened_at: Micros,
@@ -112,7 +112,7 @@
             // Without a disk each start is one from nothing.
             return self.begin(now, None);
         };
-        let config = StoreConfig { most: self.settings.most, ..StoreConfig::new(folder) };
+        let config = StoreConfig { max_bytes: self.settings.most, ..StoreConfig::new(folder) };
         let (told, fresh) = (self.disk.0.clone(), std::mem::take(&mut self.fresh));
         let tell = move |done| {
             let word = match done {
@@ -125,7 +125,7 @@
             // Nobody hears it any more: this store was closed.
             let _ = told.send_blocking(word);
         };
-        match Writer::open(RealDisk, config, &SPACES, fresh, QUEUE, tell) {
+        match Writer::open(RealDisk, config, &KEYSPACES, fresh, QUEUE, tell) {
             Ok(writer) => self.writer = Some(writer),
             Err(e) => {
                 warn!(self.log, "record: no thread for its disk"; "why" => %e);
@@ -230,7 +230,7 @@
     /// Others belong to the fleet from now on.
     pub fn set(&mut self, settings: Settings) {
         if let Some(record) = &mut self.record {
-            record.set_peers(settings.config.others.clone());
+            record.set_peers(settings.config.peers.clone());
         }
         self.settings = settings;
     }
@@ -330,7 +330,7 @@
             }
             Event::ConfigurationChange(what) => info!(log, "record members change"; "what" => what),
             Event::RollbackDetected(seen) => {
-                error!(log, "record: this copy was set back"; "term" => seen.term, "entry" => seen.last);
+                error!(log, "record: this copy was set back"; "term" => seen.term, "entry" => seen.last_index);
             }
             Event::LocalDivergence(from) => {
                 error!(log, "record: this copy differs from a majority's"; "copies" => format!("{from:x?}"));
@@ -393,7 +393,7 @@
                 let what = What::Write { id, at_ms, entry, taken: None, tried: 0 };
                 return self.pending.push(Pending { to, what, until: now + PATIENCE });
             }
-            Asked::Export(from) => match record.export().map(|export| export.bytes()) {
+            Asked::Export(from) => match record.export().map(|export| export.to_bytes()) {
                 Some(all) => Answer::Bytes(part(&all, from), all.len() as u64),
                 None => refuse(RequestError::Outside),
             },
@@ -414,7 +414,7 @@
             let answer = match &mut pending.what {
                 What::Show { ticket, name, from } => match reads.iter().find(|(done, _)| done == ticket) {
                     Some((_, ReadOutcome::Ready)) => show(record, now, name, *from),
-                    Some((_, ReadOutcome::Refused(why))) => Answer::Refused(why.to_string()),
+                    Some((_, ReadOutcome::Failed(why))) => Answer::Refused(why.to_string()),
                     None if late => Answer::Refused(RequestError::TimedOut.to_string()),
                     None => return true,
                 },
@@ -463,7 +463,7 @@
             Answer::Document {
                 version: held.version,
                 index: held.index,
-                by: held.by.clone(),
+                by: held.author.clone(),
                 length: bytes.len() as u64,
                 part: part(bytes, from),
                 age_ms: age,
--- a/crates/server/src/questions/record.rs
+++ b/crates/server/src/questions/record.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, positional, Parser};
 use serde_json::json;
 use umberloom_operator_config::Fleet;
-use umberloom_replicated_store::entry::{Content, Document, Entry, LONGEST_DOCUMENT};
+use umberloom_replicated_store::entry::{Content, DocumentUpdate, Entry, MAX_DOCUMENT_BYTES};
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Export, Outcome, ReplicaStatus};
 
@@ -133,14 +133,18 @@
         About::Put { name, file, expect } => {
             let entries = match file {
                 None => {
-                    let content = Content::None;
-                    vec![Entry::Document(Document { name: name.clone(), expect: *expect, content })]
+                    let content = Content::Removed;
+                    vec![Entry::Document(DocumentUpdate {
+                        name: name.clone(),
+                        expected_version: *expect,
+                        content,
+                    })]
                 }
                 Some(file) => {
                     let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-                    if bytes.len() > LONGEST_DOCUMENT {
+                    if bytes.len() > MAX_DOCUMENT_BYTES {
                         let file = file.display();
-                        return Err(format!("{file}: {} bytes, {LONGEST_DOCUMENT} at most", bytes.len()));
+                        return Err(format!("{file}: {} bytes, {MAX_DOCUMENT_BYTES} at most", bytes.len()));
                     }
                     Entry::document(name, bytes, *expect)
                 }
@@ -158,10 +162,17 @@
         }
         About::Export(file) => {
             let bytes = export(fleet, at)?;
-            let found =
-                Export::read(&bytes).and_then(|export| export.verify()).map_err(|e| format!("{at}: {e}"))?;
+            let found = Export::from_bytes(&bytes)
+                .and_then(|export| export.verify())
+                .map_err(|e| format!("{at}: {e}"))?;
             std::fs::write(file, &bytes).map_err(|e| format!("{}: {e}", file.display()))?;
-            Ok(format!("{}: {} bytes, entries {} to {}", file.display(), bytes.len(), found.from, found.to))
+            Ok(format!(
+                "{}: {} bytes, entries {} to {}",
+                file.display(),
+                bytes.len(),
+                found.snapshot_index,
+                found.last_index
+            ))
         }
         About::Verify(file) => verify(file, as_json),
     }
@@ -171,16 +182,16 @@
 pub fn verify(file: &std::path::Path, as_json: bool) -> Result<String, String> {
     let name = file.display();
     let bytes = std::fs::read(file).map_err(|e| format!("{name}: {e}"))?;
-    let export = Export::read(&bytes).map_err(|e| format!("{name}: {e}"))?;
+    let export = Export::from_bytes(&bytes).map_err(|e| format!("{name}: {e}"))?;
     let found = export.verify().map_err(|e| format!("{name}: {e}"))?;
     if as_json {
-        let value = json!({"record": format!("{:016x}", found.record), "from": found.from, "to": found.to,
-            "by": export.from, "unknown": found.unknown, "documents": found.documents});
+        let value = json!({"record": format!("{:016x}", found.store_id), "from": found.snapshot_index, "to": found.last_index,
+            "by": export.exported_by, "unknown": found.unsupported_entries, "documents": found.documents});
         return serde_json::to_string_pretty(&value).map_err(|e| e.to_string());
     }
     let mut out = format!(
         "{name}: sound, record {:016x} as {} had it, entries {} to {}, {} of newer programs\n",
-        found.record, export.from, found.from, found.to, found.unknown
+        found.store_id, export.exported_by, found.snapshot_index, found.last_index, found.unsupported_entries
     );
     for (document, version, length) in &found.documents {
         let _ = writeln!(out, "{document}: version {version}, {length} bytes");
@@ -248,30 +259,34 @@
         }
     }
     match last {
-        Some(Outcome::Done(version)) if as_json => Ok(json!({"done": true, "version": version}).to_string()),
-        Some(Outcome::Done(0)) => Ok("written".to_owned()),
-        Some(Outcome::Done(version)) => Ok(format!("written, version {version}")),
+        Some(Outcome::Applied(version)) if as_json => {
+            Ok(json!({"done": true, "version": version}).to_string())
+        }
+        Some(Outcome::Applied(0)) => Ok("written".to_owned()),
+        Some(Outcome::Applied(version)) => Ok(format!("written, version {version}")),
         Some(Outcome::Conflict(version)) => {
             Err(format!("{at}: it has version {version} now, nothing was written"))
         }
-        Some(Outcome::Refused(why)) => Err(format!("{at}: {why}")),
-        Some(Outcome::Kept) => Err(format!("{at}: this fleet's program does not know such an entry yet")),
+        Some(Outcome::Rejected(why)) => Err(format!("{at}: {why}")),
+        Some(Outcome::Unsupported) => {
+            Err(format!("{at}: this fleet's program does not know such an entry yet"))
+        }
         None => Err("there is nothing to write".to_owned()),
     }
 }
 
 fn status(standing: &ReplicaStatus) -> String {
     let ReplicaStatus {
-        record,
-        copy,
+        store_id: record,
+        replica_id: copy,
         role,
         term,
         leader,
         applied,
         commit,
-        last,
+        last_index: last,
         leader_heard_ms,
-        unknown,
+        unsupported_entries: unknown,
         ..
     } = standing;
     let leader = leader.as_deref().unwrap_or("nobody");
@@ -287,12 +302,12 @@
         out.push_str("frozen: copies differ and nobody can tell which is right; nothing is written\n");
     }
     let mut rows = vec![["copy", "server", "zone", "votes", "applied", "heard"].map(str::to_owned).to_vec()];
-    rows.extend(standing.copies.iter().map(|c| {
+    rows.extend(standing.replicas.iter().map(|c| {
         let applied = c.applied.map_or_else(|| "-".to_owned(), |n| n.to_string());
-        let votes = if c.votes { "yes" } else { "no" };
+        let votes = if c.is_voter { "yes" } else { "no" };
         vec![
-            format!("{:016x}", c.copy),
-            c.name.clone(),
+            format!("{:016x}", c.replica_id),
+            c.server.clone(),
             c.zone.clone(),
             votes.to_owned(),
             applied,
@@ -306,13 +321,13 @@
     let mut rows = vec![["entry", "by", "what", "outcome"].map(str::to_owned).to_vec()];
     rows.extend(lines.iter().map(|line| {
         let outcome = match &line.outcome {
-            Outcome::Done(0) => "done".to_owned(),
-            Outcome::Done(version) => format!("version {version}"),
+            Outcome::Applied(0) => "done".to_owned(),
+            Outcome::Applied(version) => format!("version {version}"),
             Outcome::Conflict(version) => format!("refused: version {version} was there"),
-            Outcome::Refused(why) => format!("refused: {why}"),
-            Outcome::Kept => "kept for a newer program".to_owned(),
+            Outcome::Rejected(why) => format!("refused: {why}"),
+            Outcome::Unsupported => "kept for a newer program".to_owned(),
         };
-        vec![line.index.to_string(), line.by.0.clone(), line.what.clone(), outcome]
+        vec![line.index.to_string(), line.author.0.clone(), line.description.clone(), outcome]
     }));
     columns(&rows)
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -128,43 +128,43 @@
 
 fn record_standing() -> umberloom_replicated_store::ReplicaStatus {
     let copy = |copy, votes, applied| ReplicaView {
-        copy,
-        name: format!("server-{copy}"),
+        replica_id: copy,
+        server: format!("server-{copy}"),
         zone: "east".to_owned(),
-        votes,
+        is_voter: votes,
         applied,
         heard_ms: applied,
     };
     umberloom_replicated_store::ReplicaStatus {
-        record: u64::MAX - 5,
-        copy: 7,
+        store_id: u64::MAX - 5,
+        replica_id: 7,
         role: Role::Leader,
         term: 12,
         leader: Some("server-a".to_owned()),
         applied: 300,
         commit: 301,
-        last: 302,
+        last_index: 302,
         leader_heard_ms: Some(20),
-        chain: [5; 16],
-        copies: vec![copy(7, true, Some(300)), copy(8, false, None)],
+        rolling_digest: [5; 16],
+        replicas: vec![copy(7, true, Some(300)), copy(8, false, None)],
         catching_up: Some((3, 9)),
-        unknown: 1,
+        unsupported_entries: 1,
         frozen: true,
     }
 }
 
 fn history() -> Vec<HistoryLine> {
     let outcomes = [
-        Outcome::Done(0),
-        Outcome::Done(2),
+        Outcome::Applied(0),
+        Outcome::Applied(2),
         Outcome::Conflict(2),
-        Outcome::Refused("too large".to_owned()),
-        Outcome::Kept,
+        Outcome::Rejected("too large".to_owned()),
+        Outcome::Unsupported,
     ];
     let line = |(index, outcome)| HistoryLine {
         index,
-        by: ("server-a".to_owned(), 1_700_000_000_123),
-        what: "document limits".to_owned(),
+        author: ("server-a".to_owned(), 1_700_000_000_123),
+        description: "document limits".to_owned(),
         outcome,
     };
     (300..).zip(outcomes).map(line).collect()
--- a/crates/store/src/backend.rs
+++ b/crates/store/src/backend.rs
@@ -10,9 +10,9 @@
 
 /// The store's file.
 #[derive(Debug)]
-pub struct Backend(pub Arc<dyn DiskFile>);
+pub struct FileBackend(pub Arc<dyn DiskFile>);
 
-impl StorageBackend for Backend {
+impl StorageBackend for FileBackend {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -35,35 +35,35 @@
 }
 
 /// The size of the parts that an overlay keeps.
-const PART: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 /// The same file with all writes kept in memory: whether it is sound can be found out without changing it, so that one
 /// that is not stays for whoever wants to read it.
 #[derive(Debug)]
-pub struct Overlay {
-    under: Arc<dyn DiskFile>,
+pub struct OverlayBackend {
+    file: Arc<dyn DiskFile>,
     over: Mutex<(u64, BTreeMap<u64, Vec<u8>>)>,
 }
 
-impl Overlay {
-    pub fn new(under: Arc<dyn DiskFile>) -> io::Result<Overlay> {
+impl OverlayBackend {
+    pub fn new(under: Arc<dyn DiskFile>) -> io::Result<OverlayBackend> {
         let len = under.len()?;
-        Ok(Overlay { under, over: Mutex::new((len, BTreeMap::new())) })
+        Ok(OverlayBackend { file: under, over: Mutex::new((len, BTreeMap::new())) })
     }
 
     /// A part of the file as it is below, zeros where it ends.
-    fn below(&self, part: u64) -> io::Result<Vec<u8>> {
-        let (from, len) = (part * PART, self.under.len()?);
-        let mut bytes = vec![0; PART as usize];
-        let there = len.saturating_sub(from).min(PART) as usize;
+    fn read_page(&self, part: u64) -> io::Result<Vec<u8>> {
+        let (from, len) = (part * PAGE_BYTES, self.file.len()?);
+        let mut bytes = vec![0; PAGE_BYTES as usize];
+        let there = len.saturating_sub(from).min(PAGE_BYTES) as usize;
         if there > 0 {
-            self.under.read(from, &mut bytes[..there])?;
+            self.file.read(from, &mut bytes[..there])?;
         }
         Ok(bytes)
     }
 }
 
-impl StorageBackend for Overlay {
+impl StorageBackend for OverlayBackend {
     fn len(&self) -> io::Result<u64> {
         Ok(self.over.lock().unwrap_or_else(PoisonError::into_inner).0)
     }
@@ -76,13 +76,13 @@
         let mut done = 0;
         while done < out.len() {
             let at = offset + done as u64;
-            let (part, from) = (at / PART, (at % PART) as usize);
-            let take = (PART as usize - from).min(out.len() - done);
+            let (part, from) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
+            let take = (PAGE_BYTES as usize - from).min(out.len() - done);
             let below;
             let bytes = match over.1.get(&part) {
                 Some(bytes) => bytes,
                 None => {
-                    below = self.below(part)?;
+                    below = self.read_page(part)?;
                     &below
                 }
             };
@@ -107,11 +107,11 @@
         let mut done = 0;
         while done < data.len() {
             let at = offset + done as u64;
-            let (part, from) = (at / PART, (at % PART) as usize);
-            let take = (PART as usize - from).min(data.len() - done);
+            let (part, from) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
+            let take = (PAGE_BYTES as usize - from).min(data.len() - done);
             let bytes = match over.1.entry(part) {
                 Entry::Occupied(place) => place.into_mut(),
-                Entry::Vacant(place) => place.insert(self.below(part)?),
+                Entry::Vacant(place) => place.insert(self.read_page(part)?),
             };
             bytes[from..from + take].copy_from_slice(&data[done..done + take]);
             done += take;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -29,7 +29,7 @@
 /// What a store asks of the system.
 pub trait Disk {
     /// Makes a folder with those above it; one that is there is fine, a file there is an error.
-    fn make_folder(&self, folder: &Path) -> io::Result<()>;
+    fn create_directory(&self, folder: &Path) -> io::Result<()>;
     /// Takes a lock that ends with what is returned, or with the process however it ends. `WouldBlock`: it is taken.
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>>;
     /// Opens a file for reading and writing; `make` makes one that is not there.
@@ -39,7 +39,7 @@
     /// Gives a file another name.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Returns once the names in a folder are durable.
-    fn sync_folder(&self, folder: &Path) -> io::Result<()>;
+    fn sync_directory(&self, folder: &Path) -> io::Result<()>;
 }
 
 /// The system's own.
@@ -47,7 +47,7 @@
 pub struct RealDisk;
 
 impl Disk for RealDisk {
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
+    fn create_directory(&self, folder: &Path) -> io::Result<()> {
         std::fs::create_dir_all(folder)
     }
 
@@ -74,7 +74,7 @@
         std::fs::rename(from, to)
     }
 
-    fn sync_folder(&self, folder: &Path) -> io::Result<()> {
+    fn sync_directory(&self, folder: &Path) -> io::Result<()> {
         File::open(folder)?.sync_all()
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,9 +10,9 @@
     /// Another process has it open. Wait for its end, or name another folder.
     Locked(PathBuf),
     /// What should be a folder is none.
-    NotAFolder(PathBuf),
+    NotADirectory(PathBuf),
     /// It was written by a newer program: its form, and the newest that this one knows. Start that program.
-    Newer {
+    UnsupportedFormat {
         /// The file.
         file: PathBuf,
         /// The form found.
@@ -25,25 +25,25 @@
         /// The file.
         file: PathBuf,
         /// Which row, or `whole`.
-        place: String,
+        location: String,
         /// What was found.
-        what: String,
+        reason: String,
     },
     /// The batch does not fit under the store's own bound. Take something out first.
     Full {
         /// Bytes that it would hold.
         bytes: u64,
         /// The bound.
-        most: u64,
+        max_bytes: u64,
     },
     /// The system said no: to what, and why. The commit may or may not be there; open the store again to see.
     Io {
         /// What was being done.
-        doing: &'static str,
+        operation: &'static str,
         /// With which file or folder.
         file: PathBuf,
         /// What the system said.
-        why: io::Error,
+        source: io::Error,
     },
 }
 
@@ -58,17 +58,19 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StoreError::Locked(file) => write!(f, "{}: another process has it open", file.display()),
-            StoreError::NotAFolder(file) => write!(f, "{}: expected a folder", file.display()),
-            StoreError::Newer { file, found, known } => {
+            StoreError::NotADirectory(file) => write!(f, "{}: expected a folder", file.display()),
+            StoreError::UnsupportedFormat { file, found, known } => {
                 write!(f, "{}: form {found}, this program knows up to {known}", file.display())
             }
-            StoreError::Damaged { file, place, what } => {
+            StoreError::Damaged { file, location: place, reason: what } => {
                 write!(f, "{}: damaged at {place}: {what}", file.display())
             }
-            StoreError::Full { bytes, most } => {
+            StoreError::Full { bytes, max_bytes: most } => {
                 write!(f, "{bytes} bytes would be kept, {most} are allowed")
             }
-            StoreError::Io { doing, file, why } => write!(f, "{}: {doing}: {why}", file.display()),
+            StoreError::Io { operation: doing, file, source: why } => {
+                write!(f, "{}: {doing}: {why}", file.display())
+            }
         }
     }
 }
--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -25,32 +25,32 @@
     /// This operation fails with this kind of error and does nothing.
     pub fails: Option<(u64, ErrorKind)>,
     /// This write writes its first half only, and fails.
-    pub cut_short_at: Option<u64>,
+    pub short_write_at: Option<u64>,
     /// All operations that write fail, with this kind of error.
-    pub all_writes_fail: Option<ErrorKind>,
+    pub fail_writes: Option<ErrorKind>,
     /// Syncs return and do nothing.
-    pub syncs_lie: bool,
+    pub ignore_syncs: bool,
 }
 
-enum Change {
+enum FileChange {
     Write(u64, Vec<u8>),
-    Length(u64),
+    SetLength(u64),
 }
 
 #[derive(Default)]
-struct Node {
+struct FileState {
     /// What a power cut leaves.
     durable: Vec<u8>,
     /// What has been written since, in order.
-    since: Vec<Change>,
+    unsynced: Vec<FileChange>,
     /// What a running process reads.
-    seen: Vec<u8>,
+    current: Vec<u8>,
 }
 
-fn change(bytes: &mut Vec<u8>, change: &Change) {
+fn change(bytes: &mut Vec<u8>, change: &FileChange) {
     match change {
-        Change::Length(len) => bytes.resize(*len as usize, 0),
-        Change::Write(offset, data) => {
+        FileChange::SetLength(len) => bytes.resize(*len as usize, 0),
+        FileChange::Write(offset, data) => {
             let (from, to) = (*offset as usize, *offset as usize + data.len());
             if bytes.len() < to {
                 bytes.resize(to, 0);
@@ -60,28 +60,28 @@
     }
 }
 
-struct Inner {
-    files: BTreeMap<PathBuf, Node>,
-    folders: BTreeSet<PathBuf>,
+struct DiskState {
+    files: BTreeMap<PathBuf, FileState>,
+    directories: BTreeSet<PathBuf>,
     /// Names given since the folder was synced: from, to.
     renamed: Vec<(PathBuf, PathBuf)>,
     locks: BTreeSet<PathBuf>,
     faults: Faults,
     operations: u64,
-    off: bool,
+    power_off: bool,
     /// Counts power cuts: what was opened before one is gone.
-    life: u64,
-    written: u64,
+    power_cuts: u64,
+    bytes_written: u64,
     syncs: u64,
     random: ChaCha8Rng,
 }
 
-impl Inner {
+impl DiskState {
     /// Counts an operation, and says whether it goes wrong.
-    fn operation(&mut self, writes: bool) -> io::Result<()> {
+    fn begin_operation(&mut self, writes: bool) -> io::Result<()> {
         self.operations += 1;
-        if self.off || self.faults.power_cut_at.is_some_and(|at| self.operations >= at) {
-            self.off = true;
+        if self.power_off || self.faults.power_cut_at.is_some_and(|at| self.operations >= at) {
+            self.power_off = true;
             return Err(io::Error::other("the power is off"));
         }
         if let Some((at, kind)) = self.faults.fails {
@@ -89,7 +89,7 @@
                 return Err(kind.into());
             }
         }
-        match self.faults.all_writes_fail {
+        match self.faults.fail_writes {
             Some(kind) if writes => Err(kind.into()),
             _ => Ok(()),
         }
@@ -98,57 +98,57 @@
 
 /// The disk; clones are the same one.
 #[derive(Clone)]
-pub struct FaultInjectingDisk(Arc<Mutex<Inner>>);
+pub struct FaultInjectingDisk(Arc<Mutex<DiskState>>);
 
 impl FaultInjectingDisk {
     /// An empty one; the seed chooses what survives power cuts.
     pub fn new(seed: u64) -> FaultInjectingDisk {
-        FaultInjectingDisk(Arc::new(Mutex::new(Inner {
+        FaultInjectingDisk(Arc::new(Mutex::new(DiskState {
             files: BTreeMap::new(),
-            folders: BTreeSet::new(),
+            directories: BTreeSet::new(),
             renamed: Vec::new(),
             locks: BTreeSet::new(),
             faults: Faults::default(),
             operations: 0,
-            off: false,
-            life: 0,
-            written: 0,
+            power_off: false,
+            power_cuts: 0,
+            bytes_written: 0,
             syncs: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         })))
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What is to go wrong from now on.
-    pub fn set(&self, faults: Faults) {
-        self.inner().faults = faults;
+    pub fn set_faults(&self, faults: Faults) {
+        self.state().faults = faults;
     }
 
     /// Operations so far.
     pub fn operations(&self) -> u64 {
-        self.inner().operations
+        self.state().operations
     }
 
     /// Bytes written so far.
-    pub fn written(&self) -> u64 {
-        self.inner().written
+    pub fn bytes_written(&self) -> u64 {
+        self.state().bytes_written
     }
 
     /// Syncs so far.
     pub fn syncs(&self) -> u64 {
-        self.inner().syncs
+        self.state().syncs
     }
 
     /// The power goes and comes back: of what was not synced some survives. Faults are over.
     pub fn cut_power(&self) {
-        let mut inner = self.inner();
+        let mut inner = self.state();
         let inner = &mut *inner;
-        (inner.off, inner.faults) = (false, Faults::default());
+        (inner.power_off, inner.faults) = (false, Faults::default());
         inner.locks.clear();
-        inner.life += 1;
+        inner.power_cuts += 1;
         let random = &mut inner.random;
         // Names that were not synced may be the old ones again, the later ones first.
         let stay = random.random_range(0..=inner.renamed.len());
@@ -159,13 +159,13 @@
         }
         for node in inner.files.values_mut() {
             let mut left = Vec::new();
-            for one in node.since.drain(..) {
+            for one in node.unsynced.drain(..) {
                 match one {
-                    Change::Length(len) => left.push(Change::Length(len)),
+                    FileChange::SetLength(len) => left.push(FileChange::SetLength(len)),
                     // Sectors of a write are on their own; so are writes among each other.
-                    Change::Write(offset, data) => {
+                    FileChange::Write(offset, data) => {
                         let sector = |(n, part): (usize, &[u8])| {
-                            Change::Write(offset + (n * SECTOR) as u64, part.to_vec())
+                            FileChange::Write(offset + (n * SECTOR) as u64, part.to_vec())
                         };
                         left.extend(data.chunks(SECTOR).enumerate().map(sector));
                     }
@@ -180,25 +180,26 @@
                 }
             }
             left.iter().for_each(|one| change(&mut node.durable, one));
-            node.seen = node.durable.clone();
+            node.current = node.durable.clone();
         }
     }
 
     /// Goes back to how the disk was at a time before: a backup was put in its place.
     pub fn image(&self) -> BTreeMap<PathBuf, Vec<u8>> {
-        self.inner().files.iter().map(|(path, node)| (path.clone(), node.seen.clone())).collect()
+        self.state().files.iter().map(|(path, node)| (path.clone(), node.current.clone())).collect()
     }
 
     /// Puts such an image in the place of all files.
-    pub fn put_back(&self, image: BTreeMap<PathBuf, Vec<u8>>) {
-        let node = |bytes: Vec<u8>| Node { durable: bytes.clone(), since: Vec::new(), seen: bytes };
-        self.inner().files = image.into_iter().map(|(path, bytes)| (path, node(bytes))).collect();
+    pub fn restore(&self, image: BTreeMap<PathBuf, Vec<u8>>) {
+        let node =
+            |bytes: Vec<u8>| FileState { durable: bytes.clone(), unsynced: Vec::new(), current: bytes };
+        self.state().files = image.into_iter().map(|(path, bytes)| (path, node(bytes))).collect();
     }
 
     /// Turns a bit over, on the medium and for all who read.
-    pub fn flip(&self, file: &Path, byte: usize, bit: u8) {
-        if let Some(node) = self.inner().files.get_mut(file) {
-            for bytes in [&mut node.durable, &mut node.seen] {
+    pub fn flip_bit(&self, file: &Path, byte: usize, bit: u8) {
+        if let Some(node) = self.state().files.get_mut(file) {
+            for bytes in [&mut node.durable, &mut node.current] {
                 if let Some(place) = bytes.get_mut(byte) {
                     *place ^= 1 << bit;
                 }
@@ -207,124 +208,124 @@
     }
 
     /// Bytes of a file.
-    pub fn length(&self, file: &Path) -> usize {
-        self.inner().files.get(file).map_or(0, |node| node.seen.len())
+    pub fn file_length(&self, file: &Path) -> usize {
+        self.state().files.get(file).map_or(0, |node| node.current.len())
     }
 }
 
 impl Disk for FaultInjectingDisk {
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.operation(true)?;
+    fn create_directory(&self, folder: &Path) -> io::Result<()> {
+        let mut inner = self.state();
+        inner.begin_operation(true)?;
         if inner.files.contains_key(folder) {
             return Err(ErrorKind::AlreadyExists.into());
         }
-        inner.folders.insert(folder.to_owned());
+        inner.directories.insert(folder.to_owned());
         Ok(())
     }
 
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>> {
-        let mut inner = self.inner();
-        inner.operation(true)?;
+        let mut inner = self.state();
+        inner.begin_operation(true)?;
         if !inner.locks.insert(file.to_owned()) {
             return Err(ErrorKind::WouldBlock.into());
         }
-        Ok(Box::new(Held { disk: self.clone(), file: file.to_owned(), life: inner.life }))
+        Ok(Box::new(LockGuard { disk: self.clone(), file: file.to_owned(), life: inner.power_cuts }))
     }
 
     fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>> {
-        let mut inner = self.inner();
-        inner.operation(false)?;
+        let mut inner = self.state();
+        inner.begin_operation(false)?;
         if !inner.files.contains_key(file) {
             if !make {
                 return Err(ErrorKind::NotFound.into());
             }
-            inner.files.insert(file.to_owned(), Node::default());
+            inner.files.insert(file.to_owned(), FileState::default());
         }
-        let life = inner.life;
-        Ok(Arc::new(SimulatedFile { disk: self.clone(), file: file.to_owned(), life }))
+        let life = inner.power_cuts;
+        Ok(Arc::new(FaultInjectingFile { disk: self.clone(), file: file.to_owned(), life }))
     }
 
     fn exists(&self, file: &Path) -> bool {
-        let inner = self.inner();
-        inner.files.contains_key(file) || inner.folders.contains(file)
+        let inner = self.state();
+        inner.files.contains_key(file) || inner.directories.contains(file)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.operation(true)?;
+        let mut inner = self.state();
+        inner.begin_operation(true)?;
         let node = inner.files.remove(from).ok_or(ErrorKind::NotFound)?;
         inner.files.insert(to.to_owned(), node);
         inner.renamed.push((from.to_owned(), to.to_owned()));
         Ok(())
     }
 
-    fn sync_folder(&self, _: &Path) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.operation(true)?;
-        if !inner.faults.syncs_lie {
+    fn sync_directory(&self, _: &Path) -> io::Result<()> {
+        let mut inner = self.state();
+        inner.begin_operation(true)?;
+        if !inner.faults.ignore_syncs {
             inner.renamed.clear();
         }
         Ok(())
     }
 }
 
-struct Held {
+struct LockGuard {
     disk: FaultInjectingDisk,
     file: PathBuf,
     life: u64,
 }
 
-impl Drop for Held {
+impl Drop for LockGuard {
     fn drop(&mut self) {
-        let mut inner = self.disk.inner();
-        if inner.life == self.life {
+        let mut inner = self.disk.state();
+        if inner.power_cuts == self.life {
             inner.locks.remove(&self.file);
         }
     }
 }
 
-struct SimulatedFile {
+struct FaultInjectingFile {
     disk: FaultInjectingDisk,
     file: PathBuf,
     life: u64,
 }
 
-impl std::fmt::Debug for SimulatedFile {
+impl std::fmt::Debug for FaultInjectingFile {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "simulated {}", self.file.display())
     }
 }
 
-impl SimulatedFile {
-    fn with<T>(&self, writes: bool, act: impl FnOnce(&mut Inner) -> io::Result<T>) -> io::Result<T> {
-        let mut inner = self.disk.inner();
-        if inner.life != self.life {
+impl FaultInjectingFile {
+    fn with<T>(&self, writes: bool, act: impl FnOnce(&mut DiskState) -> io::Result<T>) -> io::Result<T> {
+        let mut inner = self.disk.state();
+        if inner.power_cuts != self.life {
             return Err(io::Error::other("opened before the power was cut"));
         }
-        inner.operation(writes)?;
+        inner.begin_operation(writes)?;
         act(&mut inner)
     }
 
-    fn node<'i>(&self, inner: &'i mut Inner) -> io::Result<&'i mut Node> {
+    fn node<'i>(&self, inner: &'i mut DiskState) -> io::Result<&'i mut FileState> {
         inner.files.get_mut(&self.file).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    fn change(&self, one: Change) -> io::Result<()> {
+    fn change(&self, one: FileChange) -> io::Result<()> {
         self.with(true, |inner| {
-            let short = inner.faults.cut_short_at == Some(inner.operations);
+            let short = inner.faults.short_write_at == Some(inner.operations);
             let one = match one {
-                Change::Write(offset, data) if short => {
-                    Change::Write(offset, data[..data.len() / 2].to_vec())
+                FileChange::Write(offset, data) if short => {
+                    FileChange::Write(offset, data[..data.len() / 2].to_vec())
                 }
                 other => other,
             };
-            if let Change::Write(_, data) = &one {
-                inner.written += data.len() as u64;
+            if let FileChange::Write(_, data) = &one {
+                inner.bytes_written += data.len() as u64;
             }
             let node = self.node(inner)?;
-            change(&mut node.seen, &one);
-            node.since.push(one);
+            change(&mut node.current, &one);
+            node.unsynced.push(one);
             if short {
                 return Err(ErrorKind::WriteZero.into());
             }
@@ -333,37 +334,38 @@
     }
 }
 
-impl DiskFile for SimulatedFile {
+impl DiskFile for FaultInjectingFile {
     fn len(&self) -> io::Result<u64> {
-        self.with(false, |inner| Ok(self.node(inner)?.seen.len() as u64))
+        self.with(false, |inner| Ok(self.node(inner)?.current.len() as u64))
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         self.with(false, |inner| {
             let from = offset as usize;
-            let bytes = self.node(inner)?.seen.get(from..from + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
+            let bytes =
+                self.node(inner)?.current.get(from..from + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
             out.copy_from_slice(bytes);
             Ok(())
         })
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.change(Change::Length(len))
+        self.change(FileChange::SetLength(len))
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.change(Change::Write(offset, data.to_vec()))
+        self.change(FileChange::Write(offset, data.to_vec()))
     }
 
     fn sync(&self) -> io::Result<()> {
         self.with(true, |inner| {
             inner.syncs += 1;
-            if inner.faults.syncs_lie {
+            if inner.faults.ignore_syncs {
                 return Ok(());
             }
             let node = self.node(inner)?;
-            node.durable = node.seen.clone();
-            node.since.clear();
+            node.durable = node.current.clone();
+            node.unsynced.clear();
             Ok(())
         })
     }
--- a/crates/store/src/panic_guard.rs
+++ b/crates/store/src/panic_guard.rs
@@ -5,7 +5,7 @@
 use std::sync::Once;
 
 thread_local! {
-    static GUARDED: Cell<bool> = const { Cell::new(false) };
+    static PANIC_IS_CAUGHT: Cell<bool> = const { Cell::new(false) };
 }
 
 /// Does it; where it panics, what it said is the error, and nothing is printed: the caller tells it in its own way. What
@@ -15,14 +15,14 @@
     HOOK.call_once(|| {
         let before = take_hook();
         set_hook(Box::new(move |info| {
-            if !GUARDED.get() {
+            if !PANIC_IS_CAUGHT.get() {
                 before(info);
             }
         }));
     });
-    let outer = GUARDED.replace(true);
+    let outer = PANIC_IS_CAUGHT.replace(true);
     let came = catch_unwind(AssertUnwindSafe(act));
-    GUARDED.set(outer);
+    PANIC_IS_CAUGHT.set(outer);
     came.map_err(|panic| {
         let said = panic.downcast_ref::<String>().cloned();
         let said = said.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
@@ -39,6 +39,6 @@
         assert_eq!(catch_panic(|| 7), Ok(7));
         let why = catch_panic(|| -> u8 { panic!("entry {} is gone", 3) });
         assert_eq!(why, Err("entry 3 is gone".to_owned()));
-        assert!(!GUARDED.get());
+        assert!(!PANIC_IS_CAUGHT.get());
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -7,7 +7,7 @@
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 
-use crate::backend::{Backend, Overlay};
+use crate::backend::{FileBackend, OverlayBackend};
 use crate::disk::{Disk, DiskFile};
 use crate::error::StoreError;
 
@@ -15,29 +15,29 @@
 /// one row means is its owner's affair.
 pub const FORMAT_VERSION: u32 = 1;
 /// Copies that were set aside are numbered up to here; then none is set aside any more, and the store stays closed.
-const MOST_ASIDE: u32 = 16;
+const MAX_QUARANTINED_FILES: u32 = 16;
 /// Bytes of the digest before each value.
-const DIGEST: usize = 16;
+const DIGEST_BYTES: usize = 16;
 /// Memory for pages: what a record of some MiB reads again and again.
-const CACHE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 
 const ROWS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("rows");
 /// Space 0 is the store's own.
-const FORM_KEY: &[u8] = b"\0form";
+const FORMAT_KEY: &[u8] = b"\0form";
 const GENERATION_KEY: &[u8] = b"\0generation";
 
 /// Brings a store from one form to the next: what to change, given what it holds.
-pub type Migration = fn(&Store) -> Result<Batch, StoreError>;
+pub type Migration = fn(&Store) -> Result<WriteBatch, StoreError>;
 
 /// Where a store is, and how large it may become.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its folder, made if it is not there.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Bytes of rows that it holds at most; the file may be about twice as large between two compactions.
-    pub most: u64,
+    pub max_bytes: u64,
     /// The form that this program writes.
-    pub form: u32,
+    pub format_version: u32,
     /// Ways up: the first from form 1 to form 2, and so on. One fewer than `form`.
     pub migrations: Vec<Migration>,
 }
@@ -45,18 +45,23 @@
 impl Config {
     /// In this folder, with up to 256 MiB.
     pub fn new(folder: impl Into<PathBuf>) -> Config {
-        Config { folder: folder.into(), most: 256 << 20, form: FORMAT_VERSION, migrations: Vec::new() }
+        Config {
+            directory: folder.into(),
+            max_bytes: 256 << 20,
+            format_version: FORMAT_VERSION,
+            migrations: Vec::new(),
+        }
     }
 
     /// The file with the rows.
     pub fn file(&self) -> PathBuf {
-        self.folder.join("rows.redb")
+        self.directory.join("rows.redb")
     }
 }
 
 /// Changes that happen together or not at all, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Batch {
+pub struct WriteBatch {
     changes: Vec<Change>,
 }
 
@@ -76,32 +81,32 @@
     key
 }
 
-impl Batch {
+impl WriteBatch {
     /// Nothing yet.
-    pub fn new() -> Batch {
-        Batch::default()
+    pub fn new() -> WriteBatch {
+        WriteBatch::default()
     }
 
     /// Writes a row; `space` is from 1 to 255.
-    pub fn put(mut self, space: u8, name: &[u8], value: &[u8]) -> Batch {
+    pub fn put(mut self, space: u8, name: &[u8], value: &[u8]) -> WriteBatch {
         self.changes.push(Change::Put(key(space, name), value.to_vec()));
         self
     }
 
     /// Takes a row out.
-    pub fn remove(mut self, space: u8, name: &[u8]) -> Batch {
+    pub fn remove(mut self, space: u8, name: &[u8]) -> WriteBatch {
         self.changes.push(Change::Remove(key(space, name)));
         self
     }
 
     /// Takes out the rows from `from` up to `to`, that one not included.
-    pub fn remove_range(mut self, space: u8, from: &[u8], to: &[u8]) -> Batch {
+    pub fn remove_range(mut self, space: u8, from: &[u8], to: &[u8]) -> WriteBatch {
         self.changes.push(Change::RemoveRange(key(space, from), key(space, to)));
         self
     }
 
     /// Another batch, after this one.
-    pub fn then(mut self, other: Batch) -> Batch {
+    pub fn then(mut self, other: WriteBatch) -> WriteBatch {
         self.changes.extend(other.changes);
         self
     }
@@ -114,7 +119,7 @@
     /// Bytes that it brings.
     pub fn bytes(&self) -> u64 {
         let one = |change: &Change| match change {
-            Change::Put(key, value) => (key.len() + value.len() + DIGEST) as u64,
+            Change::Put(key, value) => (key.len() + value.len() + DIGEST_BYTES) as u64,
             Change::Remove(key) => key.len() as u64,
             Change::RemoveRange(from, to) => (from.len() + to.len()) as u64,
         };
@@ -138,7 +143,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let Store { config, generation, bytes, .. } = self;
         f.debug_struct("Store")
-            .field("folder", &config.folder)
+            .field("folder", &config.directory)
             .field("generation", generation)
             .field("bytes", bytes)
             .finish_non_exhaustive()
@@ -146,137 +151,145 @@
 }
 
 /// What the embedded store's error means here.
-fn trouble(file: &Path, doing: &'static str, error: impl Into<redb::Error>) -> StoreError {
+fn store_error(file: &Path, doing: &'static str, error: impl Into<redb::Error>) -> StoreError {
     let file = file.to_owned();
     match error.into() {
         redb::Error::Io(why) if why.kind() == ErrorKind::InvalidData => {
-            StoreError::Damaged { file, place: "whole".to_owned(), what: why.to_string() }
+            StoreError::Damaged { file, location: "whole".to_owned(), reason: why.to_string() }
         }
         redb::Error::Io(why) if why.kind() == ErrorKind::UnexpectedEof => {
-            StoreError::Damaged { file, place: "whole".to_owned(), what: "it ends too soon".to_owned() }
-        }
-        redb::Error::Io(why) => StoreError::Io { doing, file, why },
-        redb::Error::PreviousIo => {
-            StoreError::Io { doing, file, why: io::Error::other("an operation before this one failed") }
+            StoreError::Damaged { file, location: "whole".to_owned(), reason: "it ends too soon".to_owned() }
         }
+        redb::Error::Io(why) => StoreError::Io { operation: doing, file, source: why },
+        redb::Error::PreviousIo => StoreError::Io {
+            operation: doing,
+            file,
+            source: io::Error::other("an operation before this one failed"),
+        },
         redb::Error::DatabaseAlreadyOpen => StoreError::Locked(file),
-        other => StoreError::Damaged { file, place: "whole".to_owned(), what: other.to_string() },
+        other => StoreError::Damaged { file, location: "whole".to_owned(), reason: other.to_string() },
     }
 }
 
 /// What reads a damaged file may fail an assertion inside; that is damage found, not a reason to end.
-fn guarded<T>(file: &Path, act: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+fn catch_damage<T>(file: &Path, act: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     crate::panic_guard::catch_panic(act).unwrap_or_else(|what| {
-        Err(StoreError::Damaged { file: file.to_owned(), place: "whole".to_owned(), what })
+        Err(StoreError::Damaged { file: file.to_owned(), location: "whole".to_owned(), reason: what })
     })
 }
 
-fn digest(key: &[u8], value: &[u8]) -> [u8; DIGEST] {
+fn digest(key: &[u8], value: &[u8]) -> [u8; DIGEST_BYTES] {
     // The key is part of it, so that a value in another's place is seen as well.
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u32).to_le_bytes()).update(key).update(value);
-    let mut first = [0; DIGEST];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST]);
+    let mut first = [0; DIGEST_BYTES];
+    first.copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST_BYTES]);
     first
 }
 
 impl Store {
     /// Opens the store of a folder, or makes it. What is found is checked whole before anything is written.
     pub fn open(disk: &dyn Disk, config: &Config) -> Result<Store, StoreError> {
-        let (folder, file) = (&config.folder, config.file());
+        let (folder, file) = (&config.directory, config.file());
         let io = |doing, path: &Path| {
             let path = path.to_owned();
             move |why: io::Error| match why.kind() {
                 ErrorKind::WouldBlock => StoreError::Locked(path),
-                ErrorKind::NotADirectory | ErrorKind::AlreadyExists => StoreError::NotAFolder(path),
-                _ => StoreError::Io { doing, file: path, why },
+                ErrorKind::NotADirectory | ErrorKind::AlreadyExists => StoreError::NotADirectory(path),
+                _ => StoreError::Io { operation: doing, file: path, source: why },
             }
         };
-        disk.make_folder(folder).map_err(io("make the folder", folder))?;
+        disk.create_directory(folder).map_err(io("make the folder", folder))?;
         let lock = folder.join("lock");
         let lock = disk.lock(&lock).map_err(io("lock", &lock))?;
         if !disk.exists(&file) {
-            Store::make(disk, config)?;
+            Store::create(disk, config)?;
         }
         let medium = disk.open(&file, false).map_err(io("open", &file))?;
-        Store::look(&medium, &file)?;
-        let database = guarded(&file, || {
-            let made = Database::builder().set_cache_size(CACHE).create_with_backend(Backend(medium));
-            made.map_err(|e| trouble(&file, "open", e))
+        Store::check_file(&medium, &file)?;
+        let database = catch_damage(&file, || {
+            let made =
+                Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(FileBackend(medium));
+            made.map_err(|e| store_error(&file, "open", e))
         })?;
         let mut store = Store { database, config: config.clone(), generation: 0, bytes: 0, _lock: lock };
-        store.begin()?;
+        store.load_and_migrate()?;
         Ok(store)
     }
 
     /// Makes an empty one under another name first: one that a power cut has left half made would look like damage.
-    fn make(disk: &dyn Disk, config: &Config) -> Result<(), StoreError> {
-        let (file, half) = (config.file(), config.folder.join("rows.new"));
+    fn create(disk: &dyn Disk, config: &Config) -> Result<(), StoreError> {
+        let (file, half) = (config.file(), config.directory.join("rows.new"));
         let fail = |doing| {
             let file = half.clone();
-            move |why| StoreError::Io { doing, file, why }
+            move |why| StoreError::Io { operation: doing, file, source: why }
         };
         let medium = disk.open(&half, true).map_err(fail("make"))?;
         medium.set_len(0).map_err(fail("empty"))?;
-        let made = Database::builder().set_cache_size(CACHE).create_with_backend(Backend(medium.clone()));
-        drop(made.map_err(|e| trouble(&half, "make", e))?);
+        let made =
+            Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(FileBackend(medium.clone()));
+        drop(made.map_err(|e| store_error(&half, "make", e))?);
         medium.sync().map_err(fail("sync"))?;
         disk.rename(&half, &file).map_err(fail("rename"))?;
-        disk.sync_folder(&config.folder).map_err(fail("sync the folder of"))
+        disk.sync_directory(&config.directory).map_err(fail("sync the folder of"))
     }
 
     /// Whether the file is sound, without writing to it.
-    fn look(medium: &Arc<dyn DiskFile>, file: &Path) -> Result<(), StoreError> {
+    fn check_file(medium: &Arc<dyn DiskFile>, file: &Path) -> Result<(), StoreError> {
         let damaged = |what: &str| StoreError::Damaged {
             file: file.to_owned(),
-            place: "whole".to_owned(),
-            what: what.to_owned(),
+            location: "whole".to_owned(),
+            reason: what.to_owned(),
         };
-        if medium.is_empty().map_err(|why| StoreError::Io { doing: "read", file: file.to_owned(), why })? {
+        if medium.is_empty().map_err(|why| StoreError::Io {
+            operation: "read",
+            file: file.to_owned(),
+            source: why,
+        })? {
             return Err(damaged("it is empty"));
         }
-        guarded(file, || {
-            let overlay = Overlay::new(medium.clone()).map_err(|why| StoreError::Io {
-                doing: "read",
+        catch_damage(file, || {
+            let overlay = OverlayBackend::new(medium.clone()).map_err(|why| StoreError::Io {
+                operation: "read",
                 file: file.to_owned(),
-                why,
+                source: why,
             })?;
-            let database = Database::builder().set_cache_size(CACHE).create_with_backend(overlay);
-            let mut database = database.map_err(|e| trouble(file, "read", e))?;
+            let database = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(overlay);
+            let mut database = database.map_err(|e| store_error(file, "read", e))?;
             match database.check_integrity() {
                 Ok(true) => Ok(()),
                 // It could be brought back to an earlier commit; that would lose what was told to be durable.
                 Ok(false) => Err(damaged("its digests do not fit")),
-                Err(e) => Err(trouble(file, "read", e)),
+                Err(e) => Err(store_error(file, "read", e)),
             }
         })
     }
 
-    fn begin(&mut self) -> Result<(), StoreError> {
+    fn load_and_migrate(&mut self) -> Result<(), StoreError> {
         let number = |bytes: Vec<u8>| bytes.try_into().map(u64::from_le_bytes).unwrap_or(0);
-        let form = self.raw(FORM_KEY)?.map(number);
-        self.generation = self.raw(GENERATION_KEY)?.map_or(0, number);
-        let (found, known) = (form.unwrap_or(0) as u32, self.config.form);
+        let form = self.get_by_key(FORMAT_KEY)?.map(number);
+        self.generation = self.get_by_key(GENERATION_KEY)?.map_or(0, number);
+        let (found, known) = (form.unwrap_or(0) as u32, self.config.format_version);
         if found > known {
-            return Err(StoreError::Newer { file: self.config.file(), found, known });
+            return Err(StoreError::UnsupportedFormat { file: self.config.file(), found, known });
         }
-        self.bytes = self.count()?;
+        self.bytes = self.count_bytes()?;
         if found == 0 {
-            return self.write(&Batch::new(), known, 0);
+            return self.write(&WriteBatch::new(), known, 0);
         }
         for form in found..known {
             let step = self.config.migrations.get(form as usize - 1).copied();
-            let batch = step.map_or_else(|| Ok(Batch::new()), |step| step(self))?;
+            let batch = step.map_or_else(|| Ok(WriteBatch::new()), |step| step(self))?;
             self.write(&batch, form + 1, self.generation)?;
         }
         Ok(())
     }
 
     /// Bytes of all rows; each is read and so checked.
-    fn count(&self) -> Result<u64, StoreError> {
+    fn count_bytes(&self) -> Result<u64, StoreError> {
         let mut bytes = 0;
-        self.each(&[], None, &mut |key, value| {
-            bytes += (key.len() + value.len() + DIGEST) as u64;
+        self.for_each_row(&[], None, &mut |key, value| {
+            bytes += (key.len() + value.len() + DIGEST_BYTES) as u64;
             true
         })?;
         Ok(bytes)
@@ -284,17 +297,17 @@
 
     /// Changes rows, all of them or none, and returns once that is durable. After an error of the system the store has to
     /// be opened again: whether the batch is there is then seen.
-    pub fn commit(&mut self, batch: Batch) -> Result<u64, StoreError> {
-        self.write(&batch, self.config.form, self.generation + 1)?;
+    pub fn commit(&mut self, batch: WriteBatch) -> Result<u64, StoreError> {
+        self.write(&batch, self.config.format_version, self.generation + 1)?;
         Ok(self.generation)
     }
 
-    fn write(&mut self, batch: &Batch, form: u32, generation: u64) -> Result<(), StoreError> {
+    fn write(&mut self, batch: &WriteBatch, form: u32, generation: u64) -> Result<(), StoreError> {
         let file = self.config.file();
         let doing = "commit";
-        let (mut bytes, most) = (self.bytes as i64, self.config.most);
-        guarded(&file, || {
-            let fail = |e: redb::Error| trouble(&file, doing, e);
+        let (mut bytes, most) = (self.bytes as i64, self.config.max_bytes);
+        catch_damage(&file, || {
+            let fail = |e: redb::Error| store_error(&file, doing, e);
             let mut transaction = self.database.begin_write().map_err(|e| fail(e.into()))?;
             // Two syncs a commit: the second flips to the new state only once all of it is durable, so that a state whose
             // digests do not fit is damage, and never taken for a cut that can be rolled back.
@@ -329,7 +342,7 @@
                         }
                     }
                 }
-                for (key, value) in [(FORM_KEY, u64::from(form)), (GENERATION_KEY, generation)] {
+                for (key, value) in [(FORMAT_KEY, u64::from(form)), (GENERATION_KEY, generation)] {
                     let value = value.to_le_bytes();
                     let whole = [&digest(key, &value)[..], &value].concat();
                     let old = rows.insert(key, whole.as_slice()).map_err(|e| fail(e.into()))?;
@@ -340,7 +353,7 @@
             // What takes out more than it brings is always possible: else a full store could never be less full.
             if bytes > self.bytes as i64 && bytes as u64 > most {
                 transaction.abort().map_err(|e| fail(e.into()))?;
-                return Err(StoreError::Full { bytes: bytes as u64, most });
+                return Err(StoreError::Full { bytes: bytes as u64, max_bytes: most });
             }
             transaction.commit().map_err(|e| fail(e.into()))
         })?;
@@ -358,10 +371,10 @@
         self.bytes
     }
 
-    fn raw(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+    fn get_by_key(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         let mut found = None;
         let end = [key, &[0]].concat();
-        self.each(key, Some(&end), &mut |_, value| {
+        self.for_each_row(key, Some(&end), &mut |_, value| {
             found = Some(value.to_vec());
             false
         })?;
@@ -370,7 +383,7 @@
 
     /// A row's value.
     pub fn get(&self, space: u8, name: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
-        self.raw(&key(space, name))
+        self.get_by_key(&key(space, name))
     }
 
     /// Rows of a space from `from` up to `to` (all, without it), in the order of their names, until `most` bytes.
@@ -386,7 +399,7 @@
             None => vec![space.max(1).saturating_add(1)],
         };
         let (mut found, mut bytes) = (Vec::new(), 0);
-        self.each(&key(space, from), Some(&end), &mut |key, value| {
+        self.for_each_row(&key(space, from), Some(&end), &mut |key, value| {
             bytes += key.len() + value.len();
             if bytes > most && !found.is_empty() {
                 return false;
@@ -398,15 +411,15 @@
     }
 
     /// Shows rows until one is enough; a value that is not what was written is damage at that row.
-    fn each(
+    fn for_each_row(
         &self,
         from: &[u8],
         to: Option<&[u8]>,
         show: &mut dyn FnMut(&[u8], &[u8]) -> bool,
     ) -> Result<(), StoreError> {
         let file = self.config.file();
-        guarded(&file, || {
-            let fail = |e: redb::Error| trouble(&file, "read", e);
+        catch_damage(&file, || {
+            let fail = |e: redb::Error| store_error(&file, "read", e);
             let read = self.database.begin_read().map_err(|e| fail(e.into()))?;
             let rows = match read.open_table(ROWS) {
                 Ok(rows) => rows,
@@ -421,11 +434,12 @@
             for row in range.map_err(|e| fail(e.into()))? {
                 let (name, whole) = row.map_err(|e| fail(e.into()))?;
                 let (name, whole) = (name.value(), whole.value());
-                let sound = whole.split_at_checked(DIGEST).filter(|(d, value)| **d == digest(name, value));
+                let sound =
+                    whole.split_at_checked(DIGEST_BYTES).filter(|(d, value)| **d == digest(name, value));
                 let Some((_, value)) = sound else {
                     let place = format!("row {}", name.escape_ascii());
                     let what = "its digest does not fit".to_owned();
-                    return Err(StoreError::Damaged { file: file.clone(), place, what });
+                    return Err(StoreError::Damaged { file: file.clone(), location: place, reason: what });
                 };
                 if !show(name, value) {
                     return Ok(());
@@ -438,37 +452,40 @@
     /// Reads everything and compares all digests: what a medium has done to rows that nobody reads.
     pub fn scrub(&mut self) -> Result<(), StoreError> {
         let file = self.config.file();
-        self.count()?;
-        guarded(&file, || match self.database.check_integrity() {
+        self.count_bytes()?;
+        catch_damage(&file, || match self.database.check_integrity() {
             Ok(true) => Ok(()),
             Ok(false) => Err(StoreError::Damaged {
                 file: file.clone(),
-                place: "whole".to_owned(),
-                what: "its digests do not fit".to_owned(),
+                location: "whole".to_owned(),
+                reason: "its digests do not fit".to_owned(),
             }),
-            Err(e) => Err(trouble(&file, "read", e)),
+            Err(e) => Err(store_error(&file, "read", e)),
         })
     }
 
     /// Gives back what removed rows have left free.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         let file = self.config.file();
-        guarded(&file, || self.database.compact().map(drop).map_err(|e| trouble(&file, "compact", e)))
+        catch_damage(&file, || {
+            self.database.compact().map(drop).map_err(|e| store_error(&file, "compact", e))
+        })
     }
 
     /// Gives a store that can't be read another name, so that a new one can begin and the old one stays for the operator;
     /// says which name.
     pub fn quarantine(disk: &dyn Disk, config: &Config) -> Result<PathBuf, StoreError> {
         let file = config.file();
-        let name = |n: u32| config.folder.join(format!("rows.redb.aside-{n}"));
-        let Some(to) = (1..=MOST_ASIDE).map(name).find(|to| !disk.exists(to)) else {
-            let why =
-                io::Error::other(format!("{MOST_ASIDE} have been set aside already; move them elsewhere"));
-            return Err(StoreError::Io { doing: "set aside", file, why });
+        let name = |n: u32| config.directory.join(format!("rows.redb.aside-{n}"));
+        let Some(to) = (1..=MAX_QUARANTINED_FILES).map(name).find(|to| !disk.exists(to)) else {
+            let why = io::Error::other(format!(
+                "{MAX_QUARANTINED_FILES} have been set aside already; move them elsewhere"
+            ));
+            return Err(StoreError::Io { operation: "set aside", file, source: why });
         };
-        let fail = |why| StoreError::Io { doing: "set aside", file: file.clone(), why };
+        let fail = |why| StoreError::Io { operation: "set aside", file: file.clone(), source: why };
         disk.rename(&file, &to).map_err(fail)?;
-        disk.sync_folder(&config.folder).map_err(fail)?;
+        disk.sync_directory(&config.directory).map_err(fail)?;
         Ok(to)
     }
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -11,14 +11,14 @@
 
 use crate::disk::Disk;
 use crate::error::StoreError;
-use crate::store::{Batch, Config, Row, Store};
+use crate::store::{Config, Row, Store, WriteBatch};
 
 /// Batches that become one commit at most.
-const TOGETHER: usize = 256;
+const MAX_GROUP_COMMIT: usize = 256;
 
 /// What is to be done.
 enum Job {
-    Commit(u64, Batch),
+    Commit(u64, WriteBatch),
     Scrub,
     Compact,
 }
@@ -65,7 +65,7 @@
     ) -> std::io::Result<Writer> {
         let (jobs, taken) = sync_channel(queue);
         let thread =
-            std::thread::Builder::new().name("store".to_owned()).spawn(move || work(store, taken, tell))?;
+            std::thread::Builder::new().name("store".to_owned()).spawn(move || run(store, taken, tell))?;
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
 
@@ -99,14 +99,14 @@
         let thread = std::thread::Builder::new().name("store".to_owned()).spawn(move || match open() {
             Ok((store, found)) => {
                 tell(WriterEvent::Opened(found));
-                work(store, taken, tell);
+                run(store, taken, tell);
             }
             Err(why) => tell(WriterEvent::Closed(why)),
         })?;
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    fn give(&self, job: Job) -> Result<(), Job> {
+    fn enqueue(&self, job: Job) -> Result<(), Job> {
         let Some(jobs) = &self.jobs else { return Err(job) };
         jobs.try_send(job).map_err(|e| match e {
             TrySendError::Full(job) | TrySendError::Disconnected(job) => job,
@@ -114,21 +114,21 @@
     }
 
     /// Asks for a commit; `Err` gives the batch back: the queue is full or the thread has ended.
-    pub fn commit(&self, number: u64, batch: Batch) -> Result<(), Batch> {
-        self.give(Job::Commit(number, batch)).map_err(|job| match job {
+    pub fn commit(&self, number: u64, batch: WriteBatch) -> Result<(), WriteBatch> {
+        self.enqueue(Job::Commit(number, batch)).map_err(|job| match job {
             Job::Commit(_, batch) => batch,
-            _ => Batch::new(),
+            _ => WriteBatch::new(),
         })
     }
 
     /// Asks for a reading of all rows; whether there was room for that.
     pub fn scrub(&self) -> bool {
-        self.give(Job::Scrub).is_ok()
+        self.enqueue(Job::Scrub).is_ok()
     }
 
     /// Asks for what is free to be given back; whether there was room for that.
     pub fn compact(&self) -> bool {
-        self.give(Job::Compact).is_ok()
+        self.enqueue(Job::Compact).is_ok()
     }
 
     /// Ends the thread once all that was asked for is done, and waits for that. A writer that is dropped ends its thread
@@ -141,14 +141,14 @@
     }
 }
 
-fn work(mut store: Store, jobs: Receiver<Job>, tell: impl Fn(WriterEvent)) {
+fn run(mut store: Store, jobs: Receiver<Job>, tell: impl Fn(WriterEvent)) {
     let mut failed = false;
     let mut next = jobs.recv().ok();
     while let Some(job) = next.take() {
         match job {
             Job::Commit(number, batch) => {
                 let (mut last, mut all, mut count) = (number, batch, 1);
-                while count < TOGETHER {
+                while count < MAX_GROUP_COMMIT {
                     match jobs.try_recv() {
                         Ok(Job::Commit(number, more)) => {
                             (last, all) = (number, all.then(more));
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -8,19 +8,19 @@
 use umberloom_store::disk::{Disk, RealDisk};
 use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
 use umberloom_store::writer::{Writer, WriterEvent};
-use umberloom_store::{Batch, Config, Store, StoreError};
+use umberloom_store::{Config, Store, StoreError, WriteBatch};
 
 const COMMITS: u64 = 8;
 
 fn config() -> Config {
-    Config { most: 1 << 20, ..Config::new("store") }
+    Config { max_bytes: 1 << 20, ..Config::new("store") }
 }
 
 /// The batch that makes the state after so many commits: all rows say the same number, so that a mixture shows.
-fn batch(n: u64) -> Batch {
+fn batch(n: u64) -> WriteBatch {
     let value =
         |row: u64| [&n.to_le_bytes()[..], &vec![row as u8; 40 + (row * n * 97 % 3_000) as usize]].concat();
-    let rows = (0..6).fold(Batch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
+    let rows = (0..6).fold(WriteBatch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
     // A log that grows and is cut at its start.
     let rows = rows.put(2, &n.to_be_bytes(), &n.to_le_bytes());
     rows.remove_range(2, &0u64.to_be_bytes(), &n.saturating_sub(3).to_be_bytes())
@@ -78,12 +78,12 @@
 fn at_each(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut: bool) {
     for at in (1..=operations()).step_by(step) {
         let disk = FaultInjectingDisk::new(at);
-        disk.set(fault(at));
+        disk.set_faults(fault(at));
         let (acked, _) = live(&disk);
         if cut {
             disk.cut_power();
         }
-        disk.set(Faults::default());
+        disk.set_faults(Faults::default());
         let store = Store::open(&disk, &config()).unwrap_or_else(|e| panic!("{name} at {at}: {e}"));
         let found = state(&store).unwrap_or_else(|why| panic!("{name} at {at}: {why}"));
         // The last that returned, or one more whose answer did not come.
@@ -103,7 +103,7 @@
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
         at_each("failure", 3, |at| Faults { fails: Some((at, kind)), ..Faults::default() }, false);
     }
-    at_each("cut short", 2, |at| Faults { cut_short_at: Some(at), ..Faults::default() }, true);
+    at_each("cut short", 2, |at| Faults { short_write_at: Some(at), ..Faults::default() }, true);
 }
 
 #[test]
@@ -113,7 +113,7 @@
         let disk = FaultInjectingDisk::new(seed);
         let mut store = Store::open(&disk, &config()).expect("new");
         (1..=4).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
-        disk.set(Faults { syncs_lie: true, ..Faults::default() });
+        disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
         (5..=7).for_each(|n| assert_eq!(store.commit(batch(n)).expect("told to be durable"), n));
         disk.cut_power();
         drop(store);
@@ -140,10 +140,10 @@
     assert_eq!(live(&disk).0, COMMITS);
     let (file, sound) = (config().file(), disk.image());
     let mut found = 0;
-    let places = (0..disk.length(&file)).step_by(1_009);
+    let places = (0..disk.file_length(&file)).step_by(1_009);
     for byte in places.clone() {
-        disk.put_back(sound.clone());
-        disk.flip(&file, byte, (byte % 8) as u8);
+        disk.restore(sound.clone());
+        disk.flip_bit(&file, byte, (byte % 8) as u8);
         let flipped = disk.image();
         match Store::open(&disk, &config()) {
             Ok(store) => assert_eq!(state(&store), Ok(COMMITS), "byte {byte}"),
@@ -173,8 +173,8 @@
     assert!(store.scrub().is_ok());
     let file = config().file();
     let mut found = 0;
-    for byte in (0..disk.length(&file)).step_by(211) {
-        disk.flip(&file, byte, 1);
+    for byte in (0..disk.file_length(&file)).step_by(211) {
+        disk.flip_bit(&file, byte, 1);
     }
     found += u32::from(store.scrub().is_err_and(|e| e.is_damage()));
     drop(store);
@@ -191,18 +191,18 @@
     drop(store);
 
     // A newer program has written it: refused, as it is.
-    let newer = Config { form: 2, migrations: vec![|_| Ok(Batch::new())], ..config() };
+    let newer = Config { format_version: 2, migrations: vec![|_| Ok(WriteBatch::new())], ..config() };
     drop(Store::open(&disk, &newer).expect("migrated"));
     let refused = Store::open(&disk, &config()).expect_err("newer");
     assert_eq!(refused.to_string(), "store/rows.redb: form 2, this program knows up to 1");
 
     let full = FaultInjectingDisk::new(1);
-    let mut store = Store::open(&full, &Config { most: 4_000, ..config() }).expect("new");
-    store.commit(Batch::new().put(1, b"a", &[7; 3_000])).expect("room");
-    let why = store.commit(Batch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
-    assert!(matches!(why, StoreError::Full { most: 4_000, .. }), "{why}");
-    store.commit(Batch::new().remove(1, b"a")).expect("taking out is always possible");
-    store.commit(Batch::new().put(1, b"b", &[7; 3_000])).expect("room again");
+    let mut store = Store::open(&full, &Config { max_bytes: 4_000, ..config() }).expect("new");
+    store.commit(WriteBatch::new().put(1, b"a", &[7; 3_000])).expect("room");
+    let why = store.commit(WriteBatch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
+    assert!(matches!(why, StoreError::Full { max_bytes: 4_000, .. }), "{why}");
+    store.commit(WriteBatch::new().remove(1, b"a")).expect("taking out is always possible");
+    store.commit(WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("room again");
 
     let file = FaultInjectingDisk::new(1);
     file.open(Path::new("store"), true).expect("a file");
@@ -210,7 +210,7 @@
     assert_eq!(why.to_string(), "store: expected a folder");
 
     let read_only = FaultInjectingDisk::new(1);
-    read_only.set(Faults { all_writes_fail: Some(ErrorKind::ReadOnlyFilesystem), ..Faults::default() });
+    read_only.set_faults(Faults { fail_writes: Some(ErrorKind::ReadOnlyFilesystem), ..Faults::default() });
     let why = Store::open(&read_only, &config()).expect_err("read only");
     assert!(why.to_string().starts_with("store: make the folder: "), "{why}");
 }
@@ -219,22 +219,22 @@
 fn a_form_is_brought_up_step_by_step_and_a_power_cut_on_the_way_loses_nothing() {
     let two: umberloom_store::Migration = |store| {
         let old = store.get(1, b"name")?.unwrap_or_default();
-        Ok(Batch::new().put(1, b"name", &[&old[..], b"+2"].concat()))
+        Ok(WriteBatch::new().put(1, b"name", &[&old[..], b"+2"].concat()))
     };
     let three: umberloom_store::Migration = |store| {
         let old = store.get(1, b"name")?.unwrap_or_default();
-        Ok(Batch::new().put(1, b"name", &[&old[..], b"+3"].concat()))
+        Ok(WriteBatch::new().put(1, b"name", &[&old[..], b"+3"].concat()))
     };
-    let newer = Config { form: 3, migrations: vec![two, three], ..config() };
+    let newer = Config { format_version: 3, migrations: vec![two, three], ..config() };
     let mut at = 0;
     loop {
         at += 1;
         let disk = FaultInjectingDisk::new(at);
         let mut store = Store::open(&disk, &config()).expect("form 1");
-        store.commit(Batch::new().put(1, b"name", b"1")).expect("durable");
+        store.commit(WriteBatch::new().put(1, b"name", b"1")).expect("durable");
         drop(store);
         let before = disk.operations();
-        disk.set(Faults { power_cut_at: Some(before + at), ..Faults::default() });
+        disk.set_faults(Faults { power_cut_at: Some(before + at), ..Faults::default() });
         let through = Store::open(&disk, &newer).is_ok();
         disk.cut_power();
         let store = Store::open(&disk, &newer).expect("form 3");
@@ -253,7 +253,7 @@
     let store = Store::open(&disk, &config()).expect("new");
     let writer = Writer::start(store, 64, move |done| drop(told.send(done))).expect("a thread");
     for n in 1..=5 {
-        writer.commit(n, Batch::new().put(1, b"n", &n.to_le_bytes())).expect("room");
+        writer.commit(n, WriteBatch::new().put(1, b"n", &n.to_le_bytes())).expect("room");
     }
     let durable = |wanted: u64| loop {
         match heard.recv_timeout(Duration::from_secs(20)).expect("an answer") {
@@ -263,12 +263,12 @@
         }
     };
     durable(5);
-    disk.set(Faults { all_writes_fail: Some(ErrorKind::StorageFull), ..Faults::default() });
-    writer.commit(6, Batch::new().put(1, b"n", &6u64.to_le_bytes())).expect("room");
+    disk.set_faults(Faults { fail_writes: Some(ErrorKind::StorageFull), ..Faults::default() });
+    writer.commit(6, WriteBatch::new().put(1, b"n", &6u64.to_le_bytes())).expect("room");
     let failed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
     assert!(matches!(failed, WriterEvent::Failed(6, StoreError::Io { .. })), "{failed:?}");
-    disk.set(Faults::default());
-    writer.commit(7, Batch::new().put(1, b"n", &7u64.to_le_bytes())).expect("room");
+    disk.set_faults(Faults::default());
+    writer.commit(7, WriteBatch::new().put(1, b"n", &7u64.to_le_bytes())).expect("room");
     assert!(writer.scrub());
     let scrubbed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
     assert!(matches!(scrubbed, WriterEvent::Scrubbed(_)), "batch 7 was taken: {scrubbed:?}");
@@ -280,7 +280,7 @@
 #[test]
 fn on_the_system_s_own_disk_it_is_the_same() {
     let folder = std::env::temp_dir().join(format!("umberloom-store-{}", std::process::id()));
-    let config = Config { most: 1 << 20, ..Config::new(&folder) };
+    let config = Config { max_bytes: 1 << 20, ..Config::new(&folder) };
     let mut store = Store::open(&RealDisk, &config).expect("new");
     (1..=COMMITS).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
     assert!(matches!(Store::open(&RealDisk, &config), Err(StoreError::Locked(_))));
