--- a/crates/server/src/admission.rs
+++ b/crates/server/src/admission.rs
@@ -242,23 +242,23 @@
         match message {
             AdmissionMessage::Request(request) => self.arrived(now, *request),
             AdmissionMessage::HealthCheck(check) => self.check(now, check),
-            AdmissionMessage::Cancelled(id, serial) => self.gone(&id, serial),
-            AdmissionMessage::AgentUp(since) => self.greet(now, since),
+            AdmissionMessage::Cancelled { id, serial } => self.gone(&id, serial),
+            AdmissionMessage::AgentUp { uptime } => self.greet(now, uptime),
             AdmissionMessage::AgentLinkLost => self.link_lost(),
-            AdmissionMessage::RunEnded(id, end, took) => self.ended(&id, end, took),
-            AdmissionMessage::NeedsCall(id, seq, body) => self.needs_call(&id, seq, body),
-            AdmissionMessage::GaugesSampled(tag, values) => self.sampled(tag, values),
-            AdmissionMessage::HealthCheckEnded(tag, fine) => {
+            AdmissionMessage::RunEnded { id, outcome, duration } => self.ended(&id, outcome, duration),
+            AdmissionMessage::NeedsCall { id, notice_seq, body } => self.needs_call(&id, notice_seq, body),
+            AdmissionMessage::GaugesSampled { tag, values } => self.sampled(tag, values),
+            AdmissionMessage::HealthCheckEnded { tag, healthy: fine } => {
                 if let Some((_, reply_to)) = self.checks.remove(&tag) {
                     reply_to.respond(Response::Health(fine));
                 }
             }
-            AdmissionMessage::AgentRejected(command, id) => self.agent_refused(&command, &id),
-            AdmissionMessage::InvalidAgentNotice(id) => self.end_unheard(&id, Outcome::Error),
-            AdmissionMessage::CallEnded(id, outcome, took, body) if id.attempt == 0 => {
+            AdmissionMessage::AgentRejected { command, id } => self.agent_refused(&command, &id),
+            AdmissionMessage::InvalidAgentNotice { id } => self.end_unheard(&id, Outcome::Error),
+            AdmissionMessage::CallEnded { id, outcome, duration: took, body } if id.attempt == 0 => {
                 self.called(id.request, outcome, took, body);
             }
-            AdmissionMessage::CallEnded(id, outcome, _, body) => {
+            AdmissionMessage::CallEnded { id, outcome, body, .. } => {
                 if let Some(plans) = &mut self.plans {
                     plans.ended(now, &id, outcome, body);
                     self.take_plans();
@@ -302,7 +302,7 @@
         }
         let unix = self.clock.unix();
         // Where requests state no wait, what one says of it all the same is not part of the agreement.
-        let waits = work.waits(unix).filter(|_| self.shape.passes_deadline);
+        let waits = work.remaining_timeout(unix).filter(|_| self.shape.passes_deadline);
         let queued = unix.saturating_sub(work.received_at);
         // Without one the limit of its class counts from when it reached the machine.
         let limit = self.settings.classes.get(class).map_or(0, |c| c.deadline);
@@ -522,7 +522,7 @@
         if outcome == Outcome::Ok {
             open.call = None;
             open.delivered = Some(self.clock.now());
-            self.order(AgentCommand::DeliverReply(id.clone(), body));
+            self.order(AgentCommand::DeliverReply { id: id.clone(), body });
         }
         self.events.push(Event::CallEnded(id, outcome, took));
     }
@@ -556,7 +556,8 @@
         if self.plans.as_mut().is_some_and(|plans| plans.give_up(now, id)) {
             return self.take_plans();
         }
-        let _ = self.others.records.try_send(calls::DependencyCommand::Cancel(CallId::plain(id.clone())));
+        let _ =
+            self.others.records.try_send(calls::DependencyCommand::Cancel(CallId::without_plan(id.clone())));
     }
 
     /// Forgets a request of which nothing is left. Who still waits for its result does so in vain.
@@ -647,7 +648,11 @@
         let order = match open.run {
             Run::Going => return,
             Run::Paused => AgentCommand::Resume(id.clone()),
-            Run::None => AgentCommand::Launch(id.clone(), open.work.class.clone(), open.body.clone()),
+            Run::None => AgentCommand::Launch {
+                id: id.clone(),
+                class: open.work.class.clone(),
+                body: open.body.clone(),
+            },
         };
         let before = (open.run, open.ran);
         (open.run, open.ran) = (Run::Going, true);
@@ -689,9 +694,13 @@
             open.planned = true;
             return self.take_plans();
         }
-        let (id, body) = (CallId::plain(id.clone()), call.body.as_slice().into());
-        let order =
-            calls::DependencyCommand::Call(calls::Call { id: id.clone(), address: None, body, until });
+        let (id, body) = (CallId::without_plan(id.clone()), call.body.as_slice().into());
+        let order = calls::DependencyCommand::Call(calls::Call {
+            id: id.clone(),
+            address: None,
+            body,
+            deadline: until,
+        });
         if self.others.records.try_send(order).is_err() {
             call.under_way = false;
             self.later.push_back(Event::CallEnded(id.request, Outcome::Unreachable, 0));
@@ -704,7 +713,7 @@
         if call.under_way {
             self.give_up_call(id);
         }
-        self.order(AgentCommand::SkipCall(id.clone(), call.seq));
+        self.order(AgentCommand::SkipCall { id: id.clone(), notice_seq: call.seq });
     }
 
     fn keep(&mut self, now: Micros, id: &RequestId, until: Micros) {
--- a/crates/server/src/admission/tests.rs
+++ b/crates/server/src/admission/tests.rs
@@ -67,7 +67,7 @@
             id: id.to_owned(),
             class: "desk-search".to_owned(),
             received_at: self.module.clock.unix() - 1_000_000,
-            budget: Some(500_000_000),
+            timeout: Some(500_000_000),
             is_retry: false,
             tenant: None,
             cost: None,
@@ -104,7 +104,7 @@
     /// Answers given since the last look, by serial.
     fn answers(&self) -> Vec<(u64, Response)> {
         let answer = |word| match word {
-            ConnectionCommand::Respond(_, serial, answer) => (serial, answer),
+            ConnectionCommand::Respond { serial, response, .. } => (serial, response),
             other => panic!("{other:?}"),
         };
         all(&self.words).into_iter().map(answer).collect()
@@ -135,13 +135,13 @@
     fn launched(&mut self, id: &str) {
         self.request(id, None);
         self.act(Action::Admit(id.into()));
-        assert!(matches!(self.orders().as_slice(), [AgentCommand::Launch(..)]));
+        assert!(matches!(self.orders().as_slice(), [AgentCommand::Launch { .. }]));
         self.events();
     }
 }
 
 fn outcome(id: &str, end: RunOutcome) -> AdmissionMessage {
-    AdmissionMessage::RunEnded(id.to_owned(), end, 9)
+    AdmissionMessage::RunEnded { id: id.to_owned(), outcome: end, duration: 9 }
 }
 
 #[test]
@@ -181,7 +181,10 @@
 fn a_paused_run_goes_on_and_a_dropped_one_begins_again() {
     for (halt, again) in [
         (Preemption::Pause, AgentCommand::Resume("a".into())),
-        (Preemption::Abort, AgentCommand::Launch("a".into(), "desk-search".into(), b"body".to_vec())),
+        (
+            Preemption::Abort,
+            AgentCommand::Launch { id: "a".into(), class: "desk-search".into(), body: b"body".to_vec() },
+        ),
     ] {
         let mut bench = bench(halt);
         bench.launched("a");
@@ -237,31 +240,46 @@
     bench.launched("a");
     let word = |order: calls::DependencyCommand| match order {
         calls::DependencyCommand::Call(call) => {
-            format!("Call({:?}, {:?}, {})", call.id.request, call.body, call.until)
+            format!("Call({:?}, {:?}, {})", call.id.request, call.body, call.deadline)
         }
         calls::DependencyCommand::Cancel(id) => format!("GiveUp({:?})", id.request),
         other => format!("{other:?}"),
     };
     let calls = |bench: &Bench| all(&bench.records).into_iter().map(word).collect::<Vec<_>>();
-    bench.hear(AdmissionMessage::NeedsCall("a".into(), 7, b"c".to_vec()));
+    bench.hear(AdmissionMessage::NeedsCall { id: "a".into(), notice_seq: 7, body: b"c".to_vec() });
     bench.act(Action::Call("a".into(), 50));
     assert_eq!(calls(&bench), [r#"Call("a", [99], 50)"#]);
-    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::ConnectionLost, 3, vec![]));
+    bench.hear(AdmissionMessage::CallEnded {
+        id: CallId::without_plan("a".into()),
+        outcome: Outcome::ConnectionLost,
+        duration: 3,
+        body: vec![],
+    });
     bench.act(Action::Call("a".into(), 60));
-    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::Ok, 3, b"reply".to_vec()));
-    assert_eq!(bench.orders(), [AgentCommand::DeliverReply("a".into(), b"reply".to_vec())]);
+    bench.hear(AdmissionMessage::CallEnded {
+        id: CallId::without_plan("a".into()),
+        outcome: Outcome::Ok,
+        duration: 3,
+        body: b"reply".to_vec(),
+    });
+    assert_eq!(bench.orders(), [AgentCommand::DeliverReply { id: "a".into(), body: b"reply".to_vec() }]);
     let told = [r#"NeedsCall("a")"#, r#"Called("a", Cut, 3)"#, r#"Called("a", Ok, 3)"#];
     assert_eq!(bench.events(), told);
     // A call that nobody makes any more says nothing.
-    bench.hear(AdmissionMessage::CallEnded(CallId::plain("a".into()), Outcome::Ok, 3, vec![]));
+    bench.hear(AdmissionMessage::CallEnded {
+        id: CallId::without_plan("a".into()),
+        outcome: Outcome::Ok,
+        duration: 3,
+        body: vec![],
+    });
     assert_eq!((bench.orders(), bench.events().len()), (vec![], 0));
     calls(&bench);
-    bench.hear(AdmissionMessage::NeedsCall("a".into(), 8, b"d".to_vec()));
+    bench.hear(AdmissionMessage::NeedsCall { id: "a".into(), notice_seq: 8, body: b"d".to_vec() });
     bench.act(Action::Call("a".into(), 70));
     bench.act(Action::SkipCall("a".into()));
     assert_eq!(calls(&bench), [r#"Call("a", [100], 70)"#, r#"GiveUp("a")"#]);
-    assert_eq!(bench.orders(), [AgentCommand::SkipCall("a".into(), 8)]);
-    bench.hear(AdmissionMessage::NeedsCall("a".into(), 9, b"e".to_vec()));
+    assert_eq!(bench.orders(), [AgentCommand::SkipCall { id: "a".into(), notice_seq: 8 }]);
+    bench.hear(AdmissionMessage::NeedsCall { id: "a".into(), notice_seq: 9, body: b"e".to_vec() });
     bench.act(Action::Call("a".into(), 70));
     bench.act(Action::Fail("a".into()));
     assert_eq!(calls(&bench), [r#"Call("a", [101], 70)"#, r#"GiveUp("a")"#]);
@@ -317,7 +335,7 @@
         bench.act(Action::AwaitDuplicate(id.into()));
     }
     // One gives up waiting, one is refused; the last gets the other's result.
-    bench.hear(AdmissionMessage::Cancelled("b".into(), 2));
+    bench.hear(AdmissionMessage::Cancelled { id: "b".into(), serial: 2 });
     bench.act(Action::Reject { id: "c".into(), retry_after: 0, terminal: false });
     assert!(!bench.module.open.is_clear());
     bench.hear(outcome("a", RunOutcome::Success(b"r".to_vec())));
@@ -367,9 +385,9 @@
     // However late it is looked at, it comes once.
     bench.module.pass_time(NOW + 900_000);
     let [AgentCommand::SampleGauges(tag)] = bench.orders()[..] else { panic!("a sample") };
-    bench.hear(AdmissionMessage::GaugesSampled(tag + 1, vec![]));
+    bench.hear(AdmissionMessage::GaugesSampled { tag: tag + 1, values: vec![] });
     assert_eq!(bench.events().len(), 0);
-    bench.hear(AdmissionMessage::GaugesSampled(tag, vec![]));
+    bench.hear(AdmissionMessage::GaugesSampled { tag, values: vec![] });
     bench.module.pass_time(NOW + 990_000);
     assert_eq!(bench.events().len(), 1);
     bench.act(Action::WakeAfter(20_000));
@@ -388,7 +406,7 @@
         tag
     };
     let tag = check(&mut bench, 1);
-    bench.hear(AdmissionMessage::HealthCheckEnded(tag, true));
+    bench.hear(AdmissionMessage::HealthCheckEnded { tag, healthy: true });
     check(&mut bench, 2);
     bench.module.pass_time(NOW + CHECK_WAIT);
     check(&mut bench, 3);
@@ -402,10 +420,10 @@
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
     for command in ["freeze", "thaw", "deliver", "forgo"] {
-        bench.hear(AdmissionMessage::AgentRejected(command.into(), "a".into()));
+        bench.hear(AdmissionMessage::AgentRejected { command: command.into(), id: "a".into() });
     }
     assert_eq!(bench.answers(), []);
-    bench.hear(AdmissionMessage::AgentRejected("launch".into(), "a".into()));
+    bench.hear(AdmissionMessage::AgentRejected { command: "launch".into(), id: "a".into() });
     assert_eq!(bench.answers(), [(1, Response::Failed)]);
     assert_eq!(bench.events(), [r#"Ended("a", Moot, 0)"#]);
 }
@@ -414,9 +432,9 @@
 fn only_the_one_who_waits_can_give_a_request_up() {
     let mut bench = bench(Preemption::Pause);
     bench.launched("a");
-    bench.hear(AdmissionMessage::Cancelled("a".into(), 99));
+    bench.hear(AdmissionMessage::Cancelled { id: "a".into(), serial: 99 });
     assert_eq!((bench.answers(), bench.events().len()), (vec![], 0));
-    bench.hear(AdmissionMessage::Cancelled("a".into(), 1));
+    bench.hear(AdmissionMessage::Cancelled { id: "a".into(), serial: 1 });
     assert_eq!(bench.answers(), [(1, Response::Aborted)]);
     assert_eq!(bench.events(), [r#"Gone("a")"#]);
 }
@@ -524,7 +542,11 @@
     bench.module.wake_at = Some(NOW + 9_000_000);
     bench.module.pass_time(NOW + 9_000_000);
     assert_eq!(bench.keyed_try(NOW + 9_500_000, "c", (0, "k")).as_deref(), Some("a"));
-    bench.hear(AdmissionMessage::RunEnded("a".into(), RunOutcome::Success(b"done".to_vec()), 9_600_000));
+    bench.hear(AdmissionMessage::RunEnded {
+        id: "a".into(),
+        outcome: RunOutcome::Success(b"done".to_vec()),
+        duration: 9_600_000,
+    });
     assert_eq!(bench.keyed_try(NOW + 9_700_000, "d", (0, "k")), None, "over and run out");
 }
 
@@ -534,7 +556,11 @@
     let mut bench = keyed();
     bench.keyed_try(NOW, "a", (0, "k"));
     bench.act(Action::Admit("a".into()));
-    bench.hear(AdmissionMessage::RunEnded("a".into(), RunOutcome::Success(b"done".to_vec()), 100));
+    bench.hear(AdmissionMessage::RunEnded {
+        id: "a".into(),
+        outcome: RunOutcome::Success(b"done".to_vec()),
+        duration: 100,
+    });
     // Looked for what has run out, between the end of the window and the reading of the repeat.
     bench.module.wake_at = Some(NOW + 3_100_000);
     bench.module.pass_time(NOW + 3_100_000);
--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -258,8 +258,12 @@
         };
         let id = CallId { request: under_way.id.clone(), attempt };
         // The platform's records service is where its configuration says, and no address.
-        let call =
-            Call { id: id.clone(), address: address.parse().ok(), body: under_way.body.clone(), until };
+        let call = Call {
+            id: id.clone(),
+            address: address.parse().ok(),
+            body: under_way.body.clone(),
+            deadline: until,
+        };
         let sent = to.try_send(DependencyCommand::Call(call)).is_ok();
         if sent {
             self.attempts.insert(attempt, (id, to.clone()));
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -13,7 +13,7 @@
 use super::config::Config;
 use super::PEERS_SHARE;
 use crate::memory::budget::Budget;
-use crate::messages::fleet::FleetCommand;
+use crate::messages::fleet::{FleetCommand, FleetConfig};
 use crate::messages::AdmissionMessage;
 use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
 
@@ -83,9 +83,14 @@
         budget.take(bytes).ok_or_else(|| format!("no memory for {bytes} bytes of the fleet's streams"))?;
     // The start by the system's own clock: a later process under this name has a later one, whatever ours does.
     let boot = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64);
-    let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
+    let config = FleetConfig {
+        membership: told.membership.clone(),
+        peer_addresses: told.addresses.clone(),
+        build_info: about,
+        replicated_store: told.record.clone(),
+    };
     let (own, log) = (executor.clone(), log.clone());
-    let fleet = Fleet::new(own, sockets, set, (boot, seed), taken, module.clone(), charge, log)?;
+    let fleet = Fleet::new(own, sockets, config, (boot, seed), taken, module.clone(), charge, log)?;
     executor.spawn(fleet.run()).detach();
     Ok(Running { orders, told })
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -298,7 +298,10 @@
         let mailboxes =
             self.dependencies.iter().map(|(name, (_, orders))| (name.clone(), orders.clone())).collect();
         let shares = operator.fleet.iter().flat_map(|fleet| {
-            fleet.shared.iter().map(|(name, whole)| (Rc::from(name.as_str()), fleet.allowance(*whole)))
+            fleet.shared.iter().map(|(name, whole)| to_calls::SharedQuotaConfig {
+                dependency: Rc::from(name.as_str()),
+                config: fleet.allowance(*whole),
+            })
         });
         let shares = shares.collect();
         Ok(DependencySettings { config: operator.dependencies, mailboxes, shared_quotas: shares, charge })
@@ -391,7 +394,12 @@
         if let (Some(running), Some(told)) = (&mut self.fleet, &operator.fleet) {
             running.told = told.clone();
             let about = fleet::about(&self.config, &operator);
-            let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
+            let set = to_fleet::FleetConfig {
+                membership: told.membership.clone(),
+                peer_addresses: told.addresses.clone(),
+                build_info: about,
+                replicated_store: told.record.clone(),
+            };
             let _ = running.orders.send(to_fleet::FleetCommand::Reconfigure(Box::new(set))).await;
         }
         let plans = operator.dependencies.plans.len();
--- a/crates/server/src/messages/agent.rs
+++ b/crates/server/src/messages/agent.rs
@@ -1,33 +1,50 @@
-//! What the render farm agent's actor is told.
+//! Messages to the actor that keeps the link to the render farm agent.
 
 use std::net::SocketAddr;
 
 use umberloom::interface::RequestId;
 
-/// Something the agent is to do.
+/// A command to the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentCommand {
-    /// Run a request of this class with this body.
-    Launch(RequestId, String, Vec<u8>),
-    /// Stop its run.
+    /// Run a request.
+    Launch {
+        /// The request.
+        id: RequestId,
+        /// Name of its class.
+        class: String,
+        /// Its body.
+        body: Vec<u8>,
+    },
+    /// Stop the run of this request.
     Pause(RequestId),
-    /// Go on with its run.
+    /// Go on with the paused run of this request.
     Resume(RequestId),
-    /// The reply to the call that its run waits for.
-    DeliverReply(RequestId, Vec<u8>),
-    /// Go on without the call that this notice asked for.
-    SkipCall(RequestId, u64),
-    /// Ask for the gauges.
+    /// Give a run the reply to the call that it waits for.
+    DeliverReply {
+        /// The request.
+        id: RequestId,
+        /// Body of the reply.
+        body: Vec<u8>,
+    },
+    /// Let a run go on without the call that it waits for.
+    SkipCall {
+        /// The request.
+        id: RequestId,
+        /// Number of the notice that asked for the call.
+        notice_seq: u64,
+    },
+    /// Sample the gauges; the answer carries this tag.
     SampleGauges(u64),
-    /// Do the work of a deep health check.
+    /// Do the work of a deep health check; the answer carries this tag.
     RunHealthCheck(u64),
 }
 
-/// What the actor is told.
+/// What the mailbox of the agent's actor takes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AgentActorMessage {
-    /// Something the agent is to do.
+    /// A command to pass on to the agent.
     Command(AgentCommand),
-    /// Where the agent is from now on.
+    /// The agent is at this address from now on.
     SetAddress(SocketAddr),
 }
--- a/crates/server/src/messages/fleet.rs
+++ b/crates/server/src/messages/fleet.rs
@@ -1,4 +1,4 @@
-//! What the fleet's actor is told, and what it tells.
+//! Messages to the fleet's actor, and its events for the admission actor.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,53 +8,84 @@
 use umberloom_operator_config::Record;
 use umberloom_quota::QuotaStatus;
 
-/// The matter of shared allowances.
+/// Channel of the messages about distributed quotas.
 pub const QUOTA_CHANNEL: u8 = 1;
-/// The matter of the record that servers keep together.
+/// Channel of the messages of the replicated store.
 pub const REPLICATION_CHANNEL: u8 = 2;
 
-/// What the actor is told.
+/// What the fleet's actor runs with.
+#[derive(Debug)]
+pub struct FleetConfig {
+    /// This server, its peers and the timing of the protocol.
+    pub membership: Config,
+    /// Addresses of the peers, in the order of `membership.peers`.
+    pub peer_addresses: Vec<SocketAddr>,
+    /// What this server runs.
+    pub build_info: BuildInfo,
+    /// The replicated store, if the operator's file has one.
+    pub replicated_store: Option<Record>,
+}
+
+/// How the quota of one dependency is used on this server.
+#[derive(Clone, Debug)]
+pub struct QuotaReport {
+    /// Name of the dependency.
+    pub dependency: Rc<str>,
+    /// Its quota.
+    pub status: QuotaStatus,
+}
+
+/// What the mailbox of the fleet's actor takes.
 #[derive(Debug)]
 pub enum FleetCommand {
-    /// Say this about a matter to a member.
-    Send(MemberName, u8, Vec<u8>),
+    /// Send a message to a member.
+    Send {
+        /// The member.
+        to: MemberName,
+        /// What the message is about.
+        channel: u8,
+        /// The encoded message.
+        payload: Vec<u8>,
+    },
     /// How loaded this server is, in percent.
     SetLoad(u8),
-    /// How shared allowances stand, for those who ask.
-    PublishQuotas(Vec<(Rc<str>, QuotaStatus)>),
-    /// Other peers, with their addresses, what this server is made of now, and what is told of the record.
-    Reconfigure(Box<(Config, Vec<SocketAddr>, BuildInfo, Option<Record>)>),
+    /// How the distributed quotas are used, for operators who ask.
+    PublishQuotas(Vec<QuotaReport>),
+    /// Run with this from now on.
+    Reconfigure(Box<FleetConfig>),
     /// This server has been told to end.
     Leave,
-    /// The last word.
+    /// Tell the other members that this server is gone, and end.
     AnnounceDeparture,
 }
 
-/// What the module hears of the fleet.
+/// What the fleet's actor tells the admission actor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// Who is there.
+    /// Other members are reached, or agree, than before.
     ReachabilityChanged(Reachability),
-    /// A member says something about a matter.
+    /// A member has sent a message.
     MessageReceived {
-        /// The member, and the start of its process.
-        from: (MemberName, u64),
-        /// Which matter.
+        /// The member.
+        from: MemberName,
+        /// The start of the member's process.
+        boot_id: u64,
+        /// What the message is about.
         channel: u8,
-        /// What it says.
+        /// The encoded message.
         payload: Vec<u8>,
     },
 }
 
-/// Who is there.
+/// Which members are reached, and whether they share quotas by the same settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
-    /// Members that are reached, with the starts of their processes.
+    /// Members that are reached, with the boot ids of their processes.
     pub reachable: Vec<(MemberName, u64)>,
-    /// One that is reached goes by other parts of what is shared.
+    /// A member that is reached has other settings for distributed quotas.
     pub quota_basis_differs: bool,
-    /// Everyone in the roster is reached and goes by the same.
+    /// Every member in the roster is reached and has the same settings for distributed quotas.
     pub all_agree: bool,
-    /// Another process has this server's name.
+    /// A newer process has this server's name.
     pub fenced: bool,
 }
--- a/crates/server/src/messages/listener.rs
+++ b/crates/server/src/messages/listener.rs
@@ -1,12 +1,12 @@
-//! What the front is told.
+//! Messages to the actor that accepts connections.
 
 use umberloom::interface::Micros;
 
-/// What the front is told.
+/// What the listener's mailbox takes.
 #[derive(Debug)]
 pub enum ListenerCommand {
     /// Close connections that have carried nothing for this long.
     CloseIdle(Micros),
-    /// Let nothing new in, and close each connection once nothing is open on it.
+    /// Accept no more connections, and close each one as soon as nothing is in flight on it.
     Drain,
 }
--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -224,33 +224,33 @@
         let message = match notice {
             Notice::Greeting(starting, since) => {
                 info!(self.log, "agent is up"; "starting" => starting, "since_us" => since);
-                AdmissionMessage::AgentUp(since)
+                AdmissionMessage::AgentUp { uptime: since }
             }
             Notice::Outcome(id, end, took) => {
                 self.journal.ended(&id);
-                AdmissionMessage::RunEnded(id, end, took)
+                AdmissionMessage::RunEnded { id, outcome: end, duration: took }
             }
             Notice::Request(id, seq, body) => {
                 self.journal.waits(&id);
-                AdmissionMessage::NeedsCall(id, seq, body)
+                AdmissionMessage::NeedsCall { id, notice_seq: seq, body }
             }
             Notice::Sampled(name, values) => match self.journal.answered(&name) {
-                Some(tag) => AdmissionMessage::GaugesSampled(tag, values),
+                Some(tag) => AdmissionMessage::GaugesSampled { tag, values },
                 None => return Ok(()),
             },
             Notice::Exercised(name, fine) => match self.journal.exercised(&name) {
-                Some(tag) => AdmissionMessage::HealthCheckEnded(tag, fine),
+                Some(tag) => AdmissionMessage::HealthCheckEnded { tag, healthy: fine },
                 None => return Ok(()),
             },
             Notice::Refusal(command, id) => {
                 debug!(self.log, "agent refused"; "command" => &command, "request" => &id);
-                AdmissionMessage::AgentRejected(command, id)
+                AdmissionMessage::AgentRejected { command, id }
             }
             // Were the link closed over it, the next one would bring it again.
             Notice::Senseless(id) => {
                 warn!(self.log, "a notice without sense"; "request" => &id);
                 self.journal.ended(&id);
-                AdmissionMessage::InvalidAgentNotice(id)
+                AdmissionMessage::InvalidAgentNotice { id }
             }
             Notice::Aside => return Ok(()),
         };
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -48,15 +48,17 @@
         let name = number.to_string();
         let none: RequestId = "".into();
         let (kind, id, tag, command) = match order {
-            AgentCommand::Launch(id, class, body) => {
+            AgentCommand::Launch { id, class, body } => {
                 (Kind::Run, id, 0, Command::Launch { id, class, body: base64(body) })
             }
             AgentCommand::Pause(id) => (Kind::Freeze, id, 0, Command::Freeze { id }),
             AgentCommand::Resume(id) => (Kind::Run, id, 0, Command::Thaw { id }),
-            AgentCommand::DeliverReply(id, body) => {
+            AgentCommand::DeliverReply { id, body } => {
                 (Kind::Reply, id, 0, Command::Deliver { id, body: base64(body) })
             }
-            AgentCommand::SkipCall(id, seq) => (Kind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
+            AgentCommand::SkipCall { id, notice_seq } => {
+                (Kind::Reply, id, 0, Command::Forgo { id, seq: *notice_seq })
+            }
             AgentCommand::SampleGauges(tag) => (Kind::Question, &none, *tag, Command::Sample { tag: &name }),
             AgentCommand::RunHealthCheck(tag) => {
                 (Kind::Question, &none, *tag, Command::Exercise { tag: &name })
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn launch(id: &str) -> AgentCommand {
-    AgentCommand::Launch(id.into(), "c".into(), vec![1])
+    AgentCommand::Launch { id: id.into(), class: "c".into(), body: vec![1] }
 }
 
 /// A journal on a link that has caught up.
@@ -42,7 +42,7 @@
     journal.add(&AgentCommand::SampleGauges(1));
     journal.add(&launch("ended"));
     journal.add(&launch("a"));
-    journal.add(&AgentCommand::DeliverReply("b".into(), vec![]));
+    journal.add(&AgentCommand::DeliverReply { id: "b".into(), body: vec![] });
     journal.take(9_999);
     journal.answered("3");
     journal.add(&launch("later"));
--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -83,7 +83,7 @@
 impl Pending {
     /// What the module is told when nobody waits any more.
     fn gone(self) -> Option<AdmissionMessage> {
-        self.id.map(|id| AdmissionMessage::Cancelled(id, self.serial))
+        self.id.map(|id| AdmissionMessage::Cancelled { id, serial: self.serial })
     }
 }
 
@@ -365,7 +365,7 @@
 
     fn heed(&mut self, word: ConnectionCommand) {
         match word {
-            ConnectionCommand::Respond(slot, serial, answer) => self.answer(slot, serial, &answer),
+            ConnectionCommand::Respond { slot, serial, response } => self.answer(slot, serial, &response),
             // Its place is needed: one that never asked loses it even with a part of a request sent, but a whole one that
             // lies unread in the socket was given to this server and gets its answer.
             ConnectionCommand::CloseIfIdle if !self.activity.has_requested.get() => self.leaving = true,
@@ -480,7 +480,7 @@
             Ask::Work(work) if work.is_timely(self.shared.clock.unix()) => work,
             Ask::Work(_) => return Err("times far from now"),
         };
-        if self.shared.shape.passes_deadline && work.budget.is_none() {
+        if self.shared.shape.passes_deadline && work.timeout.is_none() {
             return Err("no budget");
         }
         let class = self.shared.classes.iter().position(|name| *name == work.class);
--- a/crates/server/src/peers/dependency.rs
+++ b/crates/server/src/peers/dependency.rs
@@ -206,7 +206,12 @@
         let address = call.address.or(self.target.platform);
         let (Some(address), Some(taken)) = (address, self.sockets.take()) else {
             debug!(self.log, "too many calls at once"; "request" => &*call.id.request);
-            let refused = AdmissionMessage::CallEnded(call.id, Outcome::Rejected, 0, Vec::new());
+            let refused = AdmissionMessage::CallEnded {
+                id: call.id,
+                outcome: Outcome::Rejected,
+                duration: 0,
+                body: Vec::new(),
+            };
             return self.module.send(refused).await.is_ok();
         };
         let id = call.id.clone();
@@ -225,11 +230,12 @@
         let (module, clock) = (self.module.clone(), self.clock.clone());
         async move {
             let from = clock.now();
-            let span = Duration::from_micros(call.until.saturating_sub(from));
+            let span = Duration::from_micros(call.deadline.saturating_sub(from));
             let (outcome, reply) = one(address, &target, &pool, &call, span).await;
             drop(taken);
             let took = clock.now() - from;
-            let _ = module.send(AdmissionMessage::CallEnded(call.id, outcome, took, reply)).await;
+            let ended = AdmissionMessage::CallEnded { id: call.id, outcome, duration: took, body: reply };
+            let _ = module.send(ended).await;
         }
     }
 }
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -20,8 +20,8 @@
 }
 
 fn call(id: &str, until: Micros) -> DependencyCommand {
-    let id = CallId::plain(id.into());
-    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), until })
+    let id = CallId::without_plan(id.into());
+    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), deadline: until })
 }
 
 fn far() -> Micros {
@@ -42,7 +42,7 @@
 
 async fn called(mail: &Receiver<AdmissionMessage>) -> (String, Outcome) {
     match mail.recv().await {
-        Ok(AdmissionMessage::CallEnded(id, outcome, ..)) => (id.request.to_string(), outcome),
+        Ok(AdmissionMessage::CallEnded { id, outcome, .. }) => (id.request.to_string(), outcome),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -17,12 +17,12 @@
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
 use umberloom_membership::wire::{BuildInfo, Key, LONGEST_DATAGRAM};
-use umberloom_membership::{Action, Config, Event, MemberName, Membership, Micros, ReturnPath};
-use umberloom_operator_config::Record;
-use umberloom_quota::QuotaStatus;
+use umberloom_membership::{Action, Event, MemberName, Membership, Micros, ReturnPath};
 
 use crate::memory::budget::Charge;
-use crate::messages::fleet::{FleetCommand, FleetEvent, Reachability, REPLICATION_CHANNEL};
+use crate::messages::fleet::{
+    FleetCommand, FleetConfig, FleetEvent, QuotaReport, Reachability, REPLICATION_CHANNEL,
+};
 use crate::messages::AdmissionMessage;
 use crate::wire::fleet::{frame, Answer, FleetView, FrameKind, Question, QuestionKind, Reply};
 use crate::wire::record::StoreAnswer as record_told;
@@ -108,7 +108,7 @@
     ways: VecDeque<(u64, SocketAddr)>,
     start: Instant,
     told: (Reachability, Micros),
-    shares: Vec<(Rc<str>, QuotaStatus)>,
+    shares: Vec<QuotaReport>,
     mine: BuildInfo,
     record: Option<Keeper>,
     load: u8,
@@ -122,13 +122,19 @@
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         sockets: Sockets,
-        (config, addresses, about, kept): (Config, Vec<SocketAddr>, BuildInfo, Option<Record>),
+        config: FleetConfig,
         (boot, seed): (u64, u64),
         orders: Receiver<FleetCommand>,
         module: Sender<AdmissionMessage>,
         charge: Charge,
         log: Logger,
     ) -> Result<Fleet<'a>, String> {
+        let FleetConfig {
+            membership: config,
+            peer_addresses: addresses,
+            build_info: about,
+            replicated_store: kept,
+        } = config;
         let name = config.name.clone();
         let key = Key::new(&config.fleet, &config.secret);
         let peers = config.peers.len();
@@ -254,14 +260,19 @@
 
     fn obey(&mut self, now: Micros, order: FleetCommand) {
         match order {
-            FleetCommand::Send(to, kind, bytes) => self.membership.send(now, &to, kind, bytes),
+            FleetCommand::Send { to, channel, payload } => self.membership.send(now, &to, channel, payload),
             FleetCommand::SetLoad(percent) => {
                 self.load = percent;
                 self.membership.set_load(percent);
             }
             FleetCommand::PublishQuotas(shares) => self.shares = shares,
-            FleetCommand::Reconfigure(told) => {
-                let (config, addresses, about, kept) = *told;
+            FleetCommand::Reconfigure(config) => {
+                let FleetConfig {
+                    membership: config,
+                    peer_addresses: addresses,
+                    build_info: about,
+                    replicated_store: kept,
+                } = *config;
                 if let (Some(keeper), Some(settings)) = (&mut self.record, kept) {
                     keeper.set(settings);
                 }
@@ -371,7 +382,11 @@
             sick: member.health_score(),
             silenced: member.is_fenced(),
             members: member.members(now),
-            allowances: self.shares.iter().map(|(name, view)| (name.to_string(), view.clone())).collect(),
+            allowances: self
+                .shares
+                .iter()
+                .map(|quota| (quota.dependency.to_string(), quota.status.clone()))
+                .collect(),
             disagreements: member.disagreements().map(|d| (d.with.to_string(), d.differences())).collect(),
             counts: member.counts().clone(),
         }
@@ -405,8 +420,12 @@
                 keeper.hear(now, &matter.from, matter.boot, &matter.payload);
                 continue;
             }
-            let from = (matter.from, matter.boot);
-            let news = FleetEvent::MessageReceived { from, channel: matter.channel, payload: matter.payload };
+            let news = FleetEvent::MessageReceived {
+                from: matter.from,
+                boot_id: matter.boot,
+                channel: matter.channel,
+                payload: matter.payload,
+            };
             // A module that has no time for it now is one whose loans have to wait.
             let _ = self.module.try_send(AdmissionMessage::Fleet(news));
         }
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -233,8 +233,8 @@
     for slot in 0..OPEN {
         ReplyTo::new(words.clone(), slot as u16, 7).respond(Response::Failed);
     }
-    let answers =
-        std::iter::from_fn(|| mail.try_recv().ok()).filter(|w| matches!(w, ConnectionCommand::Respond(..)));
+    let answers = std::iter::from_fn(|| mail.try_recv().ok())
+        .filter(|w| matches!(w, ConnectionCommand::Respond { .. }));
     assert_eq!(answers.count(), OPEN);
 }
 
@@ -287,7 +287,10 @@
         ask(&mut client).await;
         bench.answer_check().await;
         assert_eq!(status(&mut client).await, Some(0));
-        while words.try_send(ConnectionCommand::Respond(9, 0, Response::Failed)).is_ok() {}
+        while words
+            .try_send(ConnectionCommand::Respond { slot: 9, serial: 0, response: Response::Failed })
+            .is_ok()
+        {}
         activity.closing.set(true);
         words.try_send(ConnectionCommand::Close).expect_err("no room");
         assert_eq!(rest(&mut client).await, (Vec::new(), true));
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -11,9 +11,10 @@
 use async_channel::Sender;
 use slog::{info, warn, Logger};
 use umberloom_dependencies::Demand;
-use umberloom_quota::{CallId, Config, Message, Micros, QuotaStatus, SharedQuota};
+use umberloom_quota::{CallId, Message, Micros, SharedQuota};
 
-use crate::messages::fleet::{FleetCommand, FleetEvent, Reachability, QUOTA_CHANNEL};
+use crate::messages::calls::SharedQuotaConfig;
+use crate::messages::fleet::{FleetCommand, FleetEvent, QuotaReport, Reachability, QUOTA_CHANNEL};
 
 /// Time between two words to the fleet's actor about how they stand.
 const TELL_EVERY: Micros = 200_000;
@@ -28,7 +29,7 @@
     seed: u64,
     fleet: Option<Sender<FleetCommand>>,
     told: Micros,
-    said: Vec<(Rc<str>, QuotaStatus)>,
+    said: Vec<QuotaReport>,
     log: Logger,
 }
 
@@ -55,12 +56,12 @@
 
     /// What is shared from now on. One that stays keeps what it has lent and borrowed; those that are gone are
     /// returned: no bound holds for their calls any more.
-    pub fn set(&mut self, wanted: Vec<(Rc<str>, Config)>) -> Vec<Rc<str>> {
+    pub fn set(&mut self, wanted: Vec<SharedQuotaConfig>) -> Vec<Rc<str>> {
         let now = self.now();
-        let named = |name: &Rc<str>| wanted.iter().any(|(other, _)| other == name);
+        let named = |name: &Rc<str>| wanted.iter().any(|quota| quota.dependency == *name);
         let gone: Vec<Rc<str>> = self.all.keys().filter(|name| !named(name)).cloned().collect();
         gone.iter().for_each(|name| drop(self.all.remove(name)));
-        for (name, config) in wanted {
+        for SharedQuotaConfig { dependency: name, config } in wanted {
             let done = match self.all.get_mut(&name) {
                 Some(there) => there.reconfigure(now, config),
                 None => {
@@ -109,7 +110,12 @@
                 self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.fenced));
                 self.present = present;
             }
-            FleetEvent::MessageReceived { from: (name, boot), channel: QUOTA_CHANNEL, payload: bytes } => {
+            FleetEvent::MessageReceived {
+                from: name,
+                boot_id: boot,
+                channel: QUOTA_CHANNEL,
+                payload: bytes,
+            } => {
                 // What can't be read is of a program that says more than this one knows.
                 let Ok((about, message)) = postcard::from_bytes::<(String, Message)>(&bytes) else { return };
                 if let Some(allowance) = self.all.get_mut(about.as_str()) {
@@ -139,7 +145,7 @@
             let bytes = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
             if let Some(fleet) = &self.fleet {
                 // A mailbox without room loses it, and the question is asked again.
-                let _ = fleet.try_send(FleetCommand::Send(to, QUOTA_CHANNEL, bytes));
+                let _ = fleet.try_send(FleetCommand::Send { to, channel: QUOTA_CHANNEL, payload: bytes });
             }
         }
         demand.in_flight + free
@@ -159,10 +165,13 @@
             return;
         }
         self.told = now;
-        let views: Vec<(Rc<str>, QuotaStatus)> =
-            self.all.iter().map(|(name, allowance)| (name.clone(), allowance.status(now))).collect();
-        for (name, view) in &views {
-            let before = self.said.iter().find(|(said, _)| said == name).map(|(_, view)| view.part);
+        let report = |(name, allowance): (&Rc<str>, &SharedQuota)| QuotaReport {
+            dependency: name.clone(),
+            status: allowance.status(now),
+        };
+        let views: Vec<QuotaReport> = self.all.iter().map(report).collect();
+        for QuotaReport { dependency: name, status: view } in &views {
+            let before = self.said.iter().find(|said| said.dependency == *name).map(|said| said.status.part);
             if before.is_some_and(|part| part != view.part) {
                 info!(self.log, "allowance"; "dependency" => &**name, "part" => view.part, "whole" => view.whole,
                     "moved_by" => ?view.moved.0);
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -65,7 +65,7 @@
         id: id.to_owned(),
         class: class.to_owned(),
         received_at: millis("HTTP_RECEIVED_AT").ok_or("no time of arrival")?,
-        budget: match get("HTTP_BUDGET_MS") {
+        timeout: match get("HTTP_BUDGET_MS") {
             Some(_) => Some(millis("HTTP_BUDGET_MS").ok_or("no budget")?),
             None => None,
         },
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -32,7 +32,7 @@
 fn every_field_is_read() {
     let Ok(Ask::Work(work)) = ask(&params(|_| None)) else { panic!("work") };
     assert_eq!((work.id.as_str(), work.class.as_str()), ("9b1f03aa5c7e2d41", "desk-search"));
-    assert_eq!((work.received_at, work.budget, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
+    assert_eq!((work.received_at, work.timeout, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
     assert_eq!((work.queued_kb, work.rank), (24.5, 0.625));
     assert_eq!(work.subject_key.as_deref(), Some("7f3a9c21e0b4d655"));
     assert_eq!(work.idempotency_key, None, "absent unless sent");
@@ -96,7 +96,7 @@
             && !work.is_timely(work.received_at + MAX_TIME_OFFSET + 1)
     );
     assert!(!work.is_timely(0));
-    assert!(!WorkRequest { budget: Some(MAX_TIME_OFFSET + 1), ..work }.is_timely(1_764_576_000_123_000));
+    assert!(!WorkRequest { timeout: Some(MAX_TIME_OFFSET + 1), ..work }.is_timely(1_764_576_000_123_000));
 }
 
 #[test]
