--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -1,23 +1,29 @@
-//! Decides how connections and reading are shared among listeners and callers.
+//! Connection admission: which connections a server accepts and closes, and whose request it reads next.
 //!
-//! A server has so many descriptors for connections and reads so much at once. Several listeners, each with a protocol
-//! of its own, share both: none may starve another, and what one leaves the others may use. [`connection_table`] decides which
-//! new connection finds a place and which connections are closed for it; [`read_scheduler`] decides whose request is read
-//! next where more come than the server takes.
+//! A server has a bounded number of file descriptors for connections, and reads a bounded number of requests at once.
+//! Several listeners, each with a protocol of its own, share both. None may starve another, and capacity that one
+//! listener leaves idle is lent to the others.
 //!
-//! There is no I/O and no clock: a host tells what it sees and carries out what comes back. What is let in, run and
-//! turned away among *requests* is the decision module's alone; this is about what reaches it.
+//! - [`connection_table`] decides whether a new connection is accepted, which idle connection is closed for it, and
+//!   which connections are closed so that a listener gets back the quota that others borrowed.
+//! - [`read_scheduler`] decides whose request is read next where more wait than the server reads at once.
+//!
+//! There is no I/O and no clock: the host passes in the connections that it sees with the time, and carries out what is
+//! returned. Which *requests* are admitted, run and rejected is decided by the admission controller; this package is
+//! about what reaches it.
 //!
 //! ```
 //! use umberloom_connection_admission::connection_table::{Admission, ConnectionState, ConnectionTable};
 //!
-//! // 32 descriptors: 30 places, of which two thirds are the first listener's; 2 at the door.
-//! let places = ConnectionTable::new(32, &[2, 1]);
-//! assert_eq!(places.guaranteed(0), 20);
-//! let all: Vec<ConnectionState> = (0..30).map(|id| ConnectionState { open: 1, ..ConnectionState::new(id, 0, 0) }).collect();
-//! // The first listener has borrowed all; the second one's newcomer is told so, and places are asked back for the next.
-//! assert_eq!(places.admit(0, 1, &all).0, Admission::TurnedAway);
-//! assert_eq!(places.to_give_back(&all).len(), 10);
+//! // 32 descriptors: 30 in the table, of which two thirds belong to the first listener, and 2 for overflow.
+//! let table = ConnectionTable::new(32, &[2, 1]);
+//! assert_eq!(table.guaranteed_quota(0), 20);
+//! let busy = |id| ConnectionState { requests_in_flight: 1, ..ConnectionState::new(id, 0, 0) };
+//! let connections: Vec<ConnectionState> = (0..30).map(busy).collect();
+//! // The first listener has borrowed everything. Requests on a new connection of the second one are rejected, and the
+//! // borrowed connections are closed after their request.
+//! assert_eq!(table.admit(0, 1, &connections).0, Admission::RejectRequests);
+//! assert_eq!(table.borrowed_connections_to_close(&connections).len(), 10);
 //! ```
 
 pub mod connection_table;
--- a/crates/connection-admission/src/read_scheduler.rs
+++ b/crates/connection-admission/src/read_scheduler.rs
@@ -7,11 +7,11 @@
 /// what one leaves the others use.
 #[derive(Clone, Debug)]
 pub struct ReadScheduler {
-    most: usize,
+    max_in_flight: usize,
     listeners: Vec<Listener>,
-    on_the_way: usize,
+    in_flight: usize,
     /// The listener whose turn it is.
-    turn: usize,
+    current_listener: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     credit: u32,
     /// Who waits, the first at the front.
     waiting: VecDeque<u64>,
-    on_the_way: usize,
+    in_flight: usize,
 }
 
 impl ReadScheduler {
@@ -31,21 +31,21 @@
             weight: weight.max(1),
             credit: 0,
             waiting: VecDeque::new(),
-            on_the_way: 0,
+            in_flight: 0,
         };
         ReadScheduler {
-            most: most.max(1),
+            max_in_flight: most.max(1),
             listeners: weights.iter().map(listener).collect(),
-            on_the_way: 0,
-            turn: 0,
+            in_flight: 0,
+            current_listener: 0,
         }
     }
 
     /// A caller has something to pass; `true` if it may at once. Else [`Reading::next_up`] names it when it may.
-    pub fn ask(&mut self, listener: usize, caller: u64) -> bool {
+    pub fn request_read(&mut self, listener: usize, caller: u64) -> bool {
         let alone = self.listeners.iter().all(|l| l.waiting.is_empty());
-        if alone && self.on_the_way < self.most {
-            self.pass(listener);
+        if alone && self.in_flight < self.max_in_flight {
+            self.start_read(listener);
             return true;
         }
         if let Some(listener) = self.listeners.get_mut(listener) {
@@ -55,60 +55,63 @@
     }
 
     /// A request of this listener has arrived.
-    pub fn arrived(&mut self, listener: usize) {
-        if let Some(listener) = self.listeners.get_mut(listener).filter(|l| l.on_the_way > 0) {
-            listener.on_the_way -= 1;
-            self.on_the_way -= 1;
+    pub fn handle_request_read(&mut self, listener: usize) {
+        if let Some(listener) = self.listeners.get_mut(listener).filter(|l| l.in_flight > 0) {
+            listener.in_flight -= 1;
+            self.in_flight -= 1;
         }
     }
 
     /// A caller that waits is gone.
-    pub fn gone(&mut self, listener: usize, caller: u64) {
+    pub fn cancel_read(&mut self, listener: usize, caller: u64) {
         if let Some(listener) = self.listeners.get_mut(listener) {
             listener.waiting.retain(|&other| other != caller);
         }
     }
 
     /// The next one that may pass, with its listener; to be called until it gives none.
-    pub fn next_up(&mut self) -> Option<(usize, u64)> {
-        if self.on_the_way >= self.most || self.listeners.iter().all(|l| l.waiting.is_empty()) {
+    pub fn next_reader(&mut self) -> Option<(usize, u64)> {
+        if self.in_flight >= self.max_in_flight || self.listeners.iter().all(|l| l.waiting.is_empty()) {
             return None;
         }
         loop {
-            let listener = &mut self.listeners[self.turn];
+            let listener = &mut self.listeners[self.current_listener];
             if listener.credit > 0 {
                 if let Some(caller) = listener.waiting.pop_front() {
                     listener.credit -= 1;
-                    let turn = self.turn;
-                    self.pass(turn);
+                    let turn = self.current_listener;
+                    self.start_read(turn);
                     return Some((turn, caller));
                 }
             }
             // Credit that nobody makes use of is not saved up.
             listener.credit = 0;
-            self.turn = (self.turn + 1) % self.listeners.len();
-            let next = &mut self.listeners[self.turn];
+            self.current_listener = (self.current_listener + 1) % self.listeners.len();
+            let next = &mut self.listeners[self.current_listener];
             next.credit = next.weight;
         }
     }
 
-    fn pass(&mut self, listener: usize) {
+    fn start_read(&mut self, listener: usize) {
         if let Some(listener) = self.listeners.get_mut(listener) {
-            listener.on_the_way += 1;
-            self.on_the_way += 1;
+            listener.in_flight += 1;
+            self.in_flight += 1;
         }
     }
 
     /// Requests on their way, and callers that wait.
     pub fn load(&self) -> (usize, usize) {
-        (self.on_the_way, self.listeners.iter().map(|l| l.waiting.len()).sum())
+        (self.in_flight, self.listeners.iter().map(|l| l.waiting.len()).sum())
     }
 
     /// What must always hold.
-    pub fn check(&self) -> Result<(), String> {
-        let sum: usize = self.listeners.iter().map(|l| l.on_the_way).sum();
-        if sum != self.on_the_way || sum > self.most {
-            return Err(format!("{sum} on their way, counted as {}, at most {}", self.on_the_way, self.most));
+    pub fn check_invariants(&self) -> Result<(), String> {
+        let sum: usize = self.listeners.iter().map(|l| l.in_flight).sum();
+        if sum != self.in_flight || sum > self.max_in_flight {
+            return Err(format!(
+                "{sum} on their way, counted as {}, at most {}",
+                self.in_flight, self.max_in_flight
+            ));
         }
         Ok(())
     }
@@ -122,22 +125,22 @@
     #[test]
     fn who_is_alone_passes_at_once() {
         let mut reading = ReadScheduler::new(2, &[1, 1]);
-        assert!(reading.ask(0, 1) && reading.ask(0, 2) && !reading.ask(0, 3));
-        assert_eq!(reading.next_up(), None);
-        reading.arrived(0);
-        assert_eq!((reading.next_up(), reading.next_up()), (Some((0, 3)), None));
+        assert!(reading.request_read(0, 1) && reading.request_read(0, 2) && !reading.request_read(0, 3));
+        assert_eq!(reading.next_reader(), None);
+        reading.handle_request_read(0);
+        assert_eq!((reading.next_reader(), reading.next_reader()), (Some((0, 3)), None));
     }
 
     #[test]
     fn a_flood_of_one_does_not_keep_the_other_waiting() {
         let mut reading = ReadScheduler::new(1, &[1, 1]);
-        assert!(reading.ask(0, 0));
-        (1..1_000).for_each(|caller| assert!(!reading.ask(0, caller)));
-        assert!(!reading.ask(1, 5_000));
+        assert!(reading.request_read(0, 0));
+        (1..1_000).for_each(|caller| assert!(!reading.request_read(0, caller)));
+        assert!(!reading.request_read(1, 5_000));
         let mut passed = Vec::new();
         for _ in 0..3 {
-            reading.arrived(passed.last().map_or(0, |(listener, _)| *listener));
-            passed.extend(reading.next_up());
+            reading.handle_request_read(passed.last().map_or(0, |(listener, _)| *listener));
+            passed.extend(reading.next_reader());
         }
         assert!(passed.contains(&(1, 5_000)), "{passed:?}");
     }
@@ -145,14 +148,14 @@
     #[test]
     fn turns_are_by_weight_while_both_wait() {
         let mut reading = ReadScheduler::new(1, &[3, 1]);
-        assert!(reading.ask(0, 0));
+        assert!(reading.request_read(0, 0));
         for caller in 1..400 {
-            reading.ask((caller % 2) as usize, caller);
+            reading.request_read((caller % 2) as usize, caller);
         }
         let (mut counts, mut last) = ([0; 2], 0);
         for _ in 0..100 {
-            reading.arrived(last);
-            let (listener, _) = reading.next_up().expect("many wait");
+            reading.handle_request_read(last);
+            let (listener, _) = reading.next_reader().expect("many wait");
             counts[listener] += 1;
             last = listener;
         }
@@ -162,10 +165,10 @@
     #[test]
     fn who_is_gone_is_not_named() {
         let mut reading = ReadScheduler::new(1, &[1]);
-        assert!(reading.ask(0, 1) && !reading.ask(0, 2) && !reading.ask(0, 3));
-        reading.gone(0, 2);
-        reading.arrived(0);
-        assert_eq!(reading.next_up(), Some((0, 3)));
+        assert!(reading.request_read(0, 1) && !reading.request_read(0, 2) && !reading.request_read(0, 3));
+        reading.cancel_read(0, 2);
+        reading.handle_request_read(0);
+        assert_eq!(reading.next_reader(), Some((0, 3)));
     }
 
     proptest! {
@@ -181,24 +184,24 @@
                 let listener = listener % weights.len();
                 if what == 0 {
                     if let Some(listener) = flying.pop() {
-                        reading.arrived(listener);
+                        reading.handle_request_read(listener);
                     }
                 } else {
                     asked += 1;
-                    if reading.ask(listener, asked) {
+                    if reading.request_read(listener, asked) {
                         flying.push(listener);
                         passed.push((listener, asked));
                     }
                 }
-                while let Some((listener, caller)) = reading.next_up() {
+                while let Some((listener, caller)) = reading.next_reader() {
                     flying.push(listener);
                     passed.push((listener, caller));
                 }
-                prop_assert_eq!(reading.check(), Ok(()));
+                prop_assert_eq!(reading.check_invariants(), Ok(()));
             }
             while reading.load() != (0, 0) {
-                flying.drain(..).for_each(|listener| reading.arrived(listener));
-                while let Some((listener, caller)) = reading.next_up() {
+                flying.drain(..).for_each(|listener| reading.handle_request_read(listener));
+                while let Some((listener, caller)) = reading.next_reader() {
                     flying.push(listener);
                     passed.push((listener, caller));
                 }
--- a/crates/dependencies/benches/decision.rs
+++ b/crates/dependencies/benches/decision.rs
@@ -3,7 +3,9 @@
 use std::cell::{Cell, RefCell};
 
 use umberloom::interface::Outcome;
-use umberloom_dependencies::config::{Bounds, Call, Config, Dependency, Hedge, Plan, Stage};
+use umberloom_dependencies::config::{
+    CallConfig, Config, DependencyConfig, HedgePolicy, LimitBounds, PlanConfig, StageConfig,
+};
 use umberloom_dependencies::{Action, Engine, PlanRequest};
 
 fn main() {
@@ -12,25 +14,26 @@
 
 /// One class for each number of calls in one stage.
 fn engine() -> Engine {
-    let limit = Bounds { start: 64, least: 8, most: 512 };
+    let limit = LimitBounds { initial: 64, min: 8, max: 512 };
     let dependency = |d: usize| {
         let endpoints: Vec<String> = (0..8).map(|e| format!("10.0.{d}.{e}:80")).collect();
         let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
-        let hedge = Some(Hedge { quantile: 0.95, least: 1_000 });
+        let hedge = Some(HedgePolicy { quantile: 0.95, min_delay: 1_000 });
         let name = format!("d{d}");
-        Dependency {
-            repeatable: true,
+        DependencyConfig {
+            idempotent: true,
             hedge,
-            limit,
-            endpoint_limit: limit,
-            ..Dependency::new(&name, &endpoints)
+            concurrency_limit: limit,
+            endpoint_concurrency_limit: limit,
+            ..DependencyConfig::new(&name, &endpoints)
         }
     };
     let plan = |count: usize| {
-        let calls = (0..count).map(|d| Call { dependency: format!("d{d}"), needed: d % 2 == 0 }).collect();
-        Plan {
+        let calls =
+            (0..count).map(|d| CallConfig { dependency: format!("d{d}"), required: d % 2 == 0 }).collect();
+        PlanConfig {
             class: format!("c{count}"),
-            stages: vec![Stage { share: 1.0, least: 0, most: 1_000_000, calls }],
+            stages: vec![StageConfig { weight: 1.0, min_time: 0, max_time: 1_000_000, calls }],
         }
     };
     let config = Config {
@@ -56,11 +59,11 @@
         let ask = PlanRequest {
             plan: next.get(),
             class: &class,
-            level: 1,
-            key: Some("k"),
-            until: due,
-            due,
-            again: false,
+            priority_level: 1,
+            resource_key: Some("k"),
+            call_deadline: due,
+            request_deadline: due,
+            is_retry: false,
         };
         engine.start_plan(now.get(), &ask, &mut out);
         while flying.len() > 32 * calls {
@@ -69,7 +72,7 @@
         }
         engine.handle_timeout(now.get(), &mut out);
         for action in out {
-            if let Action::Start { attempt, .. } = action {
+            if let Action::StartAttempt { attempt, .. } = action {
                 flying.push_back(attempt);
             }
         }
--- a/crates/dependencies/src/aggregation.rs
+++ b/crates/dependencies/src/aggregation.rs
@@ -20,30 +20,36 @@
 use umberloom::interface::Micros;
 
 /// Version of the form.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Why a part has no fresh reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MissingReason {
     /// Its share of the time ended first.
-    OutOfTime,
+    #[serde(rename = "out-of-time")]
+    DeadlineExceeded,
     /// There was no time to begin it.
-    NoTime,
+    #[serde(rename = "no-time")]
+    NoTimeLeft,
     /// All places were taken, for longer than there was time.
-    NoPlace,
+    #[serde(rename = "no-place")]
+    NoCapacity,
     /// The dependency is not called for a while.
     BreakerOpen,
     /// The dependency turned it away.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     /// No endpoint could be reached.
     Unreachable,
     /// It failed.
     Failed,
     /// There was nothing left in the budget of repeated attempts.
-    NoBudget,
+    #[serde(rename = "no-budget")]
+    RetryBudgetEmpty,
     /// It was cut off.
-    Cut,
+    #[serde(rename = "cut")]
+    ConnectionLost,
 }
 
 /// What a part came to.
@@ -52,17 +58,17 @@
     /// A reply to this very call.
     Fresh(Rc<[u8]>),
     /// An earlier reply about the same resource, and its age.
-    Kept(Rc<[u8]>, Micros),
+    Cached(Rc<[u8]>, Micros),
     /// The operator's constant.
     Constant(Rc<[u8]>),
     /// Nothing.
-    LeftOut(MissingReason),
+    Missing(MissingReason),
 }
 
 impl Part {
     /// Whether it has a body.
-    pub fn is_there(&self) -> bool {
-        !matches!(self, Part::LeftOut(_))
+    pub fn has_body(&self) -> bool {
+        !matches!(self, Part::Missing(_))
     }
 }
 
@@ -74,14 +80,14 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Form<'a> {
+struct ResponseJson<'a> {
     version: u32,
     #[serde(borrow)]
-    parts: Vec<PartForm<'a>>,
+    parts: Vec<PartJson<'a>>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct PartForm<'a> {
+struct PartJson<'a> {
     name: &'a str,
     state: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -94,7 +100,7 @@
 
 /// Bytes that are no envelope.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct DecodeError(pub String);
 
 impl AggregateResponse {
     /// Whether every part is fresh.
@@ -108,14 +114,14 @@
             let text = |bytes: &[u8]| Some(STANDARD.encode(bytes));
             let (state, body, age_ms, why) = match part {
                 Part::Fresh(body) => ("fresh", text(body), None, None),
-                Part::Kept(body, age) => ("kept", text(body), Some(age.div_ceil(1_000)), None),
+                Part::Cached(body, age) => ("kept", text(body), Some(age.div_ceil(1_000)), None),
                 Part::Constant(body) => ("constant", text(body), None, None),
-                Part::LeftOut(why) => ("left-out", None, None, Some(*why)),
+                Part::Missing(why) => ("left-out", None, None, Some(*why)),
             };
             (name.clone(), state, body, age_ms, why)
         };
         let parts: Vec<_> = self.parts.iter().map(form).collect();
-        let parts = parts.iter().map(|(name, state, body, age_ms, why)| PartForm {
+        let parts = parts.iter().map(|(name, state, body, age_ms, why)| PartJson {
             name,
             state,
             body: body.clone(),
@@ -123,26 +129,27 @@
             why: *why,
         });
         // Strings and numbers can always be written.
-        serde_json::to_vec(&Form { version: VERSION, parts: parts.collect() }).unwrap_or_default()
+        serde_json::to_vec(&ResponseJson { version: FORMAT_VERSION, parts: parts.collect() })
+            .unwrap_or_default()
     }
 
     /// Reads what [`Envelope::encode`] wrote, as a run would.
-    pub fn decode(bytes: &[u8]) -> Result<AggregateResponse, Unreadable> {
-        let bad = |what: &str| Unreadable(what.to_owned());
-        let form: Form = serde_json::from_slice(bytes).map_err(|e| Unreadable(e.to_string()))?;
-        if form.version != VERSION {
-            return Err(Unreadable(format!("version {}, expected {VERSION}", form.version)));
+    pub fn decode(bytes: &[u8]) -> Result<AggregateResponse, DecodeError> {
+        let bad = |what: &str| DecodeError(what.to_owned());
+        let form: ResponseJson = serde_json::from_slice(bytes).map_err(|e| DecodeError(e.to_string()))?;
+        if form.version != FORMAT_VERSION {
+            return Err(DecodeError(format!("version {}, expected {FORMAT_VERSION}", form.version)));
         }
-        let read = |part: PartForm| {
+        let read = |part: PartJson| {
             let body = match part.body {
-                Some(text) => Some(Rc::from(STANDARD.decode(text).map_err(|e| Unreadable(e.to_string()))?)),
+                Some(text) => Some(Rc::from(STANDARD.decode(text).map_err(|e| DecodeError(e.to_string()))?)),
                 None => None,
             };
             let made = match (part.state, body, part.age_ms, part.why) {
                 ("fresh", Some(body), None, None) => Part::Fresh(body),
-                ("kept", Some(body), Some(age), None) => Part::Kept(body, age.saturating_mul(1_000)),
+                ("kept", Some(body), Some(age), None) => Part::Cached(body, age.saturating_mul(1_000)),
                 ("constant", Some(body), None, None) => Part::Constant(body),
-                ("left-out", None, None, Some(why)) => Part::LeftOut(why),
+                ("left-out", None, None, Some(why)) => Part::Missing(why),
                 _ => return Err(bad("a part whose fields do not fit its state")),
             };
             Ok((Rc::from(part.name), made))
@@ -160,9 +167,9 @@
     fn its_form_is_as_documented() {
         let parts = vec![
             ("billing".into(), Part::Fresh(b"ok"[..].into())),
-            ("notes".into(), Part::Kept(b"n"[..].into(), 1_001)),
+            ("notes".into(), Part::Cached(b"n"[..].into(), 1_001)),
             ("tax".into(), Part::Constant(b"0"[..].into())),
-            ("photos".into(), Part::LeftOut(MissingReason::BreakerOpen)),
+            ("photos".into(), Part::Missing(MissingReason::BreakerOpen)),
         ];
         let envelope = AggregateResponse { parts };
         let text = concat!(
@@ -174,7 +181,7 @@
         assert_eq!(String::from_utf8(envelope.encode()).as_deref(), Ok(text));
         assert!(!envelope.is_complete());
         let mut read = AggregateResponse::decode(text.as_bytes()).expect("its own form");
-        assert_eq!(read.parts[1].1, Part::Kept(b"n"[..].into(), 2_000));
+        assert_eq!(read.parts[1].1, Part::Cached(b"n"[..].into(), 2_000));
         read.parts[1] = envelope.parts[1].clone();
         assert_eq!(read, envelope);
     }
@@ -183,18 +190,18 @@
     #[test]
     fn every_missing_reason_keeps_its_word_in_the_json() {
         let words = [
-            (MissingReason::OutOfTime, "out-of-time"),
-            (MissingReason::NoTime, "no-time"),
-            (MissingReason::NoPlace, "no-place"),
+            (MissingReason::DeadlineExceeded, "out-of-time"),
+            (MissingReason::NoTimeLeft, "no-time"),
+            (MissingReason::NoCapacity, "no-place"),
             (MissingReason::BreakerOpen, "breaker-open"),
-            (MissingReason::Refused, "refused"),
+            (MissingReason::Rejected, "refused"),
             (MissingReason::Unreachable, "unreachable"),
             (MissingReason::Failed, "failed"),
-            (MissingReason::NoBudget, "no-budget"),
-            (MissingReason::Cut, "cut"),
+            (MissingReason::RetryBudgetEmpty, "no-budget"),
+            (MissingReason::ConnectionLost, "cut"),
         ];
         for (reason, word) in words {
-            let response = AggregateResponse { parts: vec![("a".into(), Part::LeftOut(reason))] };
+            let response = AggregateResponse { parts: vec![("a".into(), Part::Missing(reason))] };
             let json =
                 format!(r#"{{"version":1,"parts":[{{"name":"a","state":"left-out","why":"{word}"}}]}}"#);
             assert_eq!(String::from_utf8(response.encode()).as_deref(), Ok(json.as_str()));
--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -3,13 +3,13 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The end of a call at the only server there is.
-fn end(breaker: &mut Breaker, now: Micros, probe: bool, failed: Option<bool>) {
+fn end(breaker: &mut CircuitBreaker, now: Micros, probe: bool, failed: Option<bool>) {
     breaker.end(now, probe, failed, (1, &mut ChaCha8Rng::seed_from_u64(1)));
 }
 
-const SETTINGS: Settings = Settings { share: 0.5, calls: 20, open: 1_000 };
+const SETTINGS: Settings = Settings { failure_ratio: 0.5, window_calls: 20, open_time: 1_000 };
 
-fn call(breaker: &mut Breaker, now: Micros, failed: bool) -> bool {
+fn call(breaker: &mut CircuitBreaker, now: Micros, failed: bool) -> bool {
     let allowed = breaker.allows(now);
     if allowed {
         let probe = breaker.start(now);
@@ -20,47 +20,47 @@
 
 #[test]
 fn it_opens_at_its_share_and_not_before() {
-    let mut breaker = Breaker::new(Some(SETTINGS));
+    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
     (0..40).for_each(|n| assert!(call(&mut breaker, 0, n % 3 == 0)));
-    assert_eq!(breaker.state(0), State::Closed);
-    while breaker.state(0) == State::Closed {
+    assert_eq!(breaker.state(0), BreakerState::Closed);
+    while breaker.state(0) == BreakerState::Closed {
         call(&mut breaker, 0, true);
     }
-    assert_eq!(breaker.state(999), State::Open(1_000));
+    assert_eq!(breaker.state(999), BreakerState::Open(1_000));
     assert!(!breaker.allows(999));
 }
 
 #[test]
 fn one_probe_at_a_time_and_three_good_ones_close_it() {
-    let mut breaker = Breaker::new(Some(SETTINGS));
+    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     assert!(breaker.allows(1_000));
     let probe = breaker.start(1_000);
     assert!(probe && !breaker.allows(1_000));
     end(&mut breaker, 1_010, probe, Some(false));
-    assert!(call(&mut breaker, 1_020, false) && breaker.state(1_020) == State::Probing(2));
-    assert!(call(&mut breaker, 1_030, false) && breaker.state(1_030) == State::Closed);
+    assert!(call(&mut breaker, 1_020, false) && breaker.state(1_020) == BreakerState::HalfOpen(2));
+    assert!(call(&mut breaker, 1_030, false) && breaker.state(1_030) == BreakerState::Closed);
 }
 
 #[test]
 fn failed_probes_keep_it_open_for_longer() {
-    let mut breaker = Breaker::new(Some(SETTINGS));
+    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     let mut at = 1_000;
     for span in [2_000, 4_000, 4_000, 4_000] {
         assert!(call(&mut breaker, at, true));
-        assert_eq!(breaker.state(at), State::Open(at + span));
+        assert_eq!(breaker.state(at), BreakerState::Open(at + span));
         at += span;
     }
 }
 
 #[test]
 fn calls_from_before_and_calls_without_a_word_do_not_count() {
-    let mut breaker = Breaker::new(Some(SETTINGS));
+    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
     let old = breaker.start(0);
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     end(&mut breaker, 500, old, Some(false));
-    assert_eq!(breaker.state(500), State::Open(1_000));
+    assert_eq!(breaker.state(500), BreakerState::Open(1_000));
     let probe = breaker.start(1_000);
     end(&mut breaker, 1_100, probe, None);
     assert!(breaker.allows(1_100), "its place is free for another probe");
@@ -71,18 +71,18 @@
 fn servers_that_opened_at_one_moment_do_not_look_again_at_one_moment() {
     let mut looks: Vec<Micros> = (0..30)
         .map(|seed| {
-            let mut breaker = Breaker::new(Some(SETTINGS));
+            let mut breaker = CircuitBreaker::new(Some(SETTINGS));
             let mut random = ChaCha8Rng::seed_from_u64(seed);
             while breaker.allows(1_000) {
                 let probe = breaker.start(1_000);
                 breaker.end(1_000, probe, Some(true), (30, &mut random));
             }
-            let State::Open(until) = breaker.state(1_000) else { panic!("open") };
+            let BreakerState::Open(until) = breaker.state(1_000) else { panic!("open") };
             until
         })
         .collect();
     looks.sort_unstable();
-    let span = SETTINGS.open;
+    let span = SETTINGS.open_time;
     assert!(looks.iter().all(|at| (1_000 + span..=1_000 + 2 * span).contains(at)));
     let most = looks
         .iter()
--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -11,15 +11,15 @@
 use crate::aggregation::{AggregateResponse, MissingReason, Part};
 use crate::breaker;
 use crate::config::{Config, ConfigError, Fallback};
-use crate::fallback_cache::{FallbackCache, Subject};
-use crate::plan::{Doing, Plan, Run, Spec, SpecCall, Timer};
+use crate::dependency::{Demand, Dependency, DependencyStatus};
+use crate::fallback_cache::{CacheKey, FallbackCache};
+use crate::plan::{ActiveCall, ActivePlan, CallState, CallTemplate, PlanTemplate, Timer};
 use crate::retry;
-use crate::service::{Demand, Service, ServiceView};
-use crate::time_budget::{self, Rest};
+use crate::time_budget::{self, LocalWorkEstimate};
 use crate::{AttemptId, PlanId};
 
 /// Plans that may be under way: more than any server survives.
-const PLANS: usize = 8_192;
+const MAX_PLANS: usize = 8_192;
 
 /// A run that waits for the calls of its plan.
 #[derive(Clone, Debug)]
@@ -29,22 +29,22 @@
     /// Name of the class of the request.
     pub class: &'a str,
     /// Level of the request; higher ones get scarce places first.
-    pub level: u16,
+    pub priority_level: u16,
     /// What the request is about, if its results may stand in for each other.
-    pub key: Option<&'a str>,
+    pub resource_key: Option<&'a str>,
     /// Until when the decision module lets it call.
-    pub until: Micros,
+    pub call_deadline: Micros,
     /// When the request must be answered; what the run still needs is set aside before that.
-    pub due: Micros,
+    pub request_deadline: Micros,
     /// The request has begun a plan before, so that its calls are repeated attempts.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Make a call. Its end is told with [`Engine::ended`].
-    Start {
+    StartAttempt {
         /// Its name.
         attempt: AttemptId,
         /// The plan it belongs to.
@@ -54,29 +54,29 @@
         /// Address of the endpoint.
         address: Rc<str>,
         /// When it is to be given up, and [`Outcome::TimedOut`] told.
-        until: Micros,
+        deadline: Micros,
     },
     /// Give a call up. Its end is not to be told.
-    Cancel(AttemptId),
+    CancelAttempt(AttemptId),
     /// A plan is over.
-    Done {
+    FinishPlan {
         /// The plan.
         plan: PlanId,
         /// How it ended: `Ok`; `Refused`, only where nothing may have had its effect; else `Stopped`.
         outcome: Outcome,
         /// What the run gets, where the outcome is `Ok`.
-        envelope: Option<AggregateResponse>,
+        response: Option<AggregateResponse>,
     },
 }
 
 #[derive(Debug)]
 struct Attempt {
     plan: PlanId,
-    run: usize,
-    service: usize,
+    call: usize,
+    dependency: usize,
     endpoint: usize,
-    started: Micros,
-    probe: bool,
+    started_at: Micros,
+    is_probe: bool,
 }
 
 /// Counts since the start, for logs and measurements.
@@ -99,37 +99,37 @@
 /// The decisions about all dependencies of one server.
 #[derive(Debug)]
 pub struct Engine {
-    services: Vec<Service>,
-    specs: BTreeMap<Rc<str>, Rc<Spec>>,
-    rests: BTreeMap<Rc<str>, Rest>,
-    plans: BTreeMap<PlanId, Plan>,
+    dependencies: Vec<Dependency>,
+    templates: BTreeMap<Rc<str>, Rc<PlanTemplate>>,
+    local_work: BTreeMap<Rc<str>, LocalWorkEstimate>,
+    plans: BTreeMap<PlanId, ActivePlan>,
     attempts: BTreeMap<AttemptId, Attempt>,
     timers: BTreeSet<(Micros, PlanId, Timer)>,
-    kept: FallbackCache,
+    fallback_cache: FallbackCache,
     random: ChaCha8Rng,
-    next: u64,
+    next_id: u64,
     counts: CallCounts,
     /// Plans to be looked at, and services that may have a free place, before an event is done with.
-    dirty: Vec<PlanId>,
-    freed: BTreeSet<usize>,
+    changed_plans: Vec<PlanId>,
+    freed_dependencies: BTreeSet<usize>,
 }
 
 impl Engine {
     /// With settings that have no mistakes, else all of these.
     pub fn new(now: Micros, config: Config, seed: u64) -> Result<Engine, Vec<ConfigError>> {
         let mut engine = Engine {
-            services: Vec::new(),
-            specs: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            dependencies: Vec::new(),
+            templates: BTreeMap::new(),
+            local_work: BTreeMap::new(),
             plans: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
-            kept: FallbackCache::new(config.kept),
+            fallback_cache: FallbackCache::new(config.fallback_cache),
             random: ChaCha8Rng::seed_from_u64(seed),
-            next: 0,
+            next_id: 0,
             counts: CallCounts::default(),
-            dirty: Vec::new(),
-            freed: BTreeSet::new(),
+            changed_plans: Vec::new(),
+            freed_dependencies: BTreeSet::new(),
         };
         engine.reconfigure(now, config)?;
         Ok(engine)
@@ -142,55 +142,56 @@
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
-        self.kept.set(config.kept);
-        for (place, service) in self.services.iter_mut().enumerate() {
+        self.fallback_cache.set_limits(config.fallback_cache);
+        for (place, service) in self.dependencies.iter_mut().enumerate() {
             service.retired = !config.dependencies.iter().any(|d| *d.name == *service.name);
-            self.freed.insert(place);
+            self.freed_dependencies.insert(place);
         }
         for dependency in config.dependencies {
-            match self.services.iter().position(|s| *s.name == *dependency.name) {
-                Some(place) => self.services[place].set(now, dependency),
+            match self.dependencies.iter().position(|s| *s.name == *dependency.name) {
+                Some(place) => self.dependencies[place].reconfigure(now, dependency),
                 None => self.add(now, dependency),
             }
         }
-        let place = |name: &str| self.services.iter().position(|s| *s.name == *name);
-        let spec = |plan| Spec::new(plan, place).map(|spec| (Rc::from(plan.class.as_str()), Rc::new(spec)));
-        self.specs = config.plans.iter().filter_map(spec).collect();
-        self.rests.retain(|class, _| self.specs.contains_key(class));
+        let place = |name: &str| self.dependencies.iter().position(|s| *s.name == *name);
+        let spec =
+            |plan| PlanTemplate::new(plan, place).map(|spec| (Rc::from(plan.class.as_str()), Rc::new(spec)));
+        self.templates = config.plans.iter().filter_map(spec).collect();
+        self.local_work.retain(|class, _| self.templates.contains_key(class));
         Ok(())
     }
 
     /// Takes the place of a dependency that is gone, so that changes of the file never make the list grow for ever.
-    fn add(&mut self, now: Micros, dependency: crate::config::Dependency) {
-        let used = |place: usize| self.plans.values().any(|p| p.spec.calls(place));
-        let free = (0..self.services.len())
-            .find(|&p| self.services[p].retired && self.services[p].is_idle() && !used(p));
-        let service = Service::new(now, dependency);
+    fn add(&mut self, now: Micros, dependency: crate::config::DependencyConfig) {
+        let used = |place: usize| self.plans.values().any(|p| p.template.calls(place));
+        let free = (0..self.dependencies.len())
+            .find(|&p| self.dependencies[p].retired && self.dependencies[p].is_idle() && !used(p));
+        let service = Dependency::new(now, dependency);
         match free {
-            Some(place) => self.services[place] = service,
-            None => self.services.push(service),
+            Some(place) => self.dependencies[place] = service,
+            None => self.dependencies.push(service),
         }
     }
 
     /// Whether runs of this class have a plan.
     pub fn has_plan(&self, class: &str) -> bool {
-        self.specs.contains_key(class)
+        self.templates.contains_key(class)
     }
 
     /// What is asked of a dependency now.
     pub fn demand(&self, dependency: &str) -> Demand {
-        let service = self.services.iter().find(|s| *s.name == *dependency && !s.retired);
-        service.map(Service::demand).unwrap_or_default()
+        let service = self.dependencies.iter().find(|s| *s.name == *dependency && !s.retired);
+        service.map(Dependency::demand).unwrap_or_default()
     }
 
     /// From now on no more calls than this may be in flight at a dependency, whatever its limit has learned. Places
     /// that this frees are given at once.
     pub fn set_concurrency_cap(&mut self, now: Micros, dependency: &str, most: usize, out: &mut Vec<Action>) {
-        let Some(place) = self.services.iter().position(|s| *s.name == *dependency && !s.retired) else {
+        let Some(place) = self.dependencies.iter().position(|s| *s.name == *dependency && !s.retired) else {
             return;
         };
-        if self.services[place].limit.set_cap(most) {
-            self.freed.insert(place);
+        if self.dependencies[place].limit.set_cap(most) {
+            self.freed_dependencies.insert(place);
             self.settle(now, out);
         }
     }
@@ -198,27 +199,27 @@
     /// A run asks for its calls. Without a plan for its class nothing happens.
     pub fn start_plan(&mut self, now: Micros, ask: &PlanRequest, out: &mut Vec<Action>) {
         self.cancel_plan(now, ask.plan, out);
-        let Some((class, spec)) = self.specs.get_key_value(ask.class) else { return };
+        let Some((class, spec)) = self.templates.get_key_value(ask.class) else { return };
         let (class, spec) = (class.clone(), spec.clone());
-        if self.plans.len() >= PLANS {
-            out.push(Action::Done { plan: ask.plan, outcome: Outcome::Rejected, envelope: None });
+        if self.plans.len() >= MAX_PLANS {
+            out.push(Action::FinishPlan { plan: ask.plan, outcome: Outcome::Rejected, response: None });
             return;
         }
-        let left = ask.due.saturating_sub(now);
-        let reserve = self.rests.get(&class).copied().unwrap_or_default().reserve(left);
-        let plan = Plan {
-            spec,
+        let left = ask.request_deadline.saturating_sub(now);
+        let reserve = self.local_work.get(&class).copied().unwrap_or_default().reserve(left);
+        let plan = ActivePlan {
+            template: spec,
             class,
-            level: ask.level,
-            key: ask.key.map(Rc::from),
-            deadline: ask.until.min(ask.due.saturating_sub(reserve)).max(now),
-            again: ask.again,
-            stage: 0,
-            stage_until: now,
-            needed_until: now,
-            runs: Vec::new(),
-            done: Vec::new(),
-            touched: false,
+            priority_level: ask.priority_level,
+            resource_key: ask.resource_key.map(Rc::from),
+            deadline: ask.call_deadline.min(ask.request_deadline.saturating_sub(reserve)).max(now),
+            is_retry: ask.is_retry,
+            stage_index: 0,
+            stage_deadline: now,
+            required_deadline: now,
+            calls: Vec::new(),
+            finished_parts: Vec::new(),
+            may_have_had_effect: false,
             timers: Vec::new(),
         };
         self.plans.insert(ask.plan, plan);
@@ -237,29 +238,29 @@
     ) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.release(now, &attempt, Some(outcome));
-        let (plan, place) = (attempt.plan, attempt.run);
+        let (plan, place) = (attempt.plan, attempt.call);
         let Some(open) = self.plans.get_mut(&plan) else { return self.settle(now, out) };
-        open.touched |= !outcome.never_ran();
-        let run = &mut open.runs[place];
-        run.flying.retain(|&other| other != id);
+        open.may_have_had_effect |= !outcome.never_ran();
+        let run = &mut open.calls[place];
+        run.in_flight.retain(|&other| other != id);
         if outcome == Outcome::Ok {
             let body: Rc<[u8]> = reply.into();
-            let others = std::mem::take(&mut run.flying);
-            run.doing = Doing::Over(Part::Fresh(body.clone()));
-            let service = &self.services[attempt.service];
-            let keeps = service.config.fallbacks.iter().any(|f| matches!(f, Fallback::Kept(_)));
-            if let Some(key) = open.key.clone().filter(|_| keeps) {
-                let subject = Subject { dependency: service.name.clone(), class: open.class.clone(), key };
-                self.kept.put(now, subject, body);
+            let others = std::mem::take(&mut run.in_flight);
+            run.state = CallState::Finished(Part::Fresh(body.clone()));
+            let service = &self.dependencies[attempt.dependency];
+            let keeps = service.config.fallbacks.iter().any(|f| matches!(f, Fallback::Cached(_)));
+            if let Some(key) = open.resource_key.clone().filter(|_| keeps) {
+                let subject = CacheKey { dependency: service.name.clone(), class: open.class.clone(), key };
+                self.fallback_cache.put(now, subject, body);
             }
             others.into_iter().for_each(|other| self.cancel(now, other, None, out));
         } else {
-            run.last = why(outcome);
-            if run.flying.is_empty() {
+            run.last_failure = why(outcome);
+            if run.in_flight.is_empty() {
                 self.try_again(now, plan, place, outcome);
             }
         }
-        self.dirty.push(plan);
+        self.changed_plans.push(plan);
         self.settle(now, out);
     }
 
@@ -278,9 +279,9 @@
             let Some(plan) = self.plans.get_mut(&id) else { continue };
             plan.timers.retain(|t| *t != (at, timer));
             match timer {
-                Timer::Stage(stage) if stage == plan.stage => self.end_stage(now, id, out),
-                Timer::Stage(_) => {}
-                Timer::Pause(run) => self.queue(now, id, run),
+                Timer::StageEnd(stage) if stage == plan.stage_index => self.end_stage(now, id, out),
+                Timer::StageEnd(_) => {}
+                Timer::BackoffEnd(run) => self.queue(now, id, run),
                 Timer::Hedge(run, attempt) => self.hedge(now, id, run, attempt, out),
             }
             self.settle(now, out);
@@ -294,8 +295,8 @@
 
     /// A run of this class went on for so long after its calls.
     pub fn learn_local_work(&mut self, class: &str, took: Micros) {
-        if let Some((class, _)) = self.specs.get_key_value(class) {
-            self.rests.entry(class.clone()).or_default().learn(took);
+        if let Some((class, _)) = self.templates.get_key_value(class) {
+            self.local_work.entry(class.clone()).or_default().record(took);
         }
     }
 
@@ -305,8 +306,8 @@
     }
 
     /// How each dependency stands, and why.
-    pub fn explain(&self, now: Micros) -> Vec<ServiceView> {
-        self.services.iter().filter(|s| !s.retired).map(|s| s.explain(now)).collect()
+    pub fn status(&self, now: Micros) -> Vec<DependencyStatus> {
+        self.dependencies.iter().filter(|s| !s.retired).map(|s| s.status(now)).collect()
     }
 
     /// Plans and calls under way.
@@ -318,58 +319,59 @@
 
     fn begin_stage(&mut self, now: Micros, id: PlanId) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let claims = plan.spec.claims(plan.stage);
+        let claims = plan.template.claims(plan.stage_index);
         let left = plan.deadline.saturating_sub(now);
-        let time = time_budget::share(left, &claims);
-        let runs: Vec<Run> = plan.spec.stages[plan.stage].1.iter().map(Run::new).collect();
+        let time = time_budget::first_stage_time(left, &claims);
+        let runs: Vec<ActiveCall> =
+            plan.template.stages[plan.stage_index].1.iter().map(ActiveCall::new).collect();
         let count = runs.len();
-        plan.runs = runs;
+        plan.calls = runs;
         match time {
             Some(time) => {
-                plan.stage_until = now + time;
-                let stage = plan.stage;
-                let kept = needs_later(&self.services, &plan.spec, stage);
-                plan.needed_until = now + time_budget::longest(left, time, kept, &claims[0]);
-                self.set_timer(id, now + time, Timer::Stage(stage));
+                plan.stage_deadline = now + time;
+                let stage = plan.stage_index;
+                let kept = needs_later(&self.dependencies, &plan.template, stage);
+                plan.required_deadline = now + time_budget::extended_time(left, time, kept, &claims[0]);
+                self.set_timer(id, now + time, Timer::StageEnd(stage));
                 (0..count).for_each(|run| self.begin_run(now, id, run));
             }
-            None => (0..count).for_each(|run| self.fall_back(now, id, run, MissingReason::NoTime)),
+            None => (0..count).for_each(|run| self.fall_back(now, id, run, MissingReason::NoTimeLeft)),
         }
-        self.dirty.push(id);
+        self.changed_plans.push(id);
     }
 
     /// The stage's time is up: what is still under way is given up, but for needed calls that may go on.
     fn end_stage(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let (until, stage) = (plan.needed_until, plan.stage);
-        let goes_on = now < until && plan.runs.iter().any(|run| run.needed && !run.is_over());
+        let (until, stage) = (plan.required_deadline, plan.stage_index);
+        let goes_on = now < until && plan.calls.iter().any(|run| run.required && !run.is_finished());
         if goes_on {
-            plan.stage_until = until;
-            self.set_timer(id, until, Timer::Stage(stage));
+            plan.stage_deadline = until;
+            self.set_timer(id, until, Timer::StageEnd(stage));
         }
-        let count = self.plans.get(&id).map_or(0, |plan| plan.runs.len());
+        let count = self.plans.get(&id).map_or(0, |plan| plan.calls.len());
         for place in 0..count {
-            let Some(run) = self.plans.get_mut(&id).map(|p| &mut p.runs[place]) else { return };
-            let why = match run.doing {
-                _ if run.needed && goes_on => continue,
-                Doing::Over(_) => continue,
-                Doing::Flying => MissingReason::OutOfTime,
-                Doing::Waiting(_) => MissingReason::NoPlace,
-                Doing::Paused => run.last,
+            let Some(run) = self.plans.get_mut(&id).map(|p| &mut p.calls[place]) else { return };
+            let why = match run.state {
+                _ if run.required && goes_on => continue,
+                CallState::Finished(_) => continue,
+                CallState::InFlight => MissingReason::DeadlineExceeded,
+                CallState::Queued(_) => MissingReason::NoCapacity,
+                CallState::BackingOff => run.last_failure,
             };
-            let flying = std::mem::take(&mut run.flying);
+            let flying = std::mem::take(&mut run.in_flight);
             flying.into_iter().for_each(|a| self.cancel(now, a, Some(Outcome::TimedOut), out));
             self.fall_back(now, id, place, why);
         }
-        self.dirty.push(id);
+        self.changed_plans.push(id);
     }
 
     /// Brings all that has changed to its end: places that are free are given, plans go on or end.
     fn settle(&mut self, now: Micros, out: &mut Vec<Action>) {
         loop {
-            if let Some(service) = self.freed.pop_first() {
+            if let Some(service) = self.freed_dependencies.pop_first() {
                 self.serve(now, service, out);
-            } else if let Some(id) = self.dirty.pop() {
+            } else if let Some(id) = self.changed_plans.pop() {
                 self.look(now, id, out);
             } else {
                 return;
@@ -379,29 +381,29 @@
 
     fn look(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        if plan.runs.iter().any(Run::is_lost) {
+        if plan.calls.iter().any(ActiveCall::fails_plan) {
             return self.fail(now, id, out);
         }
-        if !plan.runs.iter().all(Run::is_over) {
+        if !plan.calls.iter().all(ActiveCall::is_finished) {
             return;
         }
-        for run in std::mem::take(&mut plan.runs) {
-            if let Doing::Over(part) = run.doing {
-                plan.done.push((self.services[run.service].name.clone(), part));
+        for run in std::mem::take(&mut plan.calls) {
+            if let CallState::Finished(part) = run.state {
+                plan.finished_parts.push((self.dependencies[run.service].name.clone(), part));
             }
         }
-        plan.stage += 1;
-        if plan.stage < plan.spec.stages.len() {
+        plan.stage_index += 1;
+        if plan.stage_index < plan.template.stages.len() {
             return self.begin_stage(now, id);
         }
-        let envelope = AggregateResponse { parts: std::mem::take(&mut plan.done) };
+        let envelope = AggregateResponse { parts: std::mem::take(&mut plan.finished_parts) };
         if envelope.is_complete() {
             self.counts.complete += 1;
         } else {
             self.counts.partial += 1;
         }
         self.remove(now, id, out);
-        out.push(Action::Done { plan: id, outcome: Outcome::Ok, envelope: Some(envelope) });
+        out.push(Action::FinishPlan { plan: id, outcome: Outcome::Ok, response: Some(envelope) });
     }
 
     /// Something needed can't be had. That nothing ran is said only where it is certain of every part.
@@ -409,7 +411,7 @@
         self.counts.failed += 1;
         let touched = self.remove(now, id, out);
         let outcome = if touched { Outcome::Aborted } else { Outcome::Rejected };
-        out.push(Action::Done { plan: id, outcome, envelope: None });
+        out.push(Action::FinishPlan { plan: id, outcome, response: None });
     }
 
     /// Forgets a plan with all that is under way; whether any of it may have had its effect.
@@ -418,16 +420,16 @@
         for (at, timer) in &plan.timers {
             self.timers.remove(&(*at, id, *timer));
         }
-        let mut touched = plan.touched;
-        for (place, run) in plan.runs.into_iter().enumerate() {
-            touched |= !run.flying.is_empty();
-            run.flying.into_iter().for_each(|a| self.cancel(now, a, None, out));
-            let service = &mut self.services[run.service];
-            if let Doing::Waiting(number) = run.doing {
-                service.waiting.remove(&(Reverse(plan.level), number, id, place));
+        let mut touched = plan.may_have_had_effect;
+        for (place, run) in plan.calls.into_iter().enumerate() {
+            touched |= !run.in_flight.is_empty();
+            run.in_flight.into_iter().for_each(|a| self.cancel(now, a, None, out));
+            let service = &mut self.dependencies[run.service];
+            if let CallState::Queued(number) = run.state {
+                service.queue.remove(&(Reverse(plan.priority_level), number, id, place));
             }
-            if run.paid {
-                service.budget.give_back();
+            if run.holds_retry_token {
+                service.retry_budget.refund();
             }
         }
         touched
@@ -437,13 +439,13 @@
 
     fn begin_run(&mut self, now: Micros, id: PlanId, place: usize) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let run = &mut plan.runs[place];
+        let run = &mut plan.calls[place];
         // A request that comes a second time pays for every call: its first attempts were made before.
-        if plan.again {
-            if !self.services[run.service].budget.take() {
-                return self.fall_back(now, id, place, MissingReason::NoBudget);
+        if plan.is_retry {
+            if !self.dependencies[run.service].retry_budget.try_withdraw() {
+                return self.fall_back(now, id, place, MissingReason::RetryBudgetEmpty);
             }
-            run.paid = true;
+            run.holds_retry_token = true;
         }
         self.queue(now, id, place);
     }
@@ -451,59 +453,64 @@
     /// Lines a call up for a place. It is told at once where none is to be had in time.
     fn queue(&mut self, now: Micros, id: PlanId, place: usize) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let Some(run) = plan.runs.get_mut(place).filter(|run| run.doing == Doing::Paused) else { return };
-        let service = &mut self.services[run.service];
+        let Some(run) = plan.calls.get_mut(place).filter(|run| run.state == CallState::BackingOff) else {
+            return;
+        };
+        let service = &mut self.dependencies[run.service];
         if !service.breaker.allows(now) {
             return self.fall_back(now, id, place, MissingReason::BreakerOpen);
         }
-        self.next += 1;
-        let waiter = (Reverse(plan.level), self.next, id, place);
-        if !service.queue(waiter) {
-            return self.fall_back(now, id, place, MissingReason::NoPlace);
+        self.next_id += 1;
+        let waiter = (Reverse(plan.priority_level), self.next_id, id, place);
+        if !service.enqueue(waiter) {
+            return self.fall_back(now, id, place, MissingReason::NoCapacity);
         }
-        run.doing = Doing::Waiting(self.next);
-        let until = if run.needed { plan.needed_until } else { plan.stage_until };
+        run.state = CallState::Queued(self.next_id);
+        let until = if run.required { plan.required_deadline } else { plan.stage_deadline };
         let late = now + service.expected_wait(&waiter) >= until;
-        if late && !(service.limit.has_place() && service.waiting.first() == Some(&waiter)) {
-            return self.fall_back(now, id, place, MissingReason::NoPlace);
+        if late && !(service.limit.has_capacity() && service.queue.first() == Some(&waiter)) {
+            return self.fall_back(now, id, place, MissingReason::NoCapacity);
         }
-        self.freed.insert(run.service);
+        self.freed_dependencies.insert(run.service);
     }
 
     /// Gives free places, to the highest level first and there to the oldest.
     fn serve(&mut self, now: Micros, place: usize, out: &mut Vec<Action>) {
-        while let Some(&(_, _, id, run)) = self.services[place].waiting.first() {
-            if !self.services[place].breaker.allows(now) {
+        while let Some(&(_, _, id, run)) = self.dependencies[place].queue.first() {
+            if !self.dependencies[place].breaker.allows(now) {
                 self.fall_back(now, id, run, MissingReason::BreakerOpen);
-                self.dirty.push(id);
+                self.changed_plans.push(id);
                 continue;
             }
-            let Some(tried) = self.plans.get(&id).map(|p| &p.runs[run].tried) else { return };
-            let Some(endpoint) = self.services[place].place(now, tried, &mut self.random) else { return };
-            self.services[place].waiting.pop_first();
+            let Some(tried) = self.plans.get(&id).map(|p| &p.calls[run].tried_endpoints) else { return };
+            let Some(endpoint) = self.dependencies[place].pick_endpoint(now, tried, &mut self.random) else {
+                return;
+            };
+            self.dependencies[place].queue.pop_first();
             self.launch(now, id, run, endpoint, out);
         }
     }
 
     fn launch(&mut self, now: Micros, id: PlanId, place: usize, endpoint: usize, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let run = &mut plan.runs[place];
-        let service = &mut self.services[run.service];
+        let run = &mut plan.calls[place];
+        let service = &mut self.dependencies[run.service];
         let probe = service.start(now, endpoint);
-        if std::mem::take(&mut run.paid) {
+        if std::mem::take(&mut run.holds_retry_token) {
             self.counts.retries += 1;
         } else {
-            service.budget.first();
+            service.retry_budget.record_first_attempt();
             self.counts.first_attempts += 1;
         }
         let settings = &service.config;
-        let may_follow =
-            settings.repeatable && run.further < settings.retry.most && service.budget.left() >= 1.0;
-        let end = if run.needed { plan.needed_until } else { plan.stage_until };
-        let until = service.attempt_until(now, end, may_follow);
-        let slow = settings.hedge.filter(|_| settings.repeatable).and_then(|hedge| {
+        let may_follow = settings.idempotent
+            && run.retries < settings.retry.max_retries
+            && service.retry_budget.available() >= 1.0;
+        let end = if run.required { plan.required_deadline } else { plan.stage_deadline };
+        let until = service.attempt_deadline(now, end, may_follow);
+        let slow = settings.hedge.filter(|_| settings.idempotent).and_then(|hedge| {
             let usual = service.latency.quantile(now, hedge.quantile)?;
-            Some(now + usual.max(hedge.least))
+            Some(now + usual.max(hedge.min_delay))
         });
         let attempt = self.fly(now, id, place, endpoint, until, probe, out);
         if let Some(at) = slow.filter(|&at| at < until) {
@@ -522,87 +529,98 @@
         probe: bool,
         out: &mut Vec<Action>,
     ) -> AttemptId {
-        self.next += 1;
-        let attempt = self.next;
+        self.next_id += 1;
+        let attempt = self.next_id;
         let Some(plan) = self.plans.get_mut(&id) else { return attempt };
-        let run = &mut plan.runs[place];
-        run.doing = Doing::Flying;
-        run.flying.push(attempt);
-        run.tried.push(endpoint);
-        let service = &self.services[run.service];
-        let flight = Attempt { plan: id, run: place, service: run.service, endpoint, started: now, probe };
+        let run = &mut plan.calls[place];
+        run.state = CallState::InFlight;
+        run.in_flight.push(attempt);
+        run.tried_endpoints.push(endpoint);
+        let service = &self.dependencies[run.service];
+        let flight = Attempt {
+            plan: id,
+            call: place,
+            dependency: run.service,
+            endpoint,
+            started_at: now,
+            is_probe: probe,
+        };
         self.attempts.insert(attempt, flight);
-        let (dependency, address) = (service.name.clone(), service.pool.address(endpoint));
-        out.push(Action::Start { attempt, plan: id, dependency, address, until });
+        let (dependency, address) = (service.name.clone(), service.load_balancer.address(endpoint));
+        out.push(Action::StartAttempt { attempt, plan: id, dependency, address, deadline: until });
         attempt
     }
 
     /// A call is slow by now: a second copy goes to another endpoint, if the budget has it.
     fn hedge(&mut self, now: Micros, id: PlanId, place: usize, attempt: AttemptId, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get(&id) else { return };
-        let Some(run) = plan.runs.get(place).filter(|run| run.flying == [attempt]) else { return };
-        let (number, until) = (run.service, plan.until(run));
-        let service = &self.services[number];
-        if service.breaker.state(now) != breaker::State::Closed || !service.pool.has_another(&run.tried) {
+        let Some(run) = plan.calls.get(place).filter(|run| run.in_flight == [attempt]) else { return };
+        let (number, until) = (run.service, plan.call_deadline(run));
+        let service = &self.dependencies[number];
+        if service.breaker.state(now) != breaker::BreakerState::Closed
+            || !service.load_balancer.has_alternative(&run.tried_endpoints)
+        {
             return;
         }
-        let Some(endpoint) = service.place(now, &run.tried, &mut self.random) else { return };
-        if run.tried.contains(&endpoint) || !self.services[number].budget.take() {
+        let Some(endpoint) = service.pick_endpoint(now, &run.tried_endpoints, &mut self.random) else {
+            return;
+        };
+        if run.tried_endpoints.contains(&endpoint) || !self.dependencies[number].retry_budget.try_withdraw() {
             return;
         }
         self.counts.hedged_requests += 1;
-        let probe = self.services[number].start(now, endpoint);
+        let probe = self.dependencies[number].start(now, endpoint);
         self.fly(now, id, place, endpoint, until, probe, out);
     }
 
     /// After an attempt that failed: another one, where that does no harm, is in the budget and in time.
     fn try_again(&mut self, now: Micros, id: PlanId, place: usize, outcome: Outcome) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let run = &mut plan.runs[place];
-        let service = &mut self.services[run.service];
+        let run = &mut plan.calls[place];
+        let service = &mut self.dependencies[run.service];
         let settings = service.config.retry;
-        let harmless = (outcome.never_ran() && outcome != Outcome::NotStarted) || service.config.repeatable;
-        let allowed = harmless && run.further < settings.most && service.breaker.allows(now);
-        let wait = retry::backoff(&settings, run.further, &mut self.random);
-        let until = if run.needed { plan.needed_until } else { plan.stage_until };
-        let in_time = now + wait + (service.limit.typical() as Micros) < until;
-        if !allowed || !in_time || !service.budget.take() {
-            let why = run.last;
+        let harmless = (outcome.never_ran() && outcome != Outcome::NotStarted) || service.config.idempotent;
+        let allowed = harmless && run.retries < settings.max_retries && service.breaker.allows(now);
+        let wait = retry::backoff(&settings, run.retries, &mut self.random);
+        let until = if run.required { plan.required_deadline } else { plan.stage_deadline };
+        let in_time = now + wait + (service.limit.typical_latency() as Micros) < until;
+        if !allowed || !in_time || !service.retry_budget.try_withdraw() {
+            let why = run.last_failure;
             return self.fall_back(now, id, place, why);
         }
-        run.further += 1;
-        (run.paid, run.doing) = (true, Doing::Paused);
-        self.set_timer(id, now + wait, Timer::Pause(place));
+        run.retries += 1;
+        (run.holds_retry_token, run.state) = (true, CallState::BackingOff);
+        self.set_timer(id, now + wait, Timer::BackoffEnd(place));
     }
 
     /// The operator's chain, for a call that brought nothing.
     fn fall_back(&mut self, now: Micros, id: PlanId, place: usize, why: MissingReason) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
-        let run = &mut plan.runs[place];
-        let service = &mut self.services[run.service];
-        if let Doing::Waiting(number) = run.doing {
-            service.waiting.remove(&(Reverse(plan.level), number, id, place));
+        let run = &mut plan.calls[place];
+        let service = &mut self.dependencies[run.service];
+        if let CallState::Queued(number) = run.state {
+            service.queue.remove(&(Reverse(plan.priority_level), number, id, place));
         }
-        if std::mem::take(&mut run.paid) {
-            service.budget.give_back();
+        if std::mem::take(&mut run.holds_retry_token) {
+            service.retry_budget.refund();
         }
-        let mut part = Part::LeftOut(why);
+        let mut part = Part::Missing(why);
         for fallback in &service.config.fallbacks {
             match fallback {
-                Fallback::Kept(oldest) => {
-                    let Some(key) = plan.key.clone() else { continue };
+                Fallback::Cached(oldest) => {
+                    let Some(key) = plan.resource_key.clone() else { continue };
                     let subject =
-                        Subject { dependency: service.name.clone(), class: plan.class.clone(), key };
-                    let Some((age, body)) = self.kept.get(now, &subject, *oldest) else { continue };
-                    part = Part::Kept(body, age);
+                        CacheKey { dependency: service.name.clone(), class: plan.class.clone(), key };
+                    let Some((age, body)) = self.fallback_cache.get(now, &subject, *oldest) else { continue };
+                    part = Part::Cached(body, age);
                 }
                 Fallback::Constant(body) => part = Part::Constant(body.as_slice().into()),
-                Fallback::LeftOut => {}
+                Fallback::Omit => {}
             }
             break;
         }
-        run.doing = Doing::Over(part);
-        self.dirty.push(id);
+        run.state = CallState::Finished(part);
+        self.changed_plans.push(id);
     }
 
     /// Gives up a call that is under way. It may have had its effect.
@@ -610,16 +628,16 @@
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.release(now, &attempt, outcome);
         if let Some(plan) = self.plans.get_mut(&attempt.plan) {
-            plan.touched = true;
+            plan.may_have_had_effect = true;
         }
-        out.push(Action::Cancel(id));
+        out.push(Action::CancelAttempt(id));
     }
 
     fn release(&mut self, now: Micros, attempt: &Attempt, outcome: Option<Outcome>) {
-        let took = now.saturating_sub(attempt.started);
-        let what = (attempt.endpoint, attempt.probe);
-        self.services[attempt.service].end(now, what, took, outcome, &mut self.random);
-        self.freed.insert(attempt.service);
+        let took = now.saturating_sub(attempt.started_at);
+        let what = (attempt.endpoint, attempt.is_probe);
+        self.dependencies[attempt.dependency].end(now, what, took, outcome, &mut self.random);
+        self.freed_dependencies.insert(attempt.dependency);
     }
 
     fn set_timer(&mut self, id: PlanId, at: Micros, timer: Timer) {
@@ -631,9 +649,9 @@
 
     /// What must hold between any two events; tests call it after each.
     pub fn check_invariants(&self) -> Result<(), String> {
-        for (place, service) in self.services.iter().enumerate() {
-            service.check()?;
-            let flying = self.attempts.values().filter(|a| a.service == place).count();
+        for (place, service) in self.dependencies.iter().enumerate() {
+            service.check_invariants()?;
+            let flying = self.attempts.values().filter(|a| a.dependency == place).count();
             if flying != service.limit.in_flight() {
                 return Err(format!(
                     "{}: {flying} attempts, {} counted",
@@ -641,9 +659,9 @@
                     service.limit.in_flight()
                 ));
             }
-            for (level, number, id, run) in &service.waiting {
+            for (level, number, id, run) in &service.queue {
                 let waits = self.plans.get(id).is_some_and(|plan| {
-                    plan.level == level.0 && plan.runs[*run].doing == Doing::Waiting(*number)
+                    plan.priority_level == level.0 && plan.calls[*run].state == CallState::Queued(*number)
                 });
                 if !waits {
                     return Err(format!("{}: plan {id} is said to wait", service.name));
@@ -651,39 +669,41 @@
             }
         }
         for (id, plan) in &self.plans {
-            let until = plan.stage_until;
-            if until > plan.deadline || !self.timers.contains(&(until, *id, Timer::Stage(plan.stage))) {
+            let until = plan.stage_deadline;
+            if until > plan.deadline
+                || !self.timers.contains(&(until, *id, Timer::StageEnd(plan.stage_index)))
+            {
                 return Err(format!("plan {id}: its stage ends at {until}, its time at {}", plan.deadline));
             }
-            let flying = |run: &Run| run.flying.iter().all(|a| self.attempts.contains_key(a));
-            if plan.runs.iter().all(Run::is_over) || !plan.runs.iter().all(flying) {
+            let flying = |run: &ActiveCall| run.in_flight.iter().all(|a| self.attempts.contains_key(a));
+            if plan.calls.iter().all(ActiveCall::is_finished) || !plan.calls.iter().all(flying) {
                 return Err(format!("plan {id}: nothing is under way"));
             }
         }
         if self.timers.iter().any(|(_, id, _)| !self.plans.contains_key(id)) {
             return Err("a timer of no plan".to_owned());
         }
-        self.kept.check()
+        self.fallback_cache.check_invariants()
     }
 }
 
 /// The time that stages after this one typically need for what the request fails without.
-fn needs_later(services: &[Service], spec: &Spec, stage: usize) -> Micros {
-    let later = spec.stages[stage + 1..].iter().filter(|(claim, _)| claim.needed);
-    let time = |(claim, calls): &(time_budget::Claim, Vec<SpecCall>)| {
-        let needed = calls.iter().filter(|call| call.needed);
-        let typical = needed.map(|call| services[call.service].limit.typical() as Micros).max();
-        typical.unwrap_or(0).max(claim.least)
+fn needs_later(services: &[Dependency], spec: &PlanTemplate, stage: usize) -> Micros {
+    let later = spec.stages[stage + 1..].iter().filter(|(claim, _)| claim.required);
+    let time = |(claim, calls): &(time_budget::StageClaim, Vec<CallTemplate>)| {
+        let needed = calls.iter().filter(|call| call.required);
+        let typical = needed.map(|call| services[call.service].limit.typical_latency() as Micros).max();
+        typical.unwrap_or(0).max(claim.min_time)
     };
     later.map(time).sum()
 }
 
 fn why(outcome: Outcome) -> MissingReason {
     match outcome {
-        Outcome::Rejected => MissingReason::Refused,
+        Outcome::Rejected => MissingReason::Rejected,
         Outcome::Unreachable => MissingReason::Unreachable,
-        Outcome::TimedOut => MissingReason::OutOfTime,
-        Outcome::ConnectionLost => MissingReason::Cut,
+        Outcome::TimedOut => MissingReason::DeadlineExceeded,
+        Outcome::ConnectionLost => MissingReason::ConnectionLost,
         Outcome::Ok | Outcome::Error | Outcome::Aborted | Outcome::NotStarted => MissingReason::Failed,
     }
 }
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -2,45 +2,45 @@
 
 use umberloom::interface::Micros;
 
-use crate::config::Bounds;
+use crate::config::LimitBounds;
 
 /// Calls are slow when they typically take so many times their best, as the decision module has it.
-const SLOW: f64 = 3.0;
+const SLOW_FACTOR: f64 = 3.0;
 /// The best time is forgotten at this rate a call, so that a dependency that has become slower for good is no
 /// longer held against what it once was.
-const FORGET_BEST: f64 = 1.001;
+const BEST_LATENCY_GROWTH: f64 = 1.001;
 /// Weight of the newest call in the typical time.
-const NEWEST: f64 = 0.1;
+const LATENCY_GAIN: f64 = 0.1;
 /// What is left of the limit after one step down.
-const DOWN: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 
 /// How a call bears on the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sample {
+pub enum CallSample {
     /// It was answered after this time.
     Answered(Micros),
     /// It was turned away, or never came back: there was too much.
     Dropped,
     /// It says nothing about load: a connection that broke, a call that nobody waits for any more.
-    Silent,
+    Ignored,
 }
 
 /// What moved a limit last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum LimitChangeCause {
     /// Nothing yet, or new settings.
-    Set,
+    Configured,
     /// Calls were quick and the limit was made use of.
-    Quick,
+    LowLatency,
     /// Calls took over three times their best.
-    Slow,
+    HighLatency,
     /// A call was turned away or never came back.
     Dropped,
 }
 
 /// A limit and why it stands where it does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitView {
+pub struct LimitStatus {
     /// Calls that may be in flight.
     pub value: usize,
     /// Calls that are.
@@ -48,49 +48,49 @@
     /// Least and most that the operator allows.
     pub bounds: (usize, usize),
     /// What moved it last, and when.
-    pub moved: (Cause, Micros),
+    pub last_change: (LimitChangeCause, Micros),
     /// The typical time of a call and the best, in microseconds; 0 while unknown.
-    pub typical: f64,
+    pub typical_latency: f64,
     /// The best time, slowly forgotten.
-    pub best: f64,
+    pub best_latency: f64,
 }
 
 /// The limit.
 #[derive(Clone, Debug)]
-pub struct Limit {
-    bounds: Bounds,
+pub struct ConcurrencyLimit {
+    bounds: LimitBounds,
     /// What is allowed from outside, whatever was learned: a part of an allowance that several servers share.
     cap: usize,
     value: f64,
     in_flight: usize,
-    typical: Option<f64>,
-    best: f64,
-    moved: (Cause, Micros),
+    typical_latency: Option<f64>,
+    best_latency: f64,
+    last_change: (LimitChangeCause, Micros),
     /// No second step down before the first can have shown.
-    down_from: Micros,
+    next_decrease_at: Micros,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Starts where the bounds say.
-    pub fn new(bounds: Bounds) -> Limit {
-        Limit {
+    pub fn new(bounds: LimitBounds) -> ConcurrencyLimit {
+        ConcurrencyLimit {
             bounds,
             cap: usize::MAX,
-            value: bounds.start.clamp(bounds.least, bounds.most) as f64,
+            value: bounds.initial.clamp(bounds.min, bounds.max) as f64,
             in_flight: 0,
-            typical: None,
-            best: 0.0,
-            moved: (Cause::Set, 0),
-            down_from: 0,
+            typical_latency: None,
+            best_latency: 0.0,
+            last_change: (LimitChangeCause::Configured, 0),
+            next_decrease_at: 0,
         }
     }
 
     /// New bounds; what was learned stays.
-    pub fn set_bounds(&mut self, now: Micros, bounds: Bounds) {
+    pub fn set_bounds(&mut self, now: Micros, bounds: LimitBounds) {
         if self.bounds != bounds {
             self.bounds = bounds;
-            self.value = self.value.clamp(bounds.least as f64, bounds.most as f64);
-            self.moved = (Cause::Set, now);
+            self.value = self.value.clamp(bounds.min as f64, bounds.max as f64);
+            self.last_change = (LimitChangeCause::Configured, now);
         }
     }
 
@@ -111,13 +111,13 @@
     }
 
     /// Whether one more may start.
-    pub fn has_place(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.in_flight < self.value().min(self.cap)
     }
 
     /// Its typical time, 0 while unknown.
-    pub fn typical(&self) -> f64 {
-        self.typical.unwrap_or(0.0)
+    pub fn typical_latency(&self) -> f64 {
+        self.typical_latency.unwrap_or(0.0)
     }
 
     /// A call starts.
@@ -126,62 +126,66 @@
     }
 
     /// A call that was started is over.
-    pub fn end(&mut self, now: Micros, sample: Sample) {
+    pub fn end(&mut self, now: Micros, sample: CallSample) {
         let used = 2 * self.in_flight >= self.value();
         self.in_flight = self.in_flight.saturating_sub(1);
         match sample {
-            Sample::Silent => {}
-            Sample::Dropped => self.fall(now, Cause::Dropped),
-            Sample::Answered(took) => {
+            CallSample::Ignored => {}
+            CallSample::Dropped => self.decrease(now, LimitChangeCause::Dropped),
+            CallSample::Answered(took) => {
                 let took = took.max(1) as f64;
-                let typical = self.typical.map_or(took, |t| t + NEWEST * (took - t));
-                self.best = if self.typical.is_none() { took } else { typical.min(self.best * FORGET_BEST) };
-                self.typical = Some(typical);
-                if typical > SLOW * self.best {
-                    self.fall(now, Cause::Slow);
+                let typical = self.typical_latency.map_or(took, |t| t + LATENCY_GAIN * (took - t));
+                self.best_latency = if self.typical_latency.is_none() {
+                    took
+                } else {
+                    typical.min(self.best_latency * BEST_LATENCY_GROWTH)
+                };
+                self.typical_latency = Some(typical);
+                if typical > SLOW_FACTOR * self.best_latency {
+                    self.decrease(now, LimitChangeCause::HighLatency);
                 } else if used {
-                    self.climb(now);
+                    self.increase(now);
                 }
             }
         }
     }
 
     /// By one for as many calls as the limit lets be in flight.
-    fn climb(&mut self, now: Micros) {
-        let next = (self.value + 1.0 / self.value).min(self.bounds.most as f64);
+    fn increase(&mut self, now: Micros) {
+        let next = (self.value + 1.0 / self.value).min(self.bounds.max as f64);
         if next as usize != self.value() {
-            self.moved = (Cause::Quick, now);
+            self.last_change = (LimitChangeCause::LowLatency, now);
         }
         self.value = next;
     }
 
-    fn fall(&mut self, now: Micros, why: Cause) {
-        if now < self.down_from {
+    fn decrease(&mut self, now: Micros, why: LimitChangeCause) {
+        if now < self.next_decrease_at {
             return;
         }
-        self.down_from = now + self.typical() as Micros;
-        let next = (self.value * DOWN).max(self.bounds.least as f64);
+        self.next_decrease_at = now + self.typical_latency() as Micros;
+        let next = (self.value * DECREASE_FACTOR).max(self.bounds.min as f64);
         if next as usize != self.value() {
-            self.moved = (why, now);
+            self.last_change = (why, now);
         }
         self.value = next;
     }
 
     /// Where it stands and why.
-    pub fn explain(&self) -> LimitView {
-        LimitView {
+    pub fn status(&self) -> LimitStatus {
+        LimitStatus {
             value: self.value(),
             in_flight: self.in_flight,
-            bounds: (self.bounds.least, self.bounds.most),
-            moved: self.moved,
-            typical: self.typical(),
-            best: self.best,
+            bounds: (self.bounds.min, self.bounds.max),
+            last_change: self.last_change,
+            typical_latency: self.typical_latency(),
+            best_latency: self.best_latency,
         }
     }
 
     /// Whether it stands within its bounds.
-    pub fn is_sound(&self) -> bool {
-        (self.bounds.least..=self.bounds.most).contains(&self.value())
+    pub fn is_within_bounds(&self) -> bool {
+        (self.bounds.min..=self.bounds.max).contains(&self.value())
     }
 }
 
@@ -190,40 +194,40 @@
     use super::*;
     use proptest::prelude::*;
 
-    const BOUNDS: Bounds = Bounds { start: 4, least: 2, most: 20 };
+    const BOUNDS: LimitBounds = LimitBounds { initial: 4, min: 2, max: 20 };
 
     /// As many calls as fit, each taking `took(in flight)`; returns the limit at the end.
-    fn play(limit: &mut Limit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
+    fn play(limit: &mut ConcurrencyLimit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
         for round in 0..rounds {
-            while limit.has_place() {
+            while limit.has_capacity() {
                 limit.start();
             }
             let crowd = limit.in_flight();
-            (0..crowd).for_each(|_| limit.end(round * 100_000, Sample::Answered(took(crowd))));
+            (0..crowd).for_each(|_| limit.end(round * 100_000, CallSample::Answered(took(crowd))));
         }
         limit.value()
     }
 
     #[test]
     fn it_climbs_while_calls_are_quick_and_used() {
-        let mut limit = Limit::new(BOUNDS);
+        let mut limit = ConcurrencyLimit::new(BOUNDS);
         assert_eq!(play(&mut limit, 100, |_| 1_000), 20);
-        assert_eq!(limit.explain().moved.0, Cause::Quick);
+        assert_eq!(limit.status().last_change.0, LimitChangeCause::LowLatency);
     }
 
     #[test]
     fn it_stays_where_it_is_not_made_use_of() {
-        let mut limit = Limit::new(BOUNDS);
+        let mut limit = ConcurrencyLimit::new(BOUNDS);
         for now in 0..1_000 {
             limit.start();
-            limit.end(now, Sample::Answered(1_000));
+            limit.end(now, CallSample::Answered(1_000));
         }
-        assert_eq!((limit.value(), limit.explain().moved.0), (4, Cause::Set));
+        assert_eq!((limit.value(), limit.status().last_change.0), (4, LimitChangeCause::Configured));
     }
 
     #[test]
     fn it_settles_where_a_crowded_dependency_is_not_yet_slow() {
-        let mut limit = Limit::new(BOUNDS);
+        let mut limit = ConcurrencyLimit::new(BOUNDS);
         // Over 8 at once each takes longer in step with the square of the crowd.
         let took = |crowd: usize| if crowd <= 8 { 1_000 } else { 1_000 * (crowd * crowd) as u64 / 16 };
         let end = play(&mut limit, 400, took);
@@ -232,26 +236,26 @@
 
     #[test]
     fn what_is_turned_away_brings_it_down_once_a_call_time() {
-        let mut limit = Limit::new(Bounds { start: 20, ..BOUNDS });
+        let mut limit = ConcurrencyLimit::new(LimitBounds { initial: 20, ..BOUNDS });
         limit.start();
-        limit.end(0, Sample::Answered(1_000));
+        limit.end(0, CallSample::Answered(1_000));
         for _ in 0..10 {
             limit.start();
-            limit.end(10_000, Sample::Dropped);
+            limit.end(10_000, CallSample::Dropped);
         }
-        assert_eq!((limit.value(), limit.explain().moved), (18, (Cause::Dropped, 10_000)));
+        assert_eq!((limit.value(), limit.status().last_change), (18, (LimitChangeCause::Dropped, 10_000)));
         for round in 2..100 {
             limit.start();
-            limit.end(round * 10_000, Sample::Dropped);
+            limit.end(round * 10_000, CallSample::Dropped);
         }
         assert_eq!(limit.value(), 2);
     }
 
     #[test]
     fn new_bounds_hold_at_once() {
-        let mut limit = Limit::new(BOUNDS);
-        limit.set_bounds(7, Bounds { start: 1, least: 1, most: 3 });
-        assert_eq!((limit.value(), limit.explain().moved), (3, (Cause::Set, 7)));
+        let mut limit = ConcurrencyLimit::new(BOUNDS);
+        limit.set_bounds(7, LimitBounds { initial: 1, min: 1, max: 3 });
+        assert_eq!((limit.value(), limit.status().last_change), (3, (LimitChangeCause::Configured, 7)));
     }
 
     proptest! {
@@ -260,19 +264,19 @@
             least in 1usize..10, start in 0usize..10, most in 0usize..40,
             steps in prop::collection::vec((0u64..100_000, 0u8..4, 1u64..10_000_000), 0..400),
         ) {
-            let bounds = Bounds { least, start: least + start, most: least + start + most };
-            let (mut limit, mut now, mut flying) = (Limit::new(bounds), 0, 0usize);
+            let bounds = LimitBounds { min: least, initial: least + start, max: least + start + most };
+            let (mut limit, mut now, mut flying) = (ConcurrencyLimit::new(bounds), 0, 0usize);
             for (after, what, took) in steps {
                 now += after;
-                if limit.has_place() && what != 3 {
+                if limit.has_capacity() && what != 3 {
                     limit.start();
                     flying += 1;
                 } else if flying > 0 {
                     flying -= 1;
-                    let sample = match took % 3 { 0 => Sample::Dropped, 1 => Sample::Silent, _ => Sample::Answered(took) };
+                    let sample = match took % 3 { 0 => CallSample::Dropped, 1 => CallSample::Ignored, _ => CallSample::Answered(took) };
                     limit.end(now, sample);
                 }
-                prop_assert!(limit.is_sound() && limit.in_flight() == flying && flying <= bounds.most);
+                prop_assert!(limit.is_within_bounds() && limit.in_flight() == flying && flying <= bounds.max);
             }
         }
     }
--- a/crates/dependencies/src/load_balancer/tests.rs
+++ b/crates/dependencies/src/load_balancer/tests.rs
@@ -2,40 +2,46 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const BOUNDS: Bounds = Bounds { start: 8, least: 1, most: 8 };
-const ROUTE: Route =
-    Route { failures: 3, lag: 5.0, out: 1_000_000, out_most: 0.5, ramp: 5_000_000, servers: 1 };
-
-fn pool(count: usize) -> (Pool, ChaCha8Rng) {
+const BOUNDS: LimitBounds = LimitBounds { initial: 8, min: 1, max: 8 };
+const ROUTE: LoadBalancerConfig = LoadBalancerConfig {
+    consecutive_failures: 3,
+    latency_factor: 5.0,
+    base_ejection_time: 1_000_000,
+    max_ejected_share: 0.5,
+    recovery_ramp: 5_000_000,
+    servers: 1,
+};
+
+fn pool(count: usize) -> (LoadBalancer, ChaCha8Rng) {
     let addresses: Vec<String> = (0..count).map(|n| format!("e{n}")).collect();
-    (Pool::new(ROUTE, &addresses, BOUNDS), ChaCha8Rng::seed_from_u64(7))
+    (LoadBalancer::new(ROUTE, &addresses, BOUNDS), ChaCha8Rng::seed_from_u64(7))
 }
 
 /// One call after the other, each 1 ms later; how many went to each endpoint.
 fn play(
-    pool: &mut Pool,
+    pool: &mut LoadBalancer,
     random: &mut ChaCha8Rng,
     (from, calls): (Micros, u64),
     ends: impl Fn(usize) -> (Micros, bool),
 ) -> Vec<u64> {
-    let mut got = vec![0; pool.all.len()];
+    let mut got = vec![0; pool.endpoints.len()];
     for n in 0..calls {
         let now = from + n * 1_000;
         let place = pool.pick(now, &[], random).expect("a place");
         pool.start(place);
         let (took, failed) = ends(place);
-        pool.end(now, place, Sample::Answered(took), Some(failed), random);
+        pool.end(now, place, CallSample::Answered(took), Some(failed), random);
         got[place] += 1;
-        assert_eq!(pool.check(), Ok(()));
+        assert_eq!(pool.check_invariants(), Ok(()));
     }
     got
 }
 
 /// As many failures in a row as it takes.
-fn fail(pool: &mut Pool, place: usize, now: Micros, random: &mut ChaCha8Rng) {
-    for _ in 0..ROUTE.failures {
+fn fail(pool: &mut LoadBalancer, place: usize, now: Micros, random: &mut ChaCha8Rng) {
+    for _ in 0..ROUTE.consecutive_failures {
         pool.start(place);
-        pool.end(now, place, Sample::Silent, Some(true), random);
+        pool.end(now, place, CallSample::Ignored, Some(true), random);
     }
 }
 
@@ -65,7 +71,7 @@
     play(&mut pool, &mut random, (0, 400), |_| (1_000, false));
     let got = play(&mut pool, &mut random, (400_000, 400), |p| (if p == 1 { 9_000 } else { 1_000 }, false));
     assert!(got[1] <= 3, "{got:?}");
-    assert_eq!(pool.explain()[1].out.map(|(why, _)| why), Some(Reason::Lagged));
+    assert_eq!(pool.status()[1].last_ejection.map(|(why, _)| why), Some(EjectionReason::HighLatency));
 }
 
 #[test]
@@ -73,12 +79,12 @@
     let (mut pool, mut random) = pool(2);
     play(&mut pool, &mut random, (0, 100), |_| (1_000, false));
     fail(&mut pool, 0, 200_000, &mut random);
-    assert!(matches!(pool.explain()[0].state, State::Out(_)));
-    let at = pool.next_probe().expect("a probe");
+    assert!(matches!(pool.status()[0].state, EndpointState::Ejected(_)));
+    let at = pool.next_probe_at().expect("a probe");
     assert_eq!(pool.pick(at, &[], &mut random), Some(0), "a probe comes first");
     pool.start(0);
     assert_eq!(pool.pick(at, &[], &mut random), Some(1), "one at a time");
-    pool.end(at, 0, Sample::Answered(1_000), Some(false), &mut random);
+    pool.end(at, 0, CallSample::Answered(1_000), Some(false), &mut random);
     let first = play(&mut pool, &mut random, (at, 500), |_| (1_000, false));
     let later = play(&mut pool, &mut random, (at + 6_000_000, 500), |_| (1_000, false));
     assert!(first[0] < 100 && (180..320).contains(&later[0]), "{first:?} {later:?}");
@@ -89,14 +95,14 @@
     let (mut pool, mut random) = pool(2);
     play(&mut pool, &mut random, (0, 200), |_| (1_000, false));
     fail(&mut pool, 0, 200_000, &mut random);
-    assert_eq!(pool.explain()[0].out, Some((Reason::Failed, 1)));
+    assert_eq!(pool.status()[0].last_ejection, Some((EjectionReason::ConsecutiveFailures, 1)));
     let mut spans = Vec::new();
-    let mut at = pool.next_probe().expect("a probe");
+    let mut at = pool.next_probe_at().expect("a probe");
     for _ in 0..5 {
         pool.start(0);
-        pool.end(at, 0, Sample::Answered(10), Some(true), &mut random);
-        let next = pool.next_probe().expect("a probe");
-        spans.push((next - at) / ROUTE.out);
+        pool.end(at, 0, CallSample::Answered(10), Some(true), &mut random);
+        let next = pool.next_probe_at().expect("a probe");
+        spans.push((next - at) / ROUTE.base_ejection_time);
         at = next;
     }
     assert_eq!(spans, [2, 4, 4, 4, 4]);
@@ -106,9 +112,9 @@
 fn no_more_are_out_than_allowed_and_the_rest_is_held_in() {
     let (mut pool, mut random) = pool(4);
     play(&mut pool, &mut random, (0, 900), |_| (1_000, true));
-    let views = pool.explain();
-    assert_eq!(views.iter().filter(|v| matches!(v.state, State::Out(_))).count(), 2);
-    assert_eq!(views.iter().filter(|v| v.held_in).count(), 2);
+    let views = pool.status();
+    assert_eq!(views.iter().filter(|v| matches!(v.state, EndpointState::Ejected(_))).count(), 2);
+    assert_eq!(views.iter().filter(|v| v.ejection_withheld).count(), 2);
     // They still get calls.
     assert!(pool.pick(900_000, &[], &mut random).is_some());
 }
@@ -116,14 +122,19 @@
 #[test]
 fn where_all_may_be_out_and_are_calls_go_to_any() {
     let (mut pool, mut random) = pool(3);
-    pool.set(0, Route { out_most: 1.0, ..ROUTE }, &["e0".into(), "e1".into(), "e2".into()], BOUNDS);
+    pool.reconfigure(
+        0,
+        LoadBalancerConfig { max_ejected_share: 1.0, ..ROUTE },
+        &["e0".into(), "e1".into(), "e2".into()],
+        BOUNDS,
+    );
     for place in 0..3 {
         (0..3).for_each(|_| {
             pool.start(place);
-            pool.end(0, place, Sample::Answered(10), Some(true), &mut random);
+            pool.end(0, place, CallSample::Answered(10), Some(true), &mut random);
         });
     }
-    assert!(pool.explain().iter().all(|v| matches!(v.state, State::Out(_))));
+    assert!(pool.status().iter().all(|v| matches!(v.state, EndpointState::Ejected(_))));
     let mut seen: Vec<usize> = (0..50).filter_map(|_| pool.pick(1, &[], &mut random)).collect();
     seen.sort_unstable();
     seen.dedup();
@@ -134,7 +145,7 @@
 fn another_is_taken_where_there_is_another() {
     let (pool, mut random) = pool(2);
     assert!((0..50).all(|_| pool.pick(0, &[0], &mut random) == Some(1)));
-    assert!(pool.has_another(&[0]) && !pool.has_another(&[0, 1]));
+    assert!(pool.has_alternative(&[0]) && !pool.has_alternative(&[0, 1]));
     assert!(pool.pick(0, &[0, 1], &mut random).is_some(), "one that was tried is better than none");
 }
 
@@ -146,7 +157,7 @@
         pool.start(place);
     }
     assert_eq!(pool.pick(0, &[], &mut random), None);
-    pool.end(1, 1, Sample::Silent, None, &mut random);
+    pool.end(1, 1, CallSample::Ignored, None, &mut random);
     assert_eq!(pool.pick(1, &[], &mut random), Some(1));
 }
 
@@ -154,23 +165,23 @@
 fn endpoints_that_leave_the_file_end_their_calls_and_their_places_are_used_again() {
     let (mut pool, mut random) = pool(2);
     pool.start(0);
-    pool.set(5, ROUTE, &["e1".into(), "e2".into()], BOUNDS);
-    assert_eq!(pool.all.len(), 3);
+    pool.reconfigure(5, ROUTE, &["e1".into(), "e2".into()], BOUNDS);
+    assert_eq!(pool.endpoints.len(), 3);
     assert!((0..50).all(|_| pool.pick(5, &[], &mut random) != Some(0)));
-    pool.end(6, 0, Sample::Answered(5), Some(false), &mut random);
-    pool.set(7, ROUTE, &["e1".into(), "e3".into()], BOUNDS);
-    assert_eq!(pool.all.len(), 3);
-    let names: Vec<_> = pool.explain().iter().map(|v| v.address.to_string()).collect();
+    pool.end(6, 0, CallSample::Answered(5), Some(false), &mut random);
+    pool.reconfigure(7, ROUTE, &["e1".into(), "e3".into()], BOUNDS);
+    assert_eq!(pool.endpoints.len(), 3);
+    let names: Vec<_> = pool.status().iter().map(|v| v.address.to_string()).collect();
     assert_eq!(names, ["e3", "e1"]);
 }
 
 /// A draw by which `servers` of them route to four endpoints, of which the last has just come back to all at one moment.
-fn fleet(servers: u32, seed: u64) -> Vec<(Pool, ChaCha8Rng)> {
+fn fleet(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
     let addresses: Vec<String> = (0..4).map(|n| format!("e{n}")).collect();
     let one = |n: u32| {
-        let bounds = Bounds { start: 500, least: 1, most: 500 };
-        let mut pool = Pool::new(Route { servers, ..ROUTE }, &addresses, bounds);
-        pool.bring_back(0, 3);
+        let bounds = LimitBounds { initial: 500, min: 1, max: 500 };
+        let mut pool = LoadBalancer::new(LoadBalancerConfig { servers, ..ROUTE }, &addresses, bounds);
+        pool.readmit(0, 3);
         (pool, ChaCha8Rng::seed_from_u64(seed * 1_000 + u64::from(n)))
     };
     (0..servers).map(one).collect()
@@ -188,11 +199,11 @@
         let (took, gap) = (100_000, 100_000 / (4 * full));
         let mut in_hand: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
         let mut there = 0u64;
-        for now in (0..ROUTE.ramp).step_by(gap as usize) {
+        for now in (0..ROUTE.recovery_ramp).step_by(gap as usize) {
             while in_hand.front().is_some_and(|(until, ..)| *until <= now) {
                 let (_, server, place) = in_hand.pop_front().expect("one");
                 let (pool, random) = &mut all[server];
-                pool.end(now, place, Sample::Answered(took), Some(false), random);
+                pool.end(now, place, CallSample::Answered(took), Some(false), random);
                 there -= u64::from(place == 3);
             }
             // Whose call it is has nothing to do with where calls are: it is drawn, too.
@@ -202,7 +213,8 @@
             pool.start(place);
             in_hand.push_back((now + took, server, place));
             there += u64::from(place == 3);
-            let budget = full as f64 * (RAMP_FROM + (1.0 - RAMP_FROM) * now as f64 / ROUTE.ramp as f64);
+            let budget = full as f64
+                * (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * now as f64 / ROUTE.recovery_ramp as f64);
             let most = budget + 2.0 * budget.sqrt() + 2.0;
             assert!(
                 there as f64 <= most,
@@ -211,10 +223,10 @@
         }
         for (until, server, place) in in_hand {
             let (pool, random) = &mut all[server];
-            pool.end(until, place, Sample::Answered(took), Some(false), random);
+            pool.end(until, place, CallSample::Answered(took), Some(false), random);
         }
         let (pool, random) = &mut all[0];
-        let got = (0..400).filter(|_| pool.pick(2 * ROUTE.ramp, &[], random) == Some(3)).count();
+        let got = (0..400).filter(|_| pool.pick(2 * ROUTE.recovery_ramp, &[], random) == Some(3)).count();
         assert!(got > 40, "it has its full share in the end: {got} of 400");
     }
 }
@@ -227,7 +239,7 @@
         let mut at: Vec<Micros> = Vec::new();
         for (pool, random) in &mut all {
             fail(pool, 0, 200_000, random);
-            at.push(pool.next_probe().expect("a probe"));
+            at.push(pool.next_probe_at().expect("a probe"));
         }
         // A probe takes 50 ms; so many may be under way at once, where the endpoint survives two.
         let most =
--- a/crates/dependencies/src/probe_pacing.rs
+++ b/crates/dependencies/src/probe_pacing.rs
@@ -10,17 +10,17 @@
 use umberloom::interface::Micros;
 
 /// Of what may come under tries together so much is used; the rest is for chance.
-const USED: f64 = 0.5;
+const USED_SHARE: f64 = 0.5;
 
 /// The time until this server's next try, so that `servers` of them make fewer than `most` tries in each `window`
 /// together; never less than half of `window`, and never more than `longest`.
-pub fn next_try(
+pub fn probe_delay(
     servers: u32,
     (window, most): (Micros, f64),
     longest: Micros,
     random: &mut impl Rng,
 ) -> Micros {
-    let mean = window as f64 * f64::from(servers.max(1)) / (most * USED);
+    let mean = window as f64 * f64::from(servers.max(1)) / (most * USED_SHARE);
     let mean = mean.clamp(window as f64, (longest as f64 / 1.5).max(window as f64));
     (mean * random.random_range(0.5..1.5)) as Micros
 }
@@ -41,13 +41,13 @@
     }
 
     /// See [`next_try`].
-    pub fn next_try(&mut self, together: (Micros, f64), longest: Micros) -> Micros {
-        next_try(self.servers, together, longest, &mut self.random)
+    pub fn next_delay(&mut self, together: (Micros, f64), longest: Micros) -> Micros {
+        probe_delay(self.servers, together, longest, &mut self.random)
     }
 }
 
 /// A time after `span`, later by up to as long again where there are ten servers or more.
-pub fn spread(servers: u32, span: Micros, random: &mut impl Rng) -> Micros {
+pub fn spread_delay(servers: u32, span: Micros, random: &mut impl Rng) -> Micros {
     let most = span as f64 * f64::from(servers.saturating_sub(1).min(9)) / 9.0;
     span + (most * random.random_range(0.0..=1.0)) as Micros
 }
--- a/crates/dependencies/src/probe_pacing/tests.rs
+++ b/crates/dependencies/src/probe_pacing/tests.rs
@@ -13,7 +13,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(131).wrapping_add(u64::from(server)));
         let mut now = 0;
         while now < 60_000_000 {
-            now += next_try(servers, (WINDOW, most), Micros::MAX, &mut random);
+            now += probe_delay(servers, (WINDOW, most), Micros::MAX, &mut random);
             tries.push(now);
         }
     }
@@ -40,9 +40,9 @@
     #[test]
     fn spans_have_bounds(servers in 0u32..10_000, most in 1u32..100, seed in 0u64..1_000) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let span = next_try(servers, (WINDOW, f64::from(most)), 700_000, &mut random);
+        let span = probe_delay(servers, (WINDOW, f64::from(most)), 700_000, &mut random);
         prop_assert!((WINDOW / 2..=700_000).contains(&span), "{}", span);
-        prop_assert!((1_000..=2_000).contains(&spread(servers, 1_000, &mut random)));
-        prop_assert_eq!(spread(1, 1_000, &mut random), 1_000);
+        prop_assert!((1_000..=2_000).contains(&spread_delay(servers, 1_000, &mut random)));
+        prop_assert_eq!(spread_delay(1, 1_000, &mut random), 1_000);
     }
 }
--- a/crates/dependencies/src/retry.rs
+++ b/crates/dependencies/src/retry.rs
@@ -3,72 +3,72 @@
 use rand::Rng;
 use umberloom::interface::Micros;
 
-use crate::config::Retry;
+use crate::config::RetryPolicy;
 
 /// A back-off doubles no more often than this.
-const DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// Attempts beyond first ones: each first one earns a share of one, up to a number that can be saved up. In an
 /// outage it is soon empty, and then a dependency that is down or coming back gets little more than first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    settings: Retry,
+    policy: RetryPolicy,
     tokens: f64,
     /// All first attempts and all others, ever.
-    firsts: u64,
-    others: u64,
+    first_attempts: u64,
+    withdrawn: u64,
 }
 
 impl RetryBudget {
     /// Full.
-    pub fn new(settings: Retry) -> RetryBudget {
-        RetryBudget { settings, tokens: settings.burst, firsts: 0, others: 0 }
+    pub fn new(policy: RetryPolicy) -> RetryBudget {
+        RetryBudget { policy, tokens: policy.budget_burst, first_attempts: 0, withdrawn: 0 }
     }
 
     /// New settings; what is saved up stays within them.
-    pub fn set(&mut self, settings: Retry) {
-        self.settings = settings;
-        self.tokens = self.tokens.min(settings.burst);
+    pub fn set_policy(&mut self, settings: RetryPolicy) {
+        self.policy = settings;
+        self.tokens = self.tokens.min(settings.budget_burst);
     }
 
     /// A first attempt is made.
-    pub fn first(&mut self) {
-        self.firsts += 1;
-        self.tokens = (self.tokens + self.settings.share).min(self.settings.burst);
+    pub fn record_first_attempt(&mut self) {
+        self.first_attempts += 1;
+        self.tokens = (self.tokens + self.policy.budget_ratio).min(self.policy.budget_burst);
     }
 
     /// Takes one attempt out of the budget, if it is there.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         // Ten tenths must make a whole one.
         let there = self.tokens >= 1.0 - 1e-9;
         if there {
             self.tokens = (self.tokens - 1.0).max(0.0);
-            self.others += 1;
+            self.withdrawn += 1;
         }
         there
     }
 
     /// Gives back one that was taken and not made.
-    pub fn give_back(&mut self) {
-        self.others -= 1;
-        self.tokens = (self.tokens + 1.0).min(self.settings.burst);
+    pub fn refund(&mut self) {
+        self.withdrawn -= 1;
+        self.tokens = (self.tokens + 1.0).min(self.policy.budget_burst);
     }
 
     /// Attempts that are left.
-    pub fn left(&self) -> f64 {
+    pub fn available(&self) -> f64 {
         self.tokens
     }
 
     /// Whether no more was taken than was earned and saved up at first.
-    pub fn is_sound(&self, burst: f64, share: f64) -> bool {
-        self.tokens >= 0.0 && self.others as f64 <= burst + share * self.firsts as f64 + 1e-6
+    pub fn is_not_overdrawn(&self, burst: f64, share: f64) -> bool {
+        self.tokens >= 0.0 && self.withdrawn as f64 <= burst + share * self.first_attempts as f64 + 1e-6
     }
 }
 
 /// The wait before further attempt number `tries` (from 0): full jitter around the back-off, which doubles, so that
 /// calls that failed together do not come back together.
-pub fn backoff(settings: &Retry, tries: u32, random: &mut impl Rng) -> Micros {
-    let mean = settings.back_off << tries.min(DOUBLINGS);
+pub fn backoff(settings: &RetryPolicy, tries: u32, random: &mut impl Rng) -> Micros {
+    let mean = settings.base_backoff << tries.min(MAX_DOUBLINGS);
     random.random_range(0..=2 * mean)
 }
 
@@ -79,14 +79,15 @@
     use rand::SeedableRng;
     use rand_chacha::ChaCha8Rng;
 
-    const SETTINGS: Retry = Retry { most: 2, share: 0.1, burst: 3.0, back_off: 1_000 };
+    const SETTINGS: RetryPolicy =
+        RetryPolicy { max_retries: 2, budget_ratio: 0.1, budget_burst: 3.0, base_backoff: 1_000 };
 
     #[test]
     fn an_outage_empties_it() {
         let mut budget = RetryBudget::new(SETTINGS);
         let taken = (0..1_000).filter(|_| {
-            budget.first();
-            budget.take()
+            budget.record_first_attempt();
+            budget.try_withdraw()
         });
         // Three saved up, and one for ten.
         assert_eq!(taken.count(), 102);
@@ -94,17 +95,17 @@
 
     #[test]
     fn a_share_of_nothing_allows_nothing() {
-        let mut budget = RetryBudget::new(Retry { share: 0.0, burst: 0.0, ..SETTINGS });
-        budget.first();
-        assert!(!budget.take());
+        let mut budget = RetryBudget::new(RetryPolicy { budget_ratio: 0.0, budget_burst: 0.0, ..SETTINGS });
+        budget.record_first_attempt();
+        assert!(!budget.try_withdraw());
     }
 
     #[test]
     fn what_is_given_back_can_be_taken_again() {
-        let mut budget = RetryBudget::new(Retry { share: 0.0, burst: 1.0, ..SETTINGS });
-        assert!(budget.take() && !budget.take());
-        budget.give_back();
-        assert!(budget.take());
+        let mut budget = RetryBudget::new(RetryPolicy { budget_ratio: 0.0, budget_burst: 1.0, ..SETTINGS });
+        assert!(budget.try_withdraw() && !budget.try_withdraw());
+        budget.refund();
+        assert!(budget.try_withdraw());
     }
 
     #[test]
@@ -118,17 +119,17 @@
             assert!(waits.iter().all(|&w| w <= 2_000 << tries));
         }
         let far = backoff(&SETTINGS, 40, &mut random);
-        assert!(far <= 2_000 << DOUBLINGS);
+        assert!(far <= 2_000 << MAX_DOUBLINGS);
     }
 
     proptest! {
         #[test]
         fn it_is_never_overdrawn(share in 0.0f64..=1.0, burst in 0.0f64..20.0,
             steps in prop::collection::vec(any::<bool>(), 0..500)) {
-            let mut budget = RetryBudget::new(Retry { share, burst, ..SETTINGS });
+            let mut budget = RetryBudget::new(RetryPolicy { budget_ratio: share, budget_burst: burst, ..SETTINGS });
             for first in steps {
-                if first { budget.first() } else { budget.take(); }
-                prop_assert!(budget.is_sound(burst, share));
+                if first { budget.record_first_attempt() } else { budget.try_withdraw(); }
+                prop_assert!(budget.is_not_overdrawn(burst, share));
             }
         }
     }
--- a/crates/dependencies/tests/engine/hard_cases.rs
+++ b/crates/dependencies/tests/engine/hard_cases.rs
@@ -5,7 +5,9 @@
 
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::breaker;
-use umberloom_dependencies::config::{Bounds, Dependency, Fallback, Hedge, Retry, Route};
+use umberloom_dependencies::config::{
+    DependencyConfig, Fallback, HedgePolicy, LimitBounds, LoadBalancerConfig, RetryPolicy,
+};
 
 use super::world::{call, config, parts, plan, stage, Started, World, MS};
 
@@ -13,7 +15,7 @@
 
 /// Three dependencies with an endpoint each, in three stages: the first two needed, the last wanted.
 fn in_turn(script: impl FnMut(&Started) -> (Micros, Outcome) + 'static) -> World {
-    let dependencies = ["a", "b", "c"].map(|name| Dependency::new(name, &[&format!("{name}1")]));
+    let dependencies = ["a", "b", "c"].map(|name| DependencyConfig::new(name, &[&format!("{name}1")]));
     let stages = ["a", "b", "c"].map(|name| stage(vec![call(name, name != "c")]));
     World::new(config(dependencies.into(), vec![plan("book", stages.into())]), script)
 }
@@ -29,7 +31,7 @@
             // Needed: it may have its share twice over, and fails with that.
             "a" => (200 * MS, "Aborted"),
             "b" => (300 * MS, "Aborted"),
-            _ => (300 * MS, "a: fresh, b: fresh, c: OutOfTime"),
+            _ => (300 * MS, "a: fresh, b: fresh, c: DeadlineExceeded"),
         };
         assert_eq!((end.at, parts(&end).as_str()), wanted);
     }
@@ -62,7 +64,7 @@
 
 #[test]
 fn two_fail_together() {
-    let dependencies = ["a", "b", "c"].map(|name| Dependency::new(name, &[&format!("{name}1")]));
+    let dependencies = ["a", "b", "c"].map(|name| DependencyConfig::new(name, &[&format!("{name}1")]));
     let calls = vec![call("a", true), call("b", false), call("c", false)];
     let all = config(dependencies.into(), vec![plan("book", vec![stage(calls)])]);
     // Both wanted ones: the answer is partial, and no later than the slower of them allows.
@@ -88,7 +90,7 @@
 
 #[test]
 fn one_fails_while_another_is_slow() {
-    let dependencies = ["a", "b"].map(|name| Dependency::new(name, &[&format!("{name}1")]));
+    let dependencies = ["a", "b"].map(|name| DependencyConfig::new(name, &[&format!("{name}1")]));
     let stages = vec![stage(vec![call("a", true), call("b", false)])];
     let mut world = World::new(config(dependencies.into(), vec![plan("book", stages)]), |call| {
         if call.dependency == "a" {
@@ -99,7 +101,7 @@
     });
     world.ask(1, "book", 300 * MS);
     let end = world.end_of(1);
-    assert_eq!((end.at, parts(&end).as_str()), (200 * MS, "a: fresh, b: Cut"));
+    assert_eq!((end.at, parts(&end).as_str()), (200 * MS, "a: fresh, b: ConnectionLost"));
 }
 
 #[test]
@@ -125,7 +127,7 @@
     assert_eq!((world.started.len(), world.engine.in_flight()), (1, (0, 0)));
 }
 
-fn two_stages_of_one(dependency: Dependency, needed: bool) -> umberloom_dependencies::config::Config {
+fn two_stages_of_one(dependency: DependencyConfig, needed: bool) -> umberloom_dependencies::config::Config {
     let stages = vec![stage(vec![call(&dependency.name, needed)])];
     config(vec![dependency], vec![plan("book", stages)])
 }
@@ -141,8 +143,12 @@
         (true, Outcome::Error, 3),
         (true, Outcome::ConnectionLost, 3),
     ] {
-        let retry = Retry { back_off: 5 * MS, ..Retry::default() };
-        let dependency = Dependency { repeatable, retry, ..Dependency::new("a", &["x", "y", "z"]) };
+        let retry = RetryPolicy { base_backoff: 5 * MS, ..RetryPolicy::default() };
+        let dependency = DependencyConfig {
+            idempotent: repeatable,
+            retry,
+            ..DependencyConfig::new("a", &["x", "y", "z"])
+        };
         let mut world = World::new(two_stages_of_one(dependency, true), move |_| (MS, outcome));
         world.ask(1, "book", 1_000 * MS);
         let end = world.end_of(1);
@@ -171,8 +177,9 @@
 
 #[test]
 fn a_request_that_comes_again_pays_for_all_its_calls() {
-    let retry = Retry { burst: 1.0, share: 0.0, most: 0, ..Retry::default() };
-    let dependency = Dependency { retry, ..Dependency::new("a", &["x"]) };
+    let retry =
+        RetryPolicy { budget_burst: 1.0, budget_ratio: 0.0, max_retries: 0, ..RetryPolicy::default() };
+    let dependency = DependencyConfig { retry, ..DependencyConfig::new("a", &["x"]) };
     let mut world = World::new(two_stages_of_one(dependency, true), |_| (MS, Outcome::Rejected));
     for (id, calls) in [(1, 1), (2, 1), (3, 1)] {
         world.ask_as(id, "book", 300 * MS, 1, None, id > 1);
@@ -185,9 +192,10 @@
 
 #[test]
 fn a_slow_read_gets_a_second_copy_and_the_first_reply_counts() {
-    let hedge = Some(Hedge { quantile: 0.9, least: 0 });
-    let retry = Retry { most: 0, ..Retry::default() };
-    let dependency = Dependency { repeatable: true, hedge, retry, ..Dependency::new("a", &["x", "y"]) };
+    let hedge = Some(HedgePolicy { quantile: 0.9, min_delay: 0 });
+    let retry = RetryPolicy { max_retries: 0, ..RetryPolicy::default() };
+    let dependency =
+        DependencyConfig { idempotent: true, hedge, retry, ..DependencyConfig::new("a", &["x", "y"]) };
     let slow = Rc::new(Cell::new(false));
     let is_slow = slow.clone();
     let mut first = true;
@@ -213,10 +221,10 @@
 fn all_endpoints_out_at_once_are_told_at_once_and_come_back() {
     let down = Rc::new(Cell::new(true));
     let is_down = down.clone();
-    let dependency = Dependency {
-        repeatable: true,
-        route: Route { out_most: 1.0, ..Route::default() },
-        ..Dependency::new("a", &["x", "y", "z"])
+    let dependency = DependencyConfig {
+        idempotent: true,
+        load_balancing: LoadBalancerConfig { max_ejected_share: 1.0, ..LoadBalancerConfig::default() },
+        ..DependencyConfig::new("a", &["x", "y", "z"])
     };
     let mut world = World::new(two_stages_of_one(dependency, true), move |_| {
         if is_down.get() {
@@ -249,9 +257,9 @@
 
 #[test]
 fn one_endpoint_that_fails_fast_does_not_draw_the_calls() {
-    let retry = Retry { most: 0, ..Retry::default() };
+    let retry = RetryPolicy { max_retries: 0, ..RetryPolicy::default() };
     let breaker = None;
-    let dependency = Dependency { retry, breaker, ..Dependency::new("a", &["x", "y", "z"]) };
+    let dependency = DependencyConfig { retry, breaker, ..DependencyConfig::new("a", &["x", "y", "z"]) };
     let mut world = World::new(two_stages_of_one(dependency, true), |call| {
         if call.address == "y" {
             (100, Outcome::Error)
@@ -271,8 +279,8 @@
 
 #[test]
 fn scarce_places_go_by_level_and_then_to_the_oldest() {
-    let limit = Bounds { start: 1, least: 1, most: 1 };
-    let dependency = Dependency { limit, ..Dependency::new("a", &["x"]) };
+    let limit = LimitBounds { initial: 1, min: 1, max: 1 };
+    let dependency = DependencyConfig { concurrency_limit: limit, ..DependencyConfig::new("a", &["x"]) };
     let mut world = World::new(two_stages_of_one(dependency, true), |_| (10 * MS, Outcome::Ok));
     for (id, level) in [(1, 0), (2, 0), (3, 0), (4, 2), (5, 1), (6, 2)] {
         world.ask_as(id, "book", 1_000 * MS, level, None, false);
@@ -284,8 +292,8 @@
 
 #[test]
 fn what_finds_no_place_in_its_time_is_told_at_once() {
-    let limit = Bounds { start: 2, least: 2, most: 2 };
-    let dependency = Dependency { limit, ..Dependency::new("a", &["x"]) };
+    let limit = LimitBounds { initial: 2, min: 2, max: 2 };
+    let dependency = DependencyConfig { concurrency_limit: limit, ..DependencyConfig::new("a", &["x"]) };
     let mut world = World::new(two_stages_of_one(dependency, true), |_| (50 * MS, Outcome::Ok));
     world.ask(1, "book", 100 * MS);
     world.end_of(1);
@@ -300,13 +308,14 @@
 #[test]
 fn one_servers_share_of_what_a_dependency_survives_is_a_ceiling() {
     // `World::start` fails where the ceiling is passed.
-    let dependency = Dependency { survives: Some((30.0, 10)), ..Dependency::new("a", &["x", "y"]) };
+    let dependency =
+        DependencyConfig { capacity: Some((30.0, 10)), ..DependencyConfig::new("a", &["x", "y"]) };
     let mut world = World::new(two_stages_of_one(dependency, true), |_| (10 * MS, Outcome::Ok));
     for id in 0..500 {
         world.ask(id, "book", 100 * MS);
         world.run_until(world.now + MS);
     }
-    let limit = &world.engine.explain(world.now)[0].limit;
+    let limit = &world.engine.status(world.now)[0].limit;
     assert_eq!((limit.bounds.1, limit.value <= 3), (3, true));
 }
 
@@ -314,12 +323,13 @@
 fn the_chain_goes_from_kept_to_constant_to_left_out() {
     let fails = Rc::new(Cell::new(false));
     let is_failing = fails.clone();
-    let chain = |last| vec![Fallback::Kept(50 * MS), last];
-    let notes = Dependency {
+    let chain = |last| vec![Fallback::Cached(50 * MS), last];
+    let notes = DependencyConfig {
         fallbacks: chain(Fallback::Constant(b"{}".to_vec())),
-        ..Dependency::new("notes", &["n"])
+        ..DependencyConfig::new("notes", &["n"])
     };
-    let photos = Dependency { fallbacks: chain(Fallback::LeftOut), ..Dependency::new("photos", &["p"]) };
+    let photos =
+        DependencyConfig { fallbacks: chain(Fallback::Omit), ..DependencyConfig::new("photos", &["p"]) };
     let stages = vec![stage(vec![call("notes", true), call("photos", false)])];
     let mut world = World::new(config(vec![notes, photos], vec![plan("book", stages)]), move |_| {
         (MS, if is_failing.get() { Outcome::Error } else { Outcome::Ok })
@@ -345,7 +355,8 @@
 #[test]
 fn settings_without_a_dependency_let_its_calls_end() {
     let all = |names: &[&str]| {
-        let dependencies = names.iter().map(|name| Dependency::new(name, &[&format!("{name}1")])).collect();
+        let dependencies =
+            names.iter().map(|name| DependencyConfig::new(name, &[&format!("{name}1")])).collect();
         let stages = names.iter().map(|name| stage(vec![call(name, true)])).collect();
         config(dependencies, vec![plan("book", stages)])
     };
@@ -357,17 +368,17 @@
     let mut actions = Vec::new();
     world.engine.reconfigure(world.now, all(&["b", "c"])).expect("no mistakes");
     assert_eq!(
-        world.engine.explain(world.now).iter().map(|v| v.name.to_string()).collect::<Vec<_>>(),
+        world.engine.status(world.now).iter().map(|v| v.name.to_string()).collect::<Vec<_>>(),
         ["b", "c"]
     );
     let attempt = world.started[0].attempt;
     world.engine.handle_attempt_end(10 * MS, attempt, Outcome::Ok, vec![], &mut actions);
-    let Some(umberloom_dependencies::Action::Start { attempt, dependency, .. }) = actions.pop() else {
+    let Some(umberloom_dependencies::Action::StartAttempt { attempt, dependency, .. }) = actions.pop() else {
         panic!()
     };
     assert_eq!(&*dependency, "b");
     world.engine.handle_attempt_end(20 * MS, attempt, Outcome::Ok, vec![], &mut actions);
-    assert!(matches!(actions[..], [umberloom_dependencies::Action::Done { outcome: Outcome::Ok, .. }]));
+    assert!(matches!(actions[..], [umberloom_dependencies::Action::FinishPlan { outcome: Outcome::Ok, .. }]));
     // New ones go by the new file, and the place of what is gone is used again.
     for round in 0..50 {
         let names = [["b", "c"], ["c", "d"], ["d", "b"]][round % 3];
@@ -380,7 +391,7 @@
 #[test]
 fn bad_settings_change_nothing() {
     let mut world = in_turn(|_| (MS, Outcome::Ok));
-    let mut bad = config(vec![Dependency::new("a", &[])], vec![]);
+    let mut bad = config(vec![DependencyConfig::new("a", &[])], vec![]);
     bad.plans = vec![plan("book", vec![])];
     assert_eq!(world.engine.reconfigure(0, bad).map_err(|m| m.len()), Err(2));
     world.ask(1, "book", 300 * MS);
@@ -395,28 +406,30 @@
     let ask = umberloom_dependencies::PlanRequest {
         plan: 1,
         class: "book",
-        level: 0,
-        key: None,
-        until: 300 * MS,
-        due: 200 * MS,
-        again: false,
+        priority_level: 0,
+        resource_key: None,
+        call_deadline: 300 * MS,
+        request_deadline: 200 * MS,
+        is_retry: false,
     };
     world.engine.start_plan(0, &ask, &mut actions);
     // A third of the 160 ms that are left, twice over.
-    let Some(umberloom_dependencies::Action::Start { until, .. }) = actions.pop() else { panic!("a call") };
+    let Some(umberloom_dependencies::Action::StartAttempt { deadline: until, .. }) = actions.pop() else {
+        panic!("a call")
+    };
     assert!((104 * MS..108 * MS).contains(&until), "{until}");
 }
 
 #[test]
 fn a_breaker_that_is_open_is_told_at_once_and_probed() {
-    let retry = Retry { most: 0, ..Retry::default() };
-    let dependency = Dependency { retry, ..Dependency::new("a", &["x"]) };
+    let retry = RetryPolicy { max_retries: 0, ..RetryPolicy::default() };
+    let dependency = DependencyConfig { retry, ..DependencyConfig::new("a", &["x"]) };
     let mut world = World::new(two_stages_of_one(dependency, false), |_| (MS, Outcome::Error));
     for id in 0..20 {
         world.ask(id, "book", 100 * MS);
         world.run_until(world.now + 2 * MS);
     }
-    assert!(matches!(world.engine.explain(world.now)[0].breaker, breaker::State::Open(_)));
+    assert!(matches!(world.engine.status(world.now)[0].breaker, breaker::BreakerState::Open(_)));
     let calls = world.started.len();
     world.ask(50, "book", 100 * MS);
     assert_eq!(world.ended(50).map(|e| parts(&e)).as_deref(), Some("a: BreakerOpen"));
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::{Micros, Outcome};
-use umberloom_dependencies::config::{Bounds, Breaker, Dependency, Retry};
+use umberloom_dependencies::config::{BreakerConfig, DependencyConfig, LimitBounds, RetryPolicy};
 
 use super::world::{call, config, plan, stage, World, MS};
 
@@ -22,15 +22,15 @@
 
 /// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and fails
 /// each call while it is down, after the time that it needs to fail.
-fn outage(retry: Retry, breaker: Option<Breaker>) -> Seen {
-    let limit = Bounds { start: 16, least: 4, most: 64 };
-    let dependency = Dependency {
-        repeatable: true,
+fn outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> Seen {
+    let limit = LimitBounds { initial: 16, min: 4, max: 64 };
+    let dependency = DependencyConfig {
+        idempotent: true,
         retry,
         breaker,
-        limit,
-        endpoint_limit: limit,
-        ..Dependency::new("a", &["x", "y"])
+        concurrency_limit: limit,
+        endpoint_concurrency_limit: limit,
+        ..DependencyConfig::new("a", &["x", "y"])
     };
     let all = config(vec![dependency], vec![plan("book", vec![stage(vec![call("a", true)])])]);
     let clock = Rc::new(Cell::new(0));
@@ -70,8 +70,8 @@
 #[test]
 fn the_budget_keeps_an_outage_from_being_multiplied() {
     // Without a breaker, so that the budget is seen by itself.
-    let kept = outage(Retry::default(), None);
-    let all = Retry { share: 1.0, burst: 1_000.0, ..Retry::default() };
+    let kept = outage(RetryPolicy::default(), None);
+    let all = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
     let without = outage(all, None);
     assert!(kept.attempts < 1.1 + 0.01, "{} attempts for each first one", kept.attempts);
     assert!(without.attempts > 1.8, "{} without the budget", without.attempts);
@@ -79,7 +79,7 @@
 
 #[test]
 fn service_is_back_within_five_seconds_of_the_end() {
-    let seen = outage(Retry::default(), Some(Breaker::default()));
+    let seen = outage(RetryPolicy::default(), Some(BreakerConfig::default()));
     // Only probes are made while it is down, a few in ten seconds.
     assert!(seen.attempts < 0.02, "{} attempts for each request", seen.attempts);
     let back = seen.back.expect("served again");
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -5,49 +5,49 @@
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::config::{
-    Bounds, Breaker, Call, Config, Dependency, Fallback, FallbackCacheLimits, Hedge, Plan, Retry, Route,
-    Stage,
+    BreakerConfig, CallConfig, Config, DependencyConfig, Fallback, FallbackCacheLimits, HedgePolicy,
+    LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, StageConfig,
 };
 
 use super::world::{World, MS};
 
-fn bounds() -> impl Strategy<Value = Bounds> {
-    (1usize..3, 0usize..4, 0usize..8).prop_map(|(least, start, most)| Bounds {
-        least,
-        start: least + start,
-        most: least + start + most,
+fn bounds() -> impl Strategy<Value = LimitBounds> {
+    (1usize..3, 0usize..4, 0usize..8).prop_map(|(least, start, most)| LimitBounds {
+        min: least,
+        initial: least + start,
+        max: least + start + most,
     })
 }
 
 fn fallbacks() -> impl Strategy<Value = Vec<Fallback>> {
     prop_oneof![
         Just(vec![]),
-        Just(vec![Fallback::LeftOut]),
-        Just(vec![Fallback::Kept(80 * MS), Fallback::Constant(b"c".to_vec())]),
-        Just(vec![Fallback::Kept(20 * MS), Fallback::LeftOut]),
+        Just(vec![Fallback::Omit]),
+        Just(vec![Fallback::Cached(80 * MS), Fallback::Constant(b"c".to_vec())]),
+        Just(vec![Fallback::Cached(20 * MS), Fallback::Omit]),
     ]
 }
 
 prop_compose! {
     fn dependency(place: usize)(
-        endpoints in 1usize..4, repeatable in any::<bool>(), hedge in any::<bool>(),
-        most in 0u32..4, share in 0.0f64..0.5, burst in 0.0f64..5.0, back_off in 0u64..20 * MS,
-        limit in bounds(), endpoint_limit in bounds(), survives in prop::option::of((1.0f64..20.0, 1u32..5)),
-        breaker_share in 0.1f64..=1.0, calls in 1u32..30, failures in 1u32..6, out_most in 0.0f64..=1.0,
+        endpoints in 1usize..4, idempotent in any::<bool>(), hedge in any::<bool>(),
+        max_retries in 0u32..4, budget_ratio in 0.0f64..0.5, budget_burst in 0.0f64..5.0, base_backoff in 0u64..20 * MS,
+        concurrency_limit in bounds(), endpoint_concurrency_limit in bounds(), capacity in prop::option::of((1.0f64..20.0, 1u32..5)),
+        failure_ratio in 0.1f64..=1.0, window_calls in 1u32..30, consecutive_failures in 1u32..6, max_ejected_share in 0.0f64..=1.0,
         fallbacks in fallbacks(),
-    ) -> Dependency {
+    ) -> DependencyConfig {
         let endpoints = (0..endpoints).map(|n| format!("d{place}e{n}")).collect();
-        Dependency {
+        DependencyConfig {
             name: format!("d{place}"),
             endpoints,
-            repeatable,
-            retry: Retry { most, share, burst, back_off },
-            hedge: (hedge && repeatable).then_some(Hedge { quantile: 0.9, least: MS }),
-            limit,
-            endpoint_limit,
-            survives,
-            breaker: (calls > 1).then_some(Breaker { share: breaker_share, calls, open: 50 * MS }),
-            route: Route { failures, lag: 4.0, out: 30 * MS, out_most, ramp: 100 * MS, servers: 1 },
+            idempotent,
+            retry: RetryPolicy { max_retries, budget_ratio, budget_burst, base_backoff },
+            hedge: (hedge && idempotent).then_some(HedgePolicy { quantile: 0.9, min_delay: MS }),
+            concurrency_limit,
+            endpoint_concurrency_limit,
+            capacity,
+            breaker: (window_calls > 1).then_some(BreakerConfig { failure_ratio, window_calls, open_time: 50 * MS }),
+            load_balancing: LoadBalancerConfig { consecutive_failures, latency_factor: 4.0, base_ejection_time: 30 * MS, max_ejected_share, recovery_ramp: 100 * MS, servers: 1 },
             fallbacks,
         }
     }
@@ -57,7 +57,7 @@
 type Drawn = (Vec<(usize, bool)>, Vec<(f64, u64, u64)>);
 
 /// Every plan calls some of the five dependencies, each once.
-fn plans() -> impl Strategy<Value = Vec<Plan>> {
+fn plans() -> impl Strategy<Value = Vec<PlanConfig>> {
     let call = (0usize..3, any::<bool>());
     let one = (
         prop::collection::vec(call, 5),
@@ -67,13 +67,18 @@
         let plan = |(number, (calls, times)): (usize, Drawn)| {
             let stage = |(which, (share, least, more)): (usize, (f64, u64, u64))| {
                 let here = calls.iter().enumerate().filter(|(_, (stage, _))| *stage == which);
-                let calls: Vec<Call> = here
-                    .map(|(d, (_, needed))| Call { dependency: format!("d{d}"), needed: *needed })
+                let calls: Vec<CallConfig> = here
+                    .map(|(d, (_, needed))| CallConfig { dependency: format!("d{d}"), required: *needed })
                     .collect();
-                (!calls.is_empty()).then_some(Stage { share, least, most: least + more, calls })
+                (!calls.is_empty()).then_some(StageConfig {
+                    weight: share,
+                    min_time: least,
+                    max_time: least + more,
+                    calls,
+                })
             };
             let stages = times.into_iter().enumerate().filter_map(stage).collect();
-            Plan { class: format!("c{number}"), stages }
+            PlanConfig { class: format!("c{number}"), stages }
         };
         all.into_iter().enumerate().map(plan).collect()
     })
@@ -84,7 +89,7 @@
     (dependencies, plans(), 0usize..6).prop_map(|((a, b, c, d, e), plans, entries)| Config {
         dependencies: vec![a, b, c, d, e],
         plans,
-        kept: FallbackCacheLimits { entries, bytes: 2_000 },
+        fallback_cache: FallbackCacheLimits { max_entries: entries, max_bytes: 2_000 },
     })
 }
 
--- a/crates/dependencies/tests/engine/world.rs
+++ b/crates/dependencies/tests/engine/world.rs
@@ -4,7 +4,7 @@
 
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::aggregation::{AggregateResponse, Part};
-use umberloom_dependencies::config::{Call, Config, Dependency, Plan, Stage};
+use umberloom_dependencies::config::{CallConfig, Config, DependencyConfig, PlanConfig, StageConfig};
 use umberloom_dependencies::{Action, AttemptId, Engine, PlanId, PlanRequest};
 
 pub const MS: Micros = 1_000;
@@ -61,19 +61,19 @@
     kept: BTreeMap<Subject, Vec<(Micros, Vec<u8>)>>,
 }
 
-pub fn call(dependency: &str, needed: bool) -> Call {
-    Call { dependency: dependency.to_owned(), needed }
+pub fn call(dependency: &str, needed: bool) -> CallConfig {
+    CallConfig { dependency: dependency.to_owned(), required: needed }
 }
 
-pub fn stage(calls: Vec<Call>) -> Stage {
-    Stage { share: 1.0, least: 0, most: 60_000 * MS, calls }
+pub fn stage(calls: Vec<CallConfig>) -> StageConfig {
+    StageConfig { weight: 1.0, min_time: 0, max_time: 60_000 * MS, calls }
 }
 
-pub fn plan(class: &str, stages: Vec<Stage>) -> Plan {
-    Plan { class: class.to_owned(), stages }
+pub fn plan(class: &str, stages: Vec<StageConfig>) -> PlanConfig {
+    PlanConfig { class: class.to_owned(), stages }
 }
 
-pub fn config(dependencies: Vec<Dependency>, plans: Vec<Plan>) -> Config {
+pub fn config(dependencies: Vec<DependencyConfig>, plans: Vec<PlanConfig>) -> Config {
     Config { dependencies, plans, ..Config::default() }
 }
 
@@ -109,7 +109,15 @@
         let until = self.now + time;
         // What is set aside for the run is tested by itself: here nothing is.
         let due = until + 1_000_000_000_000;
-        let ask = PlanRequest { plan: id, class, level, key, until, due, again };
+        let ask = PlanRequest {
+            plan: id,
+            class,
+            priority_level: level,
+            resource_key: key,
+            call_deadline: until,
+            request_deadline: due,
+            is_retry: again,
+        };
         let asked = Asked { class: class.to_owned(), key: key.map(String::from), until, ..Asked::default() };
         self.plans.insert(id, asked);
         let mut actions = Vec::new();
@@ -193,7 +201,7 @@
                 self.kept.entry(subject).or_default().push((self.now, body.clone()));
             }
         }
-        let repeatable = self.config.dependencies.iter().any(|d| d.name == call.dependency && d.repeatable);
+        let repeatable = self.config.dependencies.iter().any(|d| d.name == call.dependency && d.idempotent);
         if !outcome.never_ran() && !repeatable {
             plan.barred.push(call.dependency.clone());
         }
@@ -205,17 +213,17 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Start { attempt, plan, dependency, address, until } => {
+                Action::StartAttempt { attempt, plan, dependency, address, deadline: until } => {
                     let (dependency, address) = (dependency.to_string(), address.to_string());
                     self.start(Started { attempt, plan, dependency, address, until });
                 }
-                Action::Cancel(id) => {
+                Action::CancelAttempt(id) => {
                     let call = self.flying.remove(&id).expect("only what flies can be cancelled");
                     if let Some(plan) = self.plans.get_mut(&call.plan) {
                         plan.touched = true;
                     }
                 }
-                Action::Done { plan, outcome, envelope } => {
+                Action::FinishPlan { plan, outcome, response: envelope } => {
                     self.done(plan, Ended { at: self.now, outcome, envelope })
                 }
             }
@@ -232,9 +240,12 @@
         let there = |f: &&Started| f.dependency == call.dependency;
         let here = |f: &&Started| there(f) && f.address == call.address;
         if let Some(settings) = settings {
-            assert!(self.flying.values().filter(there).count() < settings.ceiling(), "over the ceiling");
+            assert!(
+                self.flying.values().filter(there).count() < settings.concurrency_ceiling(),
+                "over the ceiling"
+            );
             let at_endpoint = self.flying.values().filter(here).count();
-            assert!(at_endpoint < settings.endpoint_limit.most, "over the endpoint's limit");
+            assert!(at_endpoint < settings.endpoint_concurrency_limit.max, "over the endpoint's limit");
         }
         let (after, outcome) = (self.script)(&call);
         let at = self.now.saturating_add(after);
@@ -262,18 +273,18 @@
             assert_eq!(names, calls.clone().map(|c| c.dependency.as_str()).collect::<Vec<_>>());
         }
         for ((name, part), call) in parts.zip(calls) {
-            assert!(part.is_there() || !call.needed, "{name} is needed");
+            assert!(part.has_body() || !call.required, "{name} is needed");
             let reply = plan.replies.get(&**name);
             match part {
                 Part::Fresh(body) => assert_eq!(reply.map(Vec::as_slice), Some(&**body)),
-                Part::Kept(body, age) => {
+                Part::Cached(body, age) => {
                     assert_eq!(reply, None);
                     let key = plan.key.clone().expect("a key");
                     let kept = &self.kept[&(name.to_string(), plan.class.clone(), key)];
                     let found = kept.iter().rev().find(|(_, b)| b[..] == body[..]).expect("once given");
                     assert!(*age >= self.now.saturating_sub(found.0).min(*age) && found.0 + age <= self.now);
                 }
-                Part::Constant(_) | Part::LeftOut(_) => assert_eq!(reply, None, "{name} has a reply"),
+                Part::Constant(_) | Part::Missing(_) => assert_eq!(reply, None, "{name} has a reply"),
             }
         }
         plan.ended = Some(end);
@@ -285,9 +296,9 @@
     let Some(envelope) = &end.envelope else { return format!("{:?}", end.outcome) };
     let word = |part: &Part| match part {
         Part::Fresh(_) => "fresh".to_owned(),
-        Part::Kept(_, age) => format!("kept {}", age / MS),
+        Part::Cached(_, age) => format!("kept {}", age / MS),
         Part::Constant(_) => "constant".to_owned(),
-        Part::LeftOut(why) => format!("{why:?}"),
+        Part::Missing(why) => format!("{why:?}"),
     };
     let all: Vec<String> =
         envelope.parts.iter().map(|(name, part)| format!("{name}: {}", word(part))).collect();
--- a/crates/loadtest/src/emulate.rs
+++ b/crates/loadtest/src/emulate.rs
@@ -57,7 +57,15 @@
         let until = self.now + time;
         // Nothing is set aside for the run: that is the same for all variants.
         let due = until + 1_000_000 * MS;
-        let ask = PlanRequest { plan: self.next, class, level: 1, key: None, until, due, again: false };
+        let ask = PlanRequest {
+            plan: self.next,
+            class,
+            priority_level: 1,
+            resource_key: None,
+            call_deadline: until,
+            request_deadline: due,
+            is_retry: false,
+        };
         self.asked.insert(self.next, self.now);
         let mut actions = Vec::new();
         self.engine.start_plan(self.now, &ask, &mut actions);
@@ -95,15 +103,15 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Start { attempt, dependency, until, .. } => {
+                Action::StartAttempt { attempt, dependency, deadline: until, .. } => {
                     let (after, outcome) = (self.script)(self.now, &dependency, &mut self.random);
                     let at = self.now.saturating_add(after);
                     let (at, outcome) = if at > until { (until, Outcome::TimedOut) } else { (at, outcome) };
                     self.coming.insert((at, attempt));
                     self.outcomes.insert(attempt, outcome);
                 }
-                Action::Cancel(attempt) => drop(self.outcomes.remove(&attempt)),
-                Action::Done { plan, outcome, envelope } => {
+                Action::CancelAttempt(attempt) => drop(self.outcomes.remove(&attempt)),
+                Action::FinishPlan { plan, outcome, response: envelope } => {
                     let asked = self.asked.remove(&plan).unwrap_or(self.now);
                     let whole = envelope.is_some_and(|e| e.is_complete());
                     self.ended.push(Ended { asked, took: self.now - asked, outcome, whole });
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -5,7 +5,9 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 use umberloom::interface::{Micros, Outcome};
-use umberloom_dependencies::config::{Bounds, Breaker, Call, Config, Dependency, Plan, Retry, Stage};
+use umberloom_dependencies::config::{
+    BreakerConfig, CallConfig, Config, DependencyConfig, LimitBounds, PlanConfig, RetryPolicy, StageConfig,
+};
 
 use crate::emulate::{Emulation, MS};
 
@@ -76,31 +78,31 @@
             Way::Equal => (1.0, TIME / 3),
             Way::Shared => (1.0, TIME),
         };
-        Stage {
-            share,
-            least: 0,
-            most,
-            calls: vec![Call {
+        StageConfig {
+            weight: share,
+            min_time: 0,
+            max_time: most,
+            calls: vec![CallConfig {
                 dependency: (*name).to_owned(),
-                needed: if front { place > 0 } else { place < 2 },
+                required: if front { place > 0 } else { place < 2 },
             }],
         }
     };
     let stages = names.iter().enumerate().map(stage).collect();
-    let limit = Bounds { start: 64, least: 64, most: 64 };
-    let retry = Retry { most: 0, ..Retry::default() };
+    let limit = LimitBounds { initial: 64, min: 64, max: 64 };
+    let retry = RetryPolicy { max_retries: 0, ..RetryPolicy::default() };
     // Limits and breakers would answer the slow one as well: here only time is shared.
     let breaker = None;
-    let dependency = |name: &&str| Dependency {
+    let dependency = |name: &&str| DependencyConfig {
         retry,
         breaker,
-        limit,
-        endpoint_limit: limit,
-        ..Dependency::new(name, &["e"])
+        concurrency_limit: limit,
+        endpoint_concurrency_limit: limit,
+        ..DependencyConfig::new(name, &["e"])
     };
     let config = Config {
         dependencies: names.iter().map(dependency).collect(),
-        plans: vec![Plan { class: "c".to_owned(), stages }],
+        plans: vec![PlanConfig { class: "c".to_owned(), stages }],
         ..Config::default()
     };
     let usual = LogNormal::new(60_000_f64.ln(), 0.4).map_err(|e| e.to_string())?;
@@ -148,12 +150,12 @@
         "calls a second, down",
         "served again after",
     ]);
-    let unbounded = Retry { share: 1.0, burst: 1_000.0, ..Retry::default() };
+    let unbounded = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
     let ways = [
         ("two, without a budget", unbounded, "none", None),
-        ("out of a budget", Retry::default(), "none", None),
-        ("two, without a budget", unbounded, "yes", Some(Breaker::default())),
-        ("out of a budget", Retry::default(), "yes", Some(Breaker::default())),
+        ("out of a budget", RetryPolicy::default(), "none", None),
+        ("two, without a budget", unbounded, "yes", Some(BreakerConfig::default())),
+        ("out of a budget", RetryPolicy::default(), "yes", Some(BreakerConfig::default())),
     ];
     for (retries, retry, name, breaker) in ways {
         let mut all = Vec::new();
@@ -196,19 +198,19 @@
 
 /// 200 requests a second, Poisson. The dependency does 300 calls a second; from the end of the outage on it answers
 /// only as long as it was sent no more than that in the last second, as one that is brought up under a crowd.
-fn one_outage(retry: Retry, breaker: Option<Breaker>, seed: u64) -> Result<Outage, String> {
-    let limit = Bounds { start: 32, least: 4, most: 128 };
-    let dependency = Dependency {
-        repeatable: true,
+fn one_outage(retry: RetryPolicy, breaker: Option<BreakerConfig>, seed: u64) -> Result<Outage, String> {
+    let limit = LimitBounds { initial: 32, min: 4, max: 128 };
+    let dependency = DependencyConfig {
+        idempotent: true,
         retry,
         breaker,
-        limit,
-        endpoint_limit: limit,
-        ..Dependency::new("a", &["x", "y"])
+        concurrency_limit: limit,
+        endpoint_concurrency_limit: limit,
+        ..DependencyConfig::new("a", &["x", "y"])
     };
-    let calls = vec![Call { dependency: "a".to_owned(), needed: true }];
-    let stages = vec![Stage { share: 1.0, least: 0, most: 60_000 * MS, calls }];
-    let plans = vec![Plan { class: "c".to_owned(), stages }];
+    let calls = vec![CallConfig { dependency: "a".to_owned(), required: true }];
+    let stages = vec![StageConfig { weight: 1.0, min_time: 0, max_time: 60_000 * MS, calls }];
+    let plans = vec![PlanConfig { class: "c".to_owned(), stages }];
     let config = Config { dependencies: vec![dependency], plans, ..Config::default() };
     let mut last_second = std::collections::VecDeque::new();
     let script = Box::new(move |now: Micros, _: &str, random: &mut rand_chacha::ChaCha8Rng| {
--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -4,8 +4,8 @@
 
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::{
-    At, Bounds, Breaker, Call, Config, Dependency, Fallback, FallbackCacheLimits, Hedge, Plan, Retry, Route,
-    Stage,
+    BreakerConfig, CallConfig, Config, ConfigLocation, DependencyConfig, Fallback, FallbackCacheLimits,
+    HedgePolicy, LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, StageConfig,
 };
 
 use crate::node::{list, show, Reader};
@@ -30,15 +30,15 @@
 }
 
 impl Places {
-    fn of(&self, at: At) -> usize {
+    fn of(&self, at: ConfigLocation) -> usize {
         let plan = |p: usize| self.plans.get(p);
         let stage = |p: usize, s: usize| plan(p).and_then(|(_, stages)| stages.get(s));
         let found = match at {
-            At::Kept => Some(self.kept),
-            At::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
-            At::Plan(p) => plan(p).map(|(at, _)| *at),
-            At::Stage(p, s) => stage(p, s).map(|(at, _)| *at),
-            At::Call(p, s, c) => stage(p, s).and_then(|(_, calls)| calls.get(c).copied()),
+            ConfigLocation::FallbackCache => Some(self.kept),
+            ConfigLocation::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
+            ConfigLocation::Plan(p) => plan(p).map(|(at, _)| *at),
+            ConfigLocation::Stage(p, s) => stage(p, s).map(|(at, _)| *at),
+            ConfigLocation::Call(p, s, c) => stage(p, s).and_then(|(_, calls)| calls.get(c).copied()),
         };
         found.unwrap_or(0)
     }
@@ -48,7 +48,7 @@
     let (mut places, mut config, mut services) = (Places::default(), Config::default(), Vec::new());
     if let Some(node) = reader.one(Some(document), "kept") {
         places.kept = node.span().offset();
-        config.kept = kept(reader, node);
+        config.fallback_cache = kept(reader, node);
     }
     for node in document.nodes() {
         match node.name().value() {
@@ -67,7 +67,7 @@
         }
     }
     for mistake in config.validate() {
-        reader.fault(places.of(mistake.at), mistake.what);
+        reader.fault(places.of(mistake.location), mistake.reason);
     }
     Operator { dependencies: config, services, fleet: None }
 }
@@ -76,13 +76,13 @@
     let unless_set = FallbackCacheLimits::default();
     reader.leaf(node);
     let mut from = reader.properties(node);
-    let entries = from.whole("entries", unless_set.entries as u64, (0, 1 << 20)) as usize;
-    let bytes = from.whole("kb", unless_set.bytes as u64 / 1_024, (0, 1 << 20)) as usize * 1_024;
+    let entries = from.whole("entries", unless_set.max_entries as u64, (0, 1 << 20)) as usize;
+    let bytes = from.whole("kb", unless_set.max_bytes as u64 / 1_024, (0, 1 << 20)) as usize * 1_024;
     from.done();
-    FallbackCacheLimits { entries, bytes }
+    FallbackCacheLimits { max_entries: entries, max_bytes: bytes }
 }
 
-fn dependency(reader: &mut Reader, node: &KdlNode) -> (Dependency, Service) {
+fn dependency(reader: &mut Reader, node: &KdlNode) -> (DependencyConfig, Service) {
     let name = reader.text(node, "a name").unwrap_or_default();
     reader.properties(node).with_arguments().done();
     let within = node.children();
@@ -105,14 +105,14 @@
     if let Some(within) = within {
         reader.only(within, &names);
     }
-    let mut found = Dependency::new(&name, &[]);
+    let mut found = DependencyConfig::new(&name, &[]);
     let (addresses, path) = reached(reader, node, within);
     found.endpoints = addresses.iter().map(SocketAddr::to_string).collect();
     if reader.one(within, "platform").is_some() {
         found.endpoints = vec![PLATFORM.to_owned()];
     }
     if let Some(node) = reader.one(within, "safe-to-repeat") {
-        found.repeatable = true;
+        found.idempotent = true;
         reader.leaf(node);
         reader.texts(node, 0);
         reader.properties(node).done();
@@ -122,21 +122,23 @@
     }
     if let Some(node) = reader.one(within, "hedge") {
         let mut from = reader.properties(node);
-        found.hedge =
-            Some(Hedge { quantile: from.number("quantile", 0.95), least: from.millis("least-ms", 1_000) });
+        found.hedge = Some(HedgePolicy {
+            quantile: from.number("quantile", 0.95),
+            min_delay: from.millis("least-ms", 1_000),
+        });
         from.done();
     }
     if let Some(node) = reader.one(within, "limit") {
-        found.limit = bounds(reader, node, found.limit);
+        found.concurrency_limit = bounds(reader, node, found.concurrency_limit);
     }
     if let Some(node) = reader.one(within, "endpoint-limit") {
-        found.endpoint_limit = bounds(reader, node, found.endpoint_limit);
+        found.endpoint_concurrency_limit = bounds(reader, node, found.endpoint_concurrency_limit);
     }
     if let Some(node) = reader.one(within, "survives") {
         let mut from = reader.properties(node);
         let calls = from.required("calls");
         let servers = from.whole("servers", 1, (1, 1_000_000)) as u32;
-        found.survives = Some((calls, servers));
+        found.capacity = Some((calls, servers));
         from.done();
     }
     if let Some(node) = reader.one(within, "breaker") {
@@ -144,7 +146,7 @@
     }
     if let Some(node) = reader.one(within, "no-breaker") {
         reader.leaf(node);
-        if found.breaker != Dependency::new("", &[]).breaker {
+        if found.breaker != DependencyConfig::new("", &[]).breaker {
             reader.fault(
                 node.span().offset(),
                 "found \"no-breaker\" with a breaker, expected one or the other",
@@ -153,7 +155,7 @@
         found.breaker = None;
     }
     if let Some(node) = reader.one(within, "route") {
-        found.route = route(reader, node);
+        found.load_balancing = route(reader, node);
     }
     if let Some(node) = reader.one(within, "fallback") {
         found.fallbacks = fallbacks(reader, node);
@@ -232,53 +234,54 @@
     Some(Ajp { secret, packet })
 }
 
-fn retry(reader: &mut Reader, node: &KdlNode) -> Retry {
-    let unless_set = Retry::default();
+fn retry(reader: &mut Reader, node: &KdlNode) -> RetryPolicy {
+    let unless_set = RetryPolicy::default();
     reader.leaf(node);
     let mut from = reader.properties(node);
-    let found = Retry {
-        most: from.whole("most", unless_set.most.into(), (0, 10)) as u32,
-        share: from.number("share", unless_set.share),
-        burst: from.number("burst", unless_set.burst),
-        back_off: from.millis("back-off-ms", unless_set.back_off),
+    let found = RetryPolicy {
+        max_retries: from.whole("most", unless_set.max_retries.into(), (0, 10)) as u32,
+        budget_ratio: from.number("share", unless_set.budget_ratio),
+        budget_burst: from.number("burst", unless_set.budget_burst),
+        base_backoff: from.millis("back-off-ms", unless_set.base_backoff),
     };
     from.done();
     found
 }
 
-fn bounds(reader: &mut Reader, node: &KdlNode, unless_set: Bounds) -> Bounds {
+fn bounds(reader: &mut Reader, node: &KdlNode, unless_set: LimitBounds) -> LimitBounds {
     reader.leaf(node);
     let mut from = reader.properties(node);
     let mut take = |name, unless_set: usize| from.whole(name, unless_set as u64, (1, 65_536)) as usize;
-    let (least, most) = (take("least", unless_set.least), take("most", unless_set.most));
-    let start = take("start", unless_set.start.clamp(least, most.max(least)));
+    let (least, most) = (take("least", unless_set.min), take("most", unless_set.max));
+    let start = take("start", unless_set.initial.clamp(least, most.max(least)));
     from.done();
-    Bounds { start, least, most }
+    LimitBounds { initial: start, min: least, max: most }
 }
 
-fn breaker(reader: &mut Reader, node: &KdlNode) -> Breaker {
-    let unless_set = Breaker::default();
+fn breaker(reader: &mut Reader, node: &KdlNode) -> BreakerConfig {
+    let unless_set = BreakerConfig::default();
     reader.leaf(node);
     let mut from = reader.properties(node);
-    let found = Breaker {
-        share: from.number("share", unless_set.share),
-        calls: from.whole("calls", unless_set.calls.into(), (1, 1_000)) as u32,
-        open: from.millis("open-ms", unless_set.open),
+    let found = BreakerConfig {
+        failure_ratio: from.number("share", unless_set.failure_ratio),
+        window_calls: from.whole("calls", unless_set.window_calls.into(), (1, 1_000)) as u32,
+        open_time: from.millis("open-ms", unless_set.open_time),
     };
     from.done();
     found
 }
 
-fn route(reader: &mut Reader, node: &KdlNode) -> Route {
-    let unless_set = Route::default();
+fn route(reader: &mut Reader, node: &KdlNode) -> LoadBalancerConfig {
+    let unless_set = LoadBalancerConfig::default();
     reader.leaf(node);
     let mut from = reader.properties(node);
-    let found = Route {
-        failures: from.whole("failures", unless_set.failures.into(), (1, 1_000)) as u32,
-        lag: from.number("lag", unless_set.lag),
-        out: from.millis("out-ms", unless_set.out),
-        out_most: from.number("out-most", unless_set.out_most),
-        ramp: from.millis("ramp-ms", unless_set.ramp),
+    let found = LoadBalancerConfig {
+        consecutive_failures: from.whole("failures", unless_set.consecutive_failures.into(), (1, 1_000))
+            as u32,
+        latency_factor: from.number("lag", unless_set.latency_factor),
+        base_ejection_time: from.millis("out-ms", unless_set.base_ejection_time),
+        max_ejected_share: from.number("out-most", unless_set.max_ejected_share),
+        recovery_ramp: from.millis("ramp-ms", unless_set.recovery_ramp),
         servers: unless_set.servers,
     };
     from.done();
@@ -297,7 +300,7 @@
                 from.required("max-age-ms");
                 let oldest = from.whole("max-age-ms", 0, (0, 86_400_000));
                 from.done();
-                found.push(Fallback::Kept(oldest * 1_000));
+                found.push(Fallback::Cached(oldest * 1_000));
             }
             "constant" => {
                 let text = reader.text(node, "a text").unwrap_or_default();
@@ -306,7 +309,7 @@
             }
             "left-out" => {
                 reader.texts(node, 0);
-                found.push(Fallback::LeftOut);
+                found.push(Fallback::Omit);
             }
             _ => {}
         }
@@ -314,7 +317,7 @@
     found
 }
 
-fn plan(reader: &mut Reader, node: &KdlNode, classes: Option<&[String]>) -> (Plan, StagePlaces) {
+fn plan(reader: &mut Reader, node: &KdlNode, classes: Option<&[String]>) -> (PlanConfig, StagePlaces) {
     let class = reader.text(node, "a class").unwrap_or_default();
     reader.properties(node).with_arguments().done();
     if let Some(known) = classes.filter(|known| !known.contains(&class)) {
@@ -331,10 +334,10 @@
             places.push((node.span().offset(), calls));
         }
     }
-    (Plan { class, stages }, places)
+    (PlanConfig { class, stages }, places)
 }
 
-fn stage(reader: &mut Reader, node: &KdlNode) -> (Stage, Vec<usize>) {
+fn stage(reader: &mut Reader, node: &KdlNode) -> (StageConfig, Vec<usize>) {
     reader.texts(node, 0);
     let mut from = reader.properties(node);
     let share = from.number("share", 1.0);
@@ -351,10 +354,10 @@
             reader.leaf(node);
             reader.properties(node).with_arguments().done();
             for dependency in reader.texts(node, ENDPOINTS) {
-                calls.push(Call { dependency, needed });
+                calls.push(CallConfig { dependency, required: needed });
                 places.push(node.span().offset());
             }
         }
     }
-    (Stage { share, least, most, calls }, places)
+    (StageConfig { weight: share, min_time: least, max_time: most, calls }, places)
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use umberloom_dependencies::config::{Fallback, Hedge};
+use umberloom_dependencies::config::{Fallback, HedgePolicy};
 
 fn faults(text: &str) -> Vec<String> {
     let classes = ["book-room".to_owned(), "desk-search".to_owned()];
@@ -33,7 +33,10 @@
     assert_eq!(fleet.addresses[1], "127.0.0.1:7403".parse().expect("an address"));
     assert_eq!(fleet.shared, [("billing".to_owned(), 40)]);
     assert_eq!((fleet.membership.timing.probe, fleet.loans.call), (250_000, 800_000));
-    assert_eq!((fleet.allowance(40).part(), operator.dependencies.dependencies[1].ceiling()), (14, 10));
+    assert_eq!(
+        (fleet.allowance(40).part(), operator.dependencies.dependencies[1].concurrency_ceiling()),
+        (14, 10)
+    );
     // The server's own name among its peers is known only with the configuration.
     let mine = Known { classes: None, name: Some("n2") };
     let faults = parse_known("f", FLEET, mine).expect_err("its own name").to_string();
@@ -113,15 +116,18 @@
         (&[PLATFORM.into()][..], RECORDS)
     );
     assert!(operator.services[0].is_platform() && !operator.services[1].is_platform());
-    assert_eq!((billing.repeatable, billing.ceiling()), (false, 10));
+    assert_eq!((billing.idempotent, billing.concurrency_ceiling()), (false, 10));
     assert_eq!(equipment.endpoints.len(), 3);
-    assert_eq!(equipment.hedge, Some(Hedge { quantile: 0.95, least: 5_000 }));
-    assert_eq!(equipment.fallbacks, [Fallback::Kept(30_000_000), Fallback::LeftOut]);
+    assert_eq!(equipment.hedge, Some(HedgePolicy { quantile: 0.95, min_delay: 5_000 }));
+    assert_eq!(equipment.fallbacks, [Fallback::Cached(30_000_000), Fallback::Omit]);
     assert_eq!(notes.fallbacks, [Fallback::Constant(b"{}".to_vec())]);
     let plan = &operator.dependencies.plans[0];
     assert_eq!((plan.class.as_str(), plan.stages.len()), ("book-room", 2));
-    assert_eq!((plan.stages[0].share, plan.stages[0].least, plan.stages[1].most), (3.0, 20_000, 200_000));
-    assert!(plan.stages[0].calls.iter().all(|c| c.needed) && !plan.stages[1].calls[0].needed);
+    assert_eq!(
+        (plan.stages[0].weight, plan.stages[0].min_time, plan.stages[1].max_time),
+        (3.0, 20_000, 200_000)
+    );
+    assert!(plan.stages[0].calls.iter().all(|c| c.required) && !plan.stages[1].calls[0].required);
 }
 
 const RECORDS: &str = "/records/op";
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -100,7 +100,8 @@
 pub fn load_operator(path: &Path, config: Option<&Config>) -> Result<Operator, String> {
     let operator = umberloom_operator_config::load(path, known(config)).map_err(|e| e.to_string())?;
     let Some(config) = config else { return Ok(operator) };
-    let (asked, most) = (operator.dependencies.kept.bytes, config.limits.memory / PEERS_SHARE / KEPT_PART);
+    let (asked, most) =
+        (operator.dependencies.fallback_cache.max_bytes, config.limits.memory / PEERS_SHARE / KEPT_PART);
     let name = path.display();
     if asked > most {
         let (asked, most) = (asked >> 10, most >> 10);
@@ -278,9 +279,9 @@
         let mut operator = operator;
         for dependency in &mut operator.dependencies.dependencies {
             // The others route to the same endpoints and see them fail and come back when this one does.
-            dependency.route.servers = self.config.settings.servers;
+            dependency.load_balancing.servers = self.config.settings.servers;
         }
-        let bytes = operator.dependencies.kept.bytes;
+        let bytes = operator.dependencies.fallback_cache.max_bytes;
         let charge =
             self.budget.take(bytes).ok_or_else(|| format!("no memory for {bytes} bytes of kept results"))?;
         let mut before = std::mem::take(&mut self.dependencies);
--- a/crates/server/src/peers/front.rs
+++ b/crates/server/src/peers/front.rs
@@ -50,11 +50,11 @@
         ConnectionState {
             id,
             listener: 0,
-            open: self.activity.open.get(),
-            asked: self.activity.asked.get(),
-            last: self.activity.last.get(),
-            told: self.told.get(),
-            at_door: self.at_door,
+            requests_in_flight: self.activity.open.get(),
+            has_sent_request: self.activity.asked.get(),
+            last_active: self.activity.last.get(),
+            close_requested_at: self.told.get(),
+            in_overflow: self.at_door,
         }
     }
 }
@@ -99,7 +99,7 @@
         orders: Receiver<Order>,
         idle: Micros,
     ) -> Front<'a> {
-        let over = async_channel::bounded(places.all().max(1));
+        let over = async_channel::bounded(places.total_capacity().max(1));
         let log = shared.log.clone();
         Front {
             executor,
@@ -171,7 +171,8 @@
     }
 
     fn place_is_coming(&self) -> bool {
-        self.all.len() >= self.places.table() && self.places.is_coming(self.shared.clock.now(), &self.seen())
+        self.all.len() >= self.places.capacity()
+            && self.places.should_pause_accept(self.shared.clock.now(), &self.seen())
     }
 
     async fn accept(&self, listener: &Async<TcpListener>) -> Next {
@@ -201,11 +202,11 @@
         let Some((connection, words)) = Connection::new(stream, self.shared.clone(), activity.clone()) else {
             return;
         };
-        if lot == Admission::Closed {
+        if lot == Admission::Close {
             // With nothing run: its caller learns at once that it is to go elsewhere.
             return connection.turn_away_now().await;
         }
-        let at_door = lot == Admission::TurnedAway;
+        let at_door = lot == Admission::RejectRequests;
         let connection = if at_door { connection.turned_away(AT_DOOR) } else { connection };
         self.next += 1;
         let (number, over) = (self.next, self.over.0.clone());
@@ -215,22 +216,22 @@
             let _ = over.send(number).await;
         };
         self.executor.spawn(served).detach();
-        if self.all.len() >= self.places.table() {
+        if self.all.len() >= self.places.capacity() {
             self.close_idle();
         }
     }
 
     /// Where a new connection finds its place.
     fn lot(&mut self) -> Admission {
-        if self.all.len() < self.places.table() {
-            return Admission::Served;
+        if self.all.len() < self.places.capacity() {
+            return Admission::Accepted;
         }
         let now = self.shared.clock.now();
         let (lot, closed) = self.places.admit(now, 0, &self.seen());
         if let Some(entry) = closed.and_then(|id| self.all.get(&id)) {
             entry.close_if_idle(now);
         }
-        if lot != Admission::Served {
+        if lot != Admission::Accepted {
             self.tell_full();
         }
         lot
@@ -241,7 +242,7 @@
             let busy = self.all.values().filter(|entry| entry.activity.open.get() > 0).count();
             let at_door = self.all.values().filter(|entry| entry.at_door).count();
             warn!(self.log, "no place for a connection"; "not_told" => more, "at_door" => at_door,
-                "busy" => busy, "places" => self.places.table());
+                "busy" => busy, "places" => self.places.capacity());
         }
     }
 
@@ -253,7 +254,7 @@
 
     fn close_idle(&self) {
         let now = self.shared.clock.now();
-        for id in self.places.to_close(now, &[self.idle], &self.seen()) {
+        for id in self.places.idle_connections_to_close(now, &[self.idle], &self.seen()) {
             if let Some(entry) = self.all.get(&id) {
                 entry.close_if_idle(now);
             }
--- a/crates/server/src/peers/front/tests.rs
+++ b/crates/server/src/peers/front/tests.rs
@@ -97,7 +97,7 @@
         tenants: Rc::new(vec![]),
         hint: Rc::default(),
         shape: Shape { passes_deadline: true, marks_retry: false },
-        connections: places.table(),
+        connections: places.capacity(),
         serial: Rc::default(),
         budget: Budget::new(1 << 24),
         clock: Default::default(),
--- a/crates/server/src/peers/list.rs
+++ b/crates/server/src/peers/list.rs
@@ -95,7 +95,7 @@
         if self.unheard == 0 {
             self.given_up = None;
         }
-        Duration::from_micros(self.pace.next_try(TRIES, LONGEST))
+        Duration::from_micros(self.pace.next_delay(TRIES, LONGEST))
     }
 
     fn heed(&mut self, word: Word) {
--- a/crates/server/src/plans.rs
+++ b/crates/server/src/plans.rs
@@ -8,7 +8,7 @@
 use slog::{info, warn, Logger};
 use umberloom::interface::{Micros, Outcome, RequestId};
 use umberloom_dependencies::{
-    breaker, load_balancer, Action, AttemptId, Engine, PlanId, PlanRequest, ServiceView,
+    breaker, load_balancer, Action, AttemptId, DependencyStatus, Engine, PlanId, PlanRequest,
 };
 
 use crate::exchange::calls::{Call, CallId, Order, Wanted};
@@ -55,7 +55,7 @@
     done: Vec<Done>,
     next: PlanId,
     watch_at: Micros,
-    seen: Vec<ServiceView>,
+    seen: Vec<DependencyStatus>,
     log: Logger,
 }
 
@@ -113,11 +113,11 @@
         let ask = PlanRequest {
             plan,
             class: &open.work.class,
-            level: (open.work.rank * levels as f64) as u16,
-            key: open.work.key.as_deref(),
-            until,
-            due: open.due,
-            again: open.planned,
+            priority_level: (open.work.rank * levels as f64) as u16,
+            resource_key: open.work.key.as_deref(),
+            call_deadline: until,
+            request_deadline: open.due,
+            is_retry: open.planned,
         };
         let mut actions = Vec::new();
         self.engine.start_plan(now, &ask, &mut actions);
@@ -203,7 +203,7 @@
         let mut actions = std::collections::VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Start { attempt, plan, dependency, address, until } => {
+                Action::StartAttempt { attempt, plan, dependency, address, deadline: until } => {
                     let span = until.saturating_sub(now);
                     let placed = self.shares.take(&dependency, attempt, span);
                     let started = placed
@@ -221,7 +221,7 @@
                         actions.extend(more);
                     }
                 }
-                Action::Cancel(attempt) => {
+                Action::CancelAttempt(attempt) => {
                     // It may go on there until the time that it stated has run out.
                     self.shares.end(attempt, false);
                     if let Some((call, to)) = self.attempts.remove(&attempt) {
@@ -229,7 +229,7 @@
                         let _ = to.try_send(Order::GiveUp(call));
                     }
                 }
-                Action::Done { plan, outcome, envelope } => {
+                Action::FinishPlan { plan, outcome, response: envelope } => {
                     let Some(over) = self.plans.remove(&plan) else { continue };
                     self.by_request.remove(&over.id);
                     let reply = envelope.map(|e| e.encode()).unwrap_or_default();
@@ -263,20 +263,22 @@
 
     /// Tells what has been left out or has come back since the last look.
     fn watch(&mut self, now: Micros) {
-        let views = self.engine.explain(now);
+        let views = self.engine.status(now);
         for view in &views {
             let before = self.seen.iter().find(|seen| seen.name == view.name);
-            let closed = |v: &ServiceView| v.breaker == breaker::State::Closed;
+            let closed = |v: &DependencyStatus| v.breaker == breaker::BreakerState::Closed;
             if before.is_some_and(|b| closed(b) != closed(view)) {
                 info!(self.log, "dependency"; "name" => &*view.name, "called" => closed(view),
-                    "budget" => view.budget, "limit" => view.limit.value, "moved_by" => ?view.limit.moved.0);
+                    "budget" => view.retry_budget, "limit" => view.limit.value, "moved_by" => ?view.limit.last_change.0);
             }
             for endpoint in &view.endpoints {
-                let is_in = |e: &load_balancer::EndpointView| matches!(e.state, load_balancer::State::In(_));
+                let is_in = |e: &load_balancer::EndpointStatus| {
+                    matches!(e.state, load_balancer::EndpointState::Active(_))
+                };
                 let was = before.and_then(|b| b.endpoints.iter().find(|e| e.address == endpoint.address));
                 if was.is_some_and(|was| is_in(was) != is_in(endpoint)) {
                     info!(self.log, "endpoint"; "of" => &*view.name, "address" => &*endpoint.address,
-                        "in_use" => is_in(endpoint), "why" => ?endpoint.out);
+                        "in_use" => is_in(endpoint), "why" => ?endpoint.last_ejection);
                 }
             }
         }
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/shares.rs
@@ -117,7 +117,7 @@
         let Some(allowance) = self.all.get_mut(dependency) else { return usize::MAX };
         allowance.set_fenced(now, *silenced);
         allowance.set_reachable(now, reached.clone(), *differ, *all);
-        allowance.set_demand(demand.waiting as u32, demand.level);
+        allowance.set_demand(demand.queued as u32, demand.max_priority_level);
         allowance.handle_timeout(now);
         let free = allowance.available(now) as usize;
         for (to, message) in allowance.take_messages() {
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -17,9 +17,9 @@
     let envelope = AggregateResponse::decode(&body).expect("an envelope");
     let word = |part: &Part| match part {
         Part::Fresh(body) => String::from_utf8_lossy(body).into_owned(),
-        Part::Kept(body, _) => format!("kept {}", String::from_utf8_lossy(body)),
+        Part::Cached(body, _) => format!("kept {}", String::from_utf8_lossy(body)),
         Part::Constant(body) => format!("constant {}", String::from_utf8_lossy(body)),
-        Part::LeftOut(why) => format!("{why:?}"),
+        Part::Missing(why) => format!("{why:?}"),
     };
     let all: Vec<String> =
         envelope.parts.iter().map(|(name, part)| format!("{name}: {}", word(part))).collect();
@@ -94,16 +94,16 @@
     let before = world.memory_kb();
     let cases = [
         (Behaviour::quick(b"notes"), "notes"),
-        (Behaviour::Hang, "OutOfTime"),
-        (Behaviour::Reset, "Cut"),
+        (Behaviour::Hang, "DeadlineExceeded"),
+        (Behaviour::Reset, "ConnectionLost"),
         (Behaviour::failing(), "Failed"),
         (Behaviour::turning_away(), "Refused"),
-        (Behaviour::Drip { body: vec![b'x'; 100], every_ms: 20 }, "OutOfTime"),
-        (Behaviour::Lie { body: b"short".to_vec(), by: 5 }, "Cut"),
-        (Behaviour::Endless, "Cut"),
-        (Behaviour::Status { line: "200 OK", headers: "Content-Length: 7\r\n" }, "Cut"),
-        (Behaviour::Status { line: "nonsense", headers: "" }, "Cut"),
-        (Behaviour::Answer { body: b"late".to_vec(), median_ms: 600.0, sigma: 0.01 }, "OutOfTime"),
+        (Behaviour::Drip { body: vec![b'x'; 100], every_ms: 20 }, "DeadlineExceeded"),
+        (Behaviour::Lie { body: b"short".to_vec(), by: 5 }, "ConnectionLost"),
+        (Behaviour::Endless, "ConnectionLost"),
+        (Behaviour::Status { line: "200 OK", headers: "Content-Length: 7\r\n" }, "ConnectionLost"),
+        (Behaviour::Status { line: "nonsense", headers: "" }, "ConnectionLost"),
+        (Behaviour::Answer { body: b"late".to_vec(), median_ms: 600.0, sigma: 0.01 }, "DeadlineExceeded"),
     ];
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
         extra.behave(behaviour.clone());
@@ -250,10 +250,10 @@
         (AjpBehaviour::Answer(200, b"notes".to_vec()), "notes"),
         (AjpBehaviour::Answer(500, vec![]), "Failed"),
         (AjpBehaviour::NotBegun(503), "Refused"),
-        (AjpBehaviour::Hang, "OutOfTime"),
-        (AjpBehaviour::Cut, "Cut"),
-        (AjpBehaviour::Noise, "Cut"),
-        (AjpBehaviour::Answer(200, vec![b'x'; 70_000]), "Cut"),
+        (AjpBehaviour::Hang, "DeadlineExceeded"),
+        (AjpBehaviour::Cut, "ConnectionLost"),
+        (AjpBehaviour::Noise, "ConnectionLost"),
+        (AjpBehaviour::Answer(200, vec![b'x'; 70_000]), "ConnectionLost"),
         (AjpBehaviour::Answer(200, b"again".to_vec()), "again"),
     ];
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
