--- a/crates/server/src/admin_client.rs
+++ b/crates/server/src/admin_client.rs
@@ -14,7 +14,10 @@
 use umberloom_operator_config::Fleet;
 
 use crate::lifecycle::load_operator;
-use crate::wire::fleet::{frame, head, Answer, FleetView, FrameKind, Question, QuestionKind, Reply, HEAD};
+use crate::wire::fleet::{
+    encode_frame, parse_header, FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView,
+    FrameKind, HEADER_BYTES,
+};
 
 /// How long an answer may take.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -84,8 +87,8 @@
         operator.fleet.ok_or_else(|| format!("{file}: found no fleet, expected the node \"fleet\""))?;
     let at = options.at.unwrap_or(fleet.listen);
     let what = match &options.about {
-        About::Members => QuestionKind::Members,
-        About::Explain(name) => QuestionKind::Explain(name.clone()),
+        About::Members => FleetRequestKind::Members,
+        About::Explain(name) => FleetRequestKind::Explain(name.clone()),
         About::Record(about) => {
             let text = record::run(&fleet, at, about, options.json)?;
             let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
@@ -95,12 +98,12 @@
     let reply = question(&fleet, at, what)?;
     let json = |value: Result<String, serde_json::Error>| value.map_err(|e| e.to_string());
     let text = match &reply {
-        Reply::Members(view) if options.json => json(serde_json::to_string_pretty(view))?,
-        Reply::Explain(evidence) if options.json => json(serde_json::to_string_pretty(evidence))?,
-        Reply::Members(view) => table(view),
-        Reply::Explain(evidence) => reasons(evidence),
-        Reply::Record(_) => return Err(format!("{at}: an answer to something else")),
-        Reply::Unknown(names) => {
+        FleetReply::Members(view) if options.json => json(serde_json::to_string_pretty(view))?,
+        FleetReply::Explain(evidence) if options.json => json(serde_json::to_string_pretty(evidence))?,
+        FleetReply::Members(view) => table(view),
+        FleetReply::Explain(evidence) => reasons(evidence),
+        FleetReply::Store(_) => return Err(format!("{at}: an answer to something else")),
+        FleetReply::UnknownMember(names) => {
             return Err(format!("{at} knows no such member, it knows: {}", names.join(", ")));
         }
     };
@@ -109,7 +112,7 @@
     Ok(())
 }
 
-fn question(fleet: &Fleet, at: SocketAddr, what: QuestionKind) -> Result<Reply, String> {
+fn question(fleet: &Fleet, at: SocketAddr, what: FleetRequestKind) -> Result<FleetReply, String> {
     let key = Key::new(&fleet.membership.fleet, &fleet.membership.secret);
     let fail = |e: std::io::Error| format!("{at}: {e}; is it the fleet's address of a server that runs?");
     let mut stream = TcpStream::connect_timeout(&at, PATIENCE).map_err(fail)?;
@@ -117,19 +120,19 @@
     stream.set_write_timeout(Some(PATIENCE)).map_err(fail)?;
     // Drawn by the time: it only has to differ from that of an answer to someone else.
     let number = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64);
-    let sealed = key.seal(&Question { number, what });
-    stream.write_all(&frame(FrameKind::Question, &sealed)).map_err(fail)?;
+    let sealed = key.seal(&FleetRequest { number, kind: what });
+    stream.write_all(&encode_frame(FrameKind::Request, &sealed)).map_err(fail)?;
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
-        let mut start = [0; HEAD];
+        let mut start = [0; HEADER_BYTES];
         stream.read_exact(&mut start).map_err(|e| {
             format!("{at}: no answer ({e}); a server of another fleet, or with another secret, gives none")
         })?;
-        let (kind, length) = head(start).ok_or_else(|| format!("{at}: what it says is no frame"))?;
+        let (kind, length) = parse_header(start).ok_or_else(|| format!("{at}: what it says is no frame"))?;
         let mut content = vec![0; length];
         stream.read_exact(&mut content).map_err(fail)?;
-        match key.open::<Answer>(&content, content.len()) {
-            Ok(answer) if kind == FrameKind::Answer && answer.number == number => return Ok(answer.reply),
+        match key.open::<FleetResponse>(&content, content.len()) {
+            Ok(answer) if kind == FrameKind::Response && answer.number == number => return Ok(answer.reply),
             Ok(_) => {}
             Err(why) => return Err(format!("{at}: an answer that can't be believed ({why:?})")),
         }
--- a/crates/server/src/admin_client/record.rs
+++ b/crates/server/src/admin_client/record.rs
@@ -13,8 +13,8 @@
 use umberloom_replicated_store::{Export, Outcome, ReplicaStatus};
 
 use super::{age, columns, question};
-use crate::wire::fleet::{QuestionKind, Reply};
-use crate::wire::record::{StoreAnswer, StoreQuestion};
+use crate::wire::fleet::{FleetReply, FleetRequestKind};
+use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 
 /// QuestionKind is asked of the record.
 #[derive(Clone, Debug)]
@@ -85,10 +85,10 @@
     construct!([status, show, history, put, remove, note, promote, demote, adopt, export, verify])
 }
 
-fn ask(fleet: &Fleet, at: SocketAddr, asked: StoreQuestion) -> Result<StoreAnswer, String> {
-    match question(fleet, at, QuestionKind::Record(asked))? {
-        Reply::Record(StoreAnswer::Refused(why)) => Err(format!("{at}: {why}")),
-        Reply::Record(told) => Ok(told),
+fn ask(fleet: &Fleet, at: SocketAddr, asked: StoreRequest) -> Result<StoreResponse, String> {
+    match question(fleet, at, FleetRequestKind::Store(asked))? {
+        FleetReply::Store(StoreResponse::Rejected(why)) => Err(format!("{at}: {why}")),
+        FleetReply::Store(told) => Ok(told),
         _ => Err(format!("{at}: an answer to something else")),
     }
 }
@@ -107,14 +107,14 @@
 pub fn run(fleet: &Fleet, at: SocketAddr, about: &About, as_json: bool) -> Result<String, String> {
     let text = |value: serde_json::Value| serde_json::to_string_pretty(&value).map_err(|e| e.to_string());
     match about {
-        About::Status => match ask(fleet, at, StoreQuestion::Status)? {
-            StoreAnswer::Status(standing) if as_json => text(json!(standing)),
-            StoreAnswer::Status(standing) => Ok(status(&standing)),
+        About::Status => match ask(fleet, at, StoreRequest::Status)? {
+            StoreResponse::Status(standing) if as_json => text(json!(standing)),
+            StoreResponse::Status(standing) => Ok(status(&standing)),
             _ => Err(odd(at)),
         },
-        About::History(most) => match ask(fleet, at, StoreQuestion::History(*most))? {
-            StoreAnswer::History(lines) if as_json => text(json!(lines)),
-            StoreAnswer::History(lines) => Ok(history(&lines)),
+        About::History(most) => match ask(fleet, at, StoreRequest::History(*most))? {
+            StoreResponse::History(lines) if as_json => text(json!(lines)),
+            StoreResponse::History(lines) => Ok(history(&lines)),
             _ => Err(odd(at)),
         },
         About::Show { name, local, out } => {
@@ -149,11 +149,11 @@
         }
         About::Note(note) => write(fleet, at, vec![Entry::Note(note.clone())], as_json),
         About::Hand(name, votes) => {
-            ask(fleet, at, StoreQuestion::Hand(name.clone(), *votes))?;
+            ask(fleet, at, StoreRequest::SetVoter(name.clone(), *votes))?;
             Ok(format!("the leader was asked to let {name} {}", if *votes { "vote" } else { "learn" }))
         }
         About::Adopt => {
-            ask(fleet, at, StoreQuestion::Adopt)?;
+            ask(fleet, at, StoreRequest::Adopt)?;
             Ok(format!("the copy of {at} is the record from now on, under a new number; the others join it"))
         }
         About::Export(file) => {
@@ -197,9 +197,10 @@
         loop {
             let from = all.len() as u64;
             // Only the first part has to be the latest: the others have to be of its version.
-            let asked = StoreQuestion::Show { name: name.to_owned(), latest: latest && from == 0, from };
+            let asked =
+                StoreRequest::ReadDocument { name: name.to_owned(), latest: latest && from == 0, from };
             match ask(fleet, at, asked)? {
-                StoreAnswer::Document { version, index, by, length, part, age_ms } => {
+                StoreResponse::Document { version, index, by, length, part, age_ms } => {
                     let (known, ..) = first.get_or_insert((version, by, index, age_ms));
                     if *known != version {
                         break;
@@ -210,7 +211,7 @@
                         return Ok((version, by, index, age_ms, all));
                     }
                 }
-                StoreAnswer::Nothing(names) => {
+                StoreResponse::UnknownDocument(names) => {
                     return Err(format!(
                         "{at}: there is no document {name:?}; there are: {}",
                         names.join(", ")
@@ -226,8 +227,8 @@
 fn export(fleet: &Fleet, at: SocketAddr) -> Result<Vec<u8>, String> {
     let mut all: Vec<u8> = Vec::new();
     loop {
-        match ask(fleet, at, StoreQuestion::Export(all.len() as u64))? {
-            StoreAnswer::Bytes(part, length) => {
+        match ask(fleet, at, StoreRequest::Export(all.len() as u64))? {
+            StoreResponse::ExportPart(part, length) => {
                 all.extend_from_slice(&part);
                 if all.len() as u64 >= length || part.is_empty() {
                     return Ok(all);
@@ -242,8 +243,8 @@
     let id = number();
     let mut last = None;
     for (n, entry) in (0u128..).zip(entries) {
-        match ask(fleet, at, StoreQuestion::Write { id: id + (n << 96), entry })? {
-            StoreAnswer::Done(outcome) => last = Some(outcome),
+        match ask(fleet, at, StoreRequest::Write { id: id + (n << 96), entry })? {
+            StoreResponse::WriteOutcome(outcome) => last = Some(outcome),
             _ => return Err(odd(at)),
         }
     }
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -15,7 +15,7 @@
 use crate::memory::budget::Budget;
 use crate::messages::fleet::FleetCommand;
 use crate::messages::AdmissionMessage;
-use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
+use crate::peers::fleet::{descriptor_count, memory_bytes, FleetActor, FleetSockets, MAILBOX_CAPACITY};
 
 /// Part of the descriptors, and of the memory that peers may take, that a fleet may have at most: one in so many.
 const PART: usize = 4;
@@ -32,7 +32,7 @@
 pub fn misfit(told: &Told, config: &Config) -> Option<String> {
     let peers = told.membership.peers.len();
     let (line, column) = told.place;
-    let (asked, most) = (descriptors(peers), config.limits.sockets / PART);
+    let (asked, most) = (descriptor_count(peers), config.limits.sockets / PART);
     if asked > most {
         return Some(format!(
             "{line}:{column}: found {peers} peers, which take {asked} descriptors, expected {most} at most under \
@@ -40,7 +40,7 @@
         ));
     }
     let (asked, most) =
-        (memory(peers, told.record.is_some()) >> 10, (config.limits.memory / PEERS_SHARE / PART) >> 10);
+        (memory_bytes(peers, told.record.is_some()) >> 10, (config.limits.memory / PEERS_SHARE / PART) >> 10);
     if asked > most {
         return Some(format!(
             "{line}:{column}: found {peers} peers, which take {asked} kb, expected {most} at most under this \
@@ -69,7 +69,7 @@
 #[allow(clippy::too_many_arguments)]
 pub fn start<'a>(
     executor: &Rc<LocalExecutor<'a>>,
-    sockets: Sockets,
+    sockets: FleetSockets,
     told: Told,
     about: BuildInfo,
     seed: u64,
@@ -77,15 +77,15 @@
     budget: &Budget,
     log: &Logger,
 ) -> Result<Running, String> {
-    let (orders, taken) = bounded(MAILBOX);
-    let bytes = memory(told.membership.peers.len(), told.record.is_some());
+    let (orders, taken) = bounded(MAILBOX_CAPACITY);
+    let bytes = memory_bytes(told.membership.peers.len(), told.record.is_some());
     let charge =
         budget.take(bytes).ok_or_else(|| format!("no memory for {bytes} bytes of the fleet's streams"))?;
     // The start by the system's own clock: a later process under this name has a later one, whatever ours does.
     let boot = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64);
     let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
     let (own, log) = (executor.clone(), log.clone());
-    let fleet = Fleet::new(own, sockets, set, (boot, seed), taken, module.clone(), charge, log)?;
+    let fleet = FleetActor::new(own, sockets, set, (boot, seed), taken, module.clone(), charge, log)?;
     executor.spawn(fleet.run()).detach();
     Ok(Running { orders, told })
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -35,14 +35,14 @@
     agent as to_agent, calls as to_calls, fleet as to_fleet, listener as to_front, registration as to_list,
     AdmissionMessage,
 };
-use crate::peers::agent::{self, Agent};
-use crate::peers::ajp::Ajp;
-use crate::peers::connection::Shared;
-use crate::peers::dependency::{self, Dependency, Sockets, Target};
-use crate::peers::fleet::descriptors;
-use crate::peers::fleet::Sockets as FleetSockets;
-use crate::peers::listener::{self, Front};
-use crate::peers::registration::{self, List};
+use crate::peers::agent::{self, AgentActor};
+use crate::peers::ajp::AjpConfig;
+use crate::peers::connection::ConnectionContext;
+use crate::peers::dependency::{self, CallTarget, DependencyClient, SocketBudget};
+use crate::peers::fleet::descriptor_count;
+use crate::peers::fleet::FleetSockets;
+use crate::peers::listener::{self, Listener};
+use crate::peers::registration::{self, Registration};
 use crate::quota_leases::QuotaLeases;
 use clock::Clock;
 use config::Config;
@@ -161,9 +161,9 @@
     config: Config,
     files: Files,
     budget: Budget,
-    sockets: Sockets,
+    sockets: SocketBudget,
     /// Dependencies of the operator's file, as they are reached now.
-    dependencies: BTreeMap<Rc<str>, (Target, Sender<to_calls::DependencyCommand>)>,
+    dependencies: BTreeMap<Rc<str>, (CallTarget, Sender<to_calls::DependencyCommand>)>,
     module: Sender<AdmissionMessage>,
     agent: Sender<to_agent::AgentActorMessage>,
     records: Sender<to_calls::DependencyCommand>,
@@ -186,7 +186,7 @@
         log: &Logger,
     ) -> Result<Program<'a>, String> {
         let told_fleet = operator.as_ref().and_then(|o| o.fleet.clone());
-        let taken = told_fleet.as_ref().map_or(0, |told| descriptors(told.membership.peers.len()));
+        let taken = told_fleet.as_ref().map_or(0, |told| descriptor_count(told.membership.peers.len()));
         let sockets = descriptor_limit::descriptors(config.limits.sockets);
         if sockets < config.limits.sockets {
             let (configured, allowed) = (config.limits.sockets, sockets);
@@ -194,10 +194,10 @@
         }
         let parts = Parts::of(sockets, taken);
         let (module, mail) = bounded(admission::MAILBOX);
-        let (agent, agent_orders) = bounded(agent::MAILBOX);
-        let (records, records_orders) = bounded(dependency::MAILBOX);
-        let (list, list_words) = bounded(registration::MAILBOX);
-        let (front, front_orders) = bounded(listener::MAILBOX);
+        let (agent, agent_orders) = bounded(agent::MAILBOX_CAPACITY);
+        let (records, records_orders) = bounded(dependency::MAILBOX_CAPACITY);
+        let (list, list_words) = bounded(registration::MAILBOX_CAPACITY);
+        let (front, front_orders) = bounded(listener::MAILBOX_CAPACITY);
         let (up_told, up) = bounded(1);
         let budget = Budget::new(config.limits.memory / PEERS_SHARE);
         let fleet = match (told_fleet, fleet_sockets, &operator) {
@@ -218,25 +218,27 @@
             hint: LoadHint::default(),
         };
         let among = (config.settings.servers, config.settings.seed);
-        executor.spawn(Agent::new(config.agent, agent_orders, module.clone(), log.clone()).run()).detach();
         executor
-            .spawn(List::new(config.announce, &config.name, among, list_words, log.clone()).run())
+            .spawn(AgentActor::new(config.agent, agent_orders, module.clone(), log.clone()).run())
             .detach();
-        let sockets = Sockets::new(parts.calls);
+        executor
+            .spawn(Registration::new(config.announce, &config.name, among, list_words, log.clone()).run())
+            .detach();
+        let sockets = SocketBudget::new(parts.calls);
         if let Some(address) = config.records {
-            let to = (Target::records(address), sockets.clone());
+            let to = (CallTarget::records_service(address), sockets.clone());
             let (own, clock) = (executor.clone(), clock.clone());
-            let calls = Dependency::new(own, to, records_orders, module.clone(), clock, log.clone());
+            let calls = DependencyClient::new(own, to, records_orders, module.clone(), clock, log.clone());
             executor.spawn(calls.run()).detach();
         }
-        let shared = Shared {
-            module: module.clone(),
+        let shared = ConnectionContext {
+            admission: module.clone(),
             classes: Rc::new(config.classes.clone()),
             tenants: Rc::new(config.tenants.clone()),
-            hint: others.hint.clone(),
+            load_hint: others.hint.clone(),
             shape: config.shape,
-            connections: parts.connections,
-            serial: Rc::default(),
+            max_connections: parts.connections,
+            last_serial: Rc::default(),
             budget: budget.clone(),
             clock: clock.clone(),
             log: log.clone(),
@@ -244,7 +246,7 @@
         let from = (listener, ConnectionTable::new(parts.connections, &[1]));
         let idle = config.settings.idle_timeout_max;
         let connections =
-            executor.spawn(Front::new(executor.clone(), from, shared, front_orders, idle).run());
+            executor.spawn(Listener::new(executor.clone(), from, shared, front_orders, idle).run());
         let told = (config.settings.clone(), config.shape, config.gauges.clone());
         let seed = config.settings.seed;
         let mut program = Program {
@@ -288,8 +290,9 @@
         let mut before = std::mem::take(&mut self.dependencies);
         for service in operator.services {
             let platform = self.config.records.filter(|_| service.is_platform());
-            let ajp = service.ajp.map(|ajp| Rc::new(Ajp { secret: ajp.secret, packet: ajp.packet }));
-            let target = Target { path: service.path.as_str().into(), platform, ajp };
+            let ajp =
+                service.ajp.map(|ajp| Rc::new(AjpConfig { secret: ajp.secret, packet_bytes: ajp.packet }));
+            let target = CallTarget { path: service.path.as_str().into(), platform, ajp };
             let name: Rc<str> = service.name.as_str().into();
             let kept = before.remove(&name).filter(|(old, _)| *old == target);
             let orders = kept.map_or_else(|| self.reach(target.clone()), |(_, orders)| orders);
@@ -305,11 +308,11 @@
     }
 
     /// Starts an actor for a dependency.
-    fn reach(&self, target: Target) -> Sender<to_calls::DependencyCommand> {
-        let (orders, taken) = bounded(dependency::MAILBOX);
+    fn reach(&self, target: CallTarget) -> Sender<to_calls::DependencyCommand> {
+        let (orders, taken) = bounded(dependency::MAILBOX_CAPACITY);
         let to = (target, self.sockets.clone());
         let (executor, module) = (self.executor.clone(), self.module.clone());
-        let actor = Dependency::new(executor, to, taken, module, self.clock.clone(), self.log.clone());
+        let actor = DependencyClient::new(executor, to, taken, module, self.clock.clone(), self.log.clone());
         self.executor.spawn(actor.run()).detach();
         orders
     }
--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -9,34 +9,34 @@
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
 
-use super::command_log::Journal;
-use super::stream::{self, Got};
+use super::command_log::CommandLog;
+use super::stream::{self, ReadResult};
 use crate::messages::agent::AgentActorMessage;
 use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
 use crate::wire::jsonl::{self, Command, Notice};
-use crate::wire::Malformed;
+use crate::wire::MalformedInput;
 
 /// Orders that may wait to be taken.
-pub const MAILBOX: usize = 4096;
+pub const MAILBOX_CAPACITY: usize = 4096;
 /// Bytes written at once.
-const BATCH: usize = 32 * 1024;
+const MAX_WRITE_BYTES: usize = 32 * 1024;
 /// Time between tries to connect.
-const RETRY: Duration = Duration::from_millis(20);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
 /// Time until the next try after bytes that made no sense.
-const AFTER_NONSENSE: Duration = Duration::from_millis(200);
+const MALFORMED_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Time for one try to connect.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The actor.
-pub struct Agent {
+pub struct AgentActor {
     address: SocketAddr,
-    words: Receiver<AgentActorMessage>,
-    module: Sender<AdmissionMessage>,
-    journal: Journal,
+    mailbox: Receiver<AgentActorMessage>,
+    admission: Sender<AdmissionMessage>,
+    command_log: CommandLog,
     /// Number of the last notice that was read.
-    last: u64,
+    last_notice: u64,
     log: Logger,
 }
 
@@ -44,86 +44,87 @@
 struct Link {
     stream: Async<TcpStream>,
     buffer: Buffer,
-    out: Vec<u8>,
+    output: Vec<u8>,
     greeted: bool,
 }
 
 /// Why a link is over.
-enum Broken {
+enum LinkEnd {
     Lost(std::io::Error),
-    Ended,
-    Malformed(Malformed),
+    ClosedByAgent,
+    Malformed(MalformedInput),
     /// The agent is at another address now.
-    Moved,
+    AddressChanged,
     /// The module is gone: so is the program.
-    Alone,
+    ShuttingDown,
 }
 
-impl Broken {
+impl LinkEnd {
     /// Time until the next try. The same bytes may come again after nonsense: no need to meet them at full
     /// speed. An agent that had greeted was there a moment ago, and what it has to say need not wait.
-    fn pause(&self, greeted: bool) -> Duration {
+    fn backoff(&self, greeted: bool) -> Duration {
         match self {
-            Broken::Malformed(_) => AFTER_NONSENSE,
+            LinkEnd::Malformed(_) => MALFORMED_BACKOFF,
             _ if greeted => Duration::ZERO,
-            _ => RETRY,
+            _ => RECONNECT_BACKOFF,
         }
     }
 }
 
-impl Agent {
+impl AgentActor {
     /// A link that is not made yet.
     pub fn new(
         address: SocketAddr,
-        words: Receiver<AgentActorMessage>,
-        module: Sender<AdmissionMessage>,
+        mailbox: Receiver<AgentActorMessage>,
+        admission: Sender<AdmissionMessage>,
         log: Logger,
-    ) -> Agent {
-        Agent { address, words, module, journal: Journal::default(), last: 0, log }
+    ) -> AgentActor {
+        AgentActor { address, mailbox, admission, command_log: CommandLog::default(), last_notice: 0, log }
     }
 
     /// Keeps a link up for as long as the module is there.
     pub async fn run(mut self) {
         loop {
             // Without a link too the address may change.
-            self.heed_all();
-            let connected = stream::within(CONNECT, Async::<TcpStream>::connect(self.address)).await;
+            self.drain_mailbox();
+            let connected =
+                stream::with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await;
             let pause = match connected.unwrap_or_else(|| Err(ErrorKind::TimedOut.into())) {
                 Ok(stream) => {
-                    let (why, greeted) = self.link(stream).await;
-                    self.tell(&why);
-                    let gone = matches!(why, Broken::Alone);
-                    if gone || self.module.send(AdmissionMessage::AgentLinkLost).await.is_err() {
+                    let (why, greeted) = self.serve_link(stream).await;
+                    self.log_link_end(&why);
+                    let gone = matches!(why, LinkEnd::ShuttingDown);
+                    if gone || self.admission.send(AdmissionMessage::AgentLinkLost).await.is_err() {
                         return;
                     }
-                    why.pause(greeted)
+                    why.backoff(greeted)
                 }
                 Err(e) => {
                     debug!(self.log, "agent not reached"; "why" => %e);
-                    RETRY
+                    RECONNECT_BACKOFF
                 }
             };
             Timer::after(pause).await;
         }
     }
 
-    fn tell(&self, why: &Broken) {
+    fn log_link_end(&self, why: &LinkEnd) {
         match why {
-            Broken::Alone => {}
-            Broken::Lost(e) => warn!(self.log, "agent link lost"; "why" => %e),
-            Broken::Moved => info!(self.log, "agent moved"; "to" => %self.address),
-            Broken::Ended => warn!(self.log, "agent link ended by the agent"),
-            Broken::Malformed(e) => warn!(self.log, "agent link closed"; "why" => %e),
+            LinkEnd::ShuttingDown => {}
+            LinkEnd::Lost(e) => warn!(self.log, "agent link lost"; "why" => %e),
+            LinkEnd::AddressChanged => info!(self.log, "agent moved"; "to" => %self.address),
+            LinkEnd::ClosedByAgent => warn!(self.log, "agent link ended by the agent"),
+            LinkEnd::Malformed(e) => warn!(self.log, "agent link closed"; "why" => %e),
         }
     }
 
     /// Serves one link until it is over; whether the agent has greeted on it.
-    async fn link(&mut self, stream: Async<TcpStream>) -> (Broken, bool) {
-        let subscribe = Command::Subscribe { seq: self.last }.line();
-        let buffer = Buffer::new(jsonl::LONGEST);
-        let mut link = Link { stream, buffer, out: subscribe, greeted: false };
+    async fn serve_link(&mut self, stream: Async<TcpStream>) -> (LinkEnd, bool) {
+        let subscribe = Command::Subscribe { seq: self.last_notice }.encode();
+        let buffer = Buffer::new(jsonl::MAX_LINE_BYTES);
+        let mut link = Link { stream, buffer, output: subscribe, greeted: false };
         loop {
-            if let Err(why) = self.turn(&mut link).await {
+            if let Err(why) = self.step(&mut link).await {
                 return (why, link.greeted);
             }
             // An agent that never stops talking must not keep all others waiting.
@@ -132,59 +133,59 @@
     }
 
     /// Writes what is to be written, reads what has come, or waits for either.
-    async fn turn(&mut self, link: &mut Link) -> Result<(), Broken> {
-        if self.heed_all() {
-            return Err(Broken::Moved);
+    async fn step(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
+        if self.drain_mailbox() {
+            return Err(LinkEnd::AddressChanged);
         }
-        if link.greeted && link.out.is_empty() {
-            link.out = self.journal.take(BATCH);
+        if link.greeted && link.output.is_empty() {
+            link.output = self.command_log.take_lines(MAX_WRITE_BYTES);
         }
-        let written = stream::write(&link.stream, &link.out).map_err(Broken::Lost)?;
-        link.out.drain(..written);
-        match stream::read(&link.stream, &mut link.buffer).map_err(Broken::Lost)? {
-            Got::Bytes(_) => return self.lines(link).await,
-            Got::End => return Err(Broken::Ended),
-            Got::Nothing => {}
+        let written = stream::write(&link.stream, &link.output).map_err(LinkEnd::Lost)?;
+        link.output.drain(..written);
+        match stream::read(&link.stream, &mut link.buffer).map_err(LinkEnd::Lost)? {
+            ReadResult::Bytes(_) => return self.handle_lines(link).await,
+            ReadResult::Closed => return Err(LinkEnd::ClosedByAgent),
+            ReadResult::WouldBlock => {}
         }
         if written > 0 {
             return Ok(());
         }
-        let full = self.journal.len() >= MAILBOX;
+        let full = self.command_log.len() >= MAILBOX_CAPACITY;
         let word = async {
             if full {
                 return future::pending().await;
             }
-            let word = self.words.recv().await.map_err(|_| Broken::Alone)?;
+            let word = self.mailbox.recv().await.map_err(|_| LinkEnd::ShuttingDown)?;
             Ok(Some(word))
         };
-        let readable = async { link.stream.readable().await.map(|()| None).map_err(Broken::Lost) };
+        let readable = async { link.stream.readable().await.map(|()| None).map_err(LinkEnd::Lost) };
         let writable = async {
-            if link.out.is_empty() {
+            if link.output.is_empty() {
                 return future::pending().await;
             }
-            link.stream.writable().await.map(|()| None).map_err(Broken::Lost)
+            link.stream.writable().await.map(|()| None).map_err(LinkEnd::Lost)
         };
         match future::or(readable, future::or(writable, word)).await? {
-            Some(word) if self.heed_word(&word) => Err(Broken::Moved),
+            Some(word) if self.handle_message(&word) => Err(LinkEnd::AddressChanged),
             _ => Ok(()),
         }
     }
 
     /// Takes in all that was said; `true` if the agent has moved. What was written to the old address and may
     /// not have been read there is in the journal, which restates it on the new link.
-    fn heed_all(&mut self) -> bool {
+    fn drain_mailbox(&mut self) -> bool {
         let mut moved = false;
-        while self.journal.len() < MAILBOX {
-            let Ok(word) = self.words.try_recv() else { break };
-            moved |= self.heed_word(&word);
+        while self.command_log.len() < MAILBOX_CAPACITY {
+            let Ok(word) = self.mailbox.try_recv() else { break };
+            moved |= self.handle_message(&word);
         }
         moved
     }
 
-    fn heed_word(&mut self, word: &AgentActorMessage) -> bool {
+    fn handle_message(&mut self, word: &AgentActorMessage) -> bool {
         match word {
             AgentActorMessage::Command(order) => {
-                self.journal.add(order);
+                self.command_log.push(order);
                 false
             }
             AgentActorMessage::SetAddress(address) => {
@@ -194,66 +195,66 @@
         }
     }
 
-    async fn lines(&mut self, link: &mut Link) -> Result<(), Broken> {
+    async fn handle_lines(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
         while let Some(end) = link.buffer.unread().iter().position(|&b| b == b'\n') {
-            let read = jsonl::notice(&link.buffer.unread()[..end]);
+            let read = jsonl::parse_notice(&link.buffer.unread()[..end]);
             link.buffer.consume(end + 1);
-            let (notice, number) = read.map_err(Broken::Malformed)?;
+            let (notice, number) = read.map_err(LinkEnd::Malformed)?;
             if matches!(notice, Notice::Greeting(..)) && !link.greeted {
                 link.greeted = true;
-                self.journal.restart();
+                self.command_log.restart_link();
             }
-            if number.is_some_and(|n| n <= self.last) {
+            if number.is_some_and(|n| n <= self.last_notice) {
                 continue;
             }
             if let Some(n) = number {
-                if n > self.last + 1 {
-                    warn!(self.log, "notices were missed"; "last" => self.last, "next" => n);
+                if n > self.last_notice + 1 {
+                    warn!(self.log, "notices were missed"; "last" => self.last_notice, "next" => n);
                 }
-                self.last = n;
+                self.last_notice = n;
             }
-            self.heed(notice).await?;
+            self.handle_notice(notice).await?;
         }
         if link.buffer.is_full() {
-            return Err(Broken::Malformed(Malformed("a line too long")));
+            return Err(LinkEnd::Malformed(MalformedInput("a line too long")));
         }
         Ok(())
     }
 
-    async fn heed(&mut self, notice: Notice) -> Result<(), Broken> {
+    async fn handle_notice(&mut self, notice: Notice) -> Result<(), LinkEnd> {
         let message = match notice {
             Notice::Greeting(starting, since) => {
                 info!(self.log, "agent is up"; "starting" => starting, "since_us" => since);
                 AdmissionMessage::AgentUp(since)
             }
-            Notice::Outcome(id, end, took) => {
-                self.journal.ended(&id);
+            Notice::RunEnded(id, end, took) => {
+                self.command_log.run_ended(&id);
                 AdmissionMessage::RunEnded(id, end, took)
             }
-            Notice::Request(id, seq, body) => {
-                self.journal.waits(&id);
+            Notice::NeedsCall(id, seq, body) => {
+                self.command_log.run_waits_for_call(&id);
                 AdmissionMessage::NeedsCall(id, seq, body)
             }
-            Notice::Sampled(name, values) => match self.journal.answered(&name) {
+            Notice::GaugesSampled(name, values) => match self.command_log.sample_answered(&name) {
                 Some(tag) => AdmissionMessage::GaugesSampled(tag, values),
                 None => return Ok(()),
             },
-            Notice::Exercised(name, fine) => match self.journal.exercised(&name) {
+            Notice::HealthCheckEnded(name, fine) => match self.command_log.health_check_answered(&name) {
                 Some(tag) => AdmissionMessage::HealthCheckEnded(tag, fine),
                 None => return Ok(()),
             },
-            Notice::Refusal(command, id) => {
+            Notice::CommandRejected(command, id) => {
                 debug!(self.log, "agent refused"; "command" => &command, "request" => &id);
                 AdmissionMessage::AgentRejected(command, id)
             }
             // Were the link closed over it, the next one would bring it again.
-            Notice::Senseless(id) => {
+            Notice::Invalid(id) => {
                 warn!(self.log, "a notice without sense"; "request" => &id);
-                self.journal.ended(&id);
+                self.command_log.run_ended(&id);
                 AdmissionMessage::InvalidAgentNotice(id)
             }
-            Notice::Aside => return Ok(()),
+            Notice::Ignored => return Ok(()),
         };
-        self.module.send(message).await.map_err(|_| Broken::Alone)
+        self.admission.send(message).await.map_err(|_| LinkEnd::ShuttingDown)
     }
 }
--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -8,41 +8,41 @@
 use umberloom_ajp::caller::{Caller, Event};
 use umberloom_ajp::request::Request;
 
-use super::stream::{self, Got};
+use super::stream::{self, ReadResult};
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{self, Reply};
 
 /// A connection that was idle for longer is asked first whether anybody is there.
-pub const CHECK_AFTER: Duration = Duration::from_secs(1);
+pub const PING_AFTER_IDLE: Duration = Duration::from_secs(1);
 /// How long that may take. What does not answer by then is closed, and nothing ran on it.
-pub const CHECK: Duration = Duration::from_millis(100);
+pub const PING_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How a dependency is spoken to over AJP.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ajp {
+pub struct AjpConfig {
     /// The secret that it asks for.
     pub secret: Option<String>,
     /// The size of a packet that both ends agreed on.
-    pub packet: usize,
+    pub packet_bytes: usize,
 }
 
 /// Whether anybody is there.
-pub async fn is_alive(stream: &Async<TcpStream>, ajp: &Ajp) -> bool {
-    let mut caller = Caller::new(ajp.packet);
+pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
+    let mut caller = Caller::new(ajp.packet_bytes);
     let asked = async {
         caller.ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
-        match next(stream, &mut caller, &mut Buffer::new(ajp.packet)).await? {
+        match next_event(stream, &mut caller, &mut Buffer::new(ajp.packet_bytes)).await? {
             Event::Pong => Ok(()),
             _ => Err(Error::from(ErrorKind::InvalidData)),
         }
     };
-    matches!(stream::within(CHECK, asked).await, Some(Ok(())))
+    matches!(stream::with_timeout(PING_TIMEOUT, asked).await, Some(Ok(())))
 }
 
 /// One call and its reply, in the form of a reply over HTTP.
 pub async fn exchange(
     stream: &Async<TcpStream>,
-    ajp: &Ajp,
+    ajp: &AjpConfig,
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
@@ -51,18 +51,21 @@
     request.headers =
         headers.iter().map(|(name, value)| (name.to_ascii_lowercase(), (*value).to_owned())).collect();
     request.secret = ajp.secret.as_ref().map(|secret| secret.clone().into_bytes());
-    let mut caller = Caller::new(ajp.packet);
+    let mut caller = Caller::new(ajp.packet_bytes);
     caller.ask(&request, body).map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
-    let mut buffer = Buffer::new(ajp.packet);
-    let mut reply = Reply { status: 0, headers: Vec::new(), body: Vec::new(), keep: false, size: 0 };
+    let mut buffer = Buffer::new(ajp.packet_bytes);
+    let mut reply =
+        Reply { status: 0, headers: Vec::new(), body: Vec::new(), keep_alive: false, encoded_bytes: 0 };
     loop {
-        match next(stream, &mut caller, &mut buffer).await? {
+        match next_event(stream, &mut caller, &mut buffer).await? {
             Event::Head(head) => (reply.status, reply.headers) = (head.status, head.headers),
-            Event::Body(part) if reply.body.len() + part.len() <= http::BODY => reply.body.extend(part),
+            Event::Body(part) if reply.body.len() + part.len() <= http::MAX_BODY_BYTES => {
+                reply.body.extend(part)
+            }
             Event::Body(_) => return Err(ErrorKind::InvalidData.into()),
             Event::End(reuse) => {
                 // What stands behind the end belongs to no call: such a connection is not kept.
-                reply.keep = reuse && buffer.unread().is_empty();
+                reply.keep_alive = reuse && buffer.unread().is_empty();
                 return Ok(reply);
             }
             Event::Pong => return Err(ErrorKind::InvalidData.into()),
@@ -71,7 +74,11 @@
 }
 
 /// The next thing that is said, while what is to be written is written.
-async fn next(stream: &Async<TcpStream>, caller: &mut Caller, buffer: &mut Buffer) -> std::io::Result<Event> {
+async fn next_event(
+    stream: &Async<TcpStream>,
+    caller: &mut Caller,
+    buffer: &mut Buffer,
+) -> std::io::Result<Event> {
     loop {
         let out = std::mem::take(&mut caller.out);
         stream::write_all(stream, &out).await?;
@@ -84,9 +91,9 @@
             None => {}
         }
         match stream::read(stream, buffer)? {
-            Got::Bytes(_) => {}
-            Got::End => return Err(ErrorKind::UnexpectedEof.into()),
-            Got::Nothing => stream.readable().await?,
+            ReadResult::Bytes(_) => {}
+            ReadResult::Closed => return Err(ErrorKind::UnexpectedEof.into()),
+            ReadResult::WouldBlock => stream.readable().await?,
         }
     }
 }
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -6,25 +6,25 @@
 use umberloom::interface::RequestId;
 
 use crate::messages::agent::AgentCommand;
-use crate::wire::jsonl::{base64, Command};
+use crate::wire::jsonl::{encode_base64, Command};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum EntryKind {
     /// Begins or stops a run.
     Run,
-    Freeze,
+    Pause,
     /// Answers a call.
     Reply,
     /// Asked for on one link only.
-    Question,
+    Query,
     /// A sample that the journal itself asks for, to mark the end of what was missed.
-    Mark,
+    Marker,
 }
 
 #[derive(Debug)]
 struct Entry {
     number: u64,
-    kind: Kind,
+    kind: EntryKind,
     id: RequestId,
     /// The tag under which a question was asked.
     tag: u64,
@@ -33,37 +33,39 @@
 
 /// Orders in the order given, those written on the present link first.
 #[derive(Debug, Default)]
-pub struct Journal {
+pub struct CommandLog {
     entries: VecDeque<Entry>,
     written: usize,
-    next: u64,
+    last_number: u64,
     /// On a new link, the sample whose answer says that all missed notices are in.
-    mark: Option<u64>,
+    marker: Option<u64>,
 }
 
-impl Journal {
+impl CommandLog {
     /// Adds an order.
-    pub fn add(&mut self, order: &AgentCommand) {
-        let number = self.next + 1;
+    pub fn push(&mut self, order: &AgentCommand) {
+        let number = self.last_number + 1;
         let name = number.to_string();
         let none: RequestId = "".into();
         let (kind, id, tag, command) = match order {
             AgentCommand::Launch(id, class, body) => {
-                (Kind::Run, id, 0, Command::Launch { id, class, body: base64(body) })
+                (EntryKind::Run, id, 0, Command::Launch { id, class, body: encode_base64(body) })
             }
-            AgentCommand::Pause(id) => (Kind::Freeze, id, 0, Command::Freeze { id }),
-            AgentCommand::Resume(id) => (Kind::Run, id, 0, Command::Thaw { id }),
+            AgentCommand::Pause(id) => (EntryKind::Pause, id, 0, Command::Freeze { id }),
+            AgentCommand::Resume(id) => (EntryKind::Run, id, 0, Command::Thaw { id }),
             AgentCommand::DeliverReply(id, body) => {
-                (Kind::Reply, id, 0, Command::Deliver { id, body: base64(body) })
+                (EntryKind::Reply, id, 0, Command::Deliver { id, body: encode_base64(body) })
+            }
+            AgentCommand::SkipCall(id, seq) => (EntryKind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
+            AgentCommand::SampleGauges(tag) => {
+                (EntryKind::Query, &none, *tag, Command::Sample { tag: &name })
             }
-            AgentCommand::SkipCall(id, seq) => (Kind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
-            AgentCommand::SampleGauges(tag) => (Kind::Question, &none, *tag, Command::Sample { tag: &name }),
             AgentCommand::RunHealthCheck(tag) => {
-                (Kind::Question, &none, *tag, Command::Exercise { tag: &name })
+                (EntryKind::Query, &none, *tag, Command::Exercise { tag: &name })
             }
         };
         let unwritten = || self.entries.iter().skip(self.written);
-        if kind == Kind::Freeze && unwritten().any(|e| e.kind == kind && e.id == *id) {
+        if kind == EntryKind::Pause && unwritten().any(|e| e.kind == kind && e.id == *id) {
             // Stops are asked for again and again; without a link they must not pile up.
             return;
         }
@@ -71,16 +73,16 @@
             // Neither must samples: the module asks for one after the other, whether or not they are answered.
             return;
         }
-        self.next = number;
-        let entry = Entry { number, kind, id: id.clone(), tag, line: command.line() };
+        self.last_number = number;
+        let entry = Entry { number, kind, id: id.clone(), tag, line: command.encode() };
         self.entries.push_back(entry);
     }
 
     /// Lines to write next, as many as fit in `most` bytes but at least one if there is any.
-    pub fn take(&mut self, most: usize) -> Vec<u8> {
+    pub fn take_lines(&mut self, most: usize) -> Vec<u8> {
         let mut out = Vec::new();
         while let Some(entry) = self.entries.get(self.written) {
-            let waits = self.mark.is_some_and(|mark| entry.number != mark);
+            let waits = self.marker.is_some_and(|mark| entry.number != mark);
             if waits || (!out.is_empty() && out.len() + entry.line.len() > most) {
                 break;
             }
@@ -93,47 +95,47 @@
     /// A new link has been greeted: nothing is known to have been read of what was written on the last
     /// one. Until the answer to a sample marks the end of the missed notices, nothing else is written:
     /// a run that ended meanwhile must not be started again.
-    pub fn restart(&mut self) {
-        self.entries.retain(|e| !matches!(e.kind, Kind::Question | Kind::Mark));
+    pub fn restart_link(&mut self) {
+        self.entries.retain(|e| !matches!(e.kind, EntryKind::Query | EntryKind::Marker));
         self.written = 0;
-        self.next += 1;
-        let name = self.next.to_string();
-        let line = Command::Sample { tag: &name }.line();
-        let entry = Entry { number: self.next, kind: Kind::Mark, id: "".into(), tag: 0, line };
+        self.last_number += 1;
+        let name = self.last_number.to_string();
+        let line = Command::Sample { tag: &name }.encode();
+        let entry = Entry { number: self.last_number, kind: EntryKind::Marker, id: "".into(), tag: 0, line };
         self.entries.push_front(entry);
-        self.mark = Some(self.next);
+        self.marker = Some(self.last_number);
     }
 
     /// The answer to question `name` came: all written before it has been read. The tag it was asked
     /// under, if the module asked.
-    pub fn answered(&mut self, name: &str) -> Option<u64> {
+    pub fn sample_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let written = self.entries.iter().take(self.written);
         let at = written.enumerate().find(|(_, e)| e.number == number).map(|(at, _)| at)?;
-        if self.mark == Some(number) {
-            self.mark = None;
+        if self.marker == Some(number) {
+            self.marker = None;
         }
-        let asked = self.entries.get(at).filter(|e| e.kind == Kind::Question).map(|e| e.tag);
+        let asked = self.entries.get(at).filter(|e| e.kind == EntryKind::Query).map(|e| e.tag);
         self.entries.drain(..=at);
         self.written -= at + 1;
         asked
     }
 
     /// The answer to question `name` came, which was carried out out of turn.
-    pub fn exercised(&mut self, name: &str) -> Option<u64> {
+    pub fn health_check_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let at = self.entries.iter().take(self.written).position(|e| e.number == number)?;
         self.remove(at).map(|e| e.tag)
     }
 
     /// The run of this request is over: no order about it matters any more.
-    pub fn ended(&mut self, id: &str) {
-        self.forget(|e| &*e.id == id);
+    pub fn run_ended(&mut self, id: &str) {
+        self.remove_matching(|e| &*e.id == id);
     }
 
     /// The run of this request waits for a call: replies to earlier ones have been read.
-    pub fn waits(&mut self, id: &str) {
-        self.forget(|e| e.kind == Kind::Reply && &*e.id == id);
+    pub fn run_waits_for_call(&mut self, id: &str) {
+        self.remove_matching(|e| e.kind == EntryKind::Reply && &*e.id == id);
     }
 
     /// How many orders there are.
@@ -141,7 +143,7 @@
         self.entries.len()
     }
 
-    fn forget(&mut self, which: impl Fn(&Entry) -> bool) {
+    fn remove_matching(&mut self, which: impl Fn(&Entry) -> bool) {
         for at in (0..self.entries.len()).rev() {
             if which(&self.entries[at]) {
                 self.remove(at);
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -14,78 +14,78 @@
 }
 
 /// A journal on a link that has caught up.
-fn linked() -> Journal {
-    let mut journal = Journal::default();
-    journal.restart();
-    assert_eq!(ops(&journal.take(9_999)), ["sample "]);
-    assert_eq!(journal.answered("1"), None);
+fn linked() -> CommandLog {
+    let mut journal = CommandLog::default();
+    journal.restart_link();
+    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
+    assert_eq!(journal.sample_answered("1"), None);
     journal
 }
 
 #[test]
 fn orders_are_written_once_and_in_order() {
     let mut journal = linked();
-    journal.add(&launch("a"));
-    journal.add(&AgentCommand::SampleGauges(40));
-    journal.add(&AgentCommand::Pause("a".into()));
-    assert_eq!(ops(&journal.take(1)), ["launch a"]);
-    assert_eq!(ops(&journal.take(9_999)), ["sample ", "freeze a"]);
-    assert_eq!(journal.take(9_999), b"");
-    assert_eq!((journal.answered("3"), journal.len()), (Some(40), 1));
-    assert_eq!(journal.answered("3"), None);
+    journal.push(&launch("a"));
+    journal.push(&AgentCommand::SampleGauges(40));
+    journal.push(&AgentCommand::Pause("a".into()));
+    assert_eq!(ops(&journal.take_lines(1)), ["launch a"]);
+    assert_eq!(ops(&journal.take_lines(9_999)), ["sample ", "freeze a"]);
+    assert_eq!(journal.take_lines(9_999), b"");
+    assert_eq!((journal.sample_answered("3"), journal.len()), (Some(40), 1));
+    assert_eq!(journal.sample_answered("3"), None);
 }
 
 #[test]
 fn a_new_link_restates_what_may_not_have_been_read() {
     let mut journal = linked();
-    journal.add(&launch("read"));
-    journal.add(&AgentCommand::SampleGauges(1));
-    journal.add(&launch("ended"));
-    journal.add(&launch("a"));
-    journal.add(&AgentCommand::DeliverReply("b".into(), vec![]));
-    journal.take(9_999);
-    journal.answered("3");
-    journal.add(&launch("later"));
-    journal.restart();
-    assert_eq!(ops(&journal.take(9_999)), ["sample "]);
+    journal.push(&launch("read"));
+    journal.push(&AgentCommand::SampleGauges(1));
+    journal.push(&launch("ended"));
+    journal.push(&launch("a"));
+    journal.push(&AgentCommand::DeliverReply("b".into(), vec![]));
+    journal.take_lines(9_999);
+    journal.sample_answered("3");
+    journal.push(&launch("later"));
+    journal.restart_link();
+    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
     // Missed notices come before the answer: one run has ended, one has asked for its next call.
-    journal.ended("ended");
-    journal.waits("b");
-    assert_eq!(journal.take(9_999), b"");
-    assert_eq!(journal.answered("8"), None);
-    assert_eq!(ops(&journal.take(9_999)), ["launch a", "launch later"]);
+    journal.run_ended("ended");
+    journal.run_waits_for_call("b");
+    assert_eq!(journal.take_lines(9_999), b"");
+    assert_eq!(journal.sample_answered("8"), None);
+    assert_eq!(ops(&journal.take_lines(9_999)), ["launch a", "launch later"]);
 }
 
 #[test]
 fn questions_of_a_lost_link_are_not_asked_again() {
     let mut journal = linked();
-    journal.add(&AgentCommand::SampleGauges(5));
-    journal.add(&AgentCommand::RunHealthCheck(6));
-    journal.take(9_999);
-    journal.restart();
-    journal.restart();
+    journal.push(&AgentCommand::SampleGauges(5));
+    journal.push(&AgentCommand::RunHealthCheck(6));
+    journal.take_lines(9_999);
+    journal.restart_link();
+    journal.restart_link();
     assert_eq!(journal.len(), 1);
-    assert_eq!(journal.answered("2"), None);
-    assert_eq!(ops(&journal.take(9_999)), ["sample "]);
+    assert_eq!(journal.sample_answered("2"), None);
+    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
 }
 
 #[test]
 fn an_exercise_does_not_vouch_for_what_was_written_before() {
     let mut journal = linked();
-    journal.add(&launch("a"));
-    journal.add(&AgentCommand::RunHealthCheck(6));
-    journal.take(9_999);
-    assert_eq!((journal.exercised("3"), journal.len()), (Some(6), 1));
-    assert_eq!(journal.exercised("nonsense"), None);
+    journal.push(&launch("a"));
+    journal.push(&AgentCommand::RunHealthCheck(6));
+    journal.take_lines(9_999);
+    assert_eq!((journal.health_check_answered("3"), journal.len()), (Some(6), 1));
+    assert_eq!(journal.health_check_answered("nonsense"), None);
 }
 
 #[test]
 fn stops_and_samples_do_not_pile_up_without_a_link() {
     let mut journal = linked();
-    journal.restart();
+    journal.restart_link();
     for _ in 0..100 {
-        journal.add(&AgentCommand::Pause("a".into()));
-        journal.add(&AgentCommand::SampleGauges(1));
+        journal.push(&AgentCommand::Pause("a".into()));
+        journal.push(&AgentCommand::SampleGauges(1));
     }
     assert_eq!(journal.len(), 3);
 }
--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -13,7 +13,7 @@
 use umberloom::interface::{Micros, RequestId};
 use umberloom_settings::shape::Shape;
 
-use super::stream::{self, Got};
+use super::stream::{self, ReadResult};
 use crate::lifecycle::clock::Clock;
 use crate::memory::budget::{Budget, Charge};
 use crate::messages::caller::{
@@ -21,13 +21,13 @@
 };
 use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
-use crate::wire::cgi::{self, Ask};
-use crate::wire::fastcgi::{self, Status};
-use crate::wire::responder::{Incoming, Responder, BODY, OPEN, PARAMS};
+use crate::wire::cgi::{self, CgiRequest};
+use crate::wire::fastcgi::{self, ProtocolStatus};
+use crate::wire::responder::{Incoming, Responder, MAX_BODY_BYTES, MAX_OPEN_REQUESTS, MAX_PARAMS_BYTES};
 
 /// Messages that may wait: an answer for each open request, and words of the front, of which one of each kind
 /// waits at most.
-pub(super) const MAILBOX: usize = 2 * OPEN;
+pub(super) const MAILBOX_CAPACITY: usize = 2 * MAX_OPEN_REQUESTS;
 /// Beyond this much to be written nothing more is read.
 const UNWRITTEN: usize = 256 * 1024;
 /// A peer that takes nothing for so long is closed.
@@ -39,7 +39,7 @@
 const WHOLE: Micros = 2_000_000;
 /// Bytes read for which no whole request came: those of a full number of requests at once, each as long as
 /// allowed. Whoever sends more is not about to ask.
-const USELESS: usize = OPEN * (PARAMS + BODY);
+const USELESS: usize = MAX_OPEN_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES);
 /// After our end of the stream, the peer has this long to end its own: well over the time within which a
 /// request may cross a close.
 const LINGER: Duration = Duration::from_millis(200);
@@ -50,21 +50,21 @@
 
 /// What all connections share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct ConnectionContext {
     /// The module's mailbox.
-    pub module: Sender<AdmissionMessage>,
+    pub admission: Sender<AdmissionMessage>,
     /// Names of the classes, in their order.
     pub classes: Rc<Vec<String>>,
     /// Names of the tenants, in their order; may be empty.
     pub tenants: Rc<Vec<String>>,
     /// The free value that goes with every answer.
-    pub hint: LoadHint,
+    pub load_hint: LoadHint,
     /// What requests say of themselves here.
     pub shape: Shape,
     /// Most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The last serial that was given to a request.
-    pub serial: Rc<Cell<u64>>,
+    pub last_serial: Rc<Cell<u64>>,
     /// The bound on memory.
     pub budget: Budget,
     /// The clock.
@@ -98,7 +98,7 @@
 /// The actor of one connection.
 pub struct Connection {
     stream: Async<TcpStream>,
-    shared: Shared,
+    shared: ConnectionContext,
     activity: Rc<ConnectionActivity>,
     words: Receiver<ConnectionCommand>,
     me: Sender<ConnectionCommand>,
@@ -127,21 +127,21 @@
     /// A connection that was just accepted, with its mailbox; `None` if there is no memory for it.
     pub fn new(
         stream: Async<TcpStream>,
-        shared: Shared,
+        shared: ConnectionContext,
         activity: Rc<ConnectionActivity>,
     ) -> Option<(Connection, Sender<ConnectionCommand>)> {
-        let (me, words) = async_channel::bounded(MAILBOX);
+        let (me, words) = async_channel::bounded(MAILBOX_CAPACITY);
         let charge = shared.budget.take(0)?;
         let now = shared.clock.now();
         activity.last_active.set(now);
-        let responder = Responder::new(shared.connections);
+        let responder = Responder::new(shared.max_connections);
         let connection = Connection {
             stream,
             shared,
             activity,
             words,
             me: me.clone(),
-            buffer: Buffer::new(fastcgi::LARGEST),
+            buffer: Buffer::new(fastcgi::MAX_RECORD_BYTES),
             responder,
             pending: BTreeMap::new(),
             charge,
@@ -159,16 +159,18 @@
     }
 
     /// The same connection, but all that it asks within `span` is turned away, and then it ends.
-    pub fn turned_away(mut self, span: Micros) -> Connection {
+    pub fn rejecting_for(mut self, span: Micros) -> Connection {
         self.door = Some(self.shared.clock.now() + span);
         self
     }
 
     /// Turns away what has come whole by now, without waiting for more, and ends: for who finds no place at all. Its
     /// request may have been written long ago, and a close without an answer would lose it.
-    pub async fn turn_away_now(mut self) {
+    pub async fn reject_received_and_close(mut self) {
         self.door = Some(0);
-        while let (Ok(Got::Bytes(n)), false) = (stream::read(&self.stream, &mut self.buffer), self.deaf) {
+        while let (Ok(ReadResult::Bytes(n)), false) =
+            (stream::read(&self.stream, &mut self.buffer), self.deaf)
+        {
             self.useless += n;
             self.take().await;
             self.expect_whole();
@@ -192,7 +194,7 @@
         }
         // Nobody is left to hear the answers of what is still open.
         for gone in std::mem::take(&mut self.pending).into_values().filter_map(Pending::gone) {
-            if self.shared.module.send(gone).await.is_err() {
+            if self.shared.admission.send(gone).await.is_err() {
                 return;
             }
         }
@@ -208,20 +210,20 @@
         let mut busy = false;
         if self.reads() {
             match stream::read(&self.stream, &mut self.buffer)? {
-                Got::Bytes(n) => {
+                ReadResult::Bytes(n) => {
                     self.touch();
                     self.useless += n;
                     self.take().await;
                     self.expect_whole();
                     busy = true;
                 }
-                Got::End => self.hear_no_more(),
+                ReadResult::Closed => self.hear_no_more(),
                 // Only now, so that after a standstill what lies in the socket is read first.
-                Got::Nothing if self.is_late() || self.is_to_go() => {
+                ReadResult::WouldBlock if self.is_late() || self.is_to_go() => {
                     debug!(self.shared.log, "no whole request came");
                     self.hear_no_more();
                 }
-                Got::Nothing => {}
+                ReadResult::WouldBlock => {}
             }
         }
         self.account();
@@ -240,18 +242,18 @@
     }
 
     fn unwritten(&self) -> usize {
-        self.responder.out.len() - self.written
+        self.responder.output.len() - self.written
     }
 
     fn is_over(&self, busy: bool) -> bool {
-        let done = self.responder.whole() == 0 && self.unwritten() == 0;
-        let quiet = !busy && self.responder.open() == 0 && self.buffer.unread().is_empty();
-        done && (self.deaf || self.responder.is_last() || (self.finishing && quiet))
+        let done = self.responder.complete_requests() == 0 && self.unwritten() == 0;
+        let quiet = !busy && self.responder.open_requests() == 0 && self.buffer.unread().is_empty();
+        done && (self.deaf || self.responder.is_close_requested() || (self.finishing && quiet))
     }
 
     /// Its place is needed, and it has not asked.
     fn is_to_go(&self) -> bool {
-        self.leaving && self.responder.whole() == 0 && !self.activity.has_requested.get()
+        self.leaving && self.responder.complete_requests() == 0 && !self.activity.has_requested.get()
     }
 
     fn touch(&mut self) {
@@ -268,7 +270,8 @@
     /// Begins to wait for a request of which a part has come. A peer that sends on and on must not be read
     /// for ever either.
     fn expect_whole(&mut self) {
-        let partial = self.responder.open() > self.responder.whole() || !self.buffer.unread().is_empty();
+        let partial = self.responder.open_requests() > self.responder.complete_requests()
+            || !self.buffer.unread().is_empty();
         if partial {
             self.awaits = self.awaits.or(Some(self.shared.clock.now()));
         } else if self.activity.has_requested.get() {
@@ -292,16 +295,18 @@
 
     /// Books the memory that the connection takes; without room for it, it is of no more use.
     fn account(&mut self) {
-        let size = self.buffer.size() + self.responder.held() + self.responder.out.capacity();
+        let size = self.buffer.allocated_bytes()
+            + self.responder.buffered_bytes()
+            + self.responder.output.capacity();
         if !self.charge.resize(size) && !self.deaf {
             warn!(self.shared.log, "no memory for a connection"; "bytes" => size);
             self.hear_no_more();
         }
-        self.activity.open_requests.set(self.responder.whole());
+        self.activity.open_requests.set(self.responder.complete_requests());
     }
 
     fn write(&mut self) -> std::io::Result<()> {
-        let n = stream::write(&self.stream, &self.responder.out[self.written..])?;
+        let n = stream::write(&self.stream, &self.responder.output[self.written..])?;
         self.written += n;
         if n > 0 {
             self.touch();
@@ -310,10 +315,10 @@
         if n > 0 || self.unwritten() == 0 {
             self.taken_at = self.shared.clock.now();
         }
-        if self.written == self.responder.out.len() {
+        if self.written == self.responder.output.len() {
             self.written = 0;
-            self.responder.out.clear();
-            self.responder.out.shrink_to(8 * 1024);
+            self.responder.output.clear();
+            self.responder.output.shrink_to(8 * 1024);
         }
         Ok(())
     }
@@ -369,7 +374,7 @@
             // Its place is needed: one that never asked loses it even with a part of a request sent, but a whole one that
             // lies unread in the socket was given to this server and gets its answer.
             ConnectionCommand::CloseIfIdle if !self.activity.has_requested.get() => self.leaving = true,
-            ConnectionCommand::CloseIfIdle => self.finishing |= self.responder.open() == 0,
+            ConnectionCommand::CloseIfIdle => self.finishing |= self.responder.open_requests() == 0,
             ConnectionCommand::Close => {}
         }
     }
@@ -379,7 +384,9 @@
             self.pending.remove(&slot);
             match answer {
                 Response::Aborted => self.responder.end_aborted(slot),
-                answer => self.responder.answer(slot, &cgi::encode(answer, self.shared.hint.get())),
+                answer => {
+                    self.responder.respond(slot, &cgi::encode_response(answer, self.shared.load_hint.get()))
+                }
             }
         }
     }
@@ -387,7 +394,7 @@
     /// Takes all whole records off the buffer.
     async fn take(&mut self) {
         loop {
-            match self.responder.take(self.buffer.unread()) {
+            match self.responder.handle_record(self.buffer.unread()) {
                 Ok((0, _)) => return,
                 Ok((used, news)) => {
                     self.buffer.consume(used);
@@ -412,15 +419,15 @@
                 // Any whole request shows a peer that speaks the protocol, except one longer than that allows.
                 self.activity.has_requested.set(self.activity.has_requested.get() || !too_long);
                 (self.awaits, self.useless) = (None, 0);
-                let serial = self.shared.serial.get() + 1;
-                self.shared.serial.set(serial);
+                let serial = self.shared.last_serial.get() + 1;
+                self.shared.last_serial.set(serial);
                 self.pending.insert(slot, Pending { serial, id: None });
                 self.read_request((slot, serial), &params, body, too_long)
             }
         };
         if let Some(message) = message {
             // The module is gone only when the program ends.
-            let _ = self.shared.module.send(message).await;
+            let _ = self.shared.admission.send(message).await;
         }
     }
 
@@ -437,7 +444,7 @@
         // might not be written before the process ends.
         if self.door.is_some() || self.activity.closing.get() {
             self.pending.remove(&slot);
-            self.responder.turn_away(slot, Status::Overloaded);
+            self.responder.reject(slot, ProtocolStatus::Overloaded);
             self.finishing = true;
             return None;
         }
@@ -455,7 +462,7 @@
         };
         let Some(charge) = self.shared.budget.take(params.len() + body.len() + PER_REQUEST) else {
             self.pending.remove(&slot);
-            self.responder.turn_away(slot, Status::Overloaded);
+            self.responder.reject(slot, ProtocolStatus::Overloaded);
             return None;
         };
         let id: RequestId = work.id.as_str().into();
@@ -475,10 +482,10 @@
         if too_long {
             return Err("longer than allowed");
         }
-        let work = match cgi::ask(params)? {
-            Ask::Health(full) => return Ok(Meant::Check(full)),
-            Ask::Work(work) if work.is_timely(self.shared.clock.unix()) => work,
-            Ask::Work(_) => return Err("times far from now"),
+        let work = match cgi::parse_request(params)? {
+            CgiRequest::HealthCheck(full) => return Ok(Meant::Check(full)),
+            CgiRequest::Work(work) if work.is_timely(self.shared.clock.unix()) => work,
+            CgiRequest::Work(_) => return Err("times far from now"),
         };
         if self.shared.shape.passes_deadline && work.budget.is_none() {
             return Err("no budget");
@@ -503,20 +510,20 @@
         let stream = &self.stream;
         // Where nothing was said, no answer is on its way: its place is needed, and only what is there is read.
         let span = if self.told { LINGER } else { Duration::ZERO };
-        let drained = stream::within(span, async {
+        let drained = stream::with_timeout(span, async {
             let mut sink = Buffer::new(4 * 1024);
             let mut left = DRAINED;
             while let (Ok(got), true) = (stream::read(stream, &mut sink), left > 0) {
                 match got {
-                    Got::Bytes(n) => {
+                    ReadResult::Bytes(n) => {
                         sink.consume(n);
                         left = left.saturating_sub(n);
                         // A peer that never stops sending would keep all others waiting.
                         future::yield_now().await;
                     }
-                    Got::End => return,
-                    Got::Nothing if stream.readable().await.is_err() => return,
-                    Got::Nothing => {}
+                    ReadResult::Closed => return,
+                    ReadResult::WouldBlock if stream.readable().await.is_err() => return,
+                    ReadResult::WouldBlock => {}
                 }
             }
         });
--- a/crates/server/src/peers/dependency.rs
+++ b/crates/server/src/peers/dependency.rs
@@ -15,8 +15,8 @@
 use slog::{debug, Logger};
 use umberloom::interface::Outcome;
 
-use super::ajp::{self, Ajp};
-use super::stream::{self, Got};
+use super::ajp::{self, AjpConfig};
+use super::stream::{self, ReadResult};
 use crate::lifecycle::clock::Clock;
 use crate::messages::calls::{Call, CallId, DependencyCommand};
 use crate::messages::AdmissionMessage;
@@ -24,40 +24,40 @@
 use crate::wire::http::{self, Reply};
 
 /// Orders that may wait to be taken.
-pub const MAILBOX: usize = 4096;
+pub const MAILBOX_CAPACITY: usize = 4096;
 /// An idle connection is not used after this: the service closes it after 10 s.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between looks for connections that have been idle for so long.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Idle connections that are kept, over all dependencies.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// The descriptors that all dependencies share.
 #[derive(Clone, Debug)]
-pub struct Sockets {
+pub struct SocketBudget {
     /// Calls that may still begin.
     left: Rc<Cell<usize>>,
     /// Connections that stand idle.
     idle: Rc<Cell<usize>>,
 }
 
-impl Sockets {
+impl SocketBudget {
     /// For so many calls at once.
-    pub fn new(calls: usize) -> Sockets {
-        Sockets { left: Rc::new(Cell::new(calls)), idle: Rc::default() }
+    pub fn new(calls: usize) -> SocketBudget {
+        SocketBudget { left: Rc::new(Cell::new(calls)), idle: Rc::default() }
     }
 
-    fn take(&self) -> Option<Taken> {
+    fn take(&self) -> Option<SocketPermit> {
         let left = self.left.get().checked_sub(1)?;
         self.left.set(left);
-        Some(Taken(self.left.clone()))
+        Some(SocketPermit(self.left.clone()))
     }
 }
 
 /// A descriptor for a call, given back when dropped.
-struct Taken(Rc<Cell<usize>>);
+struct SocketPermit(Rc<Cell<usize>>);
 
-impl Drop for Taken {
+impl Drop for SocketPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -65,22 +65,22 @@
 
 /// Connections that stand idle, by endpoint, each with the one used last at the end.
 #[derive(Debug)]
-struct Idle {
-    all: BTreeMap<SocketAddr, VecDeque<(Instant, Async<TcpStream>)>>,
+struct IdlePool {
+    by_address: BTreeMap<SocketAddr, VecDeque<(Instant, Async<TcpStream>)>>,
     count: Rc<Cell<usize>>,
 }
 
-impl Idle {
-    fn new(count: Rc<Cell<usize>>) -> Pool {
-        Rc::new(RefCell::new(Idle { all: BTreeMap::new(), count }))
+impl IdlePool {
+    fn new(count: Rc<Cell<usize>>) -> SharedIdlePool {
+        Rc::new(RefCell::new(IdlePool { by_address: BTreeMap::new(), count }))
     }
 
     /// An idle connection that is still good, and for how long it was idle.
     fn take(&mut self, address: SocketAddr) -> Option<(Async<TcpStream>, Duration)> {
-        let there = self.all.get_mut(&address)?;
+        let there = self.by_address.get_mut(&address)?;
         while let Some((since, stream)) = there.pop_back() {
             self.count.set(self.count.get() - 1);
-            if since.elapsed() < IDLE && stream::is_silent(&stream) {
+            if since.elapsed() < IDLE_TIMEOUT && stream::is_silent(&stream) {
                 return Some((stream, since.elapsed()));
             }
         }
@@ -88,82 +88,82 @@
     }
 
     fn put(&mut self, address: SocketAddr, stream: Async<TcpStream>) {
-        if self.count.get() < IDLE_MOST {
+        if self.count.get() < MAX_IDLE_CONNECTIONS {
             self.count.set(self.count.get() + 1);
-            self.all.entry(address).or_default().push_back((Instant::now(), stream));
+            self.by_address.entry(address).or_default().push_back((Instant::now(), stream));
         }
     }
 
     fn expire(&mut self) {
         let count = self.count.clone();
-        self.all.retain(|_, there| {
+        self.by_address.retain(|_, there| {
             let before = there.len();
-            there.retain(|(since, _)| since.elapsed() < IDLE);
+            there.retain(|(since, _)| since.elapsed() < IDLE_TIMEOUT);
             count.set(count.get() + there.len() - before);
             !there.is_empty()
         });
     }
 }
 
-impl Drop for Idle {
+impl Drop for IdlePool {
     fn drop(&mut self) {
-        let there: usize = self.all.values().map(VecDeque::len).sum();
+        let there: usize = self.by_address.values().map(VecDeque::len).sum();
         self.count.set(self.count.get() - there);
     }
 }
 
-type Pool = Rc<RefCell<Idle>>;
+type SharedIdlePool = Rc<RefCell<IdlePool>>;
 
 /// Where an actor's calls go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct CallTarget {
     /// Path of its calls.
     pub path: Rc<str>,
     /// The platform's address, where this is its records service.
     pub platform: Option<SocketAddr>,
     /// How it is spoken to, where that is not HTTP.
-    pub ajp: Option<Rc<Ajp>>,
+    pub ajp: Option<Rc<AjpConfig>>,
 }
 
-impl Target {
+impl CallTarget {
     /// The platform's records service.
-    pub fn records(address: SocketAddr) -> Target {
-        Target { path: "/records/op".into(), platform: Some(address), ajp: None }
+    pub fn records_service(address: SocketAddr) -> CallTarget {
+        CallTarget { path: "/records/op".into(), platform: Some(address), ajp: None }
     }
 }
 
 /// The actor.
-pub struct Dependency<'a> {
+pub struct DependencyClient<'a> {
     executor: Rc<LocalExecutor<'a>>,
-    target: Target,
-    sockets: Sockets,
-    orders: Receiver<DependencyCommand>,
-    module: Sender<AdmissionMessage>,
+    target: CallTarget,
+    sockets: SocketBudget,
+    commands: Receiver<DependencyCommand>,
+    admission: Sender<AdmissionMessage>,
     clock: Clock,
     log: Logger,
-    pool: Pool,
+    pool: SharedIdlePool,
     calls: BTreeMap<CallId, Task<()>>,
 }
 
-impl<'a> Dependency<'a> {
+impl<'a> DependencyClient<'a> {
     /// Calls to `target`, as long as there are sockets for them.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        (target, sockets): (Target, Sockets),
-        orders: Receiver<DependencyCommand>,
-        module: Sender<AdmissionMessage>,
+        (target, sockets): (CallTarget, SocketBudget),
+        commands: Receiver<DependencyCommand>,
+        admission: Sender<AdmissionMessage>,
         clock: Clock,
         log: Logger,
-    ) -> Dependency<'a> {
-        let (pool, calls) = (Idle::new(sockets.idle.clone()), BTreeMap::new());
-        Dependency { executor, target, sockets, orders, module, clock, log, pool, calls }
+    ) -> DependencyClient<'a> {
+        let (pool, calls) = (IdlePool::new(sockets.idle.clone()), BTreeMap::new());
+        DependencyClient { executor, target, sockets, commands, admission, clock, log, pool, calls }
     }
 
     /// Makes calls for as long as anybody may order them, and then until the last has ended.
     pub async fn run(mut self) {
-        let mut look_at = Instant::now() + LOOK_EVERY;
+        let mut look_at = Instant::now() + IDLE_CHECK_INTERVAL;
         loop {
-            let order = async { Some(self.orders.recv().await) };
+            let order = async { Some(self.commands.recv().await) };
             let look = async {
                 Timer::at(look_at).await;
                 None
@@ -174,7 +174,7 @@
                 None => None,
             };
             if Instant::now() >= look_at {
-                look_at = Instant::now() + LOOK_EVERY;
+                look_at = Instant::now() + IDLE_CHECK_INTERVAL;
                 self.calls.retain(|_, task| !task.is_finished());
                 self.pool.borrow_mut().expire();
             }
@@ -182,7 +182,7 @@
                 Some(DependencyCommand::Call(call)) => {
                     // A second call of the same name gives up the first: dropping it closes its connection.
                     self.calls.remove(&call.id);
-                    if !self.begin(call).await {
+                    if !self.start_call(call).await {
                         return;
                     }
                 }
@@ -190,7 +190,7 @@
                 Some(DependencyCommand::SetAddress(address)) => {
                     // Connections of calls still under way go back to the old pool, which ends with them.
                     self.target.platform = Some(address);
-                    self.pool = Idle::new(self.sockets.idle.clone());
+                    self.pool = IdlePool::new(self.sockets.idle.clone());
                 }
                 None => {}
             }
@@ -202,12 +202,12 @@
     }
 
     /// Begins a call, or says that it can't begin; `false` at the end of the module.
-    async fn begin(&mut self, call: Call) -> bool {
+    async fn start_call(&mut self, call: Call) -> bool {
         let address = call.address.or(self.target.platform);
         let (Some(address), Some(taken)) = (address, self.sockets.take()) else {
             debug!(self.log, "too many calls at once"; "request" => &*call.id.request);
             let refused = AdmissionMessage::CallEnded(call.id, Outcome::Rejected, 0, Vec::new());
-            return self.module.send(refused).await.is_ok();
+            return self.admission.send(refused).await.is_ok();
         };
         let id = call.id.clone();
         let work = self.call(address, call, taken);
@@ -219,14 +219,14 @@
         &self,
         address: SocketAddr,
         call: Call,
-        taken: Taken,
+        taken: SocketPermit,
     ) -> impl std::future::Future<Output = ()> + 'a {
         let (target, pool) = (self.target.clone(), self.pool.clone());
-        let (module, clock) = (self.module.clone(), self.clock.clone());
+        let (module, clock) = (self.admission.clone(), self.clock.clone());
         async move {
             let from = clock.now();
             let span = Duration::from_micros(call.until.saturating_sub(from));
-            let (outcome, reply) = one(address, &target, &pool, &call, span).await;
+            let (outcome, reply) = make_call(address, &target, &pool, &call, span).await;
             drop(taken);
             let took = clock.now() - from;
             let _ = module.send(AdmissionMessage::CallEnded(call.id, outcome, took, reply)).await;
@@ -235,10 +235,10 @@
 }
 
 /// Makes one call and tells how it ended, with the body of a good reply.
-async fn one(
+async fn make_call(
     address: SocketAddr,
-    target: &Target,
-    pool: &Pool,
+    target: &CallTarget,
+    pool: &SharedIdlePool,
     call: &Call,
     span: Duration,
 ) -> (Outcome, Vec<u8>) {
@@ -247,7 +247,7 @@
         let taken = pool.borrow_mut().take(address);
         match (taken, &target.ajp) {
             // Nothing of the call has been written: what does not answer is closed, and the next one tried.
-            (Some((stream, idle)), Some(ajp)) if idle >= ajp::CHECK_AFTER => {
+            (Some((stream, idle)), Some(ajp)) if idle >= ajp::PING_AFTER_IDLE => {
                 if ajp::is_alive(&stream, ajp).await {
                     break Some(stream);
                 }
@@ -257,7 +257,7 @@
     };
     let stream = match idle {
         Some(stream) => stream,
-        None => match stream::within(span, Async::<TcpStream>::connect(address)).await {
+        None => match stream::with_timeout(span, Async::<TcpStream>::connect(address)).await {
             Some(Ok(stream)) => stream,
             // Nothing was written, so nothing ran.
             Some(Err(_)) | None => return (Outcome::Unreachable, Vec::new()),
@@ -275,20 +275,21 @@
         match &target.ajp {
             Some(ajp) => ajp::exchange(&stream, ajp, &target.path, &headers, &call.body).await,
             None => {
-                let request = http::request("POST", &target.path, &address.to_string(), &headers, &call.body);
+                let request =
+                    http::encode_request("POST", &target.path, &address.to_string(), &headers, &call.body);
                 exchange(&stream, &request).await
             }
         }
     };
-    match stream::within(left, made).await {
+    match stream::with_timeout(left, made).await {
         // Given up: dropping the stream closes the connection.
         None => (Outcome::TimedOut, Vec::new()),
         Some(Err(_)) => (Outcome::ConnectionLost, Vec::new()),
         Some(Ok(reply)) => {
-            if reply.keep {
+            if reply.keep_alive {
                 pool.borrow_mut().put(address, stream);
             }
-            (outcome(&reply), reply.body)
+            (classify_reply(&reply), reply.body)
         }
     }
 }
@@ -296,24 +297,26 @@
 /// One request and its reply.
 pub async fn exchange(stream: &Async<TcpStream>, request: &[u8]) -> std::io::Result<Reply> {
     stream::write_all(stream, request).await?;
-    let mut buffer = Buffer::new(http::HEAD + 2 * http::BODY);
+    let mut buffer = Buffer::new(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES);
     loop {
         let ended = match stream::read(stream, &mut buffer)? {
-            Got::Bytes(_) => false,
-            Got::End => true,
-            Got::Nothing => {
+            ReadResult::Bytes(_) => false,
+            ReadResult::Closed => true,
+            ReadResult::WouldBlock => {
                 stream.readable().await?;
                 continue;
             }
         };
-        match http::reply(buffer.unread(), ended) {
+        match http::parse_reply(buffer.unread(), ended) {
             // Its length was not stated: it may as well have been cut off here.
-            Ok(Some(reply)) if ended && reply.size == buffer.unread().len() && !reply.is_framed() => {
+            Ok(Some(reply))
+                if ended && reply.encoded_bytes == buffer.unread().len() && !reply.has_explicit_length() =>
+            {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             Ok(Some(reply)) => {
-                let clean = reply.size == buffer.unread().len() && !ended;
-                return Ok(Reply { keep: reply.keep && clean, ..reply });
+                let clean = reply.encoded_bytes == buffer.unread().len() && !ended;
+                return Ok(Reply { keep_alive: reply.keep_alive && clean, ..reply });
             }
             Ok(None) if ended || buffer.is_full() => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(None) => {}
@@ -323,7 +326,7 @@
 }
 
 /// What a reply says about the call. Only a mark proves that it never ran.
-fn outcome(reply: &Reply) -> Outcome {
+fn classify_reply(reply: &Reply) -> Outcome {
     let not_begun = reply.header("op-not-begun") == Some("1");
     match reply.status {
         200 => Outcome::Ok,
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -10,11 +10,11 @@
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
-    let (orders, taken) = async_channel::bounded(MAILBOX);
+    let (orders, taken) = async_channel::bounded(MAILBOX_CAPACITY);
     let (module, mail) = async_channel::bounded(8);
     let log = Logger::root(slog::Discard, slog::o!());
-    let to = (Target::records(address), Sockets::new(most));
-    let records = Dependency::new(executor.clone(), to, taken, module, Clock::default(), log);
+    let to = (CallTarget::records_service(address), SocketBudget::new(most));
+    let records = DependencyClient::new(executor.clone(), to, taken, module, Clock::default(), log);
     executor.spawn(records.run()).detach();
     async_io::block_on(executor.run(script(listener, orders, mail)));
 }
@@ -144,7 +144,7 @@
 fn only_a_mark_proves_that_a_call_never_ran() {
     let read = |text: &str| {
         let bytes = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n");
-        outcome(&http::reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
+        classify_reply(&http::parse_reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
     };
     assert_eq!(read("200 OK"), Outcome::Ok);
     assert_eq!(read("503 No\r\nOp-Not-Begun: 1"), Outcome::Rejected);
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -4,7 +4,7 @@
 //! takes for a network that loses; what others send is bounded in length before it is read.
 
 mod link;
-mod record;
+mod replication;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -24,19 +24,21 @@
 use crate::memory::budget::Charge;
 use crate::messages::fleet::{FleetCommand, FleetEvent, Reachability, REPLICATION_CHANNEL};
 use crate::messages::AdmissionMessage;
-use crate::wire::fleet::{frame, Answer, FleetView, FrameKind, Question, QuestionKind, Reply};
-use crate::wire::record::StoreAnswer as record_told;
+use crate::wire::fleet::{
+    encode_frame, FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView, FrameKind,
+};
+use crate::wire::replicated_store::StoreResponse as record_told;
 use link::Came;
-use record::{Keeper, Word};
+use replication::{Keeper, Word};
 
 /// Orders that may wait to be taken.
-pub const MAILBOX: usize = 512;
+pub const MAILBOX_CAPACITY: usize = 512;
 /// Frames that may wait to be taken, from all streams.
 const FRAMES: usize = 64;
 /// Streams that others may have open beyond one for each peer: guests, operators, and those that a restart left.
 const MORE: usize = 8;
 /// Memory of one stream: its longest frame, read and waiting.
-const STREAM: usize = 2 * crate::wire::fleet::LONGEST;
+const STREAM: usize = 2 * crate::wire::fleet::MAX_CONTENT_BYTES;
 /// Ways back that are remembered.
 const WAYS: usize = 256;
 /// Time between two words to the module about who is there, while nothing changes.
@@ -45,30 +47,30 @@
 const AT_ONCE: usize = 32;
 
 /// Descriptors that a fleet of so many peers takes: two sockets, a stream to and from each, and some more.
-pub fn descriptors(peers: usize) -> usize {
+pub fn descriptor_count(peers: usize) -> usize {
     2 + 2 * peers + MORE
 }
 
 /// Memory that it may take: streams are short, so a part of them is full at a time. With a record, what is long waits
 /// for each peer too.
-pub fn memory(peers: usize, record: bool) -> usize {
+pub fn memory_bytes(peers: usize, record: bool) -> usize {
     (peers / 8 + MORE) * STREAM
-        + if record { peers * link::BULK * crate::wire::fleet::LONGEST / 2 } else { 0 }
+        + if record { peers * link::BULK * crate::wire::fleet::MAX_CONTENT_BYTES / 2 } else { 0 }
 }
 
 /// The sockets, bound before anything is served.
-pub struct Sockets {
+pub struct FleetSockets {
     datagrams: Async<UdpSocket>,
     listener: Async<TcpListener>,
 }
 
-impl Sockets {
+impl FleetSockets {
     /// Datagrams and streams at the same address.
-    pub fn bind(address: SocketAddr) -> Result<Sockets, String> {
+    pub fn bind(address: SocketAddr) -> Result<FleetSockets, String> {
         let fail = |e: std::io::Error| format!("fleet: listen on {address}: {e}");
         let datagrams = UdpSocket::bind(address).and_then(Async::new).map_err(fail)?;
         let listener = TcpListener::bind(address).and_then(Async::new).map_err(fail)?;
-        Ok(Sockets { datagrams, listener })
+        Ok(FleetSockets { datagrams, listener })
     }
 }
 
@@ -88,13 +90,13 @@
 }
 
 /// The actor.
-pub struct Fleet<'a> {
+pub struct FleetActor<'a> {
     executor: Rc<LocalExecutor<'a>>,
     membership: Membership,
     key: Key,
     name: MemberName,
     peers: usize,
-    sockets: Rc<Sockets>,
+    sockets: Rc<FleetSockets>,
     orders: Receiver<FleetCommand>,
     module: Sender<AdmissionMessage>,
     addresses: BTreeMap<MemberName, SocketAddr>,
@@ -116,19 +118,19 @@
     _charge: Charge,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> FleetActor<'a> {
     /// A server of this fleet, whose process started at `boot`, a Unix time in microseconds.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        sockets: Sockets,
+        sockets: FleetSockets,
         (config, addresses, about, kept): (Config, Vec<SocketAddr>, BuildInfo, Option<Record>),
         (boot, seed): (u64, u64),
         orders: Receiver<FleetCommand>,
         module: Sender<AdmissionMessage>,
         charge: Charge,
         log: Logger,
-    ) -> Result<Fleet<'a>, String> {
+    ) -> Result<FleetActor<'a>, String> {
         let name = config.name.clone();
         let key = Key::new(&config.fleet, &config.secret);
         let peers = config.peers.len();
@@ -137,7 +139,7 @@
         let mut membership = membership
             .map_err(|all| all.into_iter().map(|mistake| mistake.what).collect::<Vec<_>>().join("; "))?;
         membership.set_build_info(0, about.clone());
-        Ok(Fleet {
+        Ok(FleetActor {
             executor,
             membership,
             key,
@@ -248,7 +250,7 @@
         let Some(keeper) = &mut self.record else { return };
         keeper.pass(now, &mut self.membership, self.load);
         for ((id, number), told) in keeper.take_answers() {
-            self.reply(id, number, Reply::Record(told));
+            self.reply(id, number, FleetReply::Store(told));
         }
     }
 
@@ -322,43 +324,43 @@
             Came::Frame(FrameKind::Message, content) => {
                 self.membership.handle_message(now, &content, ReturnPath::Stream(id))
             }
-            Came::Frame(FrameKind::Question, content) => {
-                match self.key.open::<Question>(&content, content.len()) {
+            Came::Frame(FrameKind::Request, content) => {
+                match self.key.open::<FleetRequest>(&content, content.len()) {
                     Ok(question) => self.answer(now, id, question),
                     Err(why) => debug!(self.log, "fleet: a question that is not believed"; "why" => ?why),
                 }
             }
-            Came::Frame(FrameKind::Answer, _) => {}
+            Came::Frame(FrameKind::Response, _) => {}
         }
     }
 
-    fn answer(&mut self, now: Micros, id: u64, question: Question) {
-        let reply = match question.what {
-            QuestionKind::Record(asked) => {
+    fn answer(&mut self, now: Micros, id: u64, question: FleetRequest) {
+        let reply = match question.kind {
+            FleetRequestKind::Store(asked) => {
                 let Some(keeper) = &mut self.record else {
                     let why = "this server's file has no `record` in its fleet".to_owned();
-                    return self.reply(id, question.number, Reply::Record(record_told::Refused(why)));
+                    return self.reply(id, question.number, FleetReply::Store(record_told::Rejected(why)));
                 };
                 let unix =
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
                 return keeper.ask(now, unix, (id, question.number), asked);
             }
-            QuestionKind::Members => Reply::Members(self.view(now)),
-            QuestionKind::Explain(name) => match self.membership.explain(now, &name) {
-                Some(evidence) => Reply::Explain(evidence),
+            FleetRequestKind::Members => FleetReply::Members(self.view(now)),
+            FleetRequestKind::Explain(name) => match self.membership.explain(now, &name) {
+                Some(evidence) => FleetReply::Explain(evidence),
                 None => {
                     let members = self.membership.members(now);
-                    Reply::Unknown(members.iter().map(|m| m.name.to_string()).collect())
+                    FleetReply::UnknownMember(members.iter().map(|m| m.name.to_string()).collect())
                 }
             },
         };
         self.reply(id, question.number, reply);
     }
 
-    fn reply(&mut self, id: u64, number: u64, reply: Reply) {
-        let answer = self.key.seal(&Answer { number, reply });
+    fn reply(&mut self, id: u64, number: u64, reply: FleetReply) {
+        let answer = self.key.seal(&FleetResponse { number, reply });
         if let Some((answers, _)) = self.ins.get(&id) {
-            let _ = answers.try_send(frame(FrameKind::Answer, &answer));
+            let _ = answers.try_send(encode_frame(FrameKind::Response, &answer));
         }
     }
 
@@ -386,8 +388,10 @@
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Stream(to, bytes) => self.stream(&to, frame(FrameKind::Message, &bytes), false),
-                Action::Bulk(to, bytes) => self.stream(&to, frame(FrameKind::Message, &bytes), true),
+                Action::Stream(to, bytes) => {
+                    self.stream(&to, encode_frame(FrameKind::Message, &bytes), false)
+                }
+                Action::Bulk(to, bytes) => self.stream(&to, encode_frame(FrameKind::Message, &bytes), true),
                 Action::Reply(ReturnPath::Datagram(way), bytes) => {
                     if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
@@ -395,7 +399,7 @@
                 }
                 Action::Reply(ReturnPath::Stream(id), bytes) => {
                     if let Some((answers, _)) = self.ins.get(&id) {
-                        let _ = answers.try_send(frame(FrameKind::Message, &bytes));
+                        let _ = answers.try_send(encode_frame(FrameKind::Message, &bytes));
                     }
                 }
             }
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -9,7 +9,7 @@
 use futures_lite::{future, AsyncReadExt};
 
 use crate::peers::stream;
-use crate::wire::fleet::{self, FrameKind, HEAD};
+use crate::wire::fleet::{self, FrameKind, HEADER_BYTES};
 
 /// Frames that may wait to be written to a member; more are lost, as on a network.
 pub const WAITING: usize = 64;
@@ -65,7 +65,7 @@
         };
         match open {
             Ok(open) => {
-                let written = stream::within(PATIENCE, stream::write_all(&open, &frame)).await;
+                let written = stream::with_timeout(PATIENCE, stream::write_all(&open, &frame)).await;
                 link = matches!(written, Some(Ok(()))).then_some(open);
             }
             Err(_) => {
@@ -78,7 +78,7 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<Async<TcpStream>> {
-    let made = stream::within(PATIENCE, Async::<TcpStream>::connect(address)).await;
+    let made = stream::with_timeout(PATIENCE, Async::<TcpStream>::connect(address)).await;
     let made = made.ok_or(ErrorKind::TimedOut)??;
     let _ = made.get_ref().set_nodelay(true);
     Ok(made)
@@ -95,7 +95,7 @@
     };
     let write = async {
         while let Ok(answer) = answers.recv().await {
-            let written = stream::within(PATIENCE, stream::write_all(&stream, &answer)).await;
+            let written = stream::with_timeout(PATIENCE, stream::write_all(&stream, &answer)).await;
             if !matches!(written, Some(Ok(()))) {
                 return;
             }
@@ -109,12 +109,14 @@
 async fn frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut first = [0; 1];
-    let Some(begun) = stream::within(2 * IDLE, reader.read_exact(&mut first)).await else { return Ok(None) };
+    let Some(begun) = stream::with_timeout(2 * IDLE, reader.read_exact(&mut first)).await else {
+        return Ok(None);
+    };
     begun?;
     let rest = async {
         let mut start = [first[0], 0, 0, 0, 0];
-        reader.read_exact(&mut start[1..HEAD]).await?;
-        let Some((kind, length)) = fleet::head(start) else { return Ok(None) };
+        reader.read_exact(&mut start[1..HEADER_BYTES]).await?;
+        let Some((kind, length)) = fleet::parse_header(start) else { return Ok(None) };
         // What is stated is bounded, and only what comes takes memory beyond a page.
         let mut content = Vec::with_capacity(length.min(4_096));
         let mut part = [0; 4_096];
@@ -128,5 +130,5 @@
         }
         Ok(Some((kind, content)))
     };
-    stream::within(WHOLE, rest).await.unwrap_or(Ok(None))
+    stream::with_timeout(WHOLE, rest).await.unwrap_or(Ok(None))
 }
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -18,7 +18,7 @@
 use umberloom_store::{Batch, Config as StoreConfig, StoreError};
 
 use crate::messages::fleet::REPLICATION_CHANNEL;
-use crate::wire::record::{StoreAnswer as Answer, StoreQuestion, PART};
+use crate::wire::replicated_store::{StoreRequest, StoreResponse as Answer, MAX_PART_BYTES};
 
 /// Batches that may wait for the disk's thread.
 const QUEUE: usize = 64;
@@ -355,46 +355,46 @@
     }
 
     /// An operator asks; the answer comes with [`Keeper::take_answers`].
-    pub fn ask(&mut self, now: Micros, at_ms: u64, to: (u64, u64), asked: StoreQuestion) {
-        let refuse = |why: RequestError| Answer::Refused(why.to_string());
+    pub fn ask(&mut self, now: Micros, at_ms: u64, to: (u64, u64), asked: StoreRequest) {
+        let refuse = |why: RequestError| Answer::Rejected(why.to_string());
         let Some(record) = &mut self.record else {
             let why =
                 if self.reopen.is_some() { "its disk can't be used now" } else { "its disk is being opened" };
             return self
                 .answers
-                .push((to, Answer::Refused(format!("this server has no part in the record: {why}"))));
+                .push((to, Answer::Rejected(format!("this server has no part in the record: {why}"))));
         };
         if self.pending.len() >= WAITING {
             return self.answers.push((to, refuse(RequestError::Busy)));
         }
         let answer = match asked {
-            StoreQuestion::Status => Answer::Status(Box::new(record.status(now))),
-            StoreQuestion::History(most) => {
+            StoreRequest::Status => Answer::Status(Box::new(record.status(now))),
+            StoreRequest::History(most) => {
                 let lines = record.state().history().rev().take(most as usize).cloned().collect();
                 Answer::History(lines)
             }
-            StoreQuestion::Hand(name, votes) => match record.set_voter(now, &name, votes) {
-                Ok(()) => Answer::Taken,
+            StoreRequest::SetVoter(name, votes) => match record.set_voter(now, &name, votes) {
+                Ok(()) => Answer::Accepted,
                 Err(why) => refuse(why),
             },
-            StoreQuestion::Adopt => match record.adopt(now, at_ms) {
-                Ok(_) => Answer::Taken,
+            StoreRequest::Adopt => match record.adopt(now, at_ms) {
+                Ok(_) => Answer::Accepted,
                 Err(why) => refuse(why),
             },
-            StoreQuestion::Show { name, latest: false, from } => show(record, now, &name, from),
-            StoreQuestion::Show { name, latest: true, from } => match record.request_read(now) {
+            StoreRequest::ReadDocument { name, latest: false, from } => show(record, now, &name, from),
+            StoreRequest::ReadDocument { name, latest: true, from } => match record.request_read(now) {
                 Ok(ticket) => {
                     let what = What::Show { ticket, name, from };
                     return self.pending.push(Pending { to, what, until: now + PATIENCE });
                 }
                 Err(why) => refuse(why),
             },
-            StoreQuestion::Write { id, entry } => {
+            StoreRequest::Write { id, entry } => {
                 let what = What::Write { id, at_ms, entry, taken: None, tried: 0 };
                 return self.pending.push(Pending { to, what, until: now + PATIENCE });
             }
-            StoreQuestion::Export(from) => match record.export().map(|export| export.bytes()) {
-                Some(all) => Answer::Bytes(part(&all, from), all.len() as u64),
+            StoreRequest::Export(from) => match record.export().map(|export| export.bytes()) {
+                Some(all) => Answer::ExportPart(part(&all, from), all.len() as u64),
                 None => refuse(RequestError::Outside),
             },
         };
@@ -404,7 +404,7 @@
     /// Sees to the questions that wait.
     fn wait(&mut self, now: Micros) {
         let Some(record) = &mut self.record else {
-            let gone = || Answer::Refused(RequestError::Outside.to_string());
+            let gone = || Answer::Rejected(RequestError::Outside.to_string());
             return self.answers.extend(self.pending.drain(..).map(|pending| (pending.to, gone())));
         };
         let reads = record.take_finished_reads();
@@ -414,17 +414,17 @@
             let answer = match &mut pending.what {
                 What::Show { ticket, name, from } => match reads.iter().find(|(done, _)| done == ticket) {
                     Some((_, ReadOutcome::Ready)) => show(record, now, name, *from),
-                    Some((_, ReadOutcome::Refused(why))) => Answer::Refused(why.to_string()),
-                    None if late => Answer::Refused(RequestError::TimedOut.to_string()),
+                    Some((_, ReadOutcome::Refused(why))) => Answer::Rejected(why.to_string()),
+                    None if late => Answer::Rejected(RequestError::TimedOut.to_string()),
                     None => return true,
                 },
                 What::Write { id, at_ms, entry, taken, tried } => match record.outcome(*id) {
-                    Some(outcome) => Answer::Done(outcome),
+                    Some(outcome) => Answer::WriteOutcome(outcome),
                     None if late => match taken.take() {
                         // It may be applied yet: whoever asked must not take it for refused.
-                        Some(Ok(())) => Answer::Refused(RequestError::TimedOut.to_string()),
-                        Some(Err(why)) => Answer::Refused(why.to_string()),
-                        None => Answer::Refused(RequestError::NoLeader.to_string()),
+                        Some(Ok(())) => Answer::Rejected(RequestError::TimedOut.to_string()),
+                        Some(Err(why)) => Answer::Rejected(why.to_string()),
+                        None => Answer::Rejected(RequestError::NoLeader.to_string()),
                     },
                     None => {
                         // Lost on the way or with a leader: tried again under its number, it is applied once.
@@ -451,13 +451,15 @@
 
 fn part(all: &[u8], from: u64) -> Vec<u8> {
     let from = (from as usize).min(all.len());
-    all[from..all.len().min(from + PART)].to_vec()
+    all[from..all.len().min(from + MAX_PART_BYTES)].to_vec()
 }
 
 fn show(record: &Replica, now: Micros, name: &str, from: u64) -> Answer {
     let age = record.status(now).leader_heard_ms;
     match record.state().get(name) {
-        None => Answer::Nothing(record.state().documents().map(|(name, _)| name.clone()).take(64).collect()),
+        None => Answer::UnknownDocument(
+            record.state().documents().map(|(name, _)| name.clone()).take(64).collect(),
+        ),
         Some(held) => {
             let bytes = held.bytes.as_deref().unwrap_or_default();
             Answer::Document {
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -15,38 +15,38 @@
 use umberloom::interface::Micros;
 use umberloom_connection_admission::connection_table::{Admission, ConnectionState, ConnectionTable};
 
-use super::connection::{Connection, Shared};
+use super::connection::{Connection, ConnectionContext};
 use crate::lifecycle::log_throttle::LogThrottle;
 use crate::messages::caller::{ConnectionActivity, ConnectionCommand};
 use crate::messages::listener::ListenerCommand;
 
 /// Words that may wait to be taken.
-pub const MAILBOX: usize = 64;
+pub const MAILBOX_CAPACITY: usize = 64;
 /// Time between looks for idle connections.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A connection at the door has this long to ask.
-const AT_DOOR: Micros = 250_000;
+const REJECT_PERIOD: Micros = 250_000;
 /// Time after which accepting is tried again when the system had no descriptor for it.
-const RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-struct Entry {
-    words: Sender<ConnectionCommand>,
+struct ConnectionEntry {
+    mailbox: Sender<ConnectionCommand>,
     activity: Rc<ConnectionActivity>,
-    at_door: bool,
+    rejecting: bool,
     /// When it was told to close.
     told: Cell<Option<Micros>>,
 }
 
-impl Entry {
+impl ConnectionEntry {
     /// One such word at a time: a connection that is slow to take its mail must keep room there for its answers.
     fn close_if_idle(&self, now: Micros) {
-        if self.words.is_empty() && self.words.try_send(ConnectionCommand::CloseIfIdle).is_ok() {
+        if self.mailbox.is_empty() && self.mailbox.try_send(ConnectionCommand::CloseIfIdle).is_ok() {
             let since = self.told.get().filter(|told| *told >= self.activity.last_active.get());
             self.told.set(since.or(Some(now)));
         }
     }
 
-    fn seen(&self, id: u64) -> ConnectionState {
+    fn state(&self, id: u64) -> ConnectionState {
         ConnectionState {
             id,
             listener: 0,
@@ -54,227 +54,233 @@
             asked: self.activity.has_requested.get(),
             last: self.activity.last_active.get(),
             told: self.told.get(),
-            at_door: self.at_door,
+            at_door: self.rejecting,
         }
     }
 }
 
-enum Next {
+enum Wakeup {
     Accepted(TcpStream),
-    Order(Option<ListenerCommand>),
-    Over(u64),
-    Look,
+    Command(Option<ListenerCommand>),
+    Closed(u64),
+    IdleCheck,
     /// What waits to be accepted is to be looked at again, after the word to finish.
     Backlog,
 }
 
 /// The actor.
-pub struct Front<'a> {
+pub struct Listener<'a> {
     executor: Rc<LocalExecutor<'a>>,
     listener: Option<Async<TcpListener>>,
-    shared: Shared,
-    orders: Receiver<ListenerCommand>,
+    context: ConnectionContext,
+    commands: Receiver<ListenerCommand>,
     /// Most connections at once, so that descriptors last.
-    places: ConnectionTable,
-    idle: Micros,
-    all: BTreeMap<u64, Entry>,
+    table: ConnectionTable,
+    idle_timeout: Micros,
+    connections: BTreeMap<u64, ConnectionEntry>,
     /// The word to finish has come.
-    finishing: bool,
-    next: u64,
-    over: (Sender<u64>, Receiver<u64>),
+    draining: bool,
+    last_id: u64,
+    closed: (Sender<u64>, Receiver<u64>),
     /// When idle connections are looked for next, whatever else happens.
-    look_at: Instant,
-    full: LogThrottle,
+    next_idle_check: Instant,
+    table_full_throttle: LogThrottle,
     /// Nothing could be accepted.
-    short: RefCell<LogThrottle>,
+    accept_error_throttle: RefCell<LogThrottle>,
     log: Logger,
 }
 
-impl<'a> Front<'a> {
+impl<'a> Listener<'a> {
     /// Connections from `listener`, as many at once as there are places.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        (listener, places): (Async<TcpListener>, ConnectionTable),
-        shared: Shared,
-        orders: Receiver<ListenerCommand>,
-        idle: Micros,
-    ) -> Front<'a> {
-        let over = async_channel::bounded(places.all().max(1));
-        let log = shared.log.clone();
-        Front {
+        (listener, table): (Async<TcpListener>, ConnectionTable),
+        context: ConnectionContext,
+        commands: Receiver<ListenerCommand>,
+        idle_timeout: Micros,
+    ) -> Listener<'a> {
+        let closed = async_channel::bounded(table.all().max(1));
+        let log = context.log.clone();
+        Listener {
             executor,
             listener: Some(listener),
-            shared,
-            orders,
-            places,
-            idle,
-            all: BTreeMap::new(),
-            finishing: false,
-            next: 0,
-            over,
-            look_at: Instant::now() + LOOK_EVERY,
-            full: LogThrottle::default(),
-            short: RefCell::default(),
+            context,
+            commands,
+            table,
+            idle_timeout,
+            connections: BTreeMap::new(),
+            draining: false,
+            last_id: 0,
+            closed,
+            next_idle_check: Instant::now() + IDLE_CHECK_INTERVAL,
+            table_full_throttle: LogThrottle::default(),
+            accept_error_throttle: RefCell::default(),
             log,
         }
     }
 
     /// Accepts and looks after connections until, after the word to finish, none is left.
     pub async fn run(mut self) {
-        while self.listener.is_some() || !self.all.is_empty() {
+        while self.listener.is_some() || !self.connections.is_empty() {
             match self.wait().await {
-                Next::Accepted(stream) => {
+                Wakeup::Accepted(stream) => {
                     self.admit(stream).await;
                     // What has come with it is read before the next one needs its place.
                     future::yield_now().await;
                 }
-                Next::Over(number) => drop(self.all.remove(&number)),
-                Next::Look => {
-                    self.look_at = Instant::now() + LOOK_EVERY;
+                Wakeup::Closed(number) => drop(self.connections.remove(&number)),
+                Wakeup::IdleCheck => {
+                    self.next_idle_check = Instant::now() + IDLE_CHECK_INTERVAL;
                     self.close_idle();
                 }
-                Next::Order(Some(ListenerCommand::CloseIdle(span))) => self.idle = span,
-                Next::Order(Some(ListenerCommand::Drain)) => self.finish().await,
-                Next::Backlog => self.take_backlog().await,
-                Next::Order(None) => return,
+                Wakeup::Command(Some(ListenerCommand::CloseIdle(span))) => self.idle_timeout = span,
+                Wakeup::Command(Some(ListenerCommand::Drain)) => self.drain().await,
+                Wakeup::Backlog => self.accept_backlog().await,
+                Wakeup::Command(None) => return,
             }
         }
     }
 
     /// The next thing to do. A look that is due comes first, however much else there is: what keeps places free
     /// must not depend on a lull.
-    async fn wait(&self) -> Next {
-        if Instant::now() >= self.look_at {
-            return Next::Look;
+    async fn wait(&self) -> Wakeup {
+        if Instant::now() >= self.next_idle_check {
+            return Wakeup::IdleCheck;
         }
-        let over = async { self.over.1.recv().await.map_or(Next::Look, Next::Over) };
-        let order = async { Next::Order(self.orders.recv().await.ok()) };
+        let over = async { self.closed.1.recv().await.map_or(Wakeup::IdleCheck, Wakeup::Closed) };
+        let order = async { Wakeup::Command(self.commands.recv().await.ok()) };
         let accepted = async {
             match &self.listener {
-                Some(_) if self.finishing => {
-                    Timer::after(RETRY).await;
-                    Next::Backlog
+                Some(_) if self.draining => {
+                    Timer::after(ACCEPT_BACKOFF).await;
+                    Wakeup::Backlog
                 }
-                Some(listener) if !self.place_is_coming() => self.accept(listener).await,
+                Some(listener) if !self.is_place_expected() => self.accept(listener).await,
                 _ => future::pending().await,
             }
         };
         let look = async {
-            Timer::at(self.look_at).await;
-            Next::Look
+            Timer::at(self.next_idle_check).await;
+            Wakeup::IdleCheck
         };
         future::or(over, future::or(order, future::or(accepted, look))).await
     }
 
-    fn seen(&self) -> Vec<ConnectionState> {
-        self.all.iter().map(|(id, entry)| entry.seen(*id)).collect()
+    fn connection_states(&self) -> Vec<ConnectionState> {
+        self.connections.iter().map(|(id, entry)| entry.state(*id)).collect()
     }
 
-    fn place_is_coming(&self) -> bool {
-        self.all.len() >= self.places.table() && self.places.is_coming(self.shared.clock.now(), &self.seen())
+    fn is_place_expected(&self) -> bool {
+        self.connections.len() >= self.table.table()
+            && self.table.is_coming(self.context.clock.now(), &self.connection_states())
     }
 
-    async fn accept(&self, listener: &Async<TcpListener>) -> Next {
+    async fn accept(&self, listener: &Async<TcpListener>) -> Wakeup {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => match stream.into_inner() {
-                    Ok(stream) => return Next::Accepted(stream),
+                    Ok(stream) => return Wakeup::Accepted(stream),
                     Err(e) => debug!(self.log, "accepted in vain"; "why" => %e),
                 },
                 // The peer has left already.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
-                    self.tell_short(&e);
-                    Timer::after(RETRY).await;
+                    self.log_accept_error(&e);
+                    Timer::after(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
     async fn admit(&mut self, stream: TcpStream) {
-        let lot = self.lot();
+        let lot = self.admission();
         let _ = stream.set_nodelay(true);
         // Sets it non-blocking too, whichever way it was accepted.
         let Ok(stream) = Async::new(stream) else { return };
         let activity = Rc::new(ConnectionActivity::default());
-        activity.closing.set(self.finishing);
-        let Some((connection, words)) = Connection::new(stream, self.shared.clone(), activity.clone()) else {
+        activity.closing.set(self.draining);
+        let Some((connection, words)) = Connection::new(stream, self.context.clone(), activity.clone())
+        else {
             return;
         };
         if lot == Admission::Closed {
             // With nothing run: its caller learns at once that it is to go elsewhere.
-            return connection.turn_away_now().await;
+            return connection.reject_received_and_close().await;
         }
         let at_door = lot == Admission::TurnedAway;
-        let connection = if at_door { connection.turned_away(AT_DOOR) } else { connection };
-        self.next += 1;
-        let (number, over) = (self.next, self.over.0.clone());
-        self.all.insert(number, Entry { words, activity, at_door, told: Cell::new(None) });
+        let connection = if at_door { connection.rejecting_for(REJECT_PERIOD) } else { connection };
+        self.last_id += 1;
+        let (number, over) = (self.last_id, self.closed.0.clone());
+        self.connections.insert(
+            number,
+            ConnectionEntry { mailbox: words, activity, rejecting: at_door, told: Cell::new(None) },
+        );
         let served = async move {
             connection.run().await;
             let _ = over.send(number).await;
         };
         self.executor.spawn(served).detach();
-        if self.all.len() >= self.places.table() {
+        if self.connections.len() >= self.table.table() {
             self.close_idle();
         }
     }
 
     /// Where a new connection finds its place.
-    fn lot(&mut self) -> Admission {
-        if self.all.len() < self.places.table() {
+    fn admission(&mut self) -> Admission {
+        if self.connections.len() < self.table.table() {
             return Admission::Served;
         }
-        let now = self.shared.clock.now();
-        let (lot, closed) = self.places.admit(now, 0, &self.seen());
-        if let Some(entry) = closed.and_then(|id| self.all.get(&id)) {
+        let now = self.context.clock.now();
+        let (lot, closed) = self.table.admit(now, 0, &self.connection_states());
+        if let Some(entry) = closed.and_then(|id| self.connections.get(&id)) {
             entry.close_if_idle(now);
         }
         if lot != Admission::Served {
-            self.tell_full();
+            self.log_table_full();
         }
         lot
     }
 
-    fn tell_full(&mut self) {
-        if let Some(more) = self.full.tell(Instant::now()) {
-            let busy = self.all.values().filter(|entry| entry.activity.open_requests.get() > 0).count();
-            let at_door = self.all.values().filter(|entry| entry.at_door).count();
+    fn log_table_full(&mut self) {
+        if let Some(more) = self.table_full_throttle.tell(Instant::now()) {
+            let busy =
+                self.connections.values().filter(|entry| entry.activity.open_requests.get() > 0).count();
+            let at_door = self.connections.values().filter(|entry| entry.rejecting).count();
             warn!(self.log, "no place for a connection"; "not_told" => more, "at_door" => at_door,
-                "busy" => busy, "places" => self.places.table());
+                "busy" => busy, "places" => self.table.table());
         }
     }
 
-    fn tell_short(&self, why: &std::io::Error) {
-        if let Some(more) = self.short.borrow_mut().tell(Instant::now()) {
+    fn log_accept_error(&self, why: &std::io::Error) {
+        if let Some(more) = self.accept_error_throttle.borrow_mut().tell(Instant::now()) {
             warn!(self.log, "not accepted"; "why" => %why, "not_told" => more);
         }
     }
 
     fn close_idle(&self) {
-        let now = self.shared.clock.now();
-        for id in self.places.to_close(now, &[self.idle], &self.seen()) {
-            if let Some(entry) = self.all.get(&id) {
+        let now = self.context.clock.now();
+        for id in self.table.to_close(now, &[self.idle_timeout], &self.connection_states()) {
+            if let Some(entry) = self.connections.get(&id) {
                 entry.close_if_idle(now);
             }
         }
     }
 
     /// Nothing new is let in; each connection closes once nothing is open on it.
-    async fn finish(&mut self) {
-        self.finishing = true;
-        for entry in self.all.values() {
+    async fn drain(&mut self) {
+        self.draining = true;
+        for entry in self.connections.values() {
             entry.activity.closing.set(true);
             // Only to wake it: where there is no room it has other words to wake for.
-            let _ = entry.words.try_send(ConnectionCommand::Close);
+            let _ = entry.mailbox.try_send(ConnectionCommand::Close);
         }
-        self.take_backlog().await;
+        self.accept_backlog().await;
     }
 
     /// Connections that wait to be accepted may carry whole requests, which this server has: all are taken before the
     /// socket closes. An error of one of them is not the end of the others, and without a descriptor the socket stays
     /// open until connections have ended.
-    async fn take_backlog(&mut self) {
+    async fn accept_backlog(&mut self) {
         // Out of the reactor first, so that the close follows the last look at once: who comes between them is reset.
         let Some(Ok(listener)) = self.listener.take().map(Async::into_inner) else { return };
         loop {
@@ -287,7 +293,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
-                    self.tell_short(&e);
+                    self.log_accept_error(&e);
                     self.listener = Async::new_nonblocking(listener).ok();
                     return;
                 }
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -12,7 +12,7 @@
 use crate::peers::connection;
 use crate::peers::stream;
 use crate::wire::fastcgi;
-use crate::wire::responder::OPEN;
+use crate::wire::responder::MAX_OPEN_REQUESTS;
 use umberloom_settings::shape::Shape;
 
 /// Longest wait for anything that must come.
@@ -25,7 +25,7 @@
     mail: Receiver<AdmissionMessage>,
     log: Rc<RefCell<Vec<AdmissionMessage>>>,
     orders: Sender<ListenerCommand>,
-    shared: Shared,
+    shared: ConnectionContext,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
-    stream::within(PATIENCE, work).await.expect("waited in vain")
+    stream::with_timeout(PATIENCE, work).await.expect("waited in vain")
 }
 
 fn with_front<F: Future<Output = ()>>(
@@ -90,20 +90,20 @@
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
     let (module, mail) = async_channel::bounded(64);
-    let (orders, taken) = async_channel::bounded(MAILBOX);
-    let shared = Shared {
-        module,
+    let (orders, taken) = async_channel::bounded(MAILBOX_CAPACITY);
+    let shared = ConnectionContext {
+        admission: module,
         classes: Rc::new(vec![]),
         tenants: Rc::new(vec![]),
-        hint: Rc::default(),
+        load_hint: Rc::default(),
         shape: Shape { passes_deadline: true, marks_retry: false },
-        connections: places.table(),
-        serial: Rc::default(),
+        max_connections: places.table(),
+        last_serial: Rc::default(),
         budget: Budget::new(1 << 24),
         clock: Default::default(),
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let front = Front::new(executor.clone(), (listener, places), shared.clone(), taken, idle);
+    let front = Listener::new(executor.clone(), (listener, places), shared.clone(), taken, idle);
     executor.spawn(front.run()).detach();
     let bench = Bench { address, mail, log: Rc::default(), orders, shared, executor: executor.clone() };
     async_io::block_on(executor.run(script(bench)));
@@ -118,10 +118,10 @@
         params.extend_from_slice(value.as_bytes());
     }
     let mut bytes = Vec::new();
-    fastcgi::write(&mut bytes, fastcgi::kind::BEGIN_REQUEST, 1, &[0, 1, 1, 0, 0, 0, 0, 0]);
-    fastcgi::write(&mut bytes, fastcgi::kind::PARAMS, 1, &params);
-    fastcgi::write(&mut bytes, fastcgi::kind::PARAMS, 1, &[]);
-    fastcgi::write(&mut bytes, fastcgi::kind::STDIN, 1, &[]);
+    fastcgi::write_record(&mut bytes, fastcgi::kind::BEGIN_REQUEST, 1, &[0, 1, 1, 0, 0, 0, 0, 0]);
+    fastcgi::write_record(&mut bytes, fastcgi::kind::PARAMS, 1, &params);
+    fastcgi::write_record(&mut bytes, fastcgi::kind::PARAMS, 1, &[]);
+    fastcgi::write_record(&mut bytes, fastcgi::kind::STDIN, 1, &[]);
     bytes
 }
 
@@ -133,7 +133,7 @@
 async fn status(client: &mut Client) -> Option<u8> {
     let mut bytes = Vec::new();
     loop {
-        while let Ok(Some(record)) = fastcgi::record(&bytes) {
+        while let Ok(Some(record)) = fastcgi::parse_record(&bytes) {
             if record.kind == fastcgi::kind::END_REQUEST {
                 return Some(bytes[record.content.start + 4]);
             }
@@ -224,18 +224,18 @@
 
 #[test]
 fn the_mailbox_has_room_for_every_answer() {
-    let (words, mail) = async_channel::bounded(connection::MAILBOX);
+    let (words, mail) = async_channel::bounded(connection::MAILBOX_CAPACITY);
     let (activity, told) = (Rc::new(ConnectionActivity::default()), Cell::new(None));
-    let entry = Entry { words: words.clone(), activity, at_door: false, told };
+    let entry = ConnectionEntry { mailbox: words.clone(), activity, rejecting: false, told };
     // Its actor waits for the module, and takes nothing for a long while.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
-    entry.words.try_send(ConnectionCommand::Close).expect("room for the end");
-    for slot in 0..OPEN {
+    entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
+    for slot in 0..MAX_OPEN_REQUESTS {
         ReplyTo::new(words.clone(), slot as u16, 7).respond(Response::Failed);
     }
     let answers =
         std::iter::from_fn(|| mail.try_recv().ok()).filter(|w| matches!(w, ConnectionCommand::Respond(..)));
-    assert_eq!(answers.count(), OPEN);
+    assert_eq!(answers.count(), MAX_OPEN_REQUESTS);
 }
 
 /// Written at once: nothing of the server runs between this and what the test does next.
--- a/crates/server/src/peers/registration/tests.rs
+++ b/crates/server/src/peers/registration/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn list(name: &str, servers: u32) -> List {
+fn list(name: &str, servers: u32) -> Registration {
     let (_, words) = async_channel::bounded(1);
     let log = Logger::root(slog::Discard, slog::o!());
-    let mut list = List::new(([127, 0, 0, 1], 1).into(), name, (servers, 7), words, log);
+    let mut list = Registration::new(([127, 0, 0, 1], 1).into(), name, (servers, 7), words, log);
     list.accepting = Some(true);
     list
 }
@@ -16,10 +16,10 @@
         let mut tries: Vec<Duration> = Vec::new();
         for n in 0..servers {
             let mut list = list(&format!("n{n}"), servers);
-            list.judge(true, false);
+            list.handle_report_result(true, false);
             let mut at = Duration::ZERO;
             while at < Duration::from_secs(30) {
-                at += list.pause();
+                at += list.report_delay();
                 tries.push(at);
             }
         }
@@ -31,8 +31,8 @@
     }
     // At any size an entry is renewed well before it would lapse.
     let mut large = list("n0", 300);
-    large.judge(true, false);
-    assert!((0..1_000).all(|_| large.pause() <= Duration::from_micros(LONGEST)));
+    large.handle_report_result(true, false);
+    assert!((0..1_000).all(|_| large.report_delay() <= Duration::from_micros(MAX_RETRY_INTERVAL)));
 }
 
 /// Guards against a list on which a server that leaves takes work: the report of before was given up, and is read after the
@@ -40,16 +40,16 @@
 #[test]
 fn a_word_that_may_be_overtaken_is_said_again_soon() {
     let mut list = list("n0", 1);
-    list.judge(true, true);
-    assert_eq!(list.pause(), EVERY);
-    list.judge(true, false);
+    list.handle_report_result(true, true);
+    assert_eq!(list.report_delay(), REPORT_INTERVAL);
+    list.handle_report_result(true, false);
     list.accepting = Some(false);
-    list.judge(false, true);
-    assert!(list.pause() < EVERY / 2);
-    list.judge(false, true);
-    assert_eq!(list.pause(), EVERY);
+    list.handle_report_result(false, true);
+    assert!(list.report_delay() < REPORT_INTERVAL / 2);
+    list.handle_report_result(false, true);
+    assert_eq!(list.report_delay(), REPORT_INTERVAL);
     // The same word can't be overtaken by itself.
-    list.judge(false, false);
-    list.judge(false, true);
-    assert_eq!(list.pause(), EVERY);
+    list.handle_report_result(false, false);
+    list.handle_report_result(false, true);
+    assert_eq!(list.report_delay(), REPORT_INTERVAL);
 }
--- a/crates/server/src/peers/stream.rs
+++ b/crates/server/src/peers/stream.rs
@@ -12,25 +12,25 @@
 
 /// What a read came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadResult {
     /// So many bytes.
     Bytes(usize),
     /// Nothing for now.
-    Nothing,
+    WouldBlock,
     /// The peer will send no more.
-    End,
+    Closed,
 }
 
 /// Reads once into a buffer that has room.
-pub fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> io::Result<Got> {
+pub fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> io::Result<ReadResult> {
     loop {
-        match stream.get_ref().read(buffer.space()) {
-            Ok(0) => return Ok(Got::End),
+        match stream.get_ref().read(buffer.spare_capacity()) {
+            Ok(0) => return Ok(ReadResult::Closed),
             Ok(n) => {
-                buffer.filled(n);
-                return Ok(Got::Bytes(n));
+                buffer.advance(n);
+                return Ok(ReadResult::Bytes(n));
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(Got::Nothing),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadResult::WouldBlock),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -64,7 +64,7 @@
 }
 
 /// What `work` comes to, unless it takes longer. After a standstill work that has ended meanwhile counts.
-pub async fn within<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(span).await;
         None
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -6,37 +6,37 @@
 use crate::messages::caller::{Response, WorkRequest};
 
 /// Prefix of the path of requests for work; the class follows.
-const WORK: &str = "/svc/";
+const SERVICE_PATH_PREFIX: &str = "/svc/";
 /// Path of health checks.
-const HEALTH: &str = "/status/live";
+const HEALTH_CHECK_PATH: &str = "/status/live";
 
 /// What a balancer asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum CgiRequest {
     /// Work.
     Work(WorkRequest),
     /// Whether this server is well; `true`: whether work gets done.
-    Health(bool),
+    HealthCheck(bool),
 }
 
 /// The longest idempotency key.
-const KEY: usize = 255;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 /// A hint of more work than this makes no sense: an hour.
-const MOST_WORK_MS: f64 = 3_600_000.0;
+const MAX_WORK_ESTIMATE_MS: f64 = 3_600_000.0;
 
 /// Reads the parameters of a request; on failure, what was wrong.
-pub fn ask(params: &[u8]) -> Result<Ask, &'static str> {
-    let pairs = fastcgi::pairs(params).map_err(|e| e.0)?;
+pub fn parse_request(params: &[u8]) -> Result<CgiRequest, &'static str> {
+    let pairs = fastcgi::parse_pairs(params).map_err(|e| e.0)?;
     let get = |name: &str| {
         let found = pairs.iter().find(|(n, _)| *n == name.as_bytes());
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     };
     let path = get("SCRIPT_NAME").ok_or("no path")?;
-    if path == HEALTH {
+    if path == HEALTH_CHECK_PATH {
         let full = get("QUERY_STRING").is_some_and(|q| q.split('&').any(|part| part == "full=1"));
-        return Ok(Ask::Health(full));
+        return Ok(CgiRequest::HealthCheck(full));
     }
-    let class = path.strip_prefix(WORK).ok_or("an unknown path")?;
+    let class = path.strip_prefix(SERVICE_PATH_PREFIX).ok_or("an unknown path")?;
     if get("REQUEST_METHOD") != Some("POST") {
         return Err("not a POST");
     }
@@ -58,10 +58,11 @@
     if matches!(keys, [Some(one), Some(other)] if one != other) {
         return Err("two idempotency keys");
     }
-    let idempotency_key = keys.into_iter().flatten().next().filter(|k| (1..=KEY).contains(&k.len()));
+    let idempotency_key =
+        keys.into_iter().flatten().next().filter(|k| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&k.len()));
     // A hint that makes no sense is none: the decisions do without where it is absent.
-    let hint = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MOST_WORK_MS);
-    Ok(Ask::Work(WorkRequest {
+    let hint = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MAX_WORK_ESTIMATE_MS);
+    Ok(CgiRequest::Work(WorkRequest {
         id: id.to_owned(),
         class: class.to_owned(),
         received_at: millis("HTTP_RECEIVED_AT").ok_or("no time of arrival")?,
@@ -81,7 +82,7 @@
 }
 
 /// The answer as CGI: headers, among them the free value where there is one, an empty line, the body.
-pub fn encode(answer: &Response, hint: Option<f64>) -> Vec<u8> {
+pub fn encode_response(answer: &Response, hint: Option<f64>) -> Vec<u8> {
     let (status, more, body): (&str, String, &[u8]) = match answer {
         Response::Served(result) => ("200 OK", String::new(), result),
         Response::Rejected { retry_after: stay_away, terminal } => {
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn every_field_is_read() {
-    let Ok(Ask::Work(work)) = ask(&params(|_| None)) else { panic!("work") };
+    let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
     assert_eq!((work.id.as_str(), work.class.as_str()), ("9b1f03aa5c7e2d41", "desk-search"));
     assert_eq!((work.received_at, work.budget, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
     assert_eq!((work.queued_kb, work.rank), (24.5, 0.625));
@@ -43,8 +43,8 @@
 /// fields as the platform does.
 #[test]
 fn what_other_customers_send_is_read() {
-    let read = |more: &[(&str, &str)]| match ask(&params_and(more)) {
-        Ok(Ask::Work(work)) => work,
+    let read = |more: &[(&str, &str)]| match parse_request(&params_and(more)) {
+        Ok(CgiRequest::Work(work)) => work,
         other => panic!("{more:?}: {other:?}"),
     };
     let work =
@@ -53,13 +53,17 @@
     for name in ["HTTP_ONCE_KEY", "HTTP_IDEMPOTENCY_KEY"] {
         assert_eq!(read(&[(name, "tally-77-3")]).idempotency_key.as_deref(), Some("tally-77-3"));
         assert_eq!(read(&[(name, "")]).idempotency_key, None);
-        assert_eq!(read(&[(name, &"k".repeat(KEY + 1))]).idempotency_key, None);
+        assert_eq!(read(&[(name, &"k".repeat(MAX_IDEMPOTENCY_KEY_BYTES + 1))]).idempotency_key, None);
     }
-    let both = |one, other| ask(&params_and(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
+    let both =
+        |one, other| parse_request(&params_and(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
     assert!(both("k", "k").is_ok());
     assert_eq!(both("k", "l"), Err("two idempotency keys"));
     assert!(!read(&[("HTTP_ATTEMPT_AGAIN", "0")]).is_retry && read(&[("HTTP_ATTEMPT", "2")]).is_retry);
-    assert_eq!(ask(&params_and(&[("HTTP_ATTEMPT_AGAIN", "maybe")])), Err("no mark of a further try"));
+    assert_eq!(
+        parse_request(&params_and(&[("HTTP_ATTEMPT_AGAIN", "maybe")])),
+        Err("no mark of a further try")
+    );
     for senseless in ["", "-3", "NaN", "inf", "1e12", "0.0000001"] {
         assert_eq!(read(&[("HTTP_WORK_ESTIMATE", senseless)]).cost, None, "{senseless}");
     }
@@ -81,15 +85,15 @@
         ("SCRIPT_NAME", "/else", "an unknown path"),
     ];
     for (field, value, why) in bad {
-        assert_eq!(ask(&params(|name| (name == field).then_some(value))), Err(why), "{field}");
+        assert_eq!(parse_request(&params(|name| (name == field).then_some(value))), Err(why), "{field}");
     }
-    assert_eq!(ask(&[]), Err("no path"));
-    assert!(ask(&[9, 9]).is_err());
+    assert_eq!(parse_request(&[]), Err("no path"));
+    assert!(parse_request(&[9, 9]).is_err());
 }
 
 #[test]
 fn times_far_off_make_no_sense() {
-    let Ok(Ask::Work(work)) = ask(&params(|_| None)) else { panic!("work") };
+    let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
     assert!(work.is_timely(work.received_at) && work.is_timely(work.received_at + MAX_TIME_OFFSET));
     assert!(
         work.is_timely(work.received_at - MAX_TIME_OFFSET)
@@ -102,13 +106,13 @@
 #[test]
 fn damaged_parameters_are_refused_or_make_sense() {
     let (mut refused, mut read) = (0, 0);
-    for bytes in test_bytes::damaged(&params(|_| None)) {
-        match ask(&bytes) {
-            Ok(Ask::Work(work)) => {
+    for bytes in test_bytes::damaged_copies(&params(|_| None)) {
+        match parse_request(&bytes) {
+            Ok(CgiRequest::Work(work)) => {
                 assert!(work.queued_kb > 0.0 && work.rank < 1.0 && !work.id.is_empty());
                 read += 1;
             }
-            Ok(Ask::Health(_)) => panic!("no such path was sent"),
+            Ok(CgiRequest::HealthCheck(_)) => panic!("no such path was sent"),
             Err(_) => refused += 1,
         }
     }
@@ -119,22 +123,22 @@
 fn health_checks_may_ask_for_work() {
     let check = |query: &str| {
         let mut bytes = Vec::new();
-        fastcgi::write_pair(&mut bytes, b"SCRIPT_NAME", HEALTH.as_bytes());
+        fastcgi::write_pair(&mut bytes, b"SCRIPT_NAME", HEALTH_CHECK_PATH.as_bytes());
         fastcgi::write_pair(&mut bytes, b"QUERY_STRING", query.as_bytes());
-        ask(&bytes)
+        parse_request(&bytes)
     };
-    assert_eq!(check(""), Ok(Ask::Health(false)));
-    assert_eq!(check("a=2&full=1"), Ok(Ask::Health(true)));
-    assert_eq!(check("full=10"), Ok(Ask::Health(false)));
+    assert_eq!(check(""), Ok(CgiRequest::HealthCheck(false)));
+    assert_eq!(check("a=2&full=1"), Ok(CgiRequest::HealthCheck(true)));
+    assert_eq!(check("full=10"), Ok(CgiRequest::HealthCheck(false)));
 }
 
 #[test]
 fn answers_have_their_status_and_fields() {
-    let text = |answer: Response| String::from_utf8(encode(&answer, None)).expect("text");
+    let text = |answer: Response| String::from_utf8(encode_response(&answer, None)).expect("text");
     let refused = text(Response::Rejected { retry_after: 250_001, terminal: true });
     assert!(refused.starts_with("Status: 503 "), "{refused}");
     assert!(refused.contains("Back-Off-Ms: 251\r\n") && refused.contains("Final-Refusal: 1\r\n"));
-    let hinted = encode(&Response::Failed, Some(0.25));
+    let hinted = encode_response(&Response::Failed, Some(0.25));
     assert!(String::from_utf8(hinted).expect("text").contains("\r\nServer-Hint: 0.2500\r\n"));
     assert!(!refused.contains("Server-Hint"));
     let bare = text(Response::Rejected { retry_after: 0, terminal: false });
@@ -142,6 +146,6 @@
     assert!(text(Response::Failed).starts_with("Status: 500 "));
     assert!(text(Response::BadRequest).starts_with("Status: 400 "));
     let body = vec![0u8, 255, 13, 10, 13, 10, 7];
-    let served = encode(&Response::Served(body.clone()), None);
+    let served = encode_response(&Response::Served(body.clone()), None);
     assert!(served.starts_with(b"Status: 200 ") && served.ends_with(&[&b"\r\n\r\n"[..], &body].concat()));
 }
--- a/crates/server/src/wire/fastcgi.rs
+++ b/crates/server/src/wire/fastcgi.rs
@@ -2,12 +2,12 @@
 
 use std::ops::Range;
 
-use super::Malformed;
+use super::MalformedInput;
 
 /// Size of a record's header.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// The largest record: header, content and padding.
-pub const LARGEST: usize = HEADER + 65_535 + 255;
+pub const MAX_RECORD_BYTES: usize = HEADER_BYTES + 65_535 + 255;
 
 /// Kinds of records, by their numbers in the specification.
 pub mod kind {
@@ -33,7 +33,7 @@
 
 /// How a request ended as far as the protocol is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum ProtocolStatus {
     /// In the ordinary way.
     Complete = 0,
     /// Turned away: too much at once.
@@ -56,26 +56,26 @@
 }
 
 /// The record at the start of `bytes`; `None` until all of it is there.
-pub fn record(bytes: &[u8]) -> Result<Option<Record>, Malformed> {
+pub fn parse_record(bytes: &[u8]) -> Result<Option<Record>, MalformedInput> {
     match bytes.first() {
         None => return Ok(None),
         Some(1) => {}
-        Some(_) => return Err(Malformed("not a record of FastCGI 1.0")),
+        Some(_) => return Err(MalformedInput("not a record of FastCGI 1.0")),
     }
-    if bytes.len() < HEADER {
+    if bytes.len() < HEADER_BYTES {
         return Ok(None);
     }
     let content = usize::from(u16::from_be_bytes([bytes[4], bytes[5]]));
-    let size = HEADER + content + usize::from(bytes[6]);
+    let size = HEADER_BYTES + content + usize::from(bytes[6]);
     if bytes.len() < size {
         return Ok(None);
     }
     let request = u16::from_be_bytes([bytes[2], bytes[3]]);
-    Ok(Some(Record { kind: bytes[1], request, content: HEADER..HEADER + content, size }))
+    Ok(Some(Record { kind: bytes[1], request, content: HEADER_BYTES..HEADER_BYTES + content, size }))
 }
 
 /// Writes one record; what is longer than a record can be becomes several.
-pub fn write(out: &mut Vec<u8>, kind: u8, request: u16, content: &[u8]) {
+pub fn write_record(out: &mut Vec<u8>, kind: u8, request: u16, content: &[u8]) {
     let mut rest = content;
     loop {
         let (part, after) = rest.split_at(rest.len().min(65_528));
@@ -94,14 +94,14 @@
 }
 
 /// Writes the record that ends a request.
-pub fn write_end(out: &mut Vec<u8>, request: u16, app_status: u32, status: Status) {
+pub fn write_end_request(out: &mut Vec<u8>, request: u16, app_status: u32, status: ProtocolStatus) {
     let mut content = [0; 8];
     content[..4].copy_from_slice(&app_status.to_be_bytes());
     content[4] = status as u8;
-    write(out, kind::END_REQUEST, request, &content);
+    write_record(out, kind::END_REQUEST, request, &content);
 }
 
-fn length(bytes: &mut &[u8]) -> Option<usize> {
+fn take_length(bytes: &mut &[u8]) -> Option<usize> {
     let (&first, rest) = bytes.split_first()?;
     if first < 0x80 {
         *bytes = rest;
@@ -113,15 +113,15 @@
 }
 
 /// A name and its value.
-pub type Pair<'a> = (&'a [u8], &'a [u8]);
+pub type NameValuePair<'a> = (&'a [u8], &'a [u8]);
 
 /// The name-value pairs that `bytes` hold.
-pub fn pairs(mut bytes: &[u8]) -> Result<Vec<Pair<'_>>, Malformed> {
-    const CUT: Malformed = Malformed("a name-value pair is longer than its stream");
+pub fn parse_pairs(mut bytes: &[u8]) -> Result<Vec<NameValuePair<'_>>, MalformedInput> {
+    const CUT: MalformedInput = MalformedInput("a name-value pair is longer than its stream");
     let mut all = Vec::new();
     while !bytes.is_empty() {
-        let name = length(&mut bytes).ok_or(CUT)?;
-        let value = length(&mut bytes).ok_or(CUT)?;
+        let name = take_length(&mut bytes).ok_or(CUT)?;
+        let value = take_length(&mut bytes).ok_or(CUT)?;
         let both = name.checked_add(value).filter(|&n| n <= bytes.len()).ok_or(CUT)?;
         let (pair, rest) = bytes.split_at(both);
         all.push(pair.split_at(name));
@@ -149,29 +149,29 @@
     #[test]
     fn a_record_is_read_only_when_whole() {
         let mut bytes = Vec::new();
-        write(&mut bytes, kind::STDIN, 300, b"abc");
+        write_record(&mut bytes, kind::STDIN, 300, b"abc");
         assert_eq!(bytes.len() % 8, 0);
         for cut in 0..bytes.len() {
-            assert_eq!(record(&bytes[..cut]), Ok(None), "{cut}");
+            assert_eq!(parse_record(&bytes[..cut]), Ok(None), "{cut}");
         }
-        let read = record(&bytes).expect("sound").expect("whole");
+        let read = parse_record(&bytes).expect("sound").expect("whole");
         assert_eq!((read.kind, read.request, read.size), (kind::STDIN, 300, bytes.len()));
         assert_eq!(&bytes[read.content], b"abc");
     }
 
     #[test]
     fn another_version_is_no_record() {
-        assert!(record(&[2]).is_err());
-        assert!(record(b"GET / HTTP/1.1\r\n").is_err());
+        assert!(parse_record(&[2]).is_err());
+        assert!(parse_record(b"GET / HTTP/1.1\r\n").is_err());
     }
 
     #[test]
     fn long_content_becomes_several_records() {
         let mut bytes = Vec::new();
-        write(&mut bytes, kind::STDOUT, 1, &[7; 100_000]);
+        write_record(&mut bytes, kind::STDOUT, 1, &[7; 100_000]);
         let (mut at, mut total) = (0, 0);
         while at < bytes.len() {
-            let read = record(&bytes[at..]).expect("sound").expect("whole");
+            let read = parse_record(&bytes[at..]).expect("sound").expect("whole");
             total += read.content.len();
             at += read.size;
         }
@@ -184,7 +184,7 @@
         let mut bytes = Vec::new();
         write_pair(&mut bytes, b"SHORT", b"");
         write_pair(&mut bytes, &[b'n'; 200], &long);
-        let read = pairs(&bytes).expect("sound");
+        let read = parse_pairs(&bytes).expect("sound");
         assert_eq!(read, vec![(&b"SHORT"[..], &b""[..]), (&[b'n'; 200][..], &long[..])]);
     }
 
@@ -193,9 +193,9 @@
         let mut bytes = Vec::new();
         write_pair(&mut bytes, b"NAME", b"value");
         for cut in 1..bytes.len() {
-            assert!(pairs(&bytes[..cut]).is_err(), "{cut}");
+            assert!(parse_pairs(&bytes[..cut]).is_err(), "{cut}");
         }
-        assert!(pairs(&[0xff; 8]).is_err());
-        assert!(pairs(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]).is_err());
+        assert!(parse_pairs(&[0xff; 8]).is_err());
+        assert!(parse_pairs(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]).is_err());
     }
 }
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -7,12 +7,12 @@
 use umberloom_membership::{Evidence, MemberView, MessageCounts, PartitionStatus};
 use umberloom_quota::QuotaStatus;
 
-use crate::wire::record::{self, StoreQuestion};
+use crate::wire::replicated_store::{self, StoreRequest};
 
 /// The longest content.
-pub const LONGEST: usize = umberloom_membership::wire::LONGEST;
+pub const MAX_CONTENT_BYTES: usize = umberloom_membership::wire::LONGEST;
 /// Bytes before the content.
-pub const HEAD: usize = 5;
+pub const HEADER_BYTES: usize = 5;
 
 /// What a frame carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,58 +20,58 @@
     /// A message between members.
     Message,
     /// A question of an operator.
-    Question,
+    Request,
     /// The answer to one.
-    Answer,
+    Response,
 }
 
 impl FrameKind {
     fn code(self) -> u8 {
         match self {
             FrameKind::Message => 0,
-            FrameKind::Question => 1,
-            FrameKind::Answer => 2,
+            FrameKind::Request => 1,
+            FrameKind::Response => 2,
         }
     }
 
-    fn of(code: u8) -> Option<FrameKind> {
-        [FrameKind::Message, FrameKind::Question, FrameKind::Answer]
+    fn from_code(code: u8) -> Option<FrameKind> {
+        [FrameKind::Message, FrameKind::Request, FrameKind::Response]
             .into_iter()
             .find(|kind| kind.code() == code)
     }
 }
 
 /// A frame, ready to be written.
-pub fn frame(kind: FrameKind, content: &[u8]) -> Vec<u8> {
+pub fn encode_frame(kind: FrameKind, content: &[u8]) -> Vec<u8> {
     let length = (content.len() + 1) as u32;
     [&length.to_be_bytes()[..], &[kind.code()], content].concat()
 }
 
 /// Kind and length of what follows a head; `None` if it makes no sense.
-pub fn head(bytes: [u8; HEAD]) -> Option<(FrameKind, usize)> {
+pub fn parse_header(bytes: [u8; HEADER_BYTES]) -> Option<(FrameKind, usize)> {
     let [a, b, c, d, code] = bytes;
     let length = (u32::from_be_bytes([a, b, c, d]) as usize).checked_sub(1)?;
-    Some((FrameKind::of(code)?, length)).filter(|_| length <= LONGEST)
+    Some((FrameKind::from_code(code)?, length)).filter(|_| length <= MAX_CONTENT_BYTES)
 }
 
 /// What an operator wants to know.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum QuestionKind {
+pub enum FleetRequestKind {
     /// Who is there.
     Members,
     /// Why this member is held for what it is.
     Explain(String),
     /// Something about the record.
-    Record(StoreQuestion),
+    Store(StoreRequest),
 }
 
 /// A question; its number comes back with the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct FleetRequest {
     /// Drawn by who asks.
     pub number: u64,
     /// What is asked.
-    pub what: QuestionKind,
+    pub kind: FleetRequestKind,
 }
 
 /// One server's view of its fleet.
@@ -99,24 +99,24 @@
 
 /// What comes back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum FleetReply {
     /// Who is there.
     Members(FleetView),
     /// Why; the evidence, newest reasons first.
     Explain(Vec<Evidence>),
     /// There is no member of that name: these are known.
-    Unknown(Vec<String>),
+    UnknownMember(Vec<String>),
     /// About the record.
-    Record(record::StoreAnswer),
+    Store(replicated_store::StoreResponse),
 }
 
 /// An answer to the question of this number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct FleetResponse {
     /// The number.
     pub number: u64,
     /// What was found.
-    pub reply: Reply,
+    pub reply: FleetReply,
 }
 
 #[cfg(test)]
@@ -125,11 +125,14 @@
 
     #[test]
     fn a_frame_is_read_as_it_was_written_and_lengths_are_bounded() {
-        let written = frame(FrameKind::Question, b"abc");
-        let start: [u8; HEAD] = written[..HEAD].try_into().expect("a head");
-        assert_eq!((head(start), &written[HEAD..]), (Some((FrameKind::Question, 3)), &b"abc"[..]));
-        assert_eq!(head([0, 0, 0, 0, 0]), None);
-        assert_eq!(head([0, 0, 0, 2, 9]), None);
-        assert_eq!(head([255, 255, 255, 255, 0]), None);
+        let written = encode_frame(FrameKind::Request, b"abc");
+        let start: [u8; HEADER_BYTES] = written[..HEADER_BYTES].try_into().expect("a head");
+        assert_eq!(
+            (parse_header(start), &written[HEADER_BYTES..]),
+            (Some((FrameKind::Request, 3)), &b"abc"[..])
+        );
+        assert_eq!(parse_header([0, 0, 0, 0, 0]), None);
+        assert_eq!(parse_header([0, 0, 0, 2, 9]), None);
+        assert_eq!(parse_header([255, 255, 255, 255, 0]), None);
     }
 }
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 use umberloom::interface::Micros;
 
-use super::Malformed;
+use super::MalformedInput;
 use crate::messages::RunOutcome;
 
 /// The longest line that is read.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// A command to the agent.
 #[derive(Clone, Debug, Serialize)]
@@ -67,7 +67,7 @@
 
 impl Command<'_> {
     /// The command as a line.
-    pub fn line(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Texts and numbers always serialise; were one not to, the agent would close the link over it.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
@@ -76,7 +76,7 @@
 }
 
 /// Bytes as base64.
-pub fn base64(bytes: &[u8]) -> String {
+pub fn encode_base64(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
@@ -86,19 +86,19 @@
     /// The agent is up, since so long; `true`: it was starting then, `false`: it ran already.
     Greeting(bool, Micros),
     /// A run is over after this time.
-    Outcome(String, RunOutcome, Micros),
+    RunEnded(String, RunOutcome, Micros),
     /// A run waits for a call with this body; the number is that of the notice.
-    Request(String, u64, Vec<u8>),
+    NeedsCall(String, u64, Vec<u8>),
     /// Gauges.
-    Sampled(String, Vec<f64>),
+    GaugesSampled(String, Vec<f64>),
     /// End of the work of a deep health check.
-    Exercised(String, bool),
+    HealthCheckEnded(String, bool),
     /// A command about a request was not carried out.
-    Refusal(String, String),
+    CommandRejected(String, String),
     /// A sound line about this request that says nothing that could be true.
-    Senseless(String),
+    Invalid(String),
     /// Nothing of meaning.
-    Aside,
+    Ignored,
 }
 
 #[derive(Deserialize)]
@@ -121,8 +121,8 @@
 }
 
 /// Reads one line: the notice, and its number if it has one.
-pub fn notice(line: &[u8]) -> Result<(Notice, Option<u64>), Malformed> {
-    let line: Line = serde_json::from_slice(line).map_err(|_| Malformed("not a notice in JSON"))?;
+pub fn parse_notice(line: &[u8]) -> Result<(Notice, Option<u64>), MalformedInput> {
+    let line: Line = serde_json::from_slice(line).map_err(|_| MalformedInput("not a notice in JSON"))?;
     let took = (line.ms.max(0.0) * 1e3) as Micros;
     let numbered = matches!(line.op.as_str(), "outcome" | "request" | "aside") && line.seq > 0;
     let seq = numbered.then_some(line.seq);
@@ -138,16 +138,16 @@
                 _ => None,
             };
             let id = line.id;
-            end.map_or(Notice::Senseless(id.clone()), |end| Notice::Outcome(id, end, took))
+            end.map_or(Notice::Invalid(id.clone()), |end| Notice::RunEnded(id, end, took))
         }
-        ("request", Some(body)) => Notice::Request(line.id, line.seq, body),
-        ("request", None) => Notice::Senseless(line.id),
+        ("request", Some(body)) => Notice::NeedsCall(line.id, line.seq, body),
+        ("request", None) => Notice::Invalid(line.id),
         ("sampled", _) => {
-            Notice::Sampled(line.tag, line.values.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect())
+            Notice::GaugesSampled(line.tag, line.values.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect())
         }
-        ("exercised", _) => Notice::Exercised(line.tag, line.end == "fine"),
-        ("refusal", _) => Notice::Refusal(line.end, line.id),
-        _ => Notice::Aside,
+        ("exercised", _) => Notice::HealthCheckEnded(line.tag, line.end == "fine"),
+        ("refusal", _) => Notice::CommandRejected(line.end, line.id),
+        _ => Notice::Ignored,
     };
     Ok((notice, seq))
 }
@@ -158,7 +158,7 @@
     use super::*;
 
     fn text(command: Command) -> String {
-        String::from_utf8(command.line()).expect("text")
+        String::from_utf8(command.encode()).expect("text")
     }
 
     #[test]
@@ -167,12 +167,12 @@
         let cases = [
             (Command::Subscribe { seq: 4 }, r#"{"op":"subscribe","seq":4}"#),
             (
-                Command::Launch { id, class: "a", body: base64(&[0, 255]) },
+                Command::Launch { id, class: "a", body: encode_base64(&[0, 255]) },
                 r#"{"op":"launch","id":"9b1f","class":"a","body":"AP8="}"#,
             ),
             (Command::Freeze { id }, r#"{"op":"freeze","id":"9b1f"}"#),
             (Command::Thaw { id }, r#"{"op":"thaw","id":"9b1f"}"#),
-            (Command::Deliver { id, body: base64(b"") }, r#"{"op":"deliver","id":"9b1f","body":""}"#),
+            (Command::Deliver { id, body: encode_base64(b"") }, r#"{"op":"deliver","id":"9b1f","body":""}"#),
             (Command::Forgo { id, seq: 8 }, r#"{"op":"forgo","id":"9b1f","seq":8}"#),
             (Command::Sample { tag: "7" }, r#"{"op":"sample","tag":"7"}"#),
             (Command::Exercise { tag: "7" }, r#"{"op":"exercise","tag":"7"}"#),
@@ -185,12 +185,13 @@
 
     #[test]
     fn every_notice_is_read() {
-        let is = |line: &str, wanted: Notice, seq| assert_eq!(notice(line.as_bytes()), Ok((wanted, seq)));
+        let is =
+            |line: &str, wanted: Notice, seq| assert_eq!(parse_notice(line.as_bytes()), Ok((wanted, seq)));
         is(r#"{"op":"greeting","end":"running","ms":3}"#, Notice::Greeting(false, 3_000), None);
         is(r#"{"op":"greeting","end":"starting"}"#, Notice::Greeting(true, 0), None);
         is(
             r#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#,
-            Notice::Outcome("a".into(), RunOutcome::Success(vec![0, 255]), 18_500),
+            Notice::RunEnded("a".into(), RunOutcome::Success(vec![0, 255]), 18_500),
             Some(3),
         );
         for (word, end) in [
@@ -199,22 +200,30 @@
             ("late", RunOutcome::NotStarted),
         ] {
             let line = format!(r#"{{"op":"outcome","seq":3,"id":"a","end":"{word}","ms":1}}"#);
-            is(&line, Notice::Outcome("a".into(), end, 1_000), Some(3));
+            is(&line, Notice::RunEnded("a".into(), end, 1_000), Some(3));
         }
         is(
             r#"{"op":"request","seq":4,"id":"a","body":"eA=="}"#,
-            Notice::Request("a".into(), 4, b"x".to_vec()),
+            Notice::NeedsCall("a".into(), 4, b"x".to_vec()),
             Some(4),
         );
         is(
             r#"{"op":"sampled","tag":"7","values":[0.5,3,0.25,9]}"#,
-            Notice::Sampled("7".into(), vec![0.5, 3.0, 0.25, 9.0]),
+            Notice::GaugesSampled("7".into(), vec![0.5, 3.0, 0.25, 9.0]),
             None,
         );
-        is(r#"{"op":"exercised","tag":"7","end":"fault"}"#, Notice::Exercised("7".into(), false), None);
-        is(r#"{"op":"refusal","end":"launch","id":"a"}"#, Notice::Refusal("launch".into(), "a".into()), None);
-        is(r#"{"op":"aside","seq":5,"end":"tea"}"#, Notice::Aside, Some(5));
-        is(r#"{"op":"something-new"}"#, Notice::Aside, None);
+        is(
+            r#"{"op":"exercised","tag":"7","end":"fault"}"#,
+            Notice::HealthCheckEnded("7".into(), false),
+            None,
+        );
+        is(
+            r#"{"op":"refusal","end":"launch","id":"a"}"#,
+            Notice::CommandRejected("launch".into(), "a".into()),
+            None,
+        );
+        is(r#"{"op":"aside","seq":5,"end":"tea"}"#, Notice::Ignored, Some(5));
+        is(r#"{"op":"something-new"}"#, Notice::Ignored, None);
     }
 
     #[test]
@@ -224,14 +233,14 @@
             br#"{"op":"outcome","seq":1,"id":"a","end":"fine","body":"%%"}"#,
             br#"{"op":"request","seq":1,"id":"a","body":"%%"}"#,
         ] {
-            assert_eq!(notice(line), Ok((Notice::Senseless("a".into()), Some(1))));
+            assert_eq!(parse_notice(line), Ok((Notice::Invalid("a".into()), Some(1))));
         }
     }
 
     #[test]
     fn damaged_lines_are_refused_or_still_a_notice() {
         let line = br#"{"op":"request","seq":4,"id":"9b1f03aa5c7e2d41","body":"AP8AP8AP8AP8"}"#;
-        let refused = test_bytes::damaged(line).filter(|bytes| notice(bytes).is_err()).count();
+        let refused = test_bytes::damaged_copies(line).filter(|bytes| parse_notice(bytes).is_err()).count();
         assert!((100..500).contains(&refused), "{refused}");
     }
 
@@ -239,12 +248,12 @@
     fn bad_lines_are_refused_at_every_cut() {
         let line = br#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#;
         for cut in 0..line.len() {
-            assert!(notice(&line[..cut]).is_err(), "{cut}");
+            assert!(parse_notice(&line[..cut]).is_err(), "{cut}");
         }
         for bad in
             [&b"[]"[..], b"\xff\xfe", br#"{"op":"outcome","seq":-1,"id":"a","end":"fine"}"#, br#"{"op":7}"#]
         {
-            assert!(notice(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+            assert!(parse_notice(bad).is_err(), "{}", String::from_utf8_lossy(bad));
         }
     }
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -6,7 +6,7 @@
 pub mod fleet;
 pub mod http;
 pub mod jsonl;
-pub mod record;
+pub mod replicated_store;
 pub mod responder;
 
 #[cfg(test)]
@@ -16,15 +16,15 @@
 
 /// Bytes that no sound peer sends. The connection they came on is of no more use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+pub struct MalformedInput(pub &'static str);
 
-impl fmt::Display for Malformed {
+impl fmt::Display for MalformedInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for MalformedInput {}
 
 #[cfg(test)]
 mod tests;
--- a/crates/server/src/wire/record.rs
+++ b/crates/server/src/wire/replicated_store.rs
@@ -5,15 +5,15 @@
 use umberloom_replicated_store::{Entry, EntryId, Outcome, ReplicaStatus};
 
 /// The longest part of a document or an export in one answer.
-pub const PART: usize = 32 << 10;
+pub const MAX_PART_BYTES: usize = 32 << 10;
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreQuestion {
+pub enum StoreRequest {
     /// How this server's part stands.
     Status,
     /// A document, from this byte on; the latest by the word of a majority, or as it is here.
-    Show {
+    ReadDocument {
         /// Its name.
         name: String,
         /// See the variant.
@@ -31,7 +31,7 @@
         entry: Entry,
     },
     /// Let a member vote, or not.
-    Hand(String, bool),
+    SetVoter(String, bool),
     /// A copy to keep, from this byte on.
     Export(u64),
     /// This server's copy is the record from now on.
@@ -40,7 +40,7 @@
 
 /// What comes back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// How it stands.
     Status(Box<ReplicaStatus>),
     /// A document, or a part of it.
@@ -60,15 +60,15 @@
         age_ms: Option<u64>,
     },
     /// There is no such document; these are there.
-    Nothing(Vec<String>),
+    UnknownDocument(Vec<String>),
     /// The history, newest first.
     History(Vec<HistoryLine>),
     /// What became of a write.
-    Done(Outcome),
+    WriteOutcome(Outcome),
     /// The leader sees to it.
-    Taken,
+    Accepted,
     /// A part of an export, and how long that is in all.
-    Bytes(Vec<u8>, u64),
+    ExportPart(Vec<u8>, u64),
     /// It can't be done: who says so is the server that was asked.
-    Refused(String),
+    Rejected(String),
 }
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use super::fastcgi::{self, kind, Status};
-use super::Malformed;
+use super::fastcgi::{self, kind, ProtocolStatus};
+use super::MalformedInput;
 
 /// Requests that may be open on one connection.
-pub const OPEN: usize = 32;
+pub const MAX_OPEN_REQUESTS: usize = 32;
 /// Most bytes of parameters that a request may have.
-pub const PARAMS: usize = 16 * 1024;
+pub const MAX_PARAMS_BYTES: usize = 16 * 1024;
 /// Most bytes of a request's body.
-pub const BODY: usize = 2 * 1024;
+pub const MAX_BODY_BYTES: usize = 2 * 1024;
 
-const RESPONDER: u16 = 1;
-const KEEP_CONN: u8 = 1;
+const RESPONDER_ROLE: u16 = 1;
+const KEEP_CONNECTION_FLAG: u8 = 1;
 
 /// What the records of a connection add up to.
 #[derive(Debug, PartialEq, Eq)]
@@ -35,20 +35,20 @@
 }
 
 #[derive(Default)]
-struct Slot {
+struct PartialRequest {
     params: Vec<u8>,
     body: Vec<u8>,
     too_long: bool,
     params_done: bool,
-    whole: bool,
-    keep: bool,
+    complete: bool,
+    keep_connection: bool,
 }
 
-impl Slot {
+impl PartialRequest {
     fn add(&mut self, kind: u8, bytes: &[u8]) {
         let (to, most) = match kind {
-            kind::PARAMS => (&mut self.params, PARAMS),
-            _ => (&mut self.body, BODY),
+            kind::PARAMS => (&mut self.params, MAX_PARAMS_BYTES),
+            _ => (&mut self.body, MAX_BODY_BYTES),
         };
         if to.len() + bytes.len() > most {
             // Lengths are checked before memory is taken.
@@ -63,33 +63,38 @@
 /// The requests under way on one connection, and the bytes to be written on it.
 #[derive(Default)]
 pub struct Responder {
-    connections: usize,
-    slots: BTreeMap<u16, Slot>,
+    max_connections: usize,
+    slots: BTreeMap<u16, PartialRequest>,
     /// What is to be written to the peer.
-    pub out: Vec<u8>,
-    last: bool,
+    pub output: Vec<u8>,
+    close_requested: bool,
 }
 
 impl Responder {
     /// For one of so many connections.
-    pub fn new(connections: usize) -> Responder {
-        Responder { connections, ..Responder::default() }
+    pub fn new(max_connections: usize) -> Responder {
+        Responder { max_connections, ..Responder::default() }
     }
 
     /// Takes the first record off `bytes`: how many bytes it took (0: it is not yet whole) and what came
     /// of it.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Incoming>), Malformed> {
-        let Some(record) = fastcgi::record(bytes)? else { return Ok((0, None)) };
+    pub fn handle_record(&mut self, bytes: &[u8]) -> Result<(usize, Option<Incoming>), MalformedInput> {
+        let Some(record) = fastcgi::parse_record(bytes)? else { return Ok((0, None)) };
         let content = &bytes[record.content.clone()];
         let news = match (record.kind, record.request) {
-            (kind::GET_VALUES, 0) => self.values(content).map(|()| None)?,
+            (kind::GET_VALUES, 0) => self.answer_get_values(content).map(|()| None)?,
             (unknown, 0) => {
-                fastcgi::write(&mut self.out, kind::UNKNOWN_TYPE, 0, &[unknown, 0, 0, 0, 0, 0, 0, 0]);
+                fastcgi::write_record(
+                    &mut self.output,
+                    kind::UNKNOWN_TYPE,
+                    0,
+                    &[unknown, 0, 0, 0, 0, 0, 0, 0],
+                );
                 None
             }
-            (kind::BEGIN_REQUEST, slot) => self.begin(slot, content).map(|()| None)?,
-            (kind::ABORT_REQUEST, slot) => self.abort(slot),
-            (kind @ (kind::PARAMS | kind::STDIN), slot) => self.stream(kind, slot, content),
+            (kind::BEGIN_REQUEST, slot) => self.begin_request(slot, content).map(|()| None)?,
+            (kind::ABORT_REQUEST, slot) => self.handle_abort(slot),
+            (kind @ (kind::PARAMS | kind::STDIN), slot) => self.handle_stream_data(kind, slot, content),
             // Kinds that no Responder needs, or of requests that are over.
             _ => None,
         };
@@ -97,98 +102,104 @@
     }
 
     /// Requests that are begun and not answered.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.slots.len()
     }
 
     /// Bytes that requests still on their way in take.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.slots.values().map(|s| s.params.len() + s.body.len()).sum()
     }
 
     /// Requests that have come whole and are not answered.
-    pub fn whole(&self) -> usize {
-        self.slots.values().filter(|slot| slot.whole).count()
+    pub fn complete_requests(&self) -> usize {
+        self.slots.values().filter(|slot| slot.complete).count()
     }
 
     /// Whether the peer asked for the connection to be closed after an answer that has been given.
-    pub fn is_last(&self) -> bool {
-        self.last
+    pub fn is_close_requested(&self) -> bool {
+        self.close_requested
     }
 
     /// Forgets requests of which the end will never come.
     pub fn drop_partial(&mut self) {
-        self.slots.retain(|_, slot| slot.whole);
+        self.slots.retain(|_, slot| slot.complete);
     }
 
     /// Answers a request.
-    pub fn answer(&mut self, slot: u16, content: &[u8]) {
-        if self.end(slot) {
-            fastcgi::write(&mut self.out, kind::STDOUT, slot, content);
-            fastcgi::write(&mut self.out, kind::STDOUT, slot, &[]);
-            fastcgi::write_end(&mut self.out, slot, 0, Status::Complete);
+    pub fn respond(&mut self, slot: u16, content: &[u8]) {
+        if self.remove_request(slot) {
+            fastcgi::write_record(&mut self.output, kind::STDOUT, slot, content);
+            fastcgi::write_record(&mut self.output, kind::STDOUT, slot, &[]);
+            fastcgi::write_end_request(&mut self.output, slot, 0, ProtocolStatus::Complete);
         }
     }
 
     /// Turns a request away by protocol status.
-    pub fn turn_away(&mut self, slot: u16, status: Status) {
-        self.end(slot);
-        fastcgi::write_end(&mut self.out, slot, 0, status);
+    pub fn reject(&mut self, slot: u16, status: ProtocolStatus) {
+        self.remove_request(slot);
+        fastcgi::write_end_request(&mut self.output, slot, 0, status);
     }
 
-    fn end(&mut self, slot: u16) -> bool {
+    fn remove_request(&mut self, slot: u16) -> bool {
         let ended = self.slots.remove(&slot);
-        self.last |= ended.as_ref().is_some_and(|s| !s.keep);
+        self.close_requested |= ended.as_ref().is_some_and(|s| !s.keep_connection);
         ended.is_some()
     }
 
-    fn begin(&mut self, slot: u16, content: &[u8]) -> Result<(), Malformed> {
+    fn begin_request(&mut self, slot: u16, content: &[u8]) -> Result<(), MalformedInput> {
         let [role_high, role_low, flags, ..] = *content else {
-            return Err(Malformed("the start of a request is too short"));
+            return Err(MalformedInput("the start of a request is too short"));
         };
         if self.slots.contains_key(&slot) {
-            return Err(Malformed("a request begins twice"));
+            return Err(MalformedInput("a request begins twice"));
         }
-        if u16::from_be_bytes([role_high, role_low]) != RESPONDER {
-            self.turn_away(slot, Status::UnknownRole);
-        } else if self.slots.len() >= OPEN {
-            self.turn_away(slot, Status::Overloaded);
+        if u16::from_be_bytes([role_high, role_low]) != RESPONDER_ROLE {
+            self.reject(slot, ProtocolStatus::UnknownRole);
+        } else if self.slots.len() >= MAX_OPEN_REQUESTS {
+            self.reject(slot, ProtocolStatus::Overloaded);
         } else {
-            self.slots.insert(slot, Slot { keep: flags & KEEP_CONN != 0, ..Slot::default() });
+            self.slots.insert(
+                slot,
+                PartialRequest {
+                    keep_connection: flags & KEEP_CONNECTION_FLAG != 0,
+                    ..PartialRequest::default()
+                },
+            );
         }
         Ok(())
     }
 
     /// Ends a request that the balancer has given up, without a word of an answer.
     pub fn end_aborted(&mut self, slot: u16) {
-        if self.end(slot) {
-            fastcgi::write_end(&mut self.out, slot, 1, Status::Complete);
+        if self.remove_request(slot) {
+            fastcgi::write_end_request(&mut self.output, slot, 1, ProtocolStatus::Complete);
         }
     }
 
     /// One that has not come whole ends here; of the others somebody else knows, and has to let go first.
-    fn abort(&mut self, slot: u16) -> Option<Incoming> {
-        if self.slots.get(&slot)?.whole {
+    fn handle_abort(&mut self, slot: u16) -> Option<Incoming> {
+        if self.slots.get(&slot)?.complete {
             return Some(Incoming::Abort(slot));
         }
         self.end_aborted(slot);
         None
     }
 
-    fn stream(&mut self, kind: u8, slot: u16, content: &[u8]) -> Option<Incoming> {
-        let open = self.slots.get_mut(&slot).filter(|s| !s.whole)?;
+    fn handle_stream_data(&mut self, kind: u8, slot: u16, content: &[u8]) -> Option<Incoming> {
+        let open = self.slots.get_mut(&slot).filter(|s| !s.complete)?;
         if kind == kind::PARAMS && content.is_empty() {
             open.params_done = true;
         } else if kind == kind::STDIN && content.is_empty() {
             // A request without any parameters has no stream of them that could end.
-            open.whole = true;
+            open.complete = true;
             let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
             return Some(Incoming::Request { slot, params, body, too_long: open.too_long });
         } else if kind == kind::STDIN || !open.params_done {
             open.add(kind, content);
             if open.too_long {
                 // With more behind it than anybody may send, the connection is of no more use after this.
-                (open.whole, open.keep) = (true, false);
+                (open.complete, open.keep_connection) = (true, false);
                 (open.params, open.body) = Default::default();
                 let (params, body) = Default::default();
                 return Some(Incoming::Request { slot, params, body, too_long: true });
@@ -197,18 +208,18 @@
         None
     }
 
-    fn values(&mut self, content: &[u8]) -> Result<(), Malformed> {
+    fn answer_get_values(&mut self, content: &[u8]) -> Result<(), MalformedInput> {
         let mut answer = Vec::new();
-        for (name, _) in fastcgi::pairs(content)? {
+        for (name, _) in fastcgi::parse_pairs(content)? {
             let value = match name {
-                b"FCGI_MAX_CONNS" => self.connections.to_string(),
-                b"FCGI_MAX_REQS" => (self.connections * OPEN).to_string(),
+                b"FCGI_MAX_CONNS" => self.max_connections.to_string(),
+                b"FCGI_MAX_REQS" => (self.max_connections * MAX_OPEN_REQUESTS).to_string(),
                 b"FCGI_MPXS_CONNS" => "1".to_owned(),
                 _ => continue,
             };
             fastcgi::write_pair(&mut answer, name, value.as_bytes());
         }
-        fastcgi::write(&mut self.out, kind::GET_VALUES_RESULT, 0, &answer);
+        fastcgi::write_record(&mut self.output, kind::GET_VALUES_RESULT, 0, &answer);
         Ok(())
     }
 }
--- a/crates/server/src/wire/responder/tests.rs
+++ b/crates/server/src/wire/responder/tests.rs
@@ -3,25 +3,25 @@
 
 fn begin(slot: u16, role: u8, flags: u8) -> Vec<u8> {
     let mut out = Vec::new();
-    fastcgi::write(&mut out, kind::BEGIN_REQUEST, slot, &[0, role, flags, 0, 0, 0, 0, 0]);
+    fastcgi::write_record(&mut out, kind::BEGIN_REQUEST, slot, &[0, role, flags, 0, 0, 0, 0, 0]);
     out
 }
 
 fn request(slot: u16, params: &[u8], body: &[u8]) -> Vec<u8> {
     let mut out = begin(slot, 1, 1);
-    fastcgi::write(&mut out, kind::PARAMS, slot, params);
-    fastcgi::write(&mut out, kind::PARAMS, slot, &[]);
+    fastcgi::write_record(&mut out, kind::PARAMS, slot, params);
+    fastcgi::write_record(&mut out, kind::PARAMS, slot, &[]);
     if !body.is_empty() {
-        fastcgi::write(&mut out, kind::STDIN, slot, body);
+        fastcgi::write_record(&mut out, kind::STDIN, slot, body);
     }
-    fastcgi::write(&mut out, kind::STDIN, slot, &[]);
+    fastcgi::write_record(&mut out, kind::STDIN, slot, &[]);
     out
 }
 
-fn feed(responder: &mut Responder, mut bytes: &[u8]) -> Result<Vec<Incoming>, Malformed> {
+fn feed(responder: &mut Responder, mut bytes: &[u8]) -> Result<Vec<Incoming>, MalformedInput> {
     let mut all = Vec::new();
     loop {
-        let (used, news) = responder.take(bytes)?;
+        let (used, news) = responder.handle_record(bytes)?;
         all.extend(news);
         bytes = &bytes[used..];
         if used == 0 {
@@ -32,7 +32,7 @@
 
 fn kinds(mut bytes: &[u8]) -> Vec<(u8, u16, Vec<u8>)> {
     let mut all = Vec::new();
-    while let Some(record) = fastcgi::record(bytes).expect("sound") {
+    while let Some(record) = fastcgi::parse_record(bytes).expect("sound") {
         all.push((record.kind, record.request, bytes[record.content.clone()].to_vec()));
         bytes = &bytes[record.size..];
     }
@@ -47,45 +47,48 @@
 fn requests_are_read_whatever_the_records_are_cut_into() {
     let mut split = begin(7, 1, 1);
     for byte in b"params" {
-        fastcgi::write(&mut split, kind::PARAMS, 7, &[*byte]);
+        fastcgi::write_record(&mut split, kind::PARAMS, 7, &[*byte]);
     }
-    fastcgi::write(&mut split, kind::PARAMS, 7, &[]);
+    fastcgi::write_record(&mut split, kind::PARAMS, 7, &[]);
     split.extend(request(8, b"other", b""));
     for byte in [0u8, 1, 255] {
-        fastcgi::write(&mut split, kind::STDIN, 7, &[byte]);
+        fastcgi::write_record(&mut split, kind::STDIN, 7, &[byte]);
     }
-    fastcgi::write(&mut split, kind::STDIN, 7, &[]);
+    fastcgi::write_record(&mut split, kind::STDIN, 7, &[]);
     let mut responder = Responder::default();
     let news = feed(&mut responder, &split).expect("sound");
     assert_eq!(news, vec![whole(8, b"other", b""), whole(7, b"params", &[0, 1, 255])]);
-    assert_eq!((responder.open(), responder.whole(), responder.held()), (2, 2, 0));
+    assert_eq!(
+        (responder.open_requests(), responder.complete_requests(), responder.buffered_bytes()),
+        (2, 2, 0)
+    );
 }
 
 #[test]
 fn an_answer_is_one_stream_and_an_end_and_is_given_once() {
     let mut responder = Responder::default();
     feed(&mut responder, &request(300, b"p", b"b")).expect("sound");
-    responder.answer(300, b"Status: 200\r\n\r\n");
-    responder.answer(300, b"again");
+    responder.respond(300, b"Status: 200\r\n\r\n");
+    responder.respond(300, b"again");
     let end = vec![0; 8];
     let wanted = vec![
         (kind::STDOUT, 300, b"Status: 200\r\n\r\n".to_vec()),
         (kind::STDOUT, 300, vec![]),
         (kind::END_REQUEST, 300, end),
     ];
-    assert_eq!(kinds(&responder.out), wanted);
-    assert!(!responder.is_last());
+    assert_eq!(kinds(&responder.output), wanted);
+    assert!(!responder.is_close_requested());
 }
 
 #[test]
 fn without_keep_conn_the_answer_is_the_last() {
     let mut responder = Responder::default();
     let mut bytes = begin(1, 1, 0);
-    fastcgi::write(&mut bytes, kind::STDIN, 1, &[]);
+    fastcgi::write_record(&mut bytes, kind::STDIN, 1, &[]);
     feed(&mut responder, &bytes).expect("sound");
-    assert!(!responder.is_last());
-    responder.answer(1, b"x");
-    assert!(responder.is_last());
+    assert!(!responder.is_close_requested());
+    responder.respond(1, b"x");
+    assert!(responder.is_close_requested());
 }
 
 #[test]
@@ -94,11 +97,11 @@
     for slot in 1..=33 {
         feed(&mut responder, &begin(slot, 1, 1)).expect("sound");
     }
-    assert_eq!(kinds(&responder.out), vec![(kind::END_REQUEST, 33, vec![0, 0, 0, 0, 2, 0, 0, 0])]);
-    assert_eq!(responder.open(), OPEN);
+    assert_eq!(kinds(&responder.output), vec![(kind::END_REQUEST, 33, vec![0, 0, 0, 0, 2, 0, 0, 0])]);
+    assert_eq!(responder.open_requests(), MAX_OPEN_REQUESTS);
     // What still comes for it is passed over.
     let mut rest = Vec::new();
-    fastcgi::write(&mut rest, kind::STDIN, 33, &[]);
+    fastcgi::write_record(&mut rest, kind::STDIN, 33, &[]);
     assert_eq!(feed(&mut responder, &rest), Ok(vec![]));
 }
 
@@ -106,14 +109,14 @@
 fn other_roles_and_unknown_types_are_told_so() {
     let mut responder = Responder::default();
     let mut bytes = begin(5, 2, 1);
-    fastcgi::write(&mut bytes, 77, 0, b"what");
-    fastcgi::write(&mut bytes, 77, 5, b"what");
+    fastcgi::write_record(&mut bytes, 77, 0, b"what");
+    fastcgi::write_record(&mut bytes, 77, 5, b"what");
     assert_eq!(feed(&mut responder, &bytes), Ok(vec![]));
     let wanted = vec![
         (kind::END_REQUEST, 5, vec![0, 0, 0, 0, 3, 0, 0, 0]),
         (kind::UNKNOWN_TYPE, 0, vec![77, 0, 0, 0, 0, 0, 0, 0]),
     ];
-    assert_eq!(kinds(&responder.out), wanted);
+    assert_eq!(kinds(&responder.output), wanted);
 }
 
 #[test]
@@ -123,52 +126,52 @@
         fastcgi::write_pair(&mut asked, name.as_bytes(), b"");
     }
     let mut bytes = Vec::new();
-    fastcgi::write(&mut bytes, kind::GET_VALUES, 0, &asked);
+    fastcgi::write_record(&mut bytes, kind::GET_VALUES, 0, &asked);
     let mut responder = Responder::new(10);
     feed(&mut responder, &bytes).expect("sound");
     let mut told = Vec::new();
     for (name, value) in [("FCGI_MAX_CONNS", "10"), ("FCGI_MAX_REQS", "320"), ("FCGI_MPXS_CONNS", "1")] {
         fastcgi::write_pair(&mut told, name.as_bytes(), value.as_bytes());
     }
-    assert_eq!(kinds(&responder.out), vec![(kind::GET_VALUES_RESULT, 0, told)]);
+    assert_eq!(kinds(&responder.output), vec![(kind::GET_VALUES_RESULT, 0, told)]);
 }
 
 #[test]
 fn an_abort_ends_the_request_and_frees_its_number_once_others_have_let_go() {
     let mut responder = Responder::default();
     let mut abort = Vec::new();
-    fastcgi::write(&mut abort, kind::ABORT_REQUEST, 9, &[]);
+    fastcgi::write_record(&mut abort, kind::ABORT_REQUEST, 9, &[]);
     feed(&mut responder, &request(9, b"p", b"")).expect("sound");
     assert_eq!(feed(&mut responder, &abort), Ok(vec![Incoming::Abort(9)]));
-    assert_eq!(responder.open(), 1);
+    assert_eq!(responder.open_requests(), 1);
     responder.end_aborted(9);
-    assert_eq!(kinds(&responder.out), vec![(kind::END_REQUEST, 9, vec![0, 0, 0, 1, 0, 0, 0, 0])]);
+    assert_eq!(kinds(&responder.output), vec![(kind::END_REQUEST, 9, vec![0, 0, 0, 1, 0, 0, 0, 0])]);
     assert_eq!(feed(&mut responder, &abort), Ok(vec![]));
     assert_eq!(feed(&mut responder, &request(9, b"q", b"")), Ok(vec![whole(9, b"q", b"")]));
     // One that has not come whole yet is known to nobody else.
     feed(&mut responder, &begin(10, 1, 1)).expect("sound");
-    fastcgi::write(&mut abort, kind::ABORT_REQUEST, 10, &[]);
+    fastcgi::write_record(&mut abort, kind::ABORT_REQUEST, 10, &[]);
     assert_eq!(feed(&mut responder, &abort), Ok(vec![Incoming::Abort(9)]));
-    assert_eq!(responder.open(), 1);
+    assert_eq!(responder.open_requests(), 1);
 }
 
 #[test]
 fn what_is_too_long_is_thrown_away_and_said_at_once() {
     let mut responder = Responder::default();
-    let whole = request(1, b"p", &[0; BODY + 1]);
+    let whole = request(1, b"p", &[0; MAX_BODY_BYTES + 1]);
     // Without the record that ends the body; that one and all others of this number are read past.
-    let (long, end) = whole.split_at(whole.len() - fastcgi::HEADER);
+    let (long, end) = whole.split_at(whole.len() - fastcgi::HEADER_BYTES);
     let wanted = Incoming::Request { slot: 1, params: vec![], body: vec![], too_long: true };
     assert_eq!(feed(&mut responder, long).expect("sound"), vec![wanted]);
     assert_eq!(feed(&mut responder, &[end, end].concat()).expect("sound"), vec![]);
-    responder.answer(1, b"no");
-    assert!(responder.is_last());
+    responder.respond(1, b"no");
+    assert!(responder.is_close_requested());
     let mut bytes = begin(2, 1, 1);
     for _ in 0..100 {
-        fastcgi::write(&mut bytes, kind::PARAMS, 2, &[0; 60_000]);
+        fastcgi::write_record(&mut bytes, kind::PARAMS, 2, &[0; 60_000]);
     }
     feed(&mut responder, &bytes).expect("sound");
-    assert!(responder.held() <= PARAMS);
+    assert!(responder.buffered_bytes() <= MAX_PARAMS_BYTES);
 }
 
 #[test]
@@ -176,18 +179,21 @@
     let mut responder = Responder::default();
     assert!(feed(&mut responder, &[begin(1, 1, 1), begin(1, 1, 1)].concat()).is_err());
     let mut short = Vec::new();
-    fastcgi::write(&mut short, kind::BEGIN_REQUEST, 4, &[0, 1]);
+    fastcgi::write_record(&mut short, kind::BEGIN_REQUEST, 4, &[0, 1]);
     assert!(feed(&mut Responder::default(), &short).is_err());
 }
 
 #[test]
 fn no_bytes_whatever_do_harm() {
     let sound = [request(1, b"params", b"body"), request(2, b"params", b"body")].concat();
-    for bytes in test_bytes::damaged(&sound) {
+    for bytes in test_bytes::damaged_copies(&sound) {
         let mut responder = Responder::default();
         let _ = feed(&mut responder, &bytes);
-        assert!(responder.open() <= OPEN && responder.held() <= OPEN * (PARAMS + BODY));
+        assert!(
+            responder.open_requests() <= MAX_OPEN_REQUESTS
+                && responder.buffered_bytes() <= MAX_OPEN_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES)
+        );
         responder.drop_partial();
-        assert_eq!(responder.open(), responder.whole());
+        assert_eq!(responder.open_requests(), responder.complete_requests());
     }
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -11,8 +11,8 @@
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Outcome, ReplicaView, Role};
 
-use super::fleet::{Answer, FleetView, Question, QuestionKind, Reply};
-use super::record::{StoreAnswer, StoreQuestion};
+use super::fleet::{FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView};
+use super::replicated_store::{StoreRequest, StoreResponse};
 
 const QUESTIONS: &str = include_str!("golden/questions.txt");
 const ANSWERS: &str = include_str!("golden/answers.txt");
@@ -170,29 +170,29 @@
     (300..).zip(outcomes).map(line).collect()
 }
 
-fn questions() -> Vec<Question> {
-    let show = |latest| StoreQuestion::Show { name: "limits".to_owned(), latest, from: 70_000 };
+fn questions() -> Vec<FleetRequest> {
+    let show = |latest| StoreRequest::ReadDocument { name: "limits".to_owned(), latest, from: 70_000 };
     let record = [
-        StoreQuestion::Status,
+        StoreRequest::Status,
         show(true),
         show(false),
-        StoreQuestion::History(20),
-        StoreQuestion::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
-        StoreQuestion::Hand("server-b".to_owned(), true),
-        StoreQuestion::Export(65_536),
-        StoreQuestion::Adopt,
+        StoreRequest::History(20),
+        StoreRequest::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
+        StoreRequest::SetVoter("server-b".to_owned(), true),
+        StoreRequest::Export(65_536),
+        StoreRequest::Adopt,
     ];
-    let fleet = [QuestionKind::Members, QuestionKind::Explain("server-b".to_owned())];
-    let all = fleet.into_iter().chain(record.map(QuestionKind::Record));
-    all.map(|what| Question { number: 70_000, what }).collect()
+    let fleet = [FleetRequestKind::Members, FleetRequestKind::Explain("server-b".to_owned())];
+    let all = fleet.into_iter().chain(record.map(FleetRequestKind::Store));
+    all.map(|what| FleetRequest { number: 70_000, kind: what }).collect()
 }
 
-fn answers() -> Vec<Answer> {
+fn answers() -> Vec<FleetResponse> {
     let role = |role| {
         let standing = umberloom_replicated_store::ReplicaStatus { role, ..record_standing() };
-        StoreAnswer::Status(Box::new(standing))
+        StoreResponse::Status(Box::new(standing))
     };
-    let document = StoreAnswer::Document {
+    let document = StoreResponse::Document {
         version: 2,
         index: 300,
         by: "server-a".to_owned(),
@@ -200,24 +200,24 @@
         part: vec![1, 2, 255],
         age_ms: Some(40),
     };
-    let mut record: Vec<StoreAnswer> =
+    let mut record: Vec<StoreResponse> =
         [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(role).to_vec();
     record.extend([
         document,
-        StoreAnswer::Nothing(vec!["limits".to_owned()]),
-        StoreAnswer::History(history()),
-        StoreAnswer::Taken,
-        StoreAnswer::Bytes(vec![1, 2], 70_000),
-        StoreAnswer::Refused("nobody leads".to_owned()),
+        StoreResponse::UnknownDocument(vec!["limits".to_owned()]),
+        StoreResponse::History(history()),
+        StoreResponse::Accepted,
+        StoreResponse::ExportPart(vec![1, 2], 70_000),
+        StoreResponse::Rejected("nobody leads".to_owned()),
     ]);
-    record.extend(history().into_iter().map(|line| StoreAnswer::Done(line.outcome)));
+    record.extend(history().into_iter().map(|line| StoreResponse::WriteOutcome(line.outcome)));
     let fleet = [
-        Reply::Members(fleet_view()),
-        Reply::Explain(evidence()),
-        Reply::Unknown(vec!["server-a".to_owned(), "server-b".to_owned()]),
+        FleetReply::Members(fleet_view()),
+        FleetReply::Explain(evidence()),
+        FleetReply::UnknownMember(vec!["server-a".to_owned(), "server-b".to_owned()]),
     ];
-    let all = fleet.into_iter().chain(record.into_iter().map(Reply::Record));
-    all.map(|reply| Answer { number: 70_000, reply }).collect()
+    let all = fleet.into_iter().chain(record.into_iter().map(FleetReply::Store));
+    all.map(|reply| FleetResponse { number: 70_000, reply }).collect()
 }
 
 #[test]
