--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -225,33 +225,33 @@
         let message = match notice {
             Notice::Greeting(starting, since) => {
                 info!(self.log, "agent is up"; "starting" => starting, "since_us" => since);
-                AdmissionMessage::AgentUp(since)
+                AdmissionMessage::AgentUp { uptime: since }
             }
             Notice::RunEnded(id, end, took) => {
                 self.command_log.run_ended(&id);
-                AdmissionMessage::RunEnded(id, end, took)
+                AdmissionMessage::RunEnded { id, outcome: end, duration: took }
             }
             Notice::NeedsCall(id, seq, body) => {
                 self.command_log.run_waits_for_call(&id);
-                AdmissionMessage::NeedsCall(id, seq, body)
+                AdmissionMessage::NeedsCall { id, notice_seq: seq, body }
             }
             Notice::GaugesSampled(name, values) => match self.command_log.sample_answered(&name) {
-                Some(tag) => AdmissionMessage::GaugesSampled(tag, values),
+                Some(tag) => AdmissionMessage::GaugesSampled { tag, values },
                 None => return Ok(()),
             },
             Notice::HealthCheckEnded(name, fine) => match self.command_log.health_check_answered(&name) {
-                Some(tag) => AdmissionMessage::HealthCheckEnded(tag, fine),
+                Some(tag) => AdmissionMessage::HealthCheckEnded { tag, healthy: fine },
                 None => return Ok(()),
             },
             Notice::CommandRejected(command, id) => {
                 debug!(self.log, "agent refused"; "command" => &command, "request" => &id);
-                AdmissionMessage::AgentRejected(command, id)
+                AdmissionMessage::AgentRejected { command, id }
             }
             // Were the link closed over it, the next one would bring it again.
             Notice::Invalid(id) => {
                 warn!(self.log, "a notice without sense"; "request" => &id);
                 self.command_log.run_ended(&id);
-                AdmissionMessage::InvalidAgentNotice(id)
+                AdmissionMessage::InvalidAgentNotice { id }
             }
             Notice::Ignored => return Ok(()),
         };
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -48,15 +48,17 @@
         let name = number.to_string();
         let none: RequestId = "".into();
         let (kind, id, tag, command) = match order {
-            AgentCommand::Launch(id, class, body) => {
+            AgentCommand::Launch { id, class, body } => {
                 (EntryKind::Run, id, 0, Command::Launch { id, class, body: encode_base64(body) })
             }
             AgentCommand::Pause(id) => (EntryKind::Pause, id, 0, Command::Freeze { id }),
             AgentCommand::Resume(id) => (EntryKind::Run, id, 0, Command::Thaw { id }),
-            AgentCommand::DeliverReply(id, body) => {
+            AgentCommand::DeliverReply { id, body } => {
                 (EntryKind::Reply, id, 0, Command::Deliver { id, body: encode_base64(body) })
             }
-            AgentCommand::SkipCall(id, seq) => (EntryKind::Reply, id, 0, Command::Forgo { id, seq: *seq }),
+            AgentCommand::SkipCall { id, notice_seq } => {
+                (EntryKind::Reply, id, 0, Command::Forgo { id, seq: *notice_seq })
+            }
             AgentCommand::SampleGauges(tag) => {
                 (EntryKind::Query, &none, *tag, Command::Sample { tag: &name })
             }
