--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -164,5 +164,9 @@
 fn limits(o: &Object) -> Result<Limits, String> {
     let o = object(o, "limits")?;
     let memory = integer(o, "memory_mb")?.saturating_mul(1 << 20) as usize;
-    Ok(Limits { cores: number_or(o, "cores", 1.0)?, memory, sockets: integer_or(o, "sockets", 1024)? as usize })
+    Ok(Limits {
+        cores: number_or(o, "cores", 1.0)?,
+        memory,
+        sockets: integer_or(o, "sockets", 1024)? as usize,
+    })
 }
