--- /dev/null
+++ b/crates/server/src/admission/responses.rs
@@ -0,0 +1,85 @@
+//! Final responses, and what is left to do when a request has ended.
+
+use slog::error;
+use umberloom::interface::{Event, Micros, Outcome, RequestId};
+
+use super::AdmissionActor;
+use crate::memory::request_table::RunState;
+use crate::messages::caller::Response;
+
+impl AdmissionActor {
+    /// Sends the final response, unless one was sent.
+    pub(super) fn respond(&mut self, id: &str, response: Response) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if let Some(reply_to) = request.reply_to.take() {
+            reply_to.respond(response);
+        }
+    }
+
+    /// Responds and cancels the request's call. A run that goes on ends by itself.
+    pub(super) fn finish(&mut self, id: &RequestId, response: Response) {
+        self.respond(id, response);
+        self.cancel_pending_call(id);
+        self.remove_if_ended(id);
+    }
+
+    /// Responds with a result, also to the duplicates that wait for it.
+    pub(super) fn respond_with_result(&mut self, id: &RequestId, result: Vec<u8>) {
+        if let Some(subject) = self.requests.get_mut(id).and_then(|request| request.subject()) {
+            self.idempotency_cache.store_result(&subject, id, &result);
+        }
+        for duplicate in self.requests.awaiting(id) {
+            self.end_duplicate(&duplicate, Some(&result));
+        }
+        self.respond(id, Response::Served(result));
+    }
+
+    /// Answers a duplicate by the result of the original, which may be there already or has to be waited for.
+    pub(super) fn await_original(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(original) = request.duplicate_of.clone() else { return };
+        self.requests.await_original(id);
+        let result = self.idempotency_cache.result(&original).map(<[u8]>::to_vec);
+        if result.is_some() || !self.requests.contains(&original) {
+            self.end_duplicate(id, result.as_deref());
+        }
+    }
+
+    /// Ends a duplicate that waits for a result; `None` where none will come.
+    fn end_duplicate(&mut self, id: &RequestId, result: Option<&[u8]>) {
+        let (response, outcome) = match result {
+            Some(result) => (Response::Served(result.to_vec()), Outcome::Ok),
+            None => (Response::Failed, Outcome::Error),
+        };
+        self.respond(id, response);
+        self.deferred_events.push_back(Event::RunEnded(id.clone(), outcome, 0));
+        self.remove_if_ended(id);
+    }
+
+    /// Removes a request that is answered and does not run. Duplicates that still wait for its result fail.
+    pub(super) fn remove_if_ended(&mut self, id: &str) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if request.reply_to.is_some() || request.run == RunState::Running {
+            return;
+        }
+        if !request.has_run {
+            // A request that never ran must not keep another attempt from running.
+            self.release_key(id);
+        }
+        self.requests.remove(id);
+        for duplicate in self.requests.awaiting(id) {
+            self.end_duplicate(&duplicate, None);
+        }
+    }
+
+    /// Fails requests whose deadline has passed by more than the controller needs to answer them in time. It may have lost
+    /// track of a request, as after a run that was stopped from outside.
+    pub(super) fn fail_overdue(&mut self, now: Micros) {
+        let slack = self.settings.answer_slack / 2;
+        for id in self.requests.overdue(now.saturating_sub(slack)) {
+            error!(self.log, "overdue request failed"; "request" => &*id);
+            self.finish(&id, Response::Failed);
+            self.deferred_events.push_back(Event::Cancelled(id));
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/admission/tests/calls.rs
@@ -0,0 +1,55 @@
+//! Downstream calls of runs without a call plan.
+
+use super::*;
+use crate::messages::calls::CallId;
+use umberloom::interface::Outcome;
+
+fn needs_call(notice_seq: u64, body: &[u8]) -> AdmissionMessage {
+    AdmissionMessage::NeedsCall { id: "a".into(), notice_seq, body: body.to_vec() }
+}
+
+fn call_ended(outcome: Outcome, body: &[u8]) -> AdmissionMessage {
+    let id = CallId::without_plan("a".into());
+    AdmissionMessage::CallEnded { id, outcome, duration: 3, body: body.to_vec() }
+}
+
+/// What the records service's actor has been told since the last look.
+fn calls(bench: &Bench) -> Vec<String> {
+    let describe = |command| match command {
+        DependencyCommand::Call(call) => {
+            format!("Call({:?}, {:?}, {})", call.id.request, call.body, call.deadline)
+        }
+        DependencyCommand::Cancel(id) => format!("Cancel({:?})", id.request),
+        other => format!("{other:?}"),
+    };
+    received(&bench.records).into_iter().map(describe).collect()
+}
+
+#[test]
+fn calls_are_made_delivered_cancelled_and_skipped() {
+    let mut bench = bench(Preemption::Pause);
+    bench.launched("a");
+    bench.send(needs_call(7, b"c"));
+    bench.execute(Action::Call("a".into(), 50));
+    assert_eq!(calls(&bench), [r#"Call("a", [99], 50)"#]);
+    bench.send(call_ended(Outcome::ConnectionLost, b""));
+    bench.execute(Action::Call("a".into(), 60));
+    bench.send(call_ended(Outcome::Ok, b"reply"));
+    let deliver = AgentCommand::DeliverReply { id: "a".into(), body: b"reply".to_vec() };
+    assert_eq!(bench.commands(), [deliver]);
+    let events = [r#"NeedsCall("a")"#, r#"CallEnded("a", ConnectionLost, 3)"#, r#"CallEnded("a", Ok, 3)"#];
+    assert_eq!(bench.events(), events);
+    // The end of a call that nobody waits for changes nothing.
+    bench.send(call_ended(Outcome::Ok, b""));
+    assert_eq!((bench.commands(), bench.events().len()), (vec![], 0));
+    calls(&bench);
+    bench.send(needs_call(8, b"d"));
+    bench.execute(Action::Call("a".into(), 70));
+    bench.execute(Action::SkipCall("a".into()));
+    assert_eq!(calls(&bench), [r#"Call("a", [100], 70)"#, r#"Cancel("a")"#]);
+    assert_eq!(bench.commands(), [AgentCommand::SkipCall { id: "a".into(), notice_seq: 8 }]);
+    bench.send(needs_call(9, b"e"));
+    bench.execute(Action::Call("a".into(), 70));
+    bench.execute(Action::Fail("a".into()));
+    assert_eq!(calls(&bench), [r#"Call("a", [101], 70)"#, r#"Cancel("a")"#]);
+}
--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -1,295 +1,293 @@
-//! The calls of runs whose class has a plan: the decisions about dependencies, and the mailboxes that their actions
-//! go to.
+//! Downstream calls of runs whose class has a call plan.
+//!
+//! [`Engine`] decides which calls are made, and when; this module hands them to the actors of the dependencies and keeps
+//! track of plans and attempts in flight. Each attempt needs a permit from the dependency's distributed quota, where it
+//! has one (see [`QuotaLeases`]).
 
-use std::collections::BTreeMap;
+mod status_log;
+
+use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 use async_channel::Sender;
-use slog::{info, warn, Logger};
+use slog::{warn, Logger};
 use umberloom::interface::{Micros, Outcome, RequestId};
-use umberloom_dependencies::{
-    breaker, load_balancer, Action, AttemptId, Engine, PlanId, PlanRequest, ServiceView,
-};
+use umberloom_dependencies::{Action, AttemptId, Engine, PlanId, PlanRequest};
 
 use crate::memory::budget::Charge;
 use crate::memory::request_table::OpenRequest;
 use crate::messages::calls::{Call, CallId, DependencyCommand, DependencySettings};
 use crate::messages::fleet::FleetEvent;
 use crate::quota_leases::QuotaLeases;
+use status_log::StatusLog;
 
-/// Time between looks at what has been left out and what has come back, for the log.
-const WATCH_EVERY: Micros = 1_000_000;
-
-/// A plan that is over.
-pub struct Done {
-    /// The request it was for.
+/// A call plan that has ended.
+pub struct FinishedPlan {
+    /// The request that it was for.
     pub id: RequestId,
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Micros,
-    /// What the run gets.
+    pub duration: Micros,
+    /// The encoded response of all its calls, for the run.
     pub reply: Vec<u8>,
 }
 
-/// A plan under way.
-struct UnderWay {
+/// A call plan in flight.
+struct PlanInFlight {
     id: RequestId,
-    since: Micros,
-    /// What the run sent along; every call of the plan carries it.
+    started_at: Micros,
+    /// Body of each of its calls.
     body: Rc<[u8]>,
 }
 
-/// All plans under way.
+/// An attempt in flight.
+struct AttemptInFlight {
+    call: CallId,
+    /// The mailbox that it was sent to. A dependency that is no longer configured ends with its last attempt.
+    mailbox: Sender<DependencyCommand>,
+}
+
+/// All call plans in flight.
 pub struct DependencyCalls {
     engine: Engine,
-    /// Places that several servers share; none without a fleet.
-    shares: QuotaLeases,
+    quota_leases: QuotaLeases,
     mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
+    /// The memory of the fallback cache.
     charge: Charge,
-    plans: BTreeMap<PlanId, UnderWay>,
-    by_request: BTreeMap<RequestId, PlanId>,
-    /// Where each attempt went: the mailbox of a dependency that is gone ends with its last attempt.
-    attempts: BTreeMap<AttemptId, (CallId, Sender<DependencyCommand>)>,
-    /// Over, and not yet taken.
-    done: Vec<Done>,
-    next: PlanId,
-    watch_at: Micros,
-    seen: Vec<ServiceView>,
+    plans: BTreeMap<PlanId, PlanInFlight>,
+    plan_of_request: BTreeMap<RequestId, PlanId>,
+    attempts: BTreeMap<AttemptId, AttemptInFlight>,
+    /// Plans that have ended since they were last taken.
+    finished: Vec<FinishedPlan>,
+    last_plan: PlanId,
+    status_log: StatusLog,
     log: Logger,
 }
 
 impl DependencyCalls {
-    /// None under way yet. Settings with mistakes were turned down when the file was read.
+    /// No calls yet. `None` for settings with mistakes, which are rejected when the file is read.
     pub fn new(
         now: Micros,
-        wanted: DependencySettings,
-        mut shares: QuotaLeases,
+        settings: DependencySettings,
+        mut quota_leases: QuotaLeases,
         seed: u64,
         log: Logger,
     ) -> Option<DependencyCalls> {
-        let engine = Engine::new(now, wanted.config, seed);
-        let engine = engine.map_err(|mistakes| warn!(log, "no plans"; "why" => ?mistakes)).ok()?;
-        shares.set(wanted.shared_quotas);
-        let mut plans = DependencyCalls {
+        let engine = match Engine::new(now, settings.config, seed) {
+            Ok(engine) => engine,
+            Err(errors) => {
+                warn!(log, "call plans rejected"; "errors" => ?errors);
+                return None;
+            }
+        };
+        quota_leases.reconfigure(settings.shared_quotas);
+        let mut calls = DependencyCalls {
             engine,
-            shares,
-            mailboxes: wanted.mailboxes,
-            charge: wanted.charge,
+            quota_leases,
+            mailboxes: settings.mailboxes,
+            charge: settings.charge,
             plans: BTreeMap::new(),
-            by_request: BTreeMap::new(),
+            plan_of_request: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            done: Vec::new(),
-            next: 0,
-            watch_at: now + WATCH_EVERY,
-            seen: Vec::new(),
+            finished: Vec::new(),
+            last_plan: 0,
+            status_log: StatusLog::new(now),
             log,
         };
-        plans.share(now);
-        Some(plans)
+        calls.update_concurrency_caps(now);
+        Some(calls)
     }
 
-    /// New settings. What is under way ends as it began.
-    pub fn set(&mut self, now: Micros, wanted: DependencySettings) {
-        match self.engine.reconfigure(now, wanted.config) {
-            Ok(()) => {
-                (self.mailboxes, self.charge) = (wanted.mailboxes, wanted.charge);
-                let mut actions = Vec::new();
-                for gone in self.shares.set(wanted.shared_quotas) {
-                    self.engine.set_concurrency_cap(now, &gone, usize::MAX, &mut actions);
-                }
-                self.carry_out(now, actions);
-            }
-            Err(mistakes) => warn!(self.log, "the old plans stay"; "why" => ?mistakes),
+    /// Changes the settings. Plans in flight end under the old ones.
+    pub fn reconfigure(&mut self, now: Micros, settings: DependencySettings) {
+        if let Err(errors) = self.engine.reconfigure(now, settings.config) {
+            warn!(self.log, "call plans rejected, the old ones stay"; "errors" => ?errors);
+            return;
+        }
+        self.mailboxes = settings.mailboxes;
+        self.charge = settings.charge;
+        let mut actions = Vec::new();
+        for dependency in self.quota_leases.reconfigure(settings.shared_quotas) {
+            self.engine.set_concurrency_cap(now, &dependency, usize::MAX, &mut actions);
         }
+        self.execute_all(now, actions);
     }
 
-    /// Whether runs of this class have a plan.
+    /// Whether runs of this class have a call plan.
     pub fn has_plan(&self, class: &str) -> bool {
         self.engine.has_plan(class)
     }
 
-    /// The decision module lets a run call, until then.
-    pub fn begin(&mut self, now: Micros, open: &OpenRequest, body: &[u8], until: Micros, levels: usize) {
-        self.give_up(now, &open.id);
-        self.next += 1;
-        let plan = self.next;
-        self.plans.insert(plan, UnderWay { id: open.id.clone(), since: now, body: body.into() });
-        self.by_request.insert(open.id.clone(), plan);
-        let ask = PlanRequest {
+    /// Starts the call plan of a request. `levels` is the number of levels that the ranks of requests are divided into.
+    pub fn start_plan(
+        &mut self,
+        now: Micros,
+        request: &OpenRequest,
+        body: Rc<[u8]>,
+        deadline: Micros,
+        levels: usize,
+    ) {
+        self.last_plan += 1;
+        let plan = self.last_plan;
+        self.plans.insert(plan, PlanInFlight { id: request.id.clone(), started_at: now, body });
+        self.plan_of_request.insert(request.id.clone(), plan);
+        let plan_request = PlanRequest {
             plan,
-            class: &open.work.class,
-            level: (open.work.rank * levels as f64) as u16,
-            key: open.work.subject_key.as_deref(),
-            until,
-            due: open.due,
-            again: open.planned,
+            class: &request.work.class,
+            level: (request.work.rank * levels as f64) as u16,
+            key: request.work.subject_key.as_deref(),
+            until: deadline,
+            due: request.deadline,
+            again: request.had_call_plan,
         };
         let mut actions = Vec::new();
-        self.engine.start_plan(now, &ask, &mut actions);
-        self.carry_out(now, actions);
+        self.engine.start_plan(now, &plan_request, &mut actions);
+        self.execute_all(now, actions);
     }
 
-    /// An attempt is over.
-    pub fn ended(&mut self, now: Micros, call: &CallId, outcome: Outcome, reply: Vec<u8>) {
-        // A whole reply says that the call is over there, and so does one that never came there.
-        let known = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
-        self.shares.end(call.attempt, known);
+    /// Handles the end of an attempt.
+    pub fn handle_attempt_end(&mut self, now: Micros, call: &CallId, outcome: Outcome, reply: Vec<u8>) {
+        // A complete reply says that the call has ended at the dependency, and so does one that never got there.
+        let ended_there = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
+        self.quota_leases.release(call.attempt, ended_there);
         if self.attempts.remove(&call.attempt).is_some() {
             let mut actions = Vec::new();
             self.engine.handle_attempt_end(now, call.attempt, outcome, reply, &mut actions);
-            self.carry_out(now, actions);
+            self.execute_all(now, actions);
         }
     }
 
-    /// Nobody waits for the plan of this request any more; `false` if it has none under way.
-    pub fn give_up(&mut self, now: Micros, id: &str) -> bool {
-        let Some(plan) = self.by_request.remove(id) else { return false };
+    /// Cancels the call plan of a request; `false` if it has none in flight.
+    pub fn cancel_plan(&mut self, now: Micros, id: &str) -> bool {
+        let Some(plan) = self.plan_of_request.remove(id) else { return false };
         let mut actions = Vec::new();
         self.engine.cancel_plan(now, plan, &mut actions);
         self.plans.remove(&plan);
-        self.carry_out(now, actions);
+        self.execute_all(now, actions);
         true
     }
 
-    /// When something is due next, `now` being the time.
-    pub fn next_at(&self, now: Micros) -> Option<Micros> {
-        let shared = self.shares.next_in().map(|span| now + span);
-        self.engine.next_timeout().into_iter().chain(shared).min()
+    /// Handles an event of the fleet, which may change how many calls this server may have in flight.
+    pub fn handle_fleet_event(&mut self, now: Micros, event: FleetEvent) {
+        self.quota_leases.handle_fleet_event(event);
+        self.update_concurrency_caps(now);
     }
 
-    /// News of the fleet.
-    pub fn hear(&mut self, now: Micros, news: FleetEvent) {
-        self.shares.hear(news);
-        self.share(now);
+    /// When something is due next.
+    pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
+        let quota_timeout = self.quota_leases.time_to_next_timeout().map(|duration| now + duration);
+        self.engine.next_timeout().into_iter().chain(quota_timeout).min()
     }
 
-    /// What is due by now.
-    pub fn pass(&mut self, now: Micros) {
+    /// Does what is due by now.
+    pub fn handle_timeout(&mut self, now: Micros) {
         if self.engine.next_timeout().is_some_and(|at| now >= at) {
             let mut actions = Vec::new();
             self.engine.handle_timeout(now, &mut actions);
-            self.carry_out(now, actions);
+            self.execute_all(now, actions);
         } else {
-            self.share(now);
-        }
-        if now >= self.watch_at {
-            self.watch_at = now + WATCH_EVERY;
-            self.watch(now);
+            self.update_concurrency_caps(now);
         }
+        self.status_log.handle_timeout(now, &self.engine, &self.log);
     }
 
-    /// A run went on for so long after its calls.
-    pub fn learn_rest(&mut self, class: &str, took: Micros) {
-        self.engine.learn_local_work(class, took);
+    /// A run of this class went on for this long after its last call.
+    pub fn learn_local_work(&mut self, class: &str, duration: Micros) {
+        self.engine.learn_local_work(class, duration);
     }
 
-    /// Plans that are over since the last look.
-    pub fn take_done(&mut self) -> Vec<Done> {
-        std::mem::take(&mut self.done)
+    /// Takes the plans that have ended.
+    pub fn take_finished(&mut self) -> Vec<FinishedPlan> {
+        std::mem::take(&mut self.finished)
     }
 
-    fn carry_out(&mut self, now: Micros, actions: Vec<Action>) {
-        self.act(now, actions);
-        self.share(now);
+    /// Executes the engine's actions, and updates the caps that they may change.
+    fn execute_all(&mut self, now: Micros, actions: Vec<Action>) {
+        self.execute(now, actions);
+        self.update_concurrency_caps(now);
     }
 
-    /// Lets as many calls be in flight as this server has places for, which may let more begin.
-    fn share(&mut self, now: Micros) {
-        for dependency in self.shares.names() {
-            let most = self.shares.pass(&dependency, self.engine.demand(&dependency));
+    /// Lets as many calls be in flight as this server has permits for, which may let more calls start.
+    fn update_concurrency_caps(&mut self, now: Micros) {
+        for dependency in self.quota_leases.dependencies() {
+            let demand = self.engine.demand(&dependency);
+            let cap = self.quota_leases.update(&dependency, demand);
             let mut actions = Vec::new();
-            self.engine.set_concurrency_cap(now, &dependency, most, &mut actions);
-            self.act(now, actions);
+            self.engine.set_concurrency_cap(now, &dependency, cap, &mut actions);
+            self.execute(now, actions);
         }
-        self.shares.tell();
+        self.quota_leases.report();
     }
 
-    fn act(&mut self, now: Micros, actions: Vec<Action>) {
-        let mut actions = std::collections::VecDeque::from(actions);
+    fn execute(&mut self, now: Micros, actions: Vec<Action>) {
+        let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::Start { attempt, plan, dependency, address, until } => {
-                    let span = until.saturating_sub(now);
-                    let placed = self.shares.take(&dependency, attempt, span);
-                    let started = placed
-                        .is_some_and(|span| self.start((attempt, plan), &dependency, &address, now + span));
-                    if !started {
-                        self.shares.end(attempt, true);
-                        let mut more = Vec::new();
-                        self.engine.handle_attempt_end(
-                            now,
-                            attempt,
-                            Outcome::Rejected,
-                            Vec::new(),
-                            &mut more,
-                        );
+                    if !self.start_attempt(now, attempt, plan, &dependency, &address, until) {
+                        let more = self.reject_attempt(now, attempt);
                         actions.extend(more);
                     }
                 }
-                Action::Cancel(attempt) => {
-                    // It may go on there until the time that it stated has run out.
-                    self.shares.end(attempt, false);
-                    if let Some((call, to)) = self.attempts.remove(&attempt) {
-                        // A call whose mailbox has no room ends by itself at its time, and is no longer known here.
-                        let _ = to.try_send(DependencyCommand::Cancel(call));
-                    }
-                }
+                Action::Cancel(attempt) => self.cancel_attempt(attempt),
                 Action::Done { plan, outcome, envelope } => {
-                    let Some(over) = self.plans.remove(&plan) else { continue };
-                    self.by_request.remove(&over.id);
-                    let reply = envelope.map(|e| e.encode()).unwrap_or_default();
-                    self.done.push(Done { id: over.id, outcome, took: now - over.since, reply });
+                    let reply = envelope.map(|envelope| envelope.encode()).unwrap_or_default();
+                    self.finish_plan(now, plan, outcome, reply);
                 }
             }
         }
     }
 
-    /// Hands a call to its dependency's actor; `false` if that has no room for it.
-    fn start(
+    /// Acquires a permit for an attempt and sends it to its dependency's actor; `false` if either has no room for it.
+    fn start_attempt(
         &mut self,
-        (attempt, plan): (AttemptId, PlanId),
+        now: Micros,
+        attempt: AttemptId,
+        plan: PlanId,
         dependency: &str,
         address: &str,
-        until: Micros,
+        deadline: Micros,
     ) -> bool {
-        let (Some(under_way), Some(to)) = (self.plans.get(&plan), self.mailboxes.get(dependency)) else {
-            return false;
-        };
-        let id = CallId { request: under_way.id.clone(), attempt };
-        // The platform's records service is where its configuration says, and no address.
+        let timeout = deadline.saturating_sub(now);
+        let Some(timeout) = self.quota_leases.acquire(dependency, attempt, timeout) else { return false };
+        let Some(plan) = self.plans.get(&plan) else { return false };
+        let Some(mailbox) = self.mailboxes.get(dependency) else { return false };
+        let id = CallId { request: plan.id.clone(), attempt };
         let call = Call {
             id: id.clone(),
+            // The address of the platform's records service is in its configuration, and is no address here.
             address: address.parse().ok(),
-            body: under_way.body.clone(),
-            deadline: until,
+            body: plan.body.clone(),
+            deadline: now + timeout,
         };
-        let sent = to.try_send(DependencyCommand::Call(call)).is_ok();
-        if sent {
-            self.attempts.insert(attempt, (id, to.clone()));
+        let is_sent = mailbox.try_send(DependencyCommand::Call(call)).is_ok();
+        if is_sent {
+            self.attempts.insert(attempt, AttemptInFlight { call: id, mailbox: mailbox.clone() });
         }
-        sent
+        is_sent
     }
 
-    /// Tells what has been left out or has come back since the last look.
-    fn watch(&mut self, now: Micros) {
-        let views = self.engine.explain(now);
-        for view in &views {
-            let before = self.seen.iter().find(|seen| seen.name == view.name);
-            let closed = |v: &ServiceView| v.breaker == breaker::State::Closed;
-            if before.is_some_and(|b| closed(b) != closed(view)) {
-                info!(self.log, "dependency"; "name" => &*view.name, "called" => closed(view),
-                    "budget" => view.budget, "limit" => view.limit.value, "moved_by" => ?view.limit.moved.0);
-            }
-            for endpoint in &view.endpoints {
-                let is_in = |e: &load_balancer::EndpointView| matches!(e.state, load_balancer::State::In(_));
-                let was = before.and_then(|b| b.endpoints.iter().find(|e| e.address == endpoint.address));
-                if was.is_some_and(|was| is_in(was) != is_in(endpoint)) {
-                    info!(self.log, "endpoint"; "of" => &*view.name, "address" => &*endpoint.address,
-                        "in_use" => is_in(endpoint), "why" => ?endpoint.out);
-                }
-            }
+    /// Ends an attempt that did not start; what the engine does then.
+    fn reject_attempt(&mut self, now: Micros, attempt: AttemptId) -> Vec<Action> {
+        self.quota_leases.release(attempt, true);
+        let mut actions = Vec::new();
+        self.engine.handle_attempt_end(now, attempt, Outcome::Rejected, Vec::new(), &mut actions);
+        actions
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        // It may go on at the dependency until its deadline.
+        self.quota_leases.release(attempt, false);
+        if let Some(AttemptInFlight { call, mailbox }) = self.attempts.remove(&attempt) {
+            // Where the mailbox has no room the call ends at its deadline, and its end is ignored.
+            let _ = mailbox.try_send(DependencyCommand::Cancel(call));
         }
-        self.seen = views;
+    }
+
+    fn finish_plan(&mut self, now: Micros, plan: PlanId, outcome: Outcome, reply: Vec<u8>) {
+        let Some(PlanInFlight { id, started_at, .. }) = self.plans.remove(&plan) else { return };
+        self.plan_of_request.remove(&id);
+        self.finished.push(FinishedPlan { id, outcome, duration: now - started_at, reply });
     }
 }
--- /dev/null
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -0,0 +1,58 @@
+//! Log lines on dependencies that are cut off by their circuit breaker, on ejected endpoints, and on their return.
+
+use slog::{info, Logger};
+use umberloom::interface::Micros;
+use umberloom_dependencies::{breaker, load_balancer, Engine, ServiceView};
+
+/// Time between two looks at the dependencies.
+const LOG_INTERVAL: Micros = 1_000_000;
+
+/// What the dependencies were like when they were last looked at.
+pub struct StatusLog {
+    next_at: Micros,
+    previous: Vec<ServiceView>,
+}
+
+impl StatusLog {
+    /// A log whose first look is one interval from now.
+    pub fn new(now: Micros) -> StatusLog {
+        StatusLog { next_at: now + LOG_INTERVAL, previous: Vec::new() }
+    }
+
+    /// Logs what has changed since the last look, if a look is due.
+    pub fn handle_timeout(&mut self, now: Micros, engine: &Engine, log: &Logger) {
+        if now < self.next_at {
+            return;
+        }
+        self.next_at = now + LOG_INTERVAL;
+        let current = engine.explain(now);
+        for service in &current {
+            if let Some(previous) = self.previous.iter().find(|previous| previous.name == service.name) {
+                log_breaker(previous, service, log);
+                log_endpoints(previous, service, log);
+            }
+        }
+        self.previous = current;
+    }
+}
+
+fn log_breaker(previous: &ServiceView, current: &ServiceView, log: &Logger) {
+    let is_closed = |service: &ServiceView| service.breaker == breaker::State::Closed;
+    if is_closed(previous) != is_closed(current) {
+        info!(log, "circuit breaker changed"; "dependency" => &*current.name, "closed" => is_closed(current),
+            "retry_budget" => current.budget, "limit" => current.limit.value,
+            "limit_cause" => ?current.limit.moved.0);
+    }
+}
+
+fn log_endpoints(previous: &ServiceView, current: &ServiceView, log: &Logger) {
+    let is_in_use =
+        |endpoint: &load_balancer::EndpointView| matches!(endpoint.state, load_balancer::State::In(_));
+    for endpoint in &current.endpoints {
+        let before = previous.endpoints.iter().find(|before| before.address == endpoint.address);
+        if before.is_some_and(|before| is_in_use(before) != is_in_use(endpoint)) {
+            info!(log, "endpoint ejection changed"; "dependency" => &*current.name,
+                "address" => &*endpoint.address, "in_use" => is_in_use(endpoint), "cause" => ?endpoint.out);
+        }
+    }
+}
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -26,7 +26,7 @@
 use umberloom_connection_admission::connection_table::ConnectionTable;
 use umberloom_operator_config::{Known, Operator};
 
-use crate::admission::{self, AdmissionActor, Mailboxes};
+use crate::admission::{self, AdmissionActor, AdmissionParts, Mailboxes};
 use crate::dependency_calls::DependencyCalls;
 use crate::memory::budget::Budget;
 use crate::messages::caller::LoadHint;
@@ -208,14 +208,14 @@
             }
             _ => None,
         };
-        let others = Mailboxes {
+        let mailboxes = Mailboxes {
             fleet: fleet.as_ref().map(|running| running.orders.clone()),
             agent: agent.clone(),
             records: records.clone(),
-            list: list.clone(),
-            front: front.clone(),
-            up: up_told,
-            hint: LoadHint::default(),
+            registration: list.clone(),
+            listener: front.clone(),
+            agent_up: up_told,
+            load_hint: LoadHint::default(),
         };
         let among = (config.settings.servers, config.settings.seed);
         executor.spawn(Agent::new(config.agent, agent_orders, module.clone(), log.clone()).run()).detach();
@@ -233,7 +233,7 @@
             module: module.clone(),
             classes: Rc::new(config.classes.clone()),
             tenants: Rc::new(config.tenants.clone()),
-            hint: others.hint.clone(),
+            hint: mailboxes.load_hint.clone(),
             shape: config.shape,
             connections: parts.connections,
             serial: Rc::default(),
@@ -245,7 +245,7 @@
         let idle = config.settings.idle_timeout_max;
         let connections =
             executor.spawn(Front::new(executor.clone(), from, shared, front_orders, idle).run());
-        let told = (config.settings.clone(), config.shape, config.gauges.clone());
+        let (settings, shape, gauge_names) = (config.settings.clone(), config.shape, config.gauges.clone());
         let seed = config.settings.seed;
         let mut program = Program {
             executor: executor.clone(),
@@ -270,7 +270,17 @@
         let shares = QuotaLeases::new(to_fleet, seed, log.clone());
         let plans =
             wanted.and_then(|wanted| DependencyCalls::new(clock.now(), wanted, shares, seed, log.clone()));
-        executor.spawn(AdmissionActor::new(told, plans, mail, others, clock, log.clone()).run()).detach();
+        let admission = AdmissionActor::new(AdmissionParts {
+            settings,
+            shape,
+            gauge_names,
+            dependency_calls: plans,
+            inbox: mail,
+            mailboxes,
+            clock,
+            log: log.clone(),
+        });
+        executor.spawn(admission.run()).detach();
         Ok(program)
     }
 
--- a/crates/server/src/memory/budget.rs
+++ b/crates/server/src/memory/budget.rs
@@ -1,31 +1,31 @@
-//! One bound on the memory that peers can make this process take.
+//! One bound on the memory that peers can make this process use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bound, shared by all that take from it.
+/// The bound, in bytes. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Budget(Rc<Cell<usize>>);
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// A budget of this many bytes.
     pub fn new(bytes: usize) -> Budget {
         Budget(Rc::new(Cell::new(bytes)))
     }
 
-    /// Takes `bytes`, if they are there.
+    /// Takes `bytes` from the budget; `None` where it has fewer left.
     pub fn take(&self, bytes: usize) -> Option<Charge> {
         let mut charge = Charge { budget: self.clone(), bytes: 0 };
         charge.resize(bytes).then_some(charge)
     }
 
-    /// What is left.
+    /// Bytes that are left.
     pub fn left(&self) -> usize {
         self.0.get()
     }
 }
 
-/// A part of a budget, given back when dropped.
+/// Bytes taken from a budget, given back when dropped.
 #[derive(Debug)]
 pub struct Charge {
     budget: Budget,
@@ -33,9 +33,10 @@
 }
 
 impl Charge {
-    /// Makes it `bytes` large; `false`, and nothing changed, if the budget has no room for that.
+    /// Changes the charge to `bytes`; `false`, and nothing changed, where the budget has too few left for that.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        let Some(left) = (self.budget.left() + self.bytes).checked_sub(bytes) else { return false };
+        let available = self.budget.left() + self.bytes;
+        let Some(left) = available.checked_sub(bytes) else { return false };
         self.budget.0.set(left);
         self.bytes = bytes;
         true
@@ -49,19 +50,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_taken_comes_back_when_dropped() {
-        let budget = Budget::new(100);
-        let mut charge = budget.take(60).expect("room");
-        assert!(budget.take(41).is_none());
-        assert_eq!(budget.left(), 40);
-        assert!(charge.resize(100) && !charge.resize(101));
-        assert_eq!(budget.left(), 0);
-        assert!(charge.resize(10));
-        drop(charge);
-        assert_eq!(budget.left(), 100);
-    }
-}
+mod tests;
--- a/crates/server/src/memory/idempotency_cache.rs
+++ b/crates/server/src/memory/idempotency_cache.rs
@@ -1,134 +1,167 @@
-//! Kept keys and results: what lets a repeat be answered without running again.
+//! Idempotency keys and resource keys with their results: a duplicate is answered from here and does not run again.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
 
 use umberloom::interface::{Micros, RequestId};
 
-/// Most entries, and most bytes of results, that are kept. A live entry of a keyed class never goes, as that would let its
-/// repeat run again: where these alone fill the table, there is no room for another.
-pub const ENTRIES: usize = 4096;
-const BYTES: usize = 8 << 20;
-
-/// What a request is about: the place of its class, and its key.
-pub type Subject = (usize, String);
+/// Bound on the entries. An entry that is not evictable stays until it expires, as a duplicate would run again without
+/// it: where these alone fill the cache, there is no room for another.
+pub const MAX_ENTRIES: usize = 4096;
+/// Bound on the bytes of all results together.
+const MAX_RESULT_BYTES: usize = 8 << 20;
+
+/// What a request is about. Requests with the same subject are duplicates of each other.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Subject {
+    /// Place of the request's class in the settings.
+    pub class: usize,
+    /// The idempotency key or resource key.
+    pub key: String,
+}
 
-/// What tells one request's body from another's: its length and a digest that peers can't steer, as its key is drawn
-/// anew for each table.
+/// Tells one request's body from another's by its length and a hash. The hash has a key that is drawn anew for each
+/// cache, so that callers can't construct collisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Body(usize, u64);
+pub struct BodyDigest {
+    length: usize,
+    hash: u64,
+}
+
+/// The request that a subject's entry belongs to.
+#[derive(Clone, Debug)]
+pub struct CachedRequest {
+    /// The request.
+    pub id: RequestId,
+    /// The digest of its body.
+    pub body: BodyDigest,
+    /// When the entry expires.
+    pub expires_at: Micros,
+    /// Whether the entry may be dropped before it expires.
+    pub evictable: bool,
+}
 
 #[derive(Debug)]
 struct Entry {
-    id: RequestId,
-    until: Micros,
-    body: Body,
-    /// It keeps its repeats from running, so it stays while it lives.
-    binding: bool,
+    request: CachedRequest,
     result: Option<Vec<u8>>,
 }
 
-/// The table of kept requests, by what they are about.
+/// The cache, by the subjects of its requests.
 #[derive(Debug, Default)]
 pub struct IdempotencyCache {
-    all: BTreeMap<Subject, Entry>,
-    /// Subjects in the order in which they were kept.
-    order: VecDeque<Subject>,
-    bytes: usize,
-    digests: RandomState,
+    entries: BTreeMap<Subject, Entry>,
+    /// Subjects of the entries, oldest first.
+    insertion_order: VecDeque<Subject>,
+    result_bytes: usize,
+    hasher: RandomState,
 }
 
 impl IdempotencyCache {
-    /// What tells this body from others.
-    pub fn digest(&self, body: &[u8]) -> Body {
-        Body(body.len(), self.digests.hash_one(body))
+    /// The digest of a request's body.
+    pub fn digest(&self, body: &[u8]) -> BodyDigest {
+        BodyDigest { length: body.len(), hash: self.hasher.hash_one(body) }
+    }
+
+    /// The request that has the entry of this subject, expired or not.
+    pub fn get(&self, subject: &Subject) -> Option<&CachedRequest> {
+        self.entries.get(subject).map(|entry| &entry.request)
     }
 
-    /// Keeps a request until the stated time; a newer one takes over the entry of an older one. `false`: there is no room
-    /// (see [`Keys::make_room`]).
-    pub fn keep(
-        &mut self,
-        subject: Subject,
-        (id, body): (RequestId, Body),
-        until: Micros,
-        binding: bool,
-    ) -> bool {
-        if let Some(entry) = self.all.get_mut(&subject).filter(|e| e.id == id) {
-            entry.until = until;
+    /// Makes room for one more entry; `false` where there is none. Expired entries go first, unless `is_in_flight` says
+    /// that their request still is; then the oldest evictable one.
+    pub fn make_room(&mut self, now: Micros, is_in_flight: impl Fn(&str) -> bool) -> bool {
+        if self.is_full() {
+            self.expire(now, is_in_flight);
+        }
+        if self.is_full() {
+            self.evict_oldest();
+        }
+        !self.is_full()
+    }
+
+    /// Adds the entry of a subject, or extends it where the request has it already. A newer request takes the place of an
+    /// older one. `false` where there is no room (see [`IdempotencyCache::make_room`]).
+    pub fn insert(&mut self, subject: Subject, request: CachedRequest) -> bool {
+        if let Some(entry) = self.entry_of(&subject, &request.id) {
+            entry.request.expires_at = request.expires_at;
             return true;
         }
         self.remove(&subject);
-        if self.all.len() >= ENTRIES {
+        if self.is_full() {
             return false;
         }
-        self.order.push_back(subject.clone());
-        self.all.insert(subject, Entry { id, until, body, binding, result: None });
+        self.insertion_order.push_back(subject.clone());
+        self.entries.insert(subject, Entry { request, result: None });
         true
     }
 
-    /// Makes room for one more entry, if it can: what has run out by then goes first, unless its request is still `open`,
-    /// then the oldest of those that bind nobody.
-    pub fn make_room(&mut self, now: Micros, open: impl Fn(&str) -> bool) -> bool {
-        if self.all.len() >= ENTRIES {
-            self.expire(now, open);
+    /// Drops the subject's entry, if it belongs to this request.
+    pub fn release(&mut self, subject: &Subject, id: &str) {
+        if self.entry_of(subject, id).is_some() {
+            self.remove(subject);
+        }
+    }
+
+    /// Adds the result of a request, if it has the subject's entry.
+    ///
+    /// Too many bytes drop the oldest results but never their entries: a duplicate that finds an entry without a result
+    /// fails without running, while one that finds no entry would run again.
+    pub fn store_result(&mut self, subject: &Subject, id: &str, result: &[u8]) {
+        if let Some(entry) = self.entry_of(subject, id) {
+            let replaced = entry.result.replace(result.to_vec());
+            self.result_bytes -= replaced.map_or(0, |old| old.len());
+            self.result_bytes += result.len();
         }
-        if self.all.len() >= ENTRIES {
-            let free = |subject: &&Subject| self.all.get(*subject).is_some_and(|e| !e.binding);
-            if let Some(oldest) = self.order.iter().find(free).cloned() {
-                self.remove(&oldest);
+        for subject in &self.insertion_order {
+            if self.result_bytes <= MAX_RESULT_BYTES {
+                break;
+            }
+            if let Some(dropped) = self.entries.get_mut(subject).and_then(|entry| entry.result.take()) {
+                self.result_bytes -= dropped.len();
             }
         }
-        self.all.len() < ENTRIES
     }
 
-    /// Forgets the entry of this request.
-    pub fn forget(&mut self, subject: &Subject, id: &str) {
-        if self.all.get(subject).is_some_and(|e| &*e.id == id) {
+    /// The result of a request, where it is there.
+    pub fn result(&self, id: &str) -> Option<&[u8]> {
+        let entry = self.entries.values().find(|entry| &*entry.request.id == id)?;
+        entry.result.as_deref()
+    }
+
+    /// Drops the entries that have expired, unless `is_in_flight` says that their request still is.
+    pub fn expire(&mut self, now: Micros, is_in_flight: impl Fn(&str) -> bool) {
+        let is_over = |request: &CachedRequest| request.expires_at <= now && !is_in_flight(&request.id);
+        let expired: Vec<Subject> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| is_over(&entry.request))
+            .map(|(subject, _)| subject.clone())
+            .collect();
+        for subject in &expired {
             self.remove(subject);
         }
     }
 
-    /// The request that has the entry of this subject with its body, and until when.
-    pub fn holder(&self, subject: &Subject) -> Option<(RequestId, Body, Micros)> {
-        self.all.get(subject).map(|e| (e.id.clone(), e.body, e.until))
+    fn is_full(&self) -> bool {
+        self.entries.len() >= MAX_ENTRIES
     }
 
-    /// The result of a kept request, once it is there.
-    pub fn result(&self, id: &str) -> Option<&[u8]> {
-        self.all.values().find(|e| &*e.id == id).and_then(|e| e.result.as_deref())
+    fn entry_of(&mut self, subject: &Subject, id: &str) -> Option<&mut Entry> {
+        self.entries.get_mut(subject).filter(|entry| &*entry.request.id == id)
     }
 
-    /// Adds the result of a kept request.
-    pub fn add_result(&mut self, subject: &Subject, id: &str, result: &[u8]) {
-        if let Some(entry) = self.all.get_mut(subject).filter(|e| &*e.id == id) {
-            self.bytes -= entry.result.as_ref().map_or(0, Vec::len);
-            self.bytes += result.len();
-            entry.result = Some(result.to_vec());
-        }
-        // Too many bytes drop the oldest results, never their entries: a repeat that finds an entry without a
-        // result fails without running, one that finds none would run again.
-        for subject in &self.order {
-            if self.bytes <= BYTES {
-                break;
-            }
-            if let Some(dropped) = self.all.get_mut(subject).and_then(|e| e.result.take()) {
-                self.bytes -= dropped.len();
-            }
+    fn evict_oldest(&mut self) {
+        let is_evictable = |subject: &&Subject| self.get(subject).is_some_and(|request| request.evictable);
+        if let Some(oldest) = self.insertion_order.iter().find(is_evictable).cloned() {
+            self.remove(&oldest);
         }
     }
 
-    /// Drops what has run out by then, unless its request is still `open`.
-    pub fn expire(&mut self, now: Micros, open: impl Fn(&str) -> bool) {
-        let over = |e: &Entry| e.until <= now && !open(&e.id);
-        let gone: Vec<_> = self.all.iter().filter(|(_, e)| over(e)).map(|(s, _)| s.clone()).collect();
-        gone.iter().for_each(|subject| self.remove(subject));
-    }
-
     fn remove(&mut self, subject: &Subject) {
-        if let Some(entry) = self.all.remove(subject) {
-            self.bytes -= entry.result.map_or(0, |r| r.len());
-            self.order.retain(|s| s != subject);
-        }
+        let Some(entry) = self.entries.remove(subject) else { return };
+        self.result_bytes -= entry.result.map_or(0, |result| result.len());
+        self.insertion_order.retain(|other| other != subject);
     }
 }
 
--- a/crates/server/src/memory/idempotency_cache/tests.rs
+++ b/crates/server/src/memory/idempotency_cache/tests.rs
@@ -1,103 +1,117 @@
 use super::*;
 
-/// The kept request of this subject whose window is not over.
-fn find(keys: &IdempotencyCache, subject: &Subject, now: Micros) -> Option<RequestId> {
-    keys.holder(subject).filter(|(.., until)| *until > now).map(|(id, ..)| id)
+/// The request that has the entry of this subject, where it has not expired.
+fn unexpired(cache: &IdempotencyCache, subject: &Subject, now: Micros) -> Option<RequestId> {
+    cache.get(subject).filter(|request| request.expires_at > now).map(|request| request.id.clone())
 }
 
-fn keep(keys: &mut IdempotencyCache, now: Micros, subject: Subject, id: RequestId, until: Micros) {
-    let body = keys.digest(b"body");
-    assert!(keys.make_room(now, |_| false) && keys.keep(subject, (id, body), until, false));
+/// An entry that may be evicted or not.
+fn request(cache: &IdempotencyCache, id: &str, expires_at: Micros, evictable: bool) -> CachedRequest {
+    CachedRequest { id: id.into(), body: cache.digest(b"body"), expires_at, evictable }
 }
 
-fn about(key: &str) -> Subject {
-    (0, key.to_owned())
+/// Makes room for an evictable entry and adds it.
+fn insert(cache: &mut IdempotencyCache, now: Micros, subject: Subject, id: &str, expires_at: Micros) {
+    let request = request(cache, id, expires_at, true);
+    assert!(cache.make_room(now, |_| false) && cache.insert(subject, request));
+}
+
+fn subject(key: &str) -> Subject {
+    Subject { class: 0, key: key.to_owned() }
 }
 
 #[test]
-fn a_kept_request_is_found_until_its_time_is_up() {
-    let mut keys = IdempotencyCache::default();
-    keep(&mut keys, 0, about("k"), "a".into(), 100);
-    assert_eq!(find(&keys, &about("k"), 99).as_deref(), Some("a"));
-    assert_eq!(find(&keys, &about("k"), 100), None);
-    assert_eq!(find(&keys, &(1, "k".to_owned()), 0), None);
-    keys.add_result(&about("k"), "a", b"result");
-    assert_eq!(keys.result("a"), Some(&b"result"[..]));
-    keys.expire(100, |_| false);
-    assert_eq!((keys.result("a"), keys.bytes, keys.order.len()), (None, 0, 0));
+fn an_entry_and_its_result_are_found_until_it_expires() {
+    let mut cache = IdempotencyCache::default();
+    insert(&mut cache, 0, subject("k"), "a", 100);
+    assert_eq!(unexpired(&cache, &subject("k"), 99).as_deref(), Some("a"));
+    assert_eq!(unexpired(&cache, &subject("k"), 100), None);
+    assert_eq!(unexpired(&cache, &Subject { class: 1, key: "k".to_owned() }, 0), None);
+    cache.store_result(&subject("k"), "a", b"result");
+    assert_eq!(cache.result("a"), Some(&b"result"[..]));
+    cache.expire(100, |_| false);
+    assert_eq!((cache.result("a"), cache.result_bytes, cache.insertion_order.len()), (None, 0, 0));
 }
 
 #[test]
-fn a_newer_request_takes_the_entry_over() {
-    let mut keys = IdempotencyCache::default();
-    keep(&mut keys, 0, about("k"), "a".into(), 100);
-    keep(&mut keys, 0, about("k"), "b".into(), 50);
-    keys.forget(&about("k"), "a");
-    assert_eq!(find(&keys, &about("k"), 0).as_deref(), Some("b"));
-    keep(&mut keys, 0, about("k"), "b".into(), 200);
-    assert_eq!(find(&keys, &about("k"), 150).as_deref(), Some("b"));
-    keys.forget(&about("k"), "b");
-    assert_eq!(find(&keys, &about("k"), 0), None);
+fn a_newer_request_takes_over_the_entry_of_its_subject() {
+    let mut cache = IdempotencyCache::default();
+    insert(&mut cache, 0, subject("k"), "a", 100);
+    insert(&mut cache, 0, subject("k"), "b", 50);
+    cache.release(&subject("k"), "a");
+    assert_eq!(unexpired(&cache, &subject("k"), 0).as_deref(), Some("b"));
+    insert(&mut cache, 0, subject("k"), "b", 200);
+    assert_eq!(unexpired(&cache, &subject("k"), 150).as_deref(), Some("b"));
+    cache.release(&subject("k"), "b");
+    assert_eq!(unexpired(&cache, &subject("k"), 0), None);
 }
 
 #[test]
-fn entries_and_results_are_bounded() {
-    let mut keys = IdempotencyCache::default();
-    for n in 0..ENTRIES + 10 {
-        keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 100);
-        keys.add_result(&about(&n.to_string()), &n.to_string(), &[0; 4096]);
+fn entries_and_result_bytes_are_bounded() {
+    let mut cache = IdempotencyCache::default();
+    for n in 0..MAX_ENTRIES + 10 {
+        let id = n.to_string();
+        insert(&mut cache, 0, subject(&id), &id, 100);
+        cache.store_result(&subject(&id), &id, &[0; 4096]);
     }
-    assert!(keys.all.len() <= ENTRIES && keys.bytes <= BYTES);
-    assert_eq!(find(&keys, &about("0"), 0), None);
-    assert!(find(&keys, &about(&(ENTRIES + 9).to_string()), 0).is_some());
+    assert!(cache.entries.len() <= MAX_ENTRIES && cache.result_bytes <= MAX_RESULT_BYTES);
+    assert_eq!(unexpired(&cache, &subject("0"), 0), None);
+    assert!(unexpired(&cache, &subject(&(MAX_ENTRIES + 9).to_string()), 0).is_some());
 }
 
-/// Guards against a keyed write that runs twice: results too large for the table took their entries with
-/// them, and a repeat then found nothing and ran anew.
+/// Guards against a second run of a request with an idempotency key: results too large for the cache took their entries
+/// with them, and a duplicate then found nothing and ran again.
 #[test]
-fn too_many_bytes_drop_results_but_keep_their_entries() {
-    let mut keys = IdempotencyCache::default();
+fn too_many_result_bytes_drop_results_but_not_their_entries() {
+    let mut cache = IdempotencyCache::default();
     for n in 0..3 {
-        keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 100);
-        keys.add_result(&about(&n.to_string()), &n.to_string(), &vec![0; BYTES / 2]);
+        let id = n.to_string();
+        insert(&mut cache, 0, subject(&id), &id, 100);
+        cache.store_result(&subject(&id), &id, &vec![0; MAX_RESULT_BYTES / 2]);
     }
-    assert!(keys.bytes <= BYTES, "{}", keys.bytes);
-    assert_eq!(keys.result("0"), None, "the oldest result went");
-    assert_eq!(find(&keys, &about("0"), 0).as_deref(), Some("0"), "its entry stays");
-    assert_eq!(keys.result("2").map(<[u8]>::len), Some(BYTES / 2));
+    assert!(cache.result_bytes <= MAX_RESULT_BYTES, "{}", cache.result_bytes);
+    assert_eq!(cache.result("0"), None, "the oldest result went");
+    assert_eq!(unexpired(&cache, &subject("0"), 0).as_deref(), Some("0"), "its entry stays");
+    assert_eq!(cache.result("2").map(<[u8]>::len), Some(MAX_RESULT_BYTES / 2));
 }
 
-/// Guards against a live entry pushed out while entries that have run out still take places.
+/// Guards against the eviction of an unexpired entry while expired ones still take places.
 #[test]
-fn a_full_table_drops_what_ran_out_before_what_lives() {
-    let mut keys = IdempotencyCache::default();
-    keep(&mut keys, 0, about("live"), "live".into(), 1_000);
-    for n in 1..ENTRIES {
-        keep(&mut keys, 0, about(&n.to_string()), n.to_string().into(), 10);
+fn a_full_cache_drops_expired_entries_before_unexpired_ones() {
+    let mut cache = IdempotencyCache::default();
+    insert(&mut cache, 0, subject("live"), "live", 1_000);
+    for n in 1..MAX_ENTRIES {
+        let id = n.to_string();
+        insert(&mut cache, 0, subject(&id), &id, 10);
     }
-    keep(&mut keys, 20, about("new"), "new".into(), 1_000);
-    assert_eq!(find(&keys, &about("live"), 20).as_deref(), Some("live"));
-    assert_eq!(find(&keys, &about("new"), 20).as_deref(), Some("new"));
-    assert_eq!(keys.all.len(), 2);
+    insert(&mut cache, 20, subject("new"), "new", 1_000);
+    assert_eq!(unexpired(&cache, &subject("live"), 20).as_deref(), Some("live"));
+    assert_eq!(unexpired(&cache, &subject("new"), 20).as_deref(), Some("new"));
+    assert_eq!(cache.entries.len(), 2);
 }
 
-/// Guards against a keyed write that runs twice because its key was pushed out of a full table, at a customer whose keys
-/// weigh so little that the decisions keep more of them than the table holds.
+/// Guards against a second run of a request whose idempotency key was evicted from a full cache, at a customer whose keys
+/// are so small that the admission controller retains more of them than the cache holds.
 #[test]
-fn what_binds_is_never_pushed_out_while_it_lives() {
-    let mut keys = IdempotencyCache::default();
-    let body = keys.digest(b"body");
-    for n in 0..ENTRIES {
+fn an_entry_that_is_not_evictable_stays_until_it_expires_and_its_request_has_ended() {
+    let mut cache = IdempotencyCache::default();
+    for n in 0..MAX_ENTRIES {
         let id = n.to_string();
-        assert!(keys.make_room(0, |_| false));
-        assert!(keys.keep(about(&id), (id.as_str().into(), body), 100, n != 7));
+        let request = request(&cache, &id, 100, n == 7);
+        assert!(cache.make_room(0, |_| false));
+        assert!(cache.insert(subject(&id), request));
     }
-    // One binds nobody and gives way; the others stay until they have run out and are no longer open.
-    assert!(keys.make_room(50, |_| false) && keys.keep(about("new"), ("new".into(), body), 100, true));
-    assert_eq!(find(&keys, &about("7"), 50), None);
-    assert!(!keys.make_room(50, |_| false) && !keys.keep(about("x"), ("x".into(), body), 100, true));
-    assert!(!keys.make_room(100, |_| true));
-    assert_eq!((keys.all.len(), find(&keys, &about("0"), 50).as_deref()), (ENTRIES, Some("0")));
-    assert!(keys.make_room(100, |id| id == "0"));
-    assert_eq!(keys.all.len(), 1);
+    let new = request(&cache, "new", 100, false);
+    let rejected = request(&cache, "x", 100, false);
+    // The evictable one goes; the others stay until they have expired and are no longer in flight.
+    assert!(cache.make_room(50, |_| false) && cache.insert(subject("new"), new));
+    assert_eq!(unexpired(&cache, &subject("7"), 50), None);
+    assert!(!cache.make_room(50, |_| false) && !cache.insert(subject("x"), rejected));
+    assert!(!cache.make_room(100, |_| true));
+    assert_eq!(
+        (cache.entries.len(), unexpired(&cache, &subject("0"), 50).as_deref()),
+        (MAX_ENTRIES, Some("0"))
+    );
+    assert!(cache.make_room(100, |id| id == "0"));
+    assert_eq!(cache.entries.len(), 1);
 }
--- a/crates/server/src/memory/mod.rs
+++ b/crates/server/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory: open requests, kept keys and results, and the bound on all of it.
+//! What is kept in memory: requests in flight, idempotency keys with their results, and the bound on all of it.
 
 pub mod budget;
 pub mod idempotency_cache;
--- a/crates/server/src/memory/request_table.rs
+++ b/crates/server/src/memory/request_table.rs
@@ -1,5 +1,4 @@
-//! The requests that are open here: given to this server and not answered, or answered while their run
-//! still goes on.
+//! The requests in flight: arrived and not answered yet, or answered while their run still goes on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,143 +8,156 @@
 use super::idempotency_cache::Subject;
 use crate::messages::caller::{ReplyTo, WorkRequest};
 
-/// How far a request's run is.
+/// The state of a request's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Run {
-    /// Not launched.
-    None,
-    /// Launched.
-    Going,
-    /// Launched, and paused at our word.
+pub enum RunState {
+    /// Not launched, or ended.
+    NotRunning,
+    /// Launched and not ended.
+    Running,
+    /// Launched, and paused by preemption.
     Paused,
 }
 
-/// The call that a run waits for.
+/// The downstream call that a run waits for.
 #[derive(Debug)]
-pub struct Call {
+pub struct PendingCall {
     /// Number of the notice that asked for it.
-    pub seq: u64,
+    pub notice_seq: u64,
     /// Its body.
     pub body: Vec<u8>,
-    /// It is being made.
-    pub under_way: bool,
+    /// Whether it is being made.
+    pub in_flight: bool,
 }
 
-/// An open request.
+/// A request in flight.
 #[derive(Debug)]
 pub struct OpenRequest {
     /// Its name.
     pub id: RequestId,
     /// Place of its class in the settings.
     pub class: usize,
-    /// What it asked for.
+    /// Its parameters.
     pub work: WorkRequest,
     /// Its body.
     pub body: Vec<u8>,
     /// When its caller stops waiting.
-    pub due: Micros,
-    /// Where its answer goes, until it is given.
+    pub deadline: Micros,
+    /// Where its response goes, until it is sent.
     pub reply_to: Option<ReplyTo>,
-    /// Its run.
-    pub run: Run,
-    /// It has been launched at some time, so that it may have had its effect.
-    pub ran: bool,
-    /// A stop was asked for and has not been confirmed.
-    pub halting: bool,
+    /// The state of its run.
+    pub run: RunState,
+    /// Whether it has been launched at some time, and so may have taken effect.
+    pub has_run: bool,
+    /// Whether its run has been told to stop and has not ended yet.
+    pub preempting: bool,
     /// The call that its run waits for.
-    pub call: Option<Call>,
-    /// A plan was begun for it before.
-    pub planned: bool,
-    /// When its run got the last reply.
-    pub delivered: Option<Micros>,
-    /// The kept request that it repeats.
-    pub repeats: Option<RequestId>,
-    /// It waits for the result of that request.
-    pub joined: bool,
-    /// The memory that it takes, given back with it.
+    pub call: Option<PendingCall>,
+    /// Whether a call plan was started for it before.
+    pub had_call_plan: bool,
+    /// When its run got the reply to its last call.
+    pub last_reply_at: Option<Micros>,
+    /// The request that it is a duplicate of.
+    pub duplicate_of: Option<RequestId>,
+    /// Whether it waits for the result of that request.
+    pub awaits_original: bool,
+    /// The memory that it takes, released with it.
     pub _charge: Charge,
 }
 
 impl OpenRequest {
-    /// What it is about, if it is about anything.
+    /// What it is about, where it has a key.
     pub fn subject(&self) -> Option<Subject> {
-        self.work.subject_key.clone().map(|key| (self.class, key))
+        let key = self.work.subject_key.clone()?;
+        Some(Subject { class: self.class, key })
     }
 }
 
-/// All open requests. What each step asks for is found without a pass over all of them.
+/// All requests in flight, indexed so that no lookup passes over all of them.
 #[derive(Debug, Default)]
 pub struct RequestTable {
-    all: BTreeMap<RequestId, Box<OpenRequest>>,
-    /// The same by the time at which their callers stop waiting.
-    by_due: BTreeSet<(Micros, RequestId)>,
-    /// Those that wait for another's result, by the other.
-    joined: BTreeMap<RequestId, Vec<RequestId>>,
+    requests: BTreeMap<RequestId, Box<OpenRequest>>,
+    by_deadline: BTreeSet<(Micros, RequestId)>,
+    /// Duplicates that wait for a result, by the request whose result it is.
+    awaiting: BTreeMap<RequestId, Vec<RequestId>>,
 }
 
 impl RequestTable {
-    /// Adds a request; a name that is open already comes back.
-    pub fn insert(&mut self, open: Box<OpenRequest>) -> Result<(), Box<OpenRequest>> {
-        if self.all.contains_key(&open.id) {
-            return Err(open);
+    /// Adds a request.
+    ///
+    /// # Errors
+    ///
+    /// Gives the request back where one of the same name is in flight.
+    pub fn insert(&mut self, request: Box<OpenRequest>) -> Result<(), Box<OpenRequest>> {
+        if self.contains(&request.id) {
+            return Err(request);
         }
-        self.by_due.insert((open.due, open.id.clone()));
-        self.all.insert(open.id.clone(), open);
+        self.by_deadline.insert((request.deadline, request.id.clone()));
+        self.requests.insert(request.id.clone(), request);
         Ok(())
     }
 
     /// A request by its name.
-    pub fn get(&mut self, id: &str) -> Option<&mut OpenRequest> {
-        self.all.get_mut(id).map(Box::as_mut)
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut OpenRequest> {
+        self.requests.get_mut(id).map(Box::as_mut)
     }
 
-    /// Whether a request of this name is open.
-    pub fn has(&self, id: &str) -> bool {
-        self.all.contains_key(id)
+    /// Whether a request of this name is in flight.
+    pub fn contains(&self, id: &str) -> bool {
+        self.requests.contains_key(id)
+    }
+
+    /// Notes that a duplicate waits for the result of the request that it duplicates.
+    pub fn await_original(&mut self, id: &str) {
+        let Some(duplicate) = self.get_mut(id).filter(|request| !request.awaits_original) else { return };
+        let Some(original) = duplicate.duplicate_of.clone() else { return };
+        duplicate.awaits_original = true;
+        let id = duplicate.id.clone();
+        self.awaiting.entry(original).or_default().push(id);
+    }
+
+    /// Duplicates that wait for the result of this request.
+    pub fn awaiting(&self, original: &str) -> Vec<RequestId> {
+        self.awaiting.get(original).cloned().unwrap_or_default()
+    }
+
+    /// Requests whose deadline is at `time` or before and that are not answered.
+    pub fn overdue(&self, time: Micros) -> Vec<RequestId> {
+        let is_unanswered =
+            |id: &&RequestId| self.requests.get(*id).is_some_and(|request| request.reply_to.is_some());
+        self.by_deadline
+            .iter()
+            .take_while(|(deadline, _)| *deadline <= time)
+            .map(|(_, id)| id)
+            .filter(is_unanswered)
+            .cloned()
+            .collect()
     }
 
     /// Forgets a request.
     pub fn remove(&mut self, id: &str) {
-        let Some(open) = self.all.remove(id) else { return };
-        self.by_due.remove(&(open.due, open.id));
-        let Some(other) = open.repeats.filter(|_| open.joined) else { return };
-        if let Some(waiting) = self.joined.get_mut(&other) {
-            waiting.retain(|waits| &**waits != id);
-            if waiting.is_empty() {
-                self.joined.remove(&other);
-            }
+        let Some(request) = self.requests.remove(id) else { return };
+        self.by_deadline.remove(&(request.deadline, request.id));
+        if !request.awaits_original {
+            return;
         }
-    }
-
-    /// Notes that a request waits for the result of the one that it repeats.
-    pub fn join(&mut self, id: &str) {
-        let Some(open) = self.all.get_mut(id).filter(|open| !open.joined) else { return };
-        if let Some(other) = open.repeats.clone() {
-            open.joined = true;
-            self.joined.entry(other).or_default().push(open.id.clone());
+        let Some(original) = request.duplicate_of else { return };
+        let Some(duplicates) = self.awaiting.get_mut(&original) else { return };
+        duplicates.retain(|duplicate| &**duplicate != id);
+        if duplicates.is_empty() {
+            self.awaiting.remove(&original);
         }
     }
 
-    /// Whether nothing is left, in any order of looking things up.
+    /// Whether nothing is left in the table and all its indexes.
     #[cfg(test)]
-    pub fn is_clear(&self) -> bool {
-        self.all.is_empty() && self.by_due.is_empty() && self.joined.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.requests.is_empty() && self.by_deadline.is_empty() && self.awaiting.is_empty()
     }
 
-    /// How many there are.
+    /// How many requests are in flight.
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.all.len()
-    }
-
-    /// Requests that were to be answered before `time` and are not.
-    pub fn overdue(&self, time: Micros) -> Vec<RequestId> {
-        let past = self.by_due.iter().take_while(|(due, _)| *due <= time).map(|(_, id)| id);
-        past.filter(|id| self.all.get(*id).is_some_and(|o| o.reply_to.is_some())).cloned().collect()
-    }
-
-    /// Requests that wait for the result of this one.
-    pub fn joined_to(&self, id: &str) -> Vec<RequestId> {
-        self.joined.get(id).cloned().unwrap_or_default()
+        self.requests.len()
     }
 }
--- a/crates/server/src/messages/calls.rs
+++ b/crates/server/src/messages/calls.rs
@@ -25,6 +25,11 @@
     pub fn without_plan(request: RequestId) -> CallId {
         CallId { request, attempt: 0 }
     }
+
+    /// Whether this is the call of a run whose class has no call plan.
+    pub fn is_without_plan(&self) -> bool {
+        self.attempt == 0
+    }
 }
 
 /// A call to be made.
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -1,8 +1,8 @@
-//! Allowances that this server shares with others: what `crates/quota` decides, between the plans' engine, which
-//! has calls to make, and the fleet's actor, which carries messages.
+//! Distributed quotas of this server: `umberloom_quota` decides, the call plans' engine has calls to make, and the
+//! fleet's actor carries messages to other servers.
 //!
-//! Its clock is the system's monotonic one, not the Unix clock that requests are timed by: that one may be set
-//! forward, and loans that were lent would seem to be over.
+//! Times here are of the system's monotonic clock and not of the Unix clock that requests are timed by: that one may be
+//! set forward, and leases that were granted would seem to have expired.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,170 +16,189 @@
 use crate::messages::calls::SharedQuotaConfig;
 use crate::messages::fleet::{FleetCommand, FleetEvent, QuotaReport, Reachability, QUOTA_CHANNEL};
 
-/// Time between two words to the fleet's actor about how they stand.
-const TELL_EVERY: Micros = 200_000;
+/// Time between two reports to the fleet's actor.
+const REPORT_INTERVAL: Micros = 200_000;
+/// Bound on how soon a timeout is due.
+const MIN_TIMEOUT: Micros = 1_000;
 
-/// What is shared, by the dependency's name.
+/// The distributed quotas, by their dependency's name.
 pub struct QuotaLeases {
-    all: BTreeMap<Rc<str>, SharedQuota>,
-    /// Which one each call under way has its place from.
-    calls: BTreeMap<CallId, Rc<str>>,
-    present: Reachability,
-    start: Instant,
+    quotas: BTreeMap<Rc<str>, SharedQuota>,
+    /// The dependency whose quota each call in flight has its permit from.
+    dependency_of_call: BTreeMap<CallId, Rc<str>>,
+    reachability: Reachability,
+    /// When this server's monotonic time began.
+    started: Instant,
+    /// Seed of the quota that was added last.
     seed: u64,
     fleet: Option<Sender<FleetCommand>>,
-    told: Micros,
-    said: Vec<QuotaReport>,
+    reported_at: Micros,
+    last_reports: Vec<QuotaReport>,
     log: Logger,
 }
 
 impl QuotaLeases {
-    /// None yet.
+    /// No quotas yet.
     pub fn new(fleet: Option<Sender<FleetCommand>>, seed: u64, log: Logger) -> QuotaLeases {
-        let (all, calls, present) = (BTreeMap::new(), BTreeMap::new(), Reachability::default());
         QuotaLeases {
-            all,
-            calls,
-            present,
-            start: Instant::now(),
+            quotas: BTreeMap::new(),
+            dependency_of_call: BTreeMap::new(),
+            reachability: Reachability::default(),
+            started: Instant::now(),
             seed,
             fleet,
-            told: 0,
-            said: Vec::new(),
+            reported_at: 0,
+            last_reports: Vec::new(),
             log,
         }
     }
 
-    fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+    /// Changes the quotas. One that stays keeps its leases. Gives the names of those that are gone: calls to them are no
+    /// longer bounded by a quota.
+    pub fn reconfigure(&mut self, configs: Vec<SharedQuotaConfig>) -> Vec<Rc<str>> {
+        let is_configured = |name: &Rc<str>| configs.iter().any(|config| config.dependency == *name);
+        let removed: Vec<Rc<str>> = self.quotas.keys().filter(|name| !is_configured(name)).cloned().collect();
+        for dependency in &removed {
+            self.quotas.remove(dependency);
+        }
+        for config in configs {
+            self.configure(config);
+        }
+        removed
     }
 
-    /// What is shared from now on. One that stays keeps what it has lent and borrowed; those that are gone are
-    /// returned: no bound holds for their calls any more.
-    pub fn set(&mut self, wanted: Vec<SharedQuotaConfig>) -> Vec<Rc<str>> {
+    /// Adds a quota or changes the settings of one.
+    fn configure(&mut self, quota: SharedQuotaConfig) {
         let now = self.now();
-        let named = |name: &Rc<str>| wanted.iter().any(|quota| quota.dependency == *name);
-        let gone: Vec<Rc<str>> = self.all.keys().filter(|name| !named(name)).cloned().collect();
-        gone.iter().for_each(|name| drop(self.all.remove(name)));
-        for SharedQuotaConfig { dependency: name, config } in wanted {
-            let done = match self.all.get_mut(&name) {
-                Some(there) => there.reconfigure(now, config),
-                None => {
-                    self.seed = self.seed.wrapping_add(1);
-                    SharedQuota::new(now, config, self.seed)
-                        .map(|new| drop(self.all.insert(name.clone(), new)))
-                }
-            };
-            if let Err(mistakes) = done {
-                warn!(self.log, "allowance not taken up"; "dependency" => &*name, "why" => mistakes.join("; "));
+        let SharedQuotaConfig { dependency, config } = quota;
+        let result = match self.quotas.get_mut(&dependency) {
+            Some(existing) => existing.reconfigure(now, config),
+            None => {
+                self.seed = self.seed.wrapping_add(1);
+                SharedQuota::new(now, config, self.seed).map(|added| {
+                    self.quotas.insert(dependency.clone(), added);
+                })
             }
+        };
+        if let Err(errors) = result {
+            warn!(self.log, "quota settings rejected";
+                "dependency" => &*dependency, "errors" => errors.join("; "));
         }
-        gone
     }
 
-    /// Their names.
-    pub fn names(&self) -> Vec<Rc<str>> {
-        self.all.keys().cloned().collect()
+    /// Names of the dependencies that have a quota.
+    pub fn dependencies(&self) -> Vec<Rc<str>> {
+        self.quotas.keys().cloned().collect()
     }
 
-    /// A place for a call that would state a time of so long at most; the time that it may state. A dependency that is
-    /// not shared has places for all.
-    pub fn take(&mut self, dependency: &str, call: CallId, span: Micros) -> Option<Micros> {
+    /// Acquires a permit for a call with this timeout; gives the timeout that the call may have, or `None` where there is
+    /// no permit. A dependency without a quota has permits for all calls.
+    pub fn acquire(&mut self, dependency: &str, call: CallId, timeout: Micros) -> Option<Micros> {
         let now = self.now();
-        let Some((name, allowance)) = self.all.get_key_value(dependency) else { return Some(span) };
-        let (name, _) = (name.clone(), allowance);
-        let until = self.all.get_mut(&name)?.acquire(now, call, now + span)?;
-        self.calls.insert(call, name);
+        let Some(quota) = self.quotas.get_mut(dependency) else { return Some(timeout) };
+        let until = quota.acquire(now, call, now + timeout)?;
+        self.dependency_of_call.insert(call, Rc::from(dependency));
         Some(until - now)
     }
 
-    /// A call is over here. `known`: it is over at the dependency too, by its own word or because it never came there;
-    /// else its place stays taken until the time that it stated has run out.
-    pub fn end(&mut self, call: CallId, known: bool) {
-        let Some(name) = self.calls.remove(&call) else { return };
-        if let Some(allowance) = self.all.get_mut(&name).filter(|_| known) {
-            allowance.release(call);
+    /// Releases the permit of a call that has ended here. Where the call may go on at the dependency (`ended_there` is
+    /// false), the permit stays in use until the call's deadline.
+    pub fn release(&mut self, call: CallId, ended_there: bool) {
+        let Some(dependency) = self.dependency_of_call.remove(&call) else { return };
+        if !ended_there {
+            return;
+        }
+        if let Some(quota) = self.quotas.get_mut(&dependency) {
+            quota.release(call);
         }
     }
 
-    /// News of the fleet.
-    pub fn hear(&mut self, news: FleetEvent) {
-        let now = self.now();
-        match news {
-            FleetEvent::ReachabilityChanged(present) => {
-                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.fenced));
-                self.present = present;
+    /// Handles an event of the fleet.
+    pub fn handle_fleet_event(&mut self, event: FleetEvent) {
+        match event {
+            FleetEvent::ReachabilityChanged(reachability) => {
+                let now = self.now();
+                for quota in self.quotas.values_mut() {
+                    quota.set_fenced(now, reachability.fenced);
+                }
+                self.reachability = reachability;
             }
-            FleetEvent::MessageReceived {
-                from: name,
-                boot_id: boot,
-                channel: QUOTA_CHANNEL,
-                payload: bytes,
-            } => {
-                // What can't be read is of a program that says more than this one knows.
-                let Ok((about, message)) = postcard::from_bytes::<(String, Message)>(&bytes) else { return };
-                if let Some(allowance) = self.all.get_mut(about.as_str()) {
-                    allowance.handle_message(now, &name, boot, &message);
+            FleetEvent::MessageReceived { from, boot_id, channel: QUOTA_CHANNEL, payload } => {
+                let now = self.now();
+                // A message that can't be decoded is from a newer version, which this one need not understand.
+                let Ok((dependency, message)) = postcard::from_bytes::<(String, Message)>(&payload) else {
+                    return;
+                };
+                if let Some(quota) = self.quotas.get_mut(dependency.as_str()) {
+                    quota.handle_message(now, &from, boot_id, &message);
                 }
             }
             FleetEvent::MessageReceived { .. } => {}
         }
     }
 
-    /// What is due, with what is asked of a dependency now: how many calls may be in flight there.
-    pub fn pass(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
+    /// Does what is due for a dependency's quota, with its demand now; gives how many calls may be in flight.
+    pub fn update(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
         let now = self.now();
-        let Reachability {
-            reachable: reached,
-            quota_basis_differs: differ,
-            all_agree: all,
-            fenced: silenced,
-        } = &self.present;
-        let Some(allowance) = self.all.get_mut(dependency) else { return usize::MAX };
-        allowance.set_fenced(now, *silenced);
-        allowance.set_reachable(now, reached.clone(), *differ, *all);
-        allowance.set_demand(demand.waiting as u32, demand.level);
-        allowance.handle_timeout(now);
-        let free = allowance.available(now) as usize;
-        for (to, message) in allowance.take_messages() {
-            let bytes = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
-            if let Some(fleet) = &self.fleet {
-                // A mailbox without room loses it, and the question is asked again.
-                let _ = fleet.try_send(FleetCommand::Send { to, channel: QUOTA_CHANNEL, payload: bytes });
+        let Some(quota) = self.quotas.get_mut(dependency) else { return usize::MAX };
+        let Reachability { reachable, quota_basis_differs, all_agree, fenced } = &self.reachability;
+        quota.set_fenced(now, *fenced);
+        quota.set_reachable(now, reachable.clone(), *quota_basis_differs, *all_agree);
+        quota.set_demand(demand.waiting as u32, demand.level);
+        quota.handle_timeout(now);
+        let available = quota.available(now) as usize;
+        let messages = quota.take_messages();
+        if let Some(fleet) = &self.fleet {
+            for (to, message) in messages {
+                let payload = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
+                // One that finds no room is lost, as the network may lose it, and is sent again.
+                let _ = fleet.try_send(FleetCommand::Send { to, channel: QUOTA_CHANNEL, payload });
             }
         }
-        demand.in_flight + free
+        demand.in_flight + available
     }
 
-    /// How long until something is due; `None` where nothing is shared.
-    pub fn next_in(&self) -> Option<Micros> {
+    /// How long until something is due; `None` where there are no quotas.
+    pub fn time_to_next_timeout(&self) -> Option<Micros> {
         let now = self.now();
-        let next = self.all.values().map(|allowance| allowance.next_timeout(now)).min()?;
-        Some(next.saturating_sub(now).clamp(1_000, TELL_EVERY))
+        let next = self.quotas.values().map(|quota| quota.next_timeout(now)).min()?;
+        Some(next.saturating_sub(now).clamp(MIN_TIMEOUT, REPORT_INTERVAL))
     }
 
-    /// Tells the fleet's actor how they stand, for those who ask, and the log of what moved parts.
-    pub fn tell(&mut self) {
+    /// Tells the fleet's actor how the quotas are used, for operators who ask, and logs quota shares that have changed;
+    /// once an interval.
+    pub fn report(&mut self) {
         let now = self.now();
-        if self.all.is_empty() || now < self.told + TELL_EVERY {
+        if self.quotas.is_empty() || now < self.reported_at + REPORT_INTERVAL {
             return;
         }
-        self.told = now;
-        let report = |(name, allowance): (&Rc<str>, &SharedQuota)| QuotaReport {
-            dependency: name.clone(),
-            status: allowance.status(now),
-        };
-        let views: Vec<QuotaReport> = self.all.iter().map(report).collect();
-        for QuotaReport { dependency: name, status: view } in &views {
-            let before = self.said.iter().find(|said| said.dependency == *name).map(|said| said.status.part);
-            if before.is_some_and(|part| part != view.part) {
-                info!(self.log, "allowance"; "dependency" => &**name, "part" => view.part, "whole" => view.whole,
-                    "moved_by" => ?view.moved.0);
-            }
+        self.reported_at = now;
+        let reports: Vec<QuotaReport> = self
+            .quotas
+            .iter()
+            .map(|(name, quota)| QuotaReport { dependency: name.clone(), status: quota.status(now) })
+            .collect();
+        for report in &reports {
+            self.log_share_change(report);
         }
-        self.said = views.clone();
+        self.last_reports.clone_from(&reports);
         if let Some(fleet) = &self.fleet {
-            let _ = fleet.try_send(FleetCommand::PublishQuotas(views));
+            // One that finds no room is followed by the next.
+            let _ = fleet.try_send(FleetCommand::PublishQuotas(reports));
         }
     }
+
+    fn log_share_change(&self, report: &QuotaReport) {
+        let before = self.last_reports.iter().find(|before| before.dependency == report.dependency);
+        let status = &report.status;
+        if before.is_some_and(|before| before.status.part != status.part) {
+            info!(self.log, "quota share changed"; "dependency" => &*report.dependency,
+                "share" => status.part, "quota" => status.whole, "cause" => ?status.moved.0);
+        }
+    }
+
+    /// Microseconds of the monotonic clock since the start.
+    fn now(&self) -> Micros {
+        self.started.elapsed().as_micros() as Micros
+    }
 }
