--- a/crates/fault-harness/src/virtual_fleet.rs
+++ b/crates/fault-harness/src/virtual_fleet.rs
@@ -162,12 +162,17 @@
         self.told.extend(told.into_iter().map(|line| (self.now, n, line)));
         for action in actions {
             let to = match &action {
-                Action::Datagram(to, _) | Action::Stream(to, _) | Action::Bulk(to, _) => {
+                Action::Datagram { to, .. } | Action::Stream { to, .. } | Action::Bulk { to, .. } => {
                     self.places.get(&**to).copied()
                 }
-                Action::Reply(ReturnPath::Datagram(way) | ReturnPath::Stream(way), _) => Some(*way as usize),
+                Action::Reply { path: ReturnPath::Datagram(way) | ReturnPath::Stream(way), .. } => {
+                    Some(*way as usize)
+                }
             };
-            let datagram = matches!(action, Action::Datagram(..) | Action::Reply(ReturnPath::Datagram(_), _));
+            let datagram = matches!(
+                action,
+                Action::Datagram { .. } | Action::Reply { path: ReturnPath::Datagram(_), .. }
+            );
             if let Some(to) = to {
                 self.carry(n, to, action.bytes().to_vec(), datagram);
             }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,7 @@
-//! What a server is told of its fleet, and what is wrong with it.
+//! What a server is configured with, and what is wrong with it.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeSet;
 
@@ -7,9 +10,19 @@
 
 /// The most members that a roster names: what fits into a datagram's updates and the descriptors of one process.
 pub const MAX_PEERS: usize = 1_024;
-/// The longest name.
+/// The longest name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
+const MS: Micros = 1_000;
+/// The shortest interval that [`Timing`] may name, but for those that may be 0.
+const MIN_INTERVAL: Micros = 20 * MS;
+/// The longest delay that [`Timing`] may name.
+const MAX_DELAY: Micros = 3_600_000 * MS;
+/// Heartbeats to all peers take so much for each peer at least.
+const HEARTBEAT_INTERVAL_PER_PEER: Micros = 15 * MS;
+/// Evidence counts for so many heartbeats: all but one may be lost.
+const HEARTBEATS_PER_EVIDENCE_TIMEOUT: Micros = 3;
+
 /// Another server that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
@@ -19,28 +32,26 @@
     pub zone: MemberName,
 }
 
-/// The times that the beliefs go by.
+/// Time limits and intervals, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// One member is probed in each such span; a probe that brings no answer by its end makes a suspicion.
+    /// One member is probed in each such interval; a probe that brings no answer by its end makes a suspicion.
     pub probe_interval: Micros,
     /// From a suspicion to holding the member for failed, for a fleet of up to ten; more takes longer.
     pub suspicion_timeout: Micros,
-    /// Between two beats to the same member, in fleets of up to 60; beyond that so many that all take 15 ms each.
+    /// Between two heartbeats to the same member, in small fleets; see [`Config::heartbeat_interval`].
     pub heartbeat_interval: Micros,
-    /// A better standing must hold for so long before it is taken up. It doubles with each return within
-    /// [`Timing::calm`] of the fall before, up to eight times that.
+    /// A better partition status must last for so long before it is taken up. The delay doubles with each downgrade
+    /// within [`Timing::stable_after`] of the upgrade before, up to eight times that.
     pub upgrade_delay: Micros,
-    /// Two changes of standing are at least so far apart, but for becoming unsure.
+    /// Two changes of the partition status are at least so far apart, but for becoming unsure.
     pub min_status_duration: Micros,
-    /// A standing that held for so long makes up for past flapping.
+    /// A partition status that lasted for so long makes up for past flapping.
     pub stable_after: Micros,
-    /// Two living members whose views differ for so long are in disagreement.
+    /// Two living members whose views differ for so long have diverged.
     pub divergence_timeout: Micros,
 }
 
-const MS: Micros = 1_000;
-
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
@@ -55,12 +66,12 @@
     }
 }
 
-/// Everything that a server is told.
+/// The configuration of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// The fleet's name.
     pub fleet: String,
-    /// What only members know; empty is allowed, and then the name alone keeps fleets apart.
+    /// A secret that only members know; empty is allowed, and then the name alone keeps fleets apart.
     pub secret: String,
     /// This server's name.
     pub name: MemberName,
@@ -68,17 +79,72 @@
     pub zone: MemberName,
     /// The others.
     pub peers: Vec<Peer>,
-    /// Times.
+    /// Time limits and intervals.
     pub timing: Timing,
 }
 
-/// One thing that is wrong: with the peer at this place, or with the whole.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigError {
-    /// The peer, by its place.
-    pub peer: Option<usize>,
-    /// What was found and what was expected.
-    pub what: String,
+/// One thing that is wrong with a [`Config`]. Peers are named by their index.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConfigError {
+    /// The name of the fleet or of this server is empty or too long.
+    #[error("names of the fleet and of this server have 1 to {} bytes", MAX_NAME_LEN)]
+    OwnNameLength,
+    /// The name of a peer is empty or too long.
+    #[error("a peer's name has 1 to {} bytes", MAX_NAME_LEN)]
+    PeerNameLength {
+        /// The peer.
+        peer: usize,
+    },
+    /// This server is one of its own peers.
+    #[error("the peer {name:?} is this server itself")]
+    PeerIsSelf {
+        /// The peer.
+        peer: usize,
+        /// Its name.
+        name: MemberName,
+    },
+    /// Two peers have one name.
+    #[error("a second peer {name:?}; each has a name of its own")]
+    DuplicatePeer {
+        /// The second of them.
+        peer: usize,
+        /// The name of both.
+        name: MemberName,
+    },
+    /// More than [`MAX_PEERS`].
+    #[error("{count} peers, at most {}", MAX_PEERS)]
+    TooManyPeers {
+        /// Peers that are configured.
+        count: usize,
+    },
+    /// An interval is too short.
+    #[error("{setting} of {value_ms} ms, at least 20 are expected")]
+    IntervalTooShort {
+        /// The setting, as the operator's file has it.
+        setting: &'static str,
+        /// Its value in milliseconds.
+        value_ms: u64,
+    },
+    /// A suspicion ends before it can be refuted.
+    #[error("a suspicion must last for a probe at least, so that it can be refuted")]
+    SuspicionTooShort,
+    /// A delay is longer than an hour.
+    #[error("times are up to an hour")]
+    DelayTooLong,
+}
+
+impl ConfigError {
+    /// The index of the peer that it is about, if it is about one.
+    pub fn peer_index(&self) -> Option<usize> {
+        match self {
+            ConfigError::PeerNameLength { peer }
+            | ConfigError::PeerIsSelf { peer, .. }
+            | ConfigError::DuplicatePeer { peer, .. } => Some(*peer),
+            // The first one that is too many.
+            ConfigError::TooManyPeers { .. } => Some(MAX_PEERS),
+            _ => None,
+        }
+    }
 }
 
 impl Config {
@@ -100,15 +166,15 @@
         self.peers.len() + 1
     }
 
-    /// The time between two beats to one member. With many members each is told more seldom, so that bytes do not
-    /// grow with their square: 15 ms a member keeps 300 of them under 70 messages of some 110 bytes a second.
+    /// The time between two heartbeats to one member. With many members each gets fewer, so that bytes do not grow
+    /// with the square of their number: 15 ms a member keeps 300 of them under 70 messages of some 110 bytes a second.
     pub fn heartbeat_interval(&self) -> Micros {
-        self.timing.heartbeat_interval.max(15 * MS * self.peers.len() as Micros)
+        self.timing.heartbeat_interval.max(HEARTBEAT_INTERVAL_PER_PEER * self.peers.len() as Micros)
     }
 
-    /// Evidence older than this counts no more: three beats, of which two may be lost.
+    /// Evidence older than this does not count any more.
     pub fn evidence_timeout(&self) -> Micros {
-        3 * self.heartbeat_interval()
+        HEARTBEATS_PER_EVIDENCE_TIMEOUT * self.heartbeat_interval()
     }
 
     /// From suspicion to failed: grows with the logarithm of the fleet, as news of it takes as many rounds (SWIM,
@@ -118,91 +184,58 @@
         (self.timing.suspicion_timeout as f64 * factor) as Micros
     }
 
-    /// All that is wrong with it.
+    /// All that is wrong with the configuration.
     pub fn validate(&self) -> Vec<ConfigError> {
-        let mut found = Vec::new();
-        let mut say = |peer, what: String| found.push(ConfigError { peer, what });
-        let named = |name: &str| (1..=MAX_NAME_LEN).contains(&name.len());
-        if !named(&self.fleet) || !named(&self.name) {
-            say(None, format!("names of the fleet and of this server have 1 to {MAX_NAME_LEN} bytes"));
+        let mut errors = Vec::new();
+        if !is_valid_name(&self.fleet) || !is_valid_name(&self.name) {
+            errors.push(ConfigError::OwnNameLength);
         }
+        self.validate_peers(&mut errors);
+        self.timing.validate(&mut errors);
+        errors
+    }
+
+    fn validate_peers(&self, errors: &mut Vec<ConfigError>) {
         let mut names = BTreeSet::from([&self.name]);
-        for (place, peer) in self.peers.iter().enumerate() {
-            if !named(&peer.name) {
-                say(Some(place), format!("a peer's name has 1 to {MAX_NAME_LEN} bytes"));
-            } else if peer.name == self.name {
-                say(Some(place), format!("the peer {:?} is this server itself", peer.name));
+        for (index, peer) in self.peers.iter().enumerate() {
+            let name = peer.name.clone();
+            if !is_valid_name(&name) {
+                errors.push(ConfigError::PeerNameLength { peer: index });
+            } else if name == self.name {
+                errors.push(ConfigError::PeerIsSelf { peer: index, name });
             } else if !names.insert(&peer.name) {
-                say(Some(place), format!("a second peer {:?}; each has a name of its own", peer.name));
+                errors.push(ConfigError::DuplicatePeer { peer: index, name });
             }
         }
         if self.peers.len() > MAX_PEERS {
-            say(Some(MAX_PEERS), format!("{} peers, at most {MAX_PEERS}", self.peers.len()));
-        }
-        let Timing {
-            probe_interval: probe,
-            suspicion_timeout: suspect,
-            heartbeat_interval: beat,
-            upgrade_delay: rise,
-            min_status_duration: damp,
-            stable_after: calm,
-            divergence_timeout: disagree,
-        } = self.timing;
-        let times = [("probe", probe), ("suspect", suspect), ("beat", beat), ("damp", damp)];
-        for (name, time) in times.into_iter().filter(|(_, time)| *time < 20 * MS) {
-            say(None, format!("{name} of {} ms, at least 20 are expected", time / MS));
+            errors.push(ConfigError::TooManyPeers { count: self.peers.len() });
         }
-        if suspect < probe {
-            say(None, "a suspicion must last for a probe at least, so that it can be refuted".to_owned());
-        }
-        if [rise, calm, disagree].iter().any(|time| *time > 3_600_000 * MS) {
-            say(None, "times are up to an hour".to_owned());
-        }
-        found
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_makes_no_sense_is_told_by_its_place() {
-        let told = |config: &Config| -> Vec<(Option<usize>, String)> {
-            config.validate().into_iter().map(|m| (m.peer, m.what)).collect()
-        };
-        let sound = Config::new("f", "a", &["b", "c"]);
-        assert_eq!(told(&sound), []);
-        let cases: [(Config, Option<usize>, &str); 5] = [
-            (Config::new("f", "a", &["b", "a"]), Some(1), "itself"),
-            (Config::new("f", "a", &["b", "b"]), Some(1), "second"),
-            (Config::new("", "a", &["b"]), None, "1 to 64"),
-            (Config::new("f", "a", &[""]), Some(0), "1 to 64"),
-            (
-                Config {
-                    timing: Timing { suspicion_timeout: 100 * MS, ..Timing::default() },
-                    ..sound.clone()
-                },
-                None,
-                "refuted",
-            ),
+impl Timing {
+    fn validate(&self, errors: &mut Vec<ConfigError>) {
+        let intervals = [
+            ("probe", self.probe_interval),
+            ("suspect", self.suspicion_timeout),
+            ("beat", self.heartbeat_interval),
+            ("damp", self.min_status_duration),
         ];
-        for (config, at, part) in cases {
-            let found = told(&config);
-            assert!(found.iter().any(|(p, w)| *p == at && w.contains(part)), "{found:?} for {part}");
+        for (setting, value) in intervals {
+            if value < MIN_INTERVAL {
+                errors.push(ConfigError::IntervalTooShort { setting, value_ms: value / MS });
+            }
+        }
+        if self.suspicion_timeout < self.probe_interval {
+            errors.push(ConfigError::SuspicionTooShort);
+        }
+        let delays = [self.upgrade_delay, self.stable_after, self.divergence_timeout];
+        if delays.iter().any(|delay| *delay > MAX_DELAY) {
+            errors.push(ConfigError::DelayTooLong);
         }
-        let many: Vec<String> = (0..=MAX_PEERS).map(|n| format!("m{n}")).collect();
-        let many: Vec<&str> = many.iter().map(String::as_str).collect();
-        assert!(!told(&Config::new("f", "a", &many)).is_empty());
     }
+}
 
-    #[test]
-    fn times_grow_with_the_fleet() {
-        let few = Config::new("f", "a", &["b", "c"]);
-        let many: Vec<String> = (0..299).map(|n| format!("m{n}")).collect();
-        let many = Config::new("f", "a", &many.iter().map(String::as_str).collect::<Vec<_>>());
-        assert_eq!((few.heartbeat_interval(), few.evidence_timeout()), (400_000, 1_200_000));
-        assert_eq!(many.heartbeat_interval(), 299 * 15_000);
-        assert!(many.suspicion_timeout() > 2 * few.suspicion_timeout());
-    }
+fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_LEN).contains(&name.len())
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -10,18 +10,18 @@
 /// One process under a name: a later start wins over an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name.
+    /// The name.
     pub name: MemberName,
-    /// Its start, in Unix microseconds, as its own clock had it.
+    /// The start of the process in Unix microseconds, by its own clock.
     pub boot_id: u64,
-    /// How often it has come back after the others held it for failed.
+    /// How often the process has come back after others held it for failed.
     pub renewal: u32,
 }
 
 impl foca::Identity for Identity {
     type Addr = MemberName;
 
-    /// Held for failed while it lives, it comes back at once, and says so by a higher number.
+    /// A process that others hold for failed comes back at once under a higher number.
     fn renew(&self) -> Option<Identity> {
         Some(Identity { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,5 +1,6 @@
-//! What is held of one member, and why.
+//! The state of one member, and the evidence for it.
 
+use std::collections::VecDeque;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
@@ -9,26 +10,26 @@
 use crate::wire::BuildInfo;
 use crate::Micros;
 
-/// What a member is held to be.
+/// The state of a member, as this server believes it. A belief has evidence and an age; it is never a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Named by the operator, and never heard of since this server started.
+    /// Named by the operator, and not heard of since this server started.
     NeverSeen,
-    /// There.
+    /// It answers.
     Present,
-    /// Somebody's probe of it brought nothing, and it has not said yet that it is there.
+    /// A probe of it brought no answer, and it has not refuted the suspicion yet.
     Suspected,
-    /// A suspicion that it did not refute in time.
+    /// It did not refute a suspicion in time.
     Failed,
-    /// It said that it leaves, and is still there.
+    /// It has announced that it will leave, and is still present.
     Leaving,
-    /// It said so, and is gone.
+    /// It has announced that it leaves, and is gone.
     Left,
 }
 
 impl MemberState {
-    /// Whether it counts as there.
-    pub fn is_there(self) -> bool {
+    /// Whether the member counts as present.
+    pub fn is_present(self) -> bool {
         matches!(self, MemberState::Present | MemberState::Suspected | MemberState::Leaving)
     }
 }
@@ -46,82 +47,93 @@
     }
 }
 
-/// One reason for a belief.
+/// One reason for a state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// What was seen or said.
+    /// What was seen or received.
     pub what: String,
     /// How long ago, in milliseconds, where that is known.
     pub age_ms: Option<u64>,
 }
 
-/// What is held of one member.
+/// What this server knows of one member. The names of the fields are those of the command line's `--json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its name.
+    /// The member.
     pub name: MemberName,
     /// Named by the operator; else a guest.
     pub named: bool,
-    /// What it is held to be.
+    /// Its state.
     pub state: MemberState,
-    /// For how long, in milliseconds.
+    /// For how long it has been in this state, in milliseconds.
     pub for_ms: u64,
     /// Start of its process in Unix microseconds; 0 while unknown.
     pub boot: u64,
-    /// By how much it has had to refute suspicions since.
+    /// SWIM's incarnation: it grows with each suspicion that the process refutes.
     pub incarnation: u16,
-    /// How often it has come back after it was held for failed.
+    /// How often the process has come back after it was held for failed.
     pub renewal: u32,
     /// How long ago it was heard directly, in milliseconds.
     pub heard_ms: Option<u64>,
-    /// How long ago it heard this server, by its own word, in milliseconds.
+    /// How long ago it heard this server, as it said itself, in milliseconds.
     pub hears_us_ms: Option<u64>,
-    /// Both hear each other.
+    /// Whether both hear each other.
     pub reached: bool,
-    /// What it says of itself: standing, load in percent, how sick from 0 to 8.
+    /// What it says of itself: partition status, load in percent, local health score from 0 to 8.
     pub says: Option<(PartitionStatus, u8, u8)>,
-    /// What it is made of.
+    /// The program and configuration that it runs.
     pub about: BuildInfo,
     /// For how long its view has differed from this server's, in milliseconds.
     pub differs_ms: Option<u64>,
 }
 
-/// The changes of one member that are kept for [`crate::Membership::explain`].
-pub(crate) const CHANGES: usize = 8;
+/// Changes of one member that are kept for [`crate::Membership::explain`].
+const MAX_CHANGES: usize = 8;
 
-/// What is kept of a member between two looks.
+/// A change of a member's state.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct StateChange {
+    pub at: Micros,
+    pub state: MemberState,
+    pub cause: String,
+}
+
+/// What is kept of a member.
+#[derive(Clone, Debug)]
+pub(crate) struct MemberRecord {
     pub state: MemberState,
     pub since: Micros,
-    /// Its process, as gossip has it.
-    pub boot: u64,
+    /// Start of its process, as gossip has it.
+    pub boot_id: u64,
     pub incarnation: u16,
     pub renewal: u32,
-    /// The process that said it leaves.
-    pub leaving: Option<u64>,
-    /// The last changes, with their times and causes.
-    pub changes: Vec<(Micros, MemberState, String)>,
+    /// Start of the process that has announced that it leaves.
+    pub leaving_boot_id: Option<u64>,
+    /// The last changes, oldest first.
+    pub changes: VecDeque<StateChange>,
 }
 
-impl Known {
-    pub fn new(now: Micros) -> Known {
-        Known {
+impl MemberRecord {
+    /// A member that has not been heard of.
+    pub fn new(now: Micros) -> MemberRecord {
+        MemberRecord {
             state: MemberState::NeverSeen,
             since: now,
-            boot: 0,
+            boot_id: 0,
             incarnation: 0,
             renewal: 0,
-            leaving: None,
-            changes: Vec::new(),
+            leaving_boot_id: None,
+            changes: VecDeque::new(),
         }
     }
 
-    pub fn change(&mut self, now: Micros, to: MemberState, cause: String) {
-        (self.state, self.since) = (to, now);
-        if self.changes.len() == CHANGES {
-            self.changes.remove(0);
+    /// Takes up another state, and remembers why.
+    pub fn set_state(&mut self, now: Micros, state: MemberState, cause: String) {
+        self.state = state;
+        self.since = now;
+        if self.changes.len() == MAX_CHANGES {
+            self.changes.pop_front();
         }
-        self.changes.push((now, to, cause));
+        self.changes.push_back(StateChange { at: now, state, cause });
     }
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,8 +1,8 @@
-//! `foca` with its timers, which this crate may stretch and move.
+//! SWIM by the `foca` crate, with timers that this crate may stretch and move.
 //!
-//! What `foca` does not have and a server under partial failure needs: limits that grow while the server itself is
-//! slow (Lifeguard), and timers that do not all fire at once when the process wakes from a standstill, as that would
-//! turn each open suspicion into a failure that nobody could have refuted.
+//! What `foca` does not have and a server under partial failure needs: time limits that grow while the server itself
+//! is slow (Lifeguard), and timers that do not all fire at once when the process is run again after a stall, as that
+//! would turn each open suspicion into a failure that nobody could have refuted.
 
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -18,248 +18,297 @@
 use crate::wire::MAX_GOSSIP_LEN;
 use crate::Micros;
 
-/// What comes out of one step of `foca`.
+/// Members that are asked to probe one that has not answered.
+const INDIRECT_PROBES: usize = 3;
+/// Members that gossip is sent to at a time.
+const GOSSIP_FANOUT: usize = 3;
+/// Failed members that this server announces itself to at a time.
+const ANNOUNCE_TO_DOWN: usize = 2;
+/// Time between two announcements to an active member.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
+/// A failed member is remembered for so long; a new start under its name takes its place at once.
+const FORGET_FAILED_AFTER: Duration = Duration::from_secs(86_400);
+
+type ServerFoca = Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>;
+
+/// A gossip message for one process.
+pub struct GossipMessage {
+    /// The member.
+    pub to: MemberName,
+    /// The start of its process.
+    pub boot_id: u64,
+    /// The content.
+    pub bytes: Vec<u8>,
+}
+
+/// A later process has taken the place of an earlier one of its name.
+pub struct Replacement {
+    /// The earlier one.
+    pub earlier: Identity,
+    /// The later one.
+    pub later: Identity,
+}
+
+/// What comes out of one step.
+#[derive(Default)]
+pub struct SwimOutput {
+    /// Messages to send.
+    pub messages: Vec<GossipMessage>,
+    /// The state of a member may have changed.
+    pub changed: bool,
+    /// Processes that were replaced.
+    pub replacements: Vec<Replacement>,
+}
+
+/// Collects what `foca` does in one step.
 #[derive(Default)]
-struct Out {
-    send: Vec<(Identity, Vec<u8>)>,
+struct StepRecorder {
+    output: SwimOutput,
     timers: Vec<(Timer<Identity>, Duration)>,
-    signs: Vec<HealthSignal>,
+    signals: Vec<HealthSignal>,
     /// The latest incarnation that we sent under.
     incarnation: u16,
-    /// Someone's state has changed.
-    changed: bool,
-    /// Two processes of one name were both held to be there: the earlier and the later.
-    renamed: Vec<(Identity, Identity)>,
 }
 
-impl Runtime<Identity> for &mut Out {
+impl Runtime<Identity> for &mut StepRecorder {
     fn notify(&mut self, notification: Notification<'_, Identity>) {
         match notification {
             Notification::DataReceived(header) => {
                 if matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. }) {
-                    self.signs.push(HealthSignal::ProbeAnswered);
+                    self.signals.push(HealthSignal::ProbeAnswered);
                 }
             }
             Notification::DataSent(header) => {
+                // The incarnation grows to refute a suspicion.
                 if header.src_incarnation > self.incarnation {
-                    self.signs.push(HealthSignal::Suspected);
+                    self.signals.push(HealthSignal::Suspected);
                 }
                 self.incarnation = header.src_incarnation;
             }
             Notification::ProbeFailed(..) => {
-                self.signs.push(HealthSignal::ProbeFailed);
-                self.changed = true;
+                self.signals.push(HealthSignal::ProbeFailed);
+                self.output.changed = true;
             }
-            Notification::Rename(before, after) => {
-                self.changed = true;
-                self.renamed.push((before.clone(), after.clone()));
+            Notification::Rename(earlier, later) => {
+                self.output.changed = true;
+                let replacement = Replacement { earlier: earlier.clone(), later: later.clone() };
+                self.output.replacements.push(replacement);
             }
-            _ => self.changed = true,
+            _ => self.output.changed = true,
         }
     }
 
     fn send_to(&mut self, to: Identity, data: &[u8]) {
-        self.send.push((to, data.to_vec()));
+        let message = GossipMessage { to: to.name, boot_id: to.boot_id, bytes: data.to_vec() };
+        self.output.messages.push(message);
     }
 
-    fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
-        self.timers.push((event, after));
+    fn submit_after(&mut self, timer: Timer<Identity>, after: Duration) {
+        self.timers.push((timer, after));
     }
 }
 
-/// The protocol, its timers and this server's health.
+/// The protocol, its timers and this server's local health.
 pub struct Swim {
-    foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
+    foca: ServerFoca,
+    /// By the time at which they are due, and in the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer<Identity>>,
-    next: u64,
+    last_timer_number: u64,
     incarnation: u16,
-    pub health: LocalHealth,
-    probe: Micros,
-    suspect: Micros,
-    setting: foca::Config,
-}
-
-/// What a step came to.
-#[derive(Default)]
-pub struct Came {
-    /// Messages, and to whom.
-    pub send: Vec<(MemberName, u64, Vec<u8>)>,
-    /// Someone's state may have changed.
-    pub changed: bool,
-    /// A later process has taken the place of an earlier one.
-    pub renamed: Vec<(Identity, Identity)>,
+    local_health: LocalHealth,
+    probe_interval: Micros,
+    suspicion_timeout: Micros,
+    foca_config: foca::Config,
 }
 
-fn setting(config: &Config) -> foca::Config {
-    let timing = config.timing;
-    let often = |micros: Micros| Duration::from_micros(micros);
+fn foca_config(config: &Config) -> foca::Config {
+    let probe_interval = config.timing.probe_interval;
     let periodic = |frequency, members| {
-        Some(foca::PeriodicParams {
-            frequency,
-            num_members: NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN),
-        })
+        let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
+        Some(foca::PeriodicParams { frequency, num_members })
     };
     // Rounds that news takes to reach everyone grow with the logarithm of the fleet (SWIM, 4.1).
     let rounds = 4 + 3 * (config.roster_size() as f64).log2().ceil() as u8;
     foca::Config {
-        probe_period: often(timing.probe_interval),
-        // The other half is for those who are asked to try.
-        probe_rtt: often(timing.probe_interval * 2 / 5),
-        num_indirect_probes: NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN),
+        probe_period: Duration::from_micros(probe_interval),
+        // The other part of the interval is for indirect probes.
+        probe_rtt: Duration::from_micros(probe_interval * 2 / 5),
+        num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(NonZeroUsize::MIN),
         max_transmissions: NonZeroU8::new(rounds).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: often(config.suspicion_timeout()),
-        // A name is kept for a day after it failed; a new start under it takes its place at once.
-        remove_down_after: Some(Duration::from_secs(86_400)),
+        suspect_to_down_after: Duration::from_micros(config.suspicion_timeout()),
+        remove_down_after: Some(FORGET_FAILED_AFTER),
         max_packet_size: NonZeroUsize::new(MAX_GOSSIP_LEN).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
-        periodic_announce: periodic(Duration::from_secs(10), 1),
-        periodic_announce_to_down_members: periodic(often(2 * timing.probe_interval), 2),
-        periodic_gossip: periodic(often(timing.probe_interval * 2 / 5), 3),
+        periodic_announce: periodic(ANNOUNCE_INTERVAL, 1),
+        periodic_announce_to_down_members: periodic(
+            Duration::from_micros(2 * probe_interval),
+            ANNOUNCE_TO_DOWN,
+        ),
+        periodic_gossip: periodic(Duration::from_micros(probe_interval * 2 / 5), GOSSIP_FANOUT),
     }
 }
 
 impl Swim {
-    pub fn new(id: Identity, config: &Config, seed: u64) -> Swim {
-        let setting = setting(config);
+    /// A member that knows nobody yet.
+    pub fn new(identity: Identity, config: &Config, seed: u64) -> Swim {
+        let foca_config = foca_config(config);
         let random = ChaCha8Rng::seed_from_u64(seed);
         Swim {
-            foca: Foca::new(id, setting.clone(), random, PostcardCodec),
+            foca: Foca::new(identity, foca_config.clone(), random, PostcardCodec),
             timers: BTreeMap::new(),
-            next: 0,
+            last_timer_number: 0,
             incarnation: 0,
-            health: LocalHealth::default(),
-            probe: config.timing.probe_interval,
-            suspect: config.suspicion_timeout(),
-            setting,
+            local_health: LocalHealth::default(),
+            probe_interval: config.timing.probe_interval,
+            suspicion_timeout: config.suspicion_timeout(),
+            foca_config,
         }
     }
 
-    /// The roster has changed.
-    pub fn set(&mut self, config: &Config) {
-        self.suspect = config.suspicion_timeout();
-        let new = setting(config);
-        self.setting.max_transmissions = new.max_transmissions;
-        self.set_suspect();
+    /// Takes up another roster.
+    pub fn reconfigure(&mut self, config: &Config) {
+        self.suspicion_timeout = config.suspicion_timeout();
+        self.foca_config.max_transmissions = foca_config(config).max_transmissions;
+        self.apply_suspicion_timeout();
     }
 
-    fn set_suspect(&mut self) {
-        self.setting.suspect_to_down_after = Duration::from_micros(self.health.scale(self.suspect));
-        // Only what may change while it runs is different.
-        let _ = self.foca.set_config(self.setting.clone());
+    fn apply_suspicion_timeout(&mut self) {
+        let timeout = self.local_health.scale(self.suspicion_timeout);
+        self.foca_config.suspect_to_down_after = Duration::from_micros(timeout);
+        // It refuses only changes of what must stay while it runs, and that has not changed.
+        let _ = self.foca.set_config(self.foca_config.clone());
     }
 
     /// Our name and start.
-    pub fn id(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// Everyone that it has heard of.
-    pub fn members(&self) -> impl Iterator<Item = &Member<Identity>> {
-        self.foca.iter_membership_state()
+    /// How slow this server itself is.
+    pub fn local_health(&self) -> LocalHealth {
+        self.local_health
     }
 
-    fn step(&mut self, now: Micros, act: impl FnOnce(&mut Self, &mut Out)) -> Came {
-        let mut out = Out { incarnation: self.incarnation, ..Out::default() };
-        act(self, &mut out);
-        self.incarnation = out.incarnation;
-        let before = self.health;
-        out.signs.iter().for_each(|sign| self.health.record(*sign));
-        if self.health != before {
-            self.set_suspect();
-        }
-        for (timer, after) in out.timers {
-            let after = after.as_micros() as Micros;
-            // Both of a probe's limits, so that their order stays.
-            let stretched = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
-            let after = if stretched { self.health.scale(after) } else { after };
-            self.next += 1;
-            self.timers.insert((now + after, self.next), timer);
-        }
-        let send = out.send.into_iter().map(|(id, bytes)| (id.name, id.boot_id, bytes)).collect();
-        Came { send, changed: out.changed, renamed: out.renamed }
+    /// All members that it has heard of.
+    pub fn members(&self) -> impl Iterator<Item = &Member<Identity>> {
+        self.foca.iter_membership_state()
     }
 
     /// A gossip message has come.
-    pub fn hear(&mut self, now: Micros, bytes: &[u8]) -> Came {
+    pub fn handle_gossip(&mut self, now: Micros, bytes: &[u8]) -> SwimOutput {
         // What can't be read came from a member with the key: it is passed over, like anything unknown.
-        self.step(now, |swim, mut out| drop(swim.foca.handle_data(bytes, &mut out)))
+        self.step(now, |foca, mut recorder| drop(foca.handle_data(bytes, &mut recorder)))
     }
 
-    /// A process has proven that it answers under this name.
-    pub fn meet(&mut self, now: Micros, name: &MemberName, boot: u64) -> Came {
-        let held = self.members().find(|m| m.id().name == *name).map(|m| (m.id().clone(), m.state()));
-        // Held for failed, it is to hear of it from the announcement, and comes back by itself.
-        let id = match &held {
-            Some((id, _)) if id.boot_id == boot => id.clone(),
-            _ => Identity { name: name.clone(), boot_id: boot, renewal: 0 },
+    /// Announces this server to a process that has proven that it answers under this name.
+    pub fn announce_to(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> SwimOutput {
+        let known = self.members().find(|member| member.id().name == *name);
+        let same_process = known.filter(|member| member.id().boot_id == boot_id);
+        // A process that gossip holds for failed learns of that by the announcement, and renews its identity.
+        let is_failed = same_process.is_some_and(|member| member.state() == foca::State::Down);
+        let identity = match same_process {
+            Some(member) => member.id().clone(),
+            None => Identity { name: name.clone(), boot_id, renewal: 0 },
         };
-        let failed = held.is_some_and(|(old, state)| old == id && state == foca::State::Down);
-        self.step(now, |swim, mut out| {
-            if !failed {
-                let there = std::iter::once(Member::alive(id.clone()));
-                drop(swim.foca.apply_many(there, true, &mut out));
+        self.step(now, |foca, mut recorder| {
+            if !is_failed {
+                let alive = std::iter::once(Member::alive(identity.clone()));
+                drop(foca.apply_many(alive, true, &mut recorder));
             }
-            drop(swim.foca.announce(id, &mut out));
+            drop(foca.announce(identity, &mut recorder));
         })
     }
 
-    /// Whether nothing is probed. `foca` rests once it holds nobody for active, and after it has come back under a
-    /// renewed identity until somebody writes to it: two members that both rest would do so for ever.
-    pub fn rests(&self) -> bool {
+    /// Whether nothing is probed. `foca` is idle once it has no active member, and after it has come back under a
+    /// renewed identity until somebody writes to it: two members that are both idle would stay so for ever.
+    pub fn is_idle(&self) -> bool {
         !self.timers.values().any(|timer| matches!(timer, Timer::ProbeRandomMember(_)))
     }
 
-    /// Whether this process is held to be there.
-    pub fn holds(&self, name: &MemberName, boot: u64) -> bool {
-        self.members()
-            .any(|m| m.id().name == *name && m.id().boot_id == boot && m.state() != foca::State::Down)
+    /// Whether this process is known, and not failed.
+    pub fn is_active(&self, name: &MemberName, boot_id: u64) -> bool {
+        self.members().any(|member| {
+            let is_process = member.id().name == *name && member.id().boot_id == boot_id;
+            is_process && member.state() != foca::State::Down
+        })
     }
 
     /// When the next timer is due.
-    pub fn next_at(&self) -> Option<Micros> {
+    pub fn next_timeout(&self) -> Option<Micros> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// What is due by now.
-    pub fn pass(&mut self, now: Micros) -> Came {
+    /// Runs the timers that are due by now.
+    pub fn handle_timeout(&mut self, now: Micros) -> SwimOutput {
         let later = self.timers.split_off(&(now + 1, 0));
         let due = std::mem::replace(&mut self.timers, later);
-        let late = due.first_key_value().is_some_and(|((at, _), _)| now - at > self.probe / 2);
+        let is_late = due.first_key_value().is_some_and(|((at, _), _)| now - at > self.probe_interval / 2);
         let mut due: Vec<Timer<Identity>> = due.into_values().collect();
         // `foca` wants timers that are late together in its own order.
         due.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
-        self.step(now, |swim, out| {
-            if late {
-                out.signs.push(HealthSignal::TimerLate);
+        self.step(now, |foca, recorder| {
+            if is_late {
+                recorder.signals.push(HealthSignal::TimerLate);
             }
             for timer in due {
-                drop(swim.foca.handle_timer(timer, &mut *out));
+                drop(foca.handle_timer(timer, &mut *recorder));
             }
         })
     }
 
-    /// The process was not run for so long: no time has passed for what it waits for.
-    pub fn shift(&mut self, span: Micros) {
+    /// The process was stalled for `span`: no time has passed for what it waits for.
+    pub fn postpone_timers(&mut self, span: Micros) {
         let timers = std::mem::take(&mut self.timers);
-        self.timers = timers.into_iter().map(|((at, n), timer)| ((at + span, n), timer)).collect();
+        self.timers = timers.into_iter().map(|((at, number), timer)| ((at + span, number), timer)).collect();
+    }
+
+    /// Announces that this server is gone.
+    pub fn leave(&mut self, now: Micros) -> SwimOutput {
+        self.step(now, |foca, mut recorder| drop(foca.leave_cluster(&mut recorder)))
     }
 
-    /// Says that we are gone.
-    pub fn leave(&mut self, now: Micros) -> Came {
-        self.step(now, |swim, mut out| drop(swim.foca.leave_cluster(&mut out)))
+    /// Goes on under another identity.
+    pub fn change_identity(&mut self, now: Micros, identity: Identity) -> SwimOutput {
+        self.step(now, |foca, mut recorder| drop(foca.change_identity(identity, &mut recorder)))
+    }
+
+    /// One step of `foca`, with what follows from it for the local health and the timers.
+    fn step(&mut self, now: Micros, run: impl FnOnce(&mut ServerFoca, &mut StepRecorder)) -> SwimOutput {
+        let mut recorder = StepRecorder { incarnation: self.incarnation, ..StepRecorder::default() };
+        run(&mut self.foca, &mut recorder);
+        self.incarnation = recorder.incarnation;
+        self.record_signals(&recorder.signals);
+        for (timer, after) in recorder.timers {
+            self.set_timer(now, timer, after);
+        }
+        recorder.output
+    }
+
+    fn record_signals(&mut self, signals: &[HealthSignal]) {
+        let before = self.local_health;
+        for signal in signals {
+            self.local_health.record(*signal);
+        }
+        if self.local_health != before {
+            self.apply_suspicion_timeout();
+        }
     }
 
-    /// From now on under this identity.
-    pub fn rename(&mut self, now: Micros, id: Identity) -> Came {
-        self.step(now, |swim, mut out| drop(swim.foca.change_identity(id, &mut out)))
+    fn set_timer(&mut self, now: Micros, timer: Timer<Identity>, after: Duration) {
+        let after = after.as_micros() as Micros;
+        // Both limits of a probe, so that their order stays.
+        let is_scaled = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
+        let after = if is_scaled { self.local_health.scale(after) } else { after };
+        self.last_timer_number += 1;
+        self.timers.insert((now + after, self.last_timer_number), timer);
     }
 }
 
 impl std::fmt::Debug for Swim {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.debug_struct("Swim")
-            .field("id", self.foca.identity())
-            .field("health", &self.health)
+            .field("identity", self.foca.identity())
+            .field("local_health", &self.local_health)
             .finish_non_exhaustive()
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,9 +1,14 @@
 //! Views, and whether two of them are the same.
 //!
-//! A view is a line for each member that the operator named, this server included: whether it is held to be there,
-//! and by which process. Suspicions are left out: they differ for a moment all the time. Two living members whose
-//! digests differ for longer than [`crate::config::Timing::disagree`] are in disagreement, which is a condition with
-//! a name; both views are then kept, so that an operator can see where they part.
+//! A view is a row for each member that the operator named, this server included: whether it is present, and as which
+//! process. Suspicions are left out: they differ for a moment all the time. Two living members whose digests differ
+//! for longer than [`crate::config::Timing::divergence_timeout`] have diverged, which is a condition with a name; both
+//! views are then kept, so that an operator can see where they differ.
+
+#[cfg(test)]
+mod tests;
+
+use std::collections::BTreeSet;
 
 use crate::identity::MemberName;
 use crate::wire::ViewRow;
@@ -23,49 +28,60 @@
     u64::from_le_bytes(first)
 }
 
-/// Two living members that have held different views for long.
+/// This server's own view.
+#[derive(Debug, Default)]
+pub(crate) struct LocalView {
+    /// In the order of names; empty while the view has to be made anew.
+    pub rows: Vec<ViewRow>,
+    /// The digest of the rows, as it goes with each message.
+    pub digest: u64,
+}
+
+impl LocalView {
+    /// The rows are to be made anew; until then the digest stays.
+    pub fn invalidate(&mut self) {
+        self.rows.clear();
+    }
+
+    /// Takes new rows, in the order of names.
+    pub fn replace(&mut self, rows: Vec<ViewRow>) {
+        self.digest = digest(&rows);
+        self.rows = rows;
+    }
+}
+
+/// A living member that has held another view for long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewDivergence {
-    /// The other.
+    /// The member.
     pub peer: MemberName,
     /// Since when.
     pub since: Micros,
     /// Our view when it was found.
     pub ours: Vec<ViewRow>,
-    /// Theirs, once they have told it.
+    /// Its view, once it has sent it.
     pub theirs: Vec<ViewRow>,
 }
 
 impl ViewDivergence {
-    /// Where the two views part, one line each.
+    /// Where the two views differ, one line for each member.
     pub fn differences(&self) -> Vec<String> {
-        let word = |row: Option<&ViewRow>| match row {
-            None => "not in its roster".to_owned(),
-            Some(row) if row.present => format!("there, started at {}", row.boot_id),
-            Some(_) => "not there".to_owned(),
-        };
-        let find = |rows: &[ViewRow], name: &MemberName| word(rows.iter().find(|r| r.name == *name));
-        let names: std::collections::BTreeSet<&MemberName> =
+        let names: BTreeSet<&MemberName> =
             self.ours.iter().chain(&self.theirs).map(|row| &row.name).collect();
-        let both = names.into_iter().map(|name| (name, find(&self.ours, name), find(&self.theirs, name)));
-        both.filter(|(_, ours, theirs)| ours != theirs)
-            .map(|(name, ours, theirs)| format!("{name}: {ours} here, {theirs} for {}", self.peer))
-            .collect()
+        names.into_iter().filter_map(|name| self.difference(name)).collect()
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    fn difference(&self, name: &MemberName) -> Option<String> {
+        let ours = describe_row(&self.ours, name);
+        let theirs = describe_row(&self.theirs, name);
+        (ours != theirs).then(|| format!("{name}: {ours} here, {theirs} for {}", self.peer))
+    }
+}
 
-    #[test]
-    fn a_digest_tells_views_apart_and_differences_are_named() {
-        let row = |name: &str, boot, there| ViewRow { name: name.into(), boot_id: boot, present: there };
-        let (ours, theirs) =
-            (vec![row("a", 1, true), row("b", 2, true)], vec![row("a", 1, true), row("b", 0, false)]);
-        assert_eq!(digest(&ours), digest(&ours.clone()));
-        assert_ne!(digest(&ours), digest(&theirs));
-        let found = ViewDivergence { peer: "c".into(), since: 0, ours, theirs };
-        assert_eq!(found.differences(), ["b: there, started at 2 here, not there for c"]);
+fn describe_row(rows: &[ViewRow], name: &MemberName) -> String {
+    match rows.iter().find(|row| row.name == *name) {
+        None => "not in its roster".to_owned(),
+        Some(row) if row.present => format!("there, started at {}", row.boot_id),
+        Some(_) => "not there".to_owned(),
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,59 +1,70 @@
-//! What servers say to each other, sealed with the fleet's key.
+//! Messages between servers, sealed with the fleet's key.
 //!
-//! A message is `form`, a tag of the fleet (4 bytes), a keyed digest (16 bytes, BLAKE3) of all that follows, and the
-//! rest in `postcard`. Its length is bounded before any of it is read. Nothing inside is looked at before the digest
+//! A message is the format version (1 byte), a tag of the fleet (4 bytes), a keyed digest (16 bytes, BLAKE3) of all that
+//! follows, and the rest in `postcard`, which encodes fields and variants by position: none may be moved, added in the
+//! middle, or taken away. The length is bounded before any of it is read. Nothing inside is looked at before the digest
 //! has been compared.
 
+#[cfg(test)]
+mod tests;
+
 use serde::{Deserialize, Serialize};
 
 use crate::identity::MemberName;
 use crate::partition::PartitionStatus;
 
-/// The form of messages that this program writes and understands.
+/// The version of the message format that this program writes and understands.
 pub const FORMAT_VERSION: u8 = 1;
 /// The longest datagram: under the smallest path MTU in common use, headers and seal included (RFC 8085, 3.2).
 pub const MAX_DATAGRAM_LEN: usize = 1_400;
 /// The longest message over a stream.
 pub const MAX_MESSAGE_LEN: usize = 64 * 1_024;
-/// Room for what a member says of itself around a gossip message.
+/// The longest gossip message: leaves room in a datagram for the header, the sender's status and the seal.
 pub const MAX_GOSSIP_LEN: usize = 1_100;
 
-const TAG: usize = 4;
-const MAC: usize = 16;
-const HEAD: usize = 1 + TAG + MAC;
+const TAG_LEN: usize = 4;
+const MAC_LEN: usize = 16;
+const SEAL_LEN: usize = 1 + TAG_LEN + MAC_LEN;
 
-/// What tells one fleet's messages from all others.
+/// The key of one fleet, by which its messages are told from all others.
 #[derive(Clone)]
 pub struct Key {
-    tag: [u8; TAG],
+    tag: [u8; TAG_LEN],
     key: [u8; 32],
 }
 
-/// Why a message was not believed.
+impl std::fmt::Debug for Key {
+    /// Without the key itself.
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        f.write_str("Key")
+    }
+}
+
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// Of another fleet, or under another secret's name.
+    /// Of another fleet.
     Foreign,
-    /// Its digest does not fit.
+    /// The digest does not fit: damaged on its way, or sealed with another secret.
     Damaged,
-    /// Of a form that this program does not know.
+    /// Of a format that this program does not know.
     Form,
     /// Longer than allowed.
     TooLong,
-    /// It came before.
+    /// It has come before.
     Replayed,
-    /// From a process that another of its name has taken the place of.
+    /// From a process that a later one of its name has replaced.
     Superseded,
-    /// Meant for an earlier process of this name.
+    /// Meant for an earlier process under this server's name.
     NotForUs,
     /// Its sender has not proven yet that it answers.
     Unproven,
-    /// From a name that is not in the roster, with all places for guests taken.
+    /// From a name that is not in the roster, while there is no room for more guests.
     NoRoom,
 }
 
 impl RejectReason {
-    /// All of them, as counted.
+    /// All reasons.
     pub const ALL: [RejectReason; 9] = [
         RejectReason::Foreign,
         RejectReason::Damaged,
@@ -67,39 +78,39 @@
     ];
 }
 
-/// From whom a message is, and for whom.
+/// Sender and receiver of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its sender.
+    /// The name of the sender.
     pub sender: MemberName,
-    /// The start of the sending process.
+    /// The start of the sending process, in Unix microseconds.
     pub boot_id: u64,
     /// The start of the process that it is for; 0 before that is known.
     pub receiver_boot_id: u64,
-    /// Its number in the session.
+    /// The sequence number in the session.
     pub sequence: u64,
     /// It goes by datagram and by stream, so that it is to be expected twice.
     pub sent_twice: bool,
 }
 
-/// What a server says of itself with everything it sends in a session.
+/// What a server says of itself with everything that it sends in a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SenderStatus {
     /// How long ago it last heard the receiver, in milliseconds; `u32::MAX` is never.
     pub heard_receiver_ms: u32,
     /// Digest of its view, see [`crate::view`].
     pub view_digest: u64,
-    /// Its standing.
+    /// Its partition status.
     pub partition_status: PartitionStatus,
     /// How loaded it is, in percent.
     pub load_percent: u8,
-    /// How sick it is, from 0 to 8, see [`crate::health`].
+    /// Its local health score, from 0 to 8, see [`crate::health`].
     pub health_score: u8,
     /// It has been told to end.
     pub leaving: bool,
 }
 
-/// What a server is made of, so that others see who runs what.
+/// The program and configuration that a server runs. The names of the fields are those of the command line's `--json`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BuildInfo {
     /// Its zone.
@@ -110,149 +121,139 @@
     pub config: u64,
     /// Digest of the operator's file, but for addresses.
     pub operator: u64,
-    /// Digest of what allowances that are shared go by; 0 where none is.
+    /// Digest of the configuration of distributed quotas; 0 where there is none.
     pub shares: u64,
 }
 
-/// One line of a view.
+/// One row of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRow {
     /// The member.
     pub name: MemberName,
-    /// The start of its process; 0 if never seen.
+    /// The start of its process; 0 if it is not present.
     pub boot_id: u64,
-    /// Whether it is held to be there.
+    /// Whether it is held to be present.
     pub present: bool,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Who is there under your name? Answer with this number.
-    Hello(u64),
-    /// We are, by your number; answer with ours.
-    Welcome(u64, u64, BuildInfo),
-    /// So are we, by your number.
-    Ready(u64, BuildInfo),
-    /// Another process has your name, started then, last heard so many milliseconds ago.
-    Superseded(u64, u32),
+    /// Handshake, first step: asks the receiver to prove that it answers now.
+    Hello {
+        /// To be returned in [`Body::Welcome`].
+        nonce: u64,
+    },
+    /// Handshake, second step: proves the sender, and asks the receiver to prove itself.
+    Welcome {
+        /// The nonce of [`Body::Hello`].
+        echoed_nonce: u64,
+        /// To be returned in [`Body::Ready`].
+        nonce: u64,
+        /// What the sender runs.
+        build_info: BuildInfo,
+    },
+    /// Handshake, third step: proves the sender.
+    Ready {
+        /// The nonce of [`Body::Welcome`].
+        echoed_nonce: u64,
+        /// What the sender runs.
+        build_info: BuildInfo,
+    },
+    /// A later process has the receiver's name.
+    Superseded {
+        /// The start of that process, in Unix microseconds.
+        by_boot_id: u64,
+        /// How long ago it was last heard, in milliseconds.
+        heard_ago_ms: u32,
+    },
     /// Membership gossip, as `foca` writes it.
     Gossip(Vec<u8>),
-    /// Nothing but the note, and now and then what the sender is made of.
+    /// Nothing but the sender's status, and now and then what it runs.
     Heartbeat(Option<BuildInfo>),
-    /// What others decide about, by the name of the matter.
-    Channel(u8, Vec<u8>),
-    /// What is your view?
+    /// A message that other parts of the server exchange.
+    Channel {
+        /// Which part it is for.
+        channel: u8,
+        /// The content.
+        payload: Vec<u8>,
+    },
+    /// Asks for the receiver's view.
     ViewRequest,
-    /// It is this.
+    /// The sender's view.
     View(Vec<ViewRow>),
 }
 
-/// A whole message.
+/// A message, as it is sealed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// From whom and for whom.
+    /// Sender and receiver.
     pub header: Header,
-    /// Within a session: what the sender says of itself.
+    /// What the sender says of itself; `None` outside of a session.
     pub sender_status: Option<SenderStatus>,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
 impl Key {
-    /// The key of this fleet under this secret.
+    /// The key of a fleet, from its name and its secret.
     pub fn new(fleet: &str, secret: &str) -> Key {
         let material = [fleet.as_bytes(), &[0], secret.as_bytes()].concat();
         let key = blake3::derive_key("umberloom 2026 fleet messages", &material);
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..TAG]);
+        let mut tag = [0; TAG_LEN];
+        tag.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..TAG_LEN]);
         Key { tag, key }
     }
 
-    /// A message, ready to send.
+    /// Seals a message; the result is ready to send.
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
-        let mut out = vec![FORMAT_VERSION];
-        out.extend_from_slice(&self.tag);
-        out.extend_from_slice(&[0; MAC]);
-        // Only a type without a serial form could fail here, and there is none.
-        let mut out = postcard::to_extend(message, out).unwrap_or_default();
-        let mac = self.mac(out.get(HEAD..).unwrap_or_default());
-        if let Some(place) = out.get_mut(1 + TAG..HEAD) {
-            place.copy_from_slice(&mac);
+        let mut sealed = vec![FORMAT_VERSION];
+        sealed.extend_from_slice(&self.tag);
+        sealed.extend_from_slice(&[0; MAC_LEN]);
+        // Only a type that serde can't describe could fail here, and there is none.
+        let mut sealed = postcard::to_extend(message, sealed).unwrap_or_default();
+        let digest = self.digest(sealed.get(SEAL_LEN..).unwrap_or_default());
+        if let Some(mac) = sealed.get_mut(1 + TAG_LEN..SEAL_LEN) {
+            mac.copy_from_slice(&digest.as_bytes()[..MAC_LEN]);
         }
-        out
+        sealed
     }
 
-    /// What was sealed, if it may be believed.
-    pub fn open<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8], most: usize) -> Result<T, RejectReason> {
-        if bytes.len() > most {
+    /// Opens a message of at most `max_len` bytes.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not to be believed.
+    pub fn open<T: for<'de> Deserialize<'de>>(
+        &self,
+        bytes: &[u8],
+        max_len: usize,
+    ) -> Result<T, RejectReason> {
+        if bytes.len() > max_len {
             return Err(RejectReason::TooLong);
         }
-        let (head, rest) = bytes.split_at_checked(HEAD).ok_or(RejectReason::Damaged)?;
-        if head[1..1 + TAG] != self.tag {
+        let (seal, content) = bytes.split_at_checked(SEAL_LEN).ok_or(RejectReason::Damaged)?;
+        if seal[1..1 + TAG_LEN] != self.tag {
             return Err(RejectReason::Foreign);
         }
-        // The seal is the same in all forms, so that damage and a newer program can be told apart.
-        if blake3::Hash::from(self.full(rest)).as_bytes()[..MAC] != head[1 + TAG..] {
+        // The seal is the same in all formats, so that damage and a newer program can be told apart.
+        if self.digest(content).as_bytes()[..MAC_LEN] != seal[1 + TAG_LEN..] {
             return Err(RejectReason::Damaged);
         }
-        if head[0] != FORMAT_VERSION {
+        if seal[0] != FORMAT_VERSION {
             return Err(RejectReason::Form);
         }
-        postcard::from_bytes(rest).map_err(|_| RejectReason::Form)
+        postcard::from_bytes(content).map_err(|_| RejectReason::Form)
     }
 
-    fn full(&self, bytes: &[u8]) -> [u8; 32] {
-        *blake3::keyed_hash(&self.key, bytes).as_bytes()
-    }
-
-    fn mac(&self, bytes: &[u8]) -> [u8; MAC] {
-        let mut mac = [0; MAC];
-        mac.copy_from_slice(&self.full(bytes)[..MAC]);
-        mac
+    fn digest(&self, content: &[u8]) -> blake3::Hash {
+        blake3::keyed_hash(&self.key, content)
     }
 }
 
-/// A digest by which two servers see whether they have the same.
+/// A digest by which two servers see whether they have the same text.
 pub fn digest(text: &str) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..8]);
     u64::from_le_bytes(first)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn message(body: Body) -> Message {
-        let head =
-            Header { sender: "a".into(), boot_id: 7, receiver_boot_id: 8, sequence: 9, sent_twice: false };
-        Message { header: head, sender_status: None, body }
-    }
-
-    #[test]
-    fn what_is_foreign_damaged_or_too_new_is_told_apart() {
-        let (key, other) = (Key::new("f", "s"), Key::new("g", "s"));
-        let sealed = key.seal(&message(Body::Hello(5)));
-        assert_eq!(key.open(&sealed, MAX_MESSAGE_LEN), Ok(message(Body::Hello(5))));
-        assert_eq!(other.open::<Message>(&sealed, MAX_MESSAGE_LEN), Err(RejectReason::Foreign));
-        assert_eq!(Key::new("f", "t").open::<Message>(&sealed, MAX_MESSAGE_LEN), Err(RejectReason::Damaged));
-        assert_eq!(key.open::<Message>(&sealed, 10), Err(RejectReason::TooLong));
-        let newer = [&[FORMAT_VERSION + 1], &sealed[1..]].concat();
-        assert_eq!(key.open::<Message>(&newer, MAX_MESSAGE_LEN), Err(RejectReason::Form));
-    }
-
-    proptest! {
-        /// No byte of a message can be changed unseen, and nothing that comes makes it panic.
-        #[test]
-        fn no_change_is_believed(place in 0usize..60, bit in 0u8..8, noise in prop::collection::vec(any::<u8>(), 0..200)) {
-            let key = Key::new("f", "s");
-            let mut sealed = key.seal(&message(Body::Channel(1, vec![3; 40])));
-            let place = place % sealed.len();
-            sealed[place] ^= 1 << bit;
-            prop_assert!(key.open::<Message>(&sealed, MAX_MESSAGE_LEN).is_err());
-            prop_assert!(key.open::<Message>(&noise, MAX_MESSAGE_LEN).is_err());
-        }
-    }
-}
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -1,4 +1,4 @@
-//! Members on virtual time, network and clocks from a seed: whatever was wrong, once it is over all agree again.
+//! Members on virtual time, network and clocks from a seed: whatever faults there were, afterwards all views converge.
 
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
@@ -8,18 +8,18 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Short times, so that a run has many rounds.
-fn quick(config: &mut Config) {
+/// Short intervals, so that a run has many rounds.
+fn short_intervals(config: &mut Config) {
     let timing = &mut config.timing;
     (timing.probe_interval, timing.suspicion_timeout, timing.heartbeat_interval) =
         (200_000, 600_000, 150_000);
     (timing.upgrade_delay, timing.min_status_duration) = (200_000, 500_000);
 }
 
-fn usual(_: &mut Config) {}
+fn default_intervals(_: &mut Config) {}
 
-/// Everyone stands whole within so long.
-fn whole_within(fleet: &mut VirtualFleet, span: u64) -> Result<(), String> {
+/// Runs until the partition status of everyone is whole; fails if that takes longer than `span`.
+fn run_until_whole(fleet: &mut VirtualFleet, span: u64) -> Result<(), String> {
     let end = fleet.now + span;
     while fleet.now < end {
         let count = fleet.living().count();
@@ -31,9 +31,9 @@
     Err(format!("{:?} after {} s", fleet.agree(), span / SECOND))
 }
 
-/// Drawn faults, then none: all views are equal and everyone stands whole within half a minute.
-fn faults_then_none(seed: u64, count: usize) -> Result<(), String> {
-    let mut fleet = VirtualFleet::new(count, seed, quick);
+/// Random faults, then none: all views are equal and everyone's status is whole within half a minute.
+fn converges_after_random_faults(seed: u64, count: usize) -> Result<(), String> {
+    let mut fleet = VirtualFleet::new(count, seed, short_intervals);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     for _ in 0..12 {
         fleet.run(fleet.now + random.random_range(100_000..2 * SECOND))?;
@@ -61,14 +61,14 @@
             fleet.start(n);
         }
     }
-    whole_within(&mut fleet, 30 * SECOND)
+    run_until_whole(&mut fleet, 30 * SECOND)
 }
 
 /// Seeds that once failed (docs/incidents/apart-for-ever.md): gossip at rest at both ends after the one message was lost
 /// by which either would have begun again; and, in the other three, one told to be silent by the memory of a process
 /// that was gone, and then kept from proving itself by its silence.
 #[test]
-fn seeds_that_once_failed() {
+fn previously_failing_seeds_converge() {
     let seeds = [
         (12640709135243900975, 2),
         (14098353150411445725, 2),
@@ -76,26 +76,26 @@
         (7341232129643189836, 2),
     ];
     for (seed, count) in seeds {
-        let settled = faults_then_none(seed, count);
-        assert!(settled.is_ok(), "seed {seed}, {count} members: {settled:?}");
+        let result = converges_after_random_faults(seed, count);
+        assert!(result.is_ok(), "seed {seed}, {count} members: {result:?}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whatever is drawn, it ends in agreement.
+    /// Whatever faults are drawn, all views converge.
     #[test]
     fn after_the_last_fault_all_views_are_equal(seed in any::<u64>(), count in 2usize..9) {
-        let settled = faults_then_none(seed, count);
-        prop_assert!(settled.is_ok(), "{settled:?}");
+        let result = converges_after_random_faults(seed, count);
+        prop_assert!(result.is_ok(), "{result:?}");
     }
 
-    /// Standings never change faster than their damping, whatever a link does.
+    /// The partition status never changes faster than its minimum duration, whatever a link does.
     #[test]
-    fn a_flapping_link_is_damped(seed in any::<u64>(), span in 50_000u64..1_500_000) {
-        let mut fleet = VirtualFleet::new(4, seed, quick);
-        whole_within(&mut fleet, 20 * SECOND).map_err(TestCaseError::fail)?;
+    fn a_flapping_link_changes_the_status_no_faster_than_the_minimum_duration(seed in any::<u64>(), span in 50_000u64..1_500_000) {
+        let mut fleet = VirtualFleet::new(4, seed, short_intervals);
+        run_until_whole(&mut fleet, 20 * SECOND).map_err(TestCaseError::fail)?;
         for round in 0..20 {
             if round % 2 == 0 {
                 fleet.cut.extend([(0, 1), (1, 0)]);
@@ -114,19 +114,19 @@
 }
 
 #[test]
-fn two_hundred_members_find_each_other_and_all_hear_of_a_failure() {
-    let mut fleet = VirtualFleet::new(200, 5, usual);
+fn two_hundred_members_converge_and_all_detect_a_failure() {
+    let mut fleet = VirtualFleet::new(200, 5, default_intervals);
     fleet.run(30 * SECOND).expect("sound");
     assert_eq!(fleet.agree(), (true, 200));
     let at = fleet.now;
     fleet.kill(17);
     fleet.run(at + 20 * SECOND).expect("sound");
     assert_eq!(fleet.failed_at(17, at).len(), 199);
-    // Nobody who lives was accused by it.
+    // No living member was held for failed.
     assert_eq!(fleet.accusations(at).1, 199);
-    let stands =
-        |standing| fleet.living().filter(|(_, member)| member.partition_status() == standing).count();
-    assert_eq!(stands(PartitionStatus::Majority), 199);
+    let with_status =
+        |status| fleet.living().filter(|(_, member)| member.partition_status() == status).count();
+    assert_eq!(with_status(PartitionStatus::Majority), 199);
     fleet.start(17);
     fleet.run(fleet.now + 20 * SECOND).expect("sound");
     assert_eq!(fleet.agree(), (true, 200));
@@ -135,7 +135,7 @@
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = || {
-        let mut fleet = VirtualFleet::new(6, 11, quick);
+        let mut fleet = VirtualFleet::new(6, 11, short_intervals);
         fleet.network = Network { loss: 0.2, double: 0.2, damage: 0.02, late: 50_000, no_streams: false };
         fleet.run(20 * SECOND).expect("sound");
         (fleet.bytes, fleet.messages, format!("{:?}", fleet.told))
@@ -144,21 +144,21 @@
 }
 
 #[test]
-fn a_clock_set_back_over_a_restart_does_not_cost_the_name() {
+fn a_server_restarted_with_an_earlier_clock_regains_its_name() {
     // The new process believes that it started before the old one did.
-    let mut fleet = VirtualFleet::new(3, 3, quick);
-    whole_within(&mut fleet, 20 * SECOND).expect("whole");
+    let mut fleet = VirtualFleet::new(3, 3, short_intervals);
+    run_until_whole(&mut fleet, 20 * SECOND).expect("whole");
     fleet.kill(0);
     fleet.run(fleet.now + 8 * SECOND).expect("sound");
     fleet.start_at(0, 1_600_000_000_000_000);
-    whole_within(&mut fleet, 40 * SECOND).expect("whole again");
-    let renewed = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced(_)));
-    assert!(renewed, "it takes its name up again under a later start");
-    let held = |state: MemberState| {
+    run_until_whole(&mut fleet, 40 * SECOND).expect("whole again");
+    let unfenced = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
+    assert!(unfenced, "it goes on under a later boot id");
+    let all_others_hold_it_for = |state: MemberState| {
         fleet
             .living()
             .skip(1)
             .all(|(_, m)| m.members(fleet.now).iter().any(|v| &*v.name == "m0" && v.state == state))
     };
-    assert!(held(MemberState::Present));
+    assert!(all_others_hold_it_for(MemberState::Present));
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -24,7 +24,7 @@
         health_score: 3,
         leaving: true,
     };
-    let about = BuildInfo {
+    let build_info = BuildInfo {
         zone: "east".to_owned(),
         program: "0.2.0".to_owned(),
         config: u64::MAX - 1,
@@ -36,14 +36,14 @@
         ViewRow { name: "server-b".into(), boot_id: 0, present: false },
     ];
     let bodies = [
-        ("hello", Body::Hello(5)),
-        ("welcome", Body::Welcome(6, 7, about.clone())),
-        ("ready", Body::Ready(8, about.clone())),
-        ("superseded", Body::Superseded(9, 250)),
+        ("hello", Body::Hello { nonce: 5 }),
+        ("welcome", Body::Welcome { echoed_nonce: 6, nonce: 7, build_info: build_info.clone() }),
+        ("ready", Body::Ready { echoed_nonce: 8, build_info: build_info.clone() }),
+        ("superseded", Body::Superseded { by_boot_id: 9, heard_ago_ms: 250 }),
         ("gossip", Body::Gossip(vec![1, 2, 3, 255])),
         ("beat", Body::Heartbeat(None)),
-        ("beat-about", Body::Heartbeat(Some(about))),
-        ("matter", Body::Channel(2, vec![9, 8])),
+        ("beat-about", Body::Heartbeat(Some(build_info))),
+        ("matter", Body::Channel { channel: 2, payload: vec![9, 8] }),
         ("ask-view", Body::ViewRequest),
         ("view", Body::View(rows)),
     ];
@@ -61,7 +61,7 @@
         let note = Some(SenderStatus { partition_status: standing, heard_receiver_ms: u32::MAX, ..note });
         all.push((name, Message { header: head.clone(), sender_status: note, body: Body::ViewRequest }));
     }
-    all.push(("no-note", Message { header: head, sender_status: None, body: Body::Hello(1) }));
+    all.push(("no-note", Message { header: head, sender_status: None, body: Body::Hello { nonce: 1 } }));
     all
 }
 
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -119,8 +119,8 @@
         timing,
     };
     for mistake in membership.validate() {
-        let place = mistake.peer.and_then(|place| places.get(place.min(MAX_PEERS)).copied());
-        reader.fault(place.unwrap_or(at), mistake.what);
+        let place = mistake.peer_index().and_then(|place| places.get(place.min(MAX_PEERS)).copied());
+        reader.fault(place.unwrap_or(at), mistake.to_string());
     }
     let kept = reader.one(within, "record");
     let record = kept.map(|node| {
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -134,8 +134,8 @@
         let peers = config.peers.len();
         let addresses = config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect();
         let membership = Membership::new(0, config, boot, seed);
-        let mut membership = membership
-            .map_err(|all| all.into_iter().map(|mistake| mistake.what).collect::<Vec<_>>().join("; "))?;
+        let mut membership =
+            membership.map_err(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
         membership.set_build_info(0, about.clone());
         Ok(Fleet {
             executor,
@@ -380,20 +380,20 @@
     fn carry_out(&mut self, now: Micros) {
         for action in self.membership.take_actions() {
             match action {
-                Action::Datagram(to, bytes) => {
+                Action::Datagram { to, bytes } => {
                     if let Some(address) = self.addresses.get(&to) {
                         // A send queue that is full loses it, as the network might.
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Stream(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), false),
-                Action::Bulk(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), true),
-                Action::Reply(ReturnPath::Datagram(way), bytes) => {
+                Action::Stream { to, bytes } => self.stream(&to, frame(Kind::Message, &bytes), false),
+                Action::Bulk { to, bytes } => self.stream(&to, frame(Kind::Message, &bytes), true),
+                Action::Reply { path: ReturnPath::Datagram(way), bytes } => {
                     if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Reply(ReturnPath::Stream(id), bytes) => {
+                Action::Reply { path: ReturnPath::Stream(id), bytes } => {
                     if let Some((answers, _)) = self.ins.get(&id) {
                         let _ = answers.try_send(frame(Kind::Message, &bytes));
                     }
@@ -455,20 +455,20 @@
             Event::MemberStateChanged { name, from, to, cause } => {
                 info!(self.log, "member"; "name" => &*name, "from" => %from, "to" => %to, "cause" => cause);
             }
-            Event::Doubled(name, older, newer) => {
+            Event::NameConflict { name, earlier_boot_id: older, later_boot_id: newer } => {
                 warn!(self.log, "two processes of one name"; "name" => &*name, "older" => older, "newer" => newer);
             }
-            Event::Fenced(by) => {
+            Event::Fenced { by_boot_id: by } => {
                 warn!(self.log, "another process has this server's name"; "started" => by);
             }
-            Event::Unfenced(boot) => {
+            Event::Unfenced { boot_id: boot } => {
                 warn!(self.log, "this server goes on under a new start"; "started" => boot)
             }
-            Event::ViewsDiverged(with) => {
+            Event::ViewsDiverged { peer: with } => {
                 warn!(self.log, "views differ"; "with" => &*with, "for_long" => true)
             }
-            Event::ViewsConverged(with) => info!(self.log, "views agree again"; "with" => &*with),
-            Event::MessagesRejected(why, count, from) => {
+            Event::ViewsConverged { peer: with } => info!(self.log, "views agree again"; "with" => &*with),
+            Event::MessagesRejected { reason: why, count, claimed_sender: from } => {
                 let from = from.map_or_else(String::new, |name| name.to_string());
                 warn!(self.log, "message not believed"; "why" => ?why, "count" => count, "said_to_be_from" => from);
             }
