--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -288,7 +288,7 @@
         let mut aside = None;
         for action in actions {
             match action {
-                Action::Send(to, bytes, _) => {
+                Action::Send { to, bytes, .. } => {
                     let to = self.names.iter().position(|name| *name == to).unwrap_or(n);
                     self.bytes += bytes.len() as u64;
                     if self.cut.contains(&(n, to)) || self.random.random_bool(self.loss) {
@@ -298,8 +298,8 @@
                     let boot = self.places[n].boot;
                     self.plan(at, Due::Mail { from: n, boot, to, bytes });
                 }
-                Action::Persist(number, batch) => self.persist(n, number, batch),
-                Action::Quarantine(why) => aside = Some(why),
+                Action::Persist { number, batch } => self.persist(n, number, batch),
+                Action::Quarantine { reason: why } => aside = Some(why),
             }
         }
         self.finish(n, reads);
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -57,7 +57,7 @@
     };
     from.done();
     for what in config.validate() {
-        reader.fault(node.span().offset(), what);
+        reader.fault(node.span().offset(), what.to_string());
     }
     Record { config, folder: path, most, scrub }
 }
--- /dev/null
+++ b/crates/replicated-store/src/log/stored.rs
@@ -0,0 +1,140 @@
+//! Reading a replica from the rows of a store.
+
+use std::collections::VecDeque;
+
+use protobuf::Message as _;
+use raft::eraftpb::{Entry, HardState, SnapshotMetadata};
+use thiserror::Error;
+use umberloom_store::Row;
+
+use super::{
+    LogPosition, Manifest, ReplicaIdentity, ENTRIES, HARD_STATE_ROW, IDENTITY, IDENTITY_ROW, INCOMING_CHUNKS,
+    SNAPSHOT, SNAPSHOT_METADATA_ROW,
+};
+use crate::state::State;
+use crate::transfer::SnapshotChunk;
+
+/// A replica as a store holds it.
+#[derive(Clone, Debug, Default)]
+pub struct StoredReplica {
+    /// Its identity.
+    pub identity: ReplicaIdentity,
+    pub(super) hard_state: HardState,
+    pub(super) snapshot_metadata: SnapshotMetadata,
+    /// The state of the snapshot.
+    pub state: Option<State>,
+    pub(super) snapshot_bytes: Vec<u8>,
+    pub(super) manifest: Manifest,
+    pub(super) entries: VecDeque<Entry>,
+    /// Chunks of a snapshot that was being fetched.
+    pub incoming_chunks: Vec<SnapshotChunk>,
+}
+
+/// Why the rows of a store make no replica.
+#[derive(Debug, Error)]
+pub enum StoredReplicaError {
+    /// The identity cannot be decoded.
+    #[error("copy: {0}")]
+    Identity(#[source] postcard::Error),
+    /// The Raft hard state cannot be decoded.
+    #[error("hard: {0}")]
+    HardState(#[source] protobuf::ProtobufError),
+    /// The metadata of the snapshot cannot be decoded.
+    #[error("snapshot: {0}")]
+    SnapshotMetadata(#[source] protobuf::ProtobufError),
+    /// A log entry cannot be decoded.
+    #[error("an entry: {0}")]
+    Entry(#[source] protobuf::ProtobufError),
+    /// An entry is missing.
+    #[error("entry {found} where {expected} was expected")]
+    MissingEntry {
+        /// Index of the entry that is there.
+        found: u64,
+        /// Index of the entry that should be.
+        expected: u64,
+    },
+    /// The state of the snapshot cannot be decoded.
+    #[error("the state can't be read")]
+    State,
+}
+
+impl StoredReplica {
+    /// Reads a replica from all rows of [`super::KEYSPACES`]; `Ok(None)` if there is none. It may take long, so the thread
+    /// that reads the disk calls it.
+    pub fn read(rows: Vec<(u8, Vec<Row>)>) -> Result<Option<StoredReplica>, StoredReplicaError> {
+        let mut stored = StoredReplica::default();
+        let mut has_identity = false;
+        let mut state = Vec::new();
+        let mut entries = Vec::new();
+        for (space, rows) in rows {
+            match space {
+                IDENTITY => has_identity |= stored.read_identity(&rows)?,
+                SNAPSHOT => state = rows.into_iter().flat_map(|(_, chunk)| chunk).collect(),
+                ENTRIES => entries = rows,
+                INCOMING_CHUNKS => stored.incoming_chunks.extend(rows.into_iter().filter_map(read_chunk)),
+                _ => {}
+            }
+        }
+        stored.read_entries(&entries)?;
+        if !state.is_empty() {
+            stored.state = Some(State::from_bytes(&state).ok_or(StoredReplicaError::State)?);
+            stored.manifest = Manifest::of(&state);
+            stored.snapshot_bytes = state;
+        }
+        Ok(has_identity.then_some(stored))
+    }
+
+    /// Reads the identity and the Raft state; whether there is an identity.
+    fn read_identity(&mut self, rows: &[Row]) -> Result<bool, StoredReplicaError> {
+        let mut has_identity = false;
+        for (name, value) in rows {
+            match name.as_slice() {
+                IDENTITY_ROW => {
+                    self.identity = postcard::from_bytes(value).map_err(StoredReplicaError::Identity)?;
+                    has_identity = true;
+                }
+                HARD_STATE_ROW => {
+                    self.hard_state =
+                        HardState::parse_from_bytes(value).map_err(StoredReplicaError::HardState)?;
+                }
+                SNAPSHOT_METADATA_ROW => {
+                    self.snapshot_metadata = SnapshotMetadata::parse_from_bytes(value)
+                        .map_err(StoredReplicaError::SnapshotMetadata)?;
+                }
+                _ => {}
+            }
+        }
+        Ok(has_identity)
+    }
+
+    /// Reads the entries after the snapshot, which must be without a gap.
+    fn read_entries(&mut self, rows: &[Row]) -> Result<(), StoredReplicaError> {
+        let snapshot_index = self.snapshot_metadata.index;
+        for (_, value) in rows {
+            let entry = Entry::parse_from_bytes(value).map_err(StoredReplicaError::Entry)?;
+            if entry.index <= snapshot_index {
+                continue;
+            }
+            let expected = self.last_position().index + 1;
+            if entry.index != expected {
+                return Err(StoredReplicaError::MissingEntry { found: entry.index, expected });
+            }
+            self.entries.push_back(entry);
+        }
+        Ok(())
+    }
+
+    /// The current term and the index of the last entry.
+    pub fn last_position(&self) -> LogPosition {
+        let last_index = self.entries.back().map_or(self.snapshot_metadata.index, |entry| entry.index);
+        LogPosition { term: self.hard_state.term, index: last_index }
+    }
+}
+
+/// A chunk from its row, whose name is the digest of its snapshot and the index. An index that cannot be read is none that
+/// a snapshot has.
+fn read_chunk((name, bytes): Row) -> Option<SnapshotChunk> {
+    let (digest, index) = name.split_first_chunk::<16>()?;
+    let index = index.try_into().map_or(u32::MAX, u32::from_be_bytes);
+    Some(SnapshotChunk { digest: *digest, index, bytes })
+}
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -1,387 +1,334 @@
-//! Who is in the record: how this server comes in, what it says of itself, and what it sees to while it leads.
+//! Which replicas belong to the store: how this server joins, and what it decides while it leads.
 
 use std::collections::BTreeMap;
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
-use raft::SnapshotStatus;
+use raft::{Progress, ProgressState};
 use rand::Rng;
 use umberloom_membership::MemberName;
 
 use super::{Event, Peer, Priority, Replica, RequestError, Role, CAUGHT_UP_LAG};
-use crate::divergence;
-use crate::entry::Digest;
-use crate::log::{identity_batch, Log, ReplicaIdentity};
-use crate::message::{PeerMessage, StatusMessage};
-use crate::rollback::{DurableProgress, Verdict};
+use crate::log::{identity_batch, Log, LogPosition, ReplicaIdentity};
+use crate::message::{OfferedSnapshot, PeerMessage, StatusMessage};
+use crate::rollback::DurableProgress;
 use crate::state::{Member, State};
-use crate::voter_selection::{self, Candidate, MembershipChange};
+use crate::voter_selection::{self, Candidate, MembershipChange, VoterPolicy};
 use crate::Micros;
 
-impl Replica {
-    pub(super) fn handle_status(&mut self, now: Micros, from: &MemberName, boot: u64, status: StatusMessage) {
-        if self.peers.get(from).is_some_and(|other| other.boot_id > boot) {
-            return;
-        }
-        self.peer_progress.record(status.replica_id, status.durable);
-        if let Some(returning) = &mut self.rollback_check {
-            returning.handle_answer(from, status.receiver_progress);
-        }
-        let ours = status.store_id == self.identity.store_id && self.identity.store_id != 0;
-        if ours && status.replica_id != 0 {
-            if let Some(chain) = self.state.digest_at(status.applied).filter(|_| status.applied > 0) {
-                self.digest_matches.insert(status.replica_id, chain == status.rolling_digest);
-            }
-        }
-        // A copy that waits for a snapshot that it is not getting: the leader sends anew.
-        let waits = self.node.as_ref().and_then(|node| node.raft.prs().get(status.replica_id));
-        let stuck = waits.is_some_and(|progress| progress.state == raft::ProgressState::Snapshot);
-        if ours && stuck && !status.fetching_snapshot && self.role == Role::Leader {
-            let copy = status.replica_id;
-            self.with_raft(|node| node.report_snapshot(copy, SnapshotStatus::Failure));
-        }
-        self.peers.insert(from.clone(), Peer { boot_id: boot, heard_at: now, status });
-    }
+/// Reachable members that a status names at most.
+const MAX_REPORTED_REACHABLE: usize = 64;
+/// Election timeouts without a leader after which none is expected any more.
+const LEADERLESS_ELECTIONS: Micros = 5;
 
+/// A replica that asks to be admitted.
+pub(super) struct JoinRequest {
+    pub(super) replica_id: u64,
+    pub(super) zone: String,
+    pub(super) received_at: Micros,
+}
+
+impl Replica {
+    /// Time between two statuses to each peer. As with heartbeats of the membership, each member sends fewer where there
+    /// are many.
     pub(super) fn status_interval(&self) -> Micros {
-        // As beats of the membership: with many members each says it more seldom.
         (self.config.election_timeout / 4).max(10_000 * self.config.peers.len() as Micros)
     }
 
-    /// Whether a returning copy may take part.
-    pub(super) fn check_rollback(&mut self, now: Micros) {
-        let Some(returning) = &self.rollback_check else { return };
-        let Some(node) = &self.node else { return };
-        let conf = node.store().conf_state();
-        let name = |id: &u64| self.state.members.get(id).map(|member| MemberName::from(member.name.as_str()));
-        let others: Vec<MemberName> =
-            conf.voters.iter().filter(|id| **id != self.identity.replica_id).filter_map(name).collect();
-        match returning.verdict(&others) {
-            Verdict::Undecided => {}
-            Verdict::UpToDate => {
-                self.rollback_check = None;
-                self.next_tick_at = now;
-            }
-            Verdict::RolledBack(seen) => {
-                self.emit(Event::RollbackDetected(seen));
-                self.quarantine(format!(
-                    "others remember term {} and entry {} of it",
-                    seen.term, seen.last_index
-                ));
-            }
-        }
-    }
-
-    /// Now and then: what we are is said, and what is due is done.
+    /// At each status interval: does what is due, and sends a status to all peers.
     pub(super) fn run_periodic_checks(&mut self, now: Micros) {
-        let fresh = 4 * self.status_interval();
-        self.join_requests.retain(|_, (.., at)| now < *at + fresh);
+        let fresh_for = 4 * self.status_interval();
+        self.join_requests.retain(|_, request| now < request.received_at + fresh_for);
         if self.identity.replica_id == 0 || self.identity.store_id == 0 {
-            self.join_or_bootstrap(now, fresh);
+            self.join_or_bootstrap(now, fresh_for);
         } else {
-            self.check_standing(now, fresh);
+            self.request_admission(now, fresh_for);
+            self.check_competing_stores(now, fresh_for);
         }
-        self.check_divergence(now, fresh);
+        self.check_divergence(now, fresh_for);
         if self.role == Role::Leader {
-            self.adjust_membership(now, fresh);
+            self.adjust_membership(now);
         }
-        let names: Vec<MemberName> = self.config.peers.clone();
-        for name in names {
-            let status = self.status_for(&name);
-            self.send(&name, PeerMessage::Status(Box::new(status)), Priority::Heartbeat);
+        for peer in self.config.peers.clone() {
+            let status = self.status_for(&peer);
+            self.send(&peer, &PeerMessage::Status(Box::new(status)), Priority::Heartbeat);
         }
     }
 
-    pub(super) fn status_for(&self, to: &MemberName) -> StatusMessage {
-        let node = self.node.as_ref();
-        let copy = self.peers.get(to).map_or(0, |other| other.status.replica_id);
+    fn status_for(&self, receiver: &MemberName) -> StatusMessage {
+        let receiver_id = self.peers.get(receiver).map_or(0, |peer| peer.status.replica_id);
+        let durable = self.persistence.durable;
+        let snapshot = self.node.as_ref().map(|node| {
+            let snapshot = node.store().latest_snapshot();
+            OfferedSnapshot { index: snapshot.index, manifest: snapshot.manifest }
+        });
         StatusMessage {
             store_id: self.identity.store_id,
             replica_id: self.identity.replica_id,
             adopted_from: self.state.adopted_from,
             durable: DurableProgress {
                 starts: self.identity.starts,
-                term: self.durable.0,
-                last_index: self.durable.1,
+                term: durable.term,
+                last_index: durable.index,
             },
             is_voter: matches!(self.role, Role::Voter | Role::Leader),
             applied: self.state.applied,
             rolling_digest: self.state.rolling_digest,
-            leader: self.leader.0.as_deref().map(MemberName::from),
-            reachable: self.reachable.iter().take(64).cloned().collect(),
-            receiver_progress: self.peer_progress.progress_of(copy),
-            fetching_snapshot: self.transfer.is_some(),
-            snapshot: node.map_or_else(Default::default, |node| {
-                let (index, manifest, _) = node.store().latest_snapshot();
-                (index, manifest)
-            }),
+            leader: self.leader.name.as_deref().map(MemberName::from),
+            reachable: self.reachable.iter().take(MAX_REPORTED_REACHABLE).cloned().collect(),
+            receiver_progress: self.peer_progress.progress_of(receiver_id),
+            fetching_snapshot: self.snapshots.transfer.is_some(),
+            snapshot: snapshot.unwrap_or_default(),
             load_percent: self.load_percent,
         }
     }
 
-    /// Without a copy: one of a record that others have; or, if nobody of the whole roster has one, a new record.
-    pub(super) fn join_or_bootstrap(&mut self, now: Micros, fresh: Micros) {
-        let live = |other: &&Peer| now < other.heard_at + fresh;
-        // Two records are led only where an operator decided twice: the one that more servers hold is joined.
-        let mut held: BTreeMap<u64, usize> = BTreeMap::new();
-        for other in self.peers.values().filter(live).filter(|o| o.status.store_id != 0) {
-            *held.entry(other.status.store_id).or_default() += 1;
+    /// A new replica of this server, with an id that is drawn for it.
+    fn new_identity(&self, store_id: u64, replica_id: u64) -> ReplicaIdentity {
+        ReplicaIdentity { store_id, replica_id, server: self.config.me.to_string(), starts: 1 }
+    }
+
+    fn own_member(&self) -> Member {
+        Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() }
+    }
+
+    fn draw_id(&mut self) -> u64 {
+        // 0 stands for none.
+        self.random.next_u64().max(1)
+    }
+
+    /// Without a replica: joins the store that others have, or bootstraps one if no member of the whole fleet has one.
+    fn join_or_bootstrap(&mut self, now: Micros, fresh_for: Micros) {
+        let is_live = |peer: &Peer| now < peer.heard_at + fresh_for;
+        // Two stores have leaders only where an operator adopted twice: the one that more servers have is joined.
+        let mut servers_by_store: BTreeMap<u64, usize> = BTreeMap::new();
+        for peer in self.peers.values().filter(|peer| is_live(peer) && peer.status.store_id != 0) {
+            *servers_by_store.entry(peer.status.store_id).or_default() += 1;
         }
-        if let Some((record, _)) = held.into_iter().max_by_key(|(_, servers)| *servers) {
-            let id = self.random.next_u64().max(1);
-            self.identity = ReplicaIdentity {
-                store_id: record,
-                replica_id: id,
-                server: self.config.me.to_string(),
-                starts: 1,
-            };
-            let batch = identity_batch(&self.identity);
-            self.persist(batch);
-            return self.start_raft(Log::default());
+        if let Some((store_id, _)) = servers_by_store.into_iter().max_by_key(|(_, servers)| *servers) {
+            return self.join(store_id);
         }
-        let all = self
-            .config
-            .peers
-            .iter()
-            .all(|name| self.peers.get(name).is_some_and(|o| now < o.heard_at + fresh));
-        // All are there and none has a record: the first by name begins one, so that no two do.
-        let first = self.config.peers.iter().all(|name| self.config.me < *name);
-        if !all || !first {
-            return;
+        let is_complete = self.config.peers.iter().all(|name| self.peers.get(name).is_some_and(is_live));
+        // All are there and none has a store: the first by name bootstraps it, so that no two do.
+        let is_first = self.config.peers.iter().all(|name| self.config.me < *name);
+        if is_complete && is_first {
+            self.bootstrap();
         }
-        let (record, id) = (self.random.next_u64().max(1), self.random.next_u64().max(1));
-        self.identity = ReplicaIdentity {
-            store_id: record,
-            replica_id: id,
-            server: self.config.me.to_string(),
-            starts: 1,
-        };
-        let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
-        self.state = State::bootstrap(record, id, member);
-        let (log, batch) = Log::bootstrap(id, 1, self.state.to_bytes());
-        let batch = identity_batch(&self.identity).then(batch);
-        self.persist(batch);
+    }
+
+    fn join(&mut self, store_id: u64) {
+        let replica_id = self.draw_id();
+        self.identity = self.new_identity(store_id, replica_id);
+        self.persist(identity_batch(&self.identity));
+        self.start_raft(Log::default());
+    }
+
+    fn bootstrap(&mut self) {
+        let store_id = self.draw_id();
+        let replica_id = self.draw_id();
+        self.identity = self.new_identity(store_id, replica_id);
+        self.state = State::bootstrap(store_id, replica_id, self.own_member());
+        let (log, batch) = Log::bootstrap(replica_id, 1, self.state.to_bytes());
+        self.persist(identity_batch(&self.identity).then(batch));
         self.start_raft(log);
-        self.emit(Event::Bootstrapped(record));
+        self.emit(Event::Bootstrapped { store_id });
     }
 
-    /// With a copy: asks to be taken in where it is not yet, and sees when its record is another than the one that lives.
-    pub(super) fn check_standing(&mut self, now: Micros, fresh: Micros) {
-        let inside = self.state.members.contains_key(&self.identity.replica_id);
-        let live = |other: &&Peer| now < other.heard_at + fresh;
-        if !inside {
-            let leader = self.peers.values().filter(live).find_map(|o| {
-                (o.status.store_id == self.identity.store_id).then(|| o.status.leader.clone()).flatten()
-            });
-            if let Some(leader) = leader {
-                let word = PeerMessage::Join(self.identity.replica_id, self.config.zone.clone());
-                self.send(&leader, word, Priority::Entry);
-            }
+    /// A replica that is not a member yet asks the leader to be admitted.
+    fn request_admission(&mut self, now: Micros, fresh_for: Micros) {
+        if self.state.members.contains_key(&self.identity.replica_id) {
+            return;
         }
-        let led = |other: &&Peer| {
-            let record = other.status.store_id;
-            live(other) && record != 0 && record != self.identity.store_id && other.status.leader.is_some()
+        let leader = self
+            .peers
+            .values()
+            .filter(|peer| now < peer.heard_at + fresh_for)
+            .filter(|peer| peer.status.store_id == self.identity.store_id)
+            .find_map(|peer| peer.status.leader.clone());
+        if let Some(leader) = leader {
+            let replica_id = self.identity.replica_id;
+            let join = PeerMessage::Join { replica_id, zone: self.config.zone.clone() };
+            self.send(&leader, &join, Priority::Entry);
+        }
+    }
+
+    /// Looks for another store that has a leader: it has replaced ours, or competes with it.
+    fn check_competing_stores(&mut self, now: Micros, fresh_for: Micros) {
+        let own_store = self.identity.store_id;
+        let is_led = |peer: &&Peer| {
+            let status = &peer.status;
+            let is_other_store = status.store_id != 0 && status.store_id != own_store;
+            now < peer.heard_at + fresh_for && is_other_store && status.leader.is_some()
         };
-        let lone = self.leader.0.is_none() && now >= self.leader.1 + 5 * self.config.election_timeout;
-        let decided = |other: &&Peer| self.frozen && other.status.adopted_from == self.identity.store_id;
-        let Some(other) = self.peers.values().filter(led).max_by_key(|o| decided(o)) else {
+        let election_timeout = self.config.election_timeout;
+        let is_leaderless = self.leader.name.is_none()
+            && now >= self.leader.heard_at + LEADERLESS_ELECTIONS * election_timeout;
+        let frozen = self.comparison.frozen;
+        let has_adopted = |peer: &Peer| frozen && peer.status.adopted_from == own_store;
+        let Some(peer) = self.peers.values().filter(is_led).max_by_key(|peer| has_adopted(peer)) else {
             self.competing_store = 0;
             return;
         };
-        let record = other.status.store_id;
-        // Ours has no leader for long, or can't go on and an operator has decided for that one: it is the old one. One that
-        // is led and goes on yields to nobody: an operator who decided at a server that was only cut off must not undo
-        // what a majority agrees on.
-        if lone || decided(&other) {
-            self.emit(Event::Obsolete(self.identity.store_id, record));
-            self.quarantine(format!("another record ({record:016x}) is led, this one is not"));
-        } else if record != self.competing_store {
-            self.competing_store = record;
-            self.emit(Event::CompetingStore(self.identity.store_id, record));
+        let led_store = peer.status.store_id;
+        // Ours has had no leader for long, or is frozen and an operator has adopted that one: ours is obsolete. One that
+        // has a leader and goes on yields to nobody: an operator who adopted a replica that was only cut off must not undo
+        // what a majority has committed.
+        if is_leaderless || has_adopted(peer) {
+            self.emit(Event::Obsolete { own_store, led_store });
+            self.quarantine(format!("another record ({led_store:016x}) is led, this one is not"));
+        } else if led_store != self.competing_store {
+            self.competing_store = led_store;
+            self.emit(Event::CompetingStore { own_store, led_store });
         }
     }
 
-    /// An operator decides that this copy is the record from now on: a new one begins with its state. For the day on which
-    /// no majority of the old one will ever come back, or all its copies differ.
+    /// An operator adopts this replica: a new store starts from its state. For the day on which no majority of the old one
+    /// will ever come back, or all its replicas differ. `at_ms` is Unix time in milliseconds, for the history.
     pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<u64, RequestError> {
         if self.node.is_none() || self.state.store_id == 0 {
             return Err(RequestError::Outside);
         }
-        let rule = |why: &str| Err(RequestError::NotAllowed(why.to_owned()));
-        if !self.frozen && self.leader.0.is_some() && self.rollback_check.is_none() {
-            return rule("a majority goes on with the record as it is: nothing is to be decided");
-        }
-        if !self.frozen && now < self.leaderless_since + 5 * self.config.election_timeout {
-            return rule("a leader may still be found: ask again in a few seconds");
-        }
-        let (record, id) = (self.random.next_u64().max(1), self.random.next_u64().max(1));
-        let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
-        self.state = self.state.adopt(record, id, member, at_ms);
-        self.identity = ReplicaIdentity {
-            store_id: record,
-            replica_id: id,
-            server: self.config.me.to_string(),
-            starts: 1,
-        };
-        let (log, batch) = Log::bootstrap(id, self.state.applied, self.state.to_bytes());
-        self.pending_steps.clear();
-        (self.rollback_check, self.transfer, self.frozen) = (None, None, false);
-        self.digest_matches.clear();
-        self.durable = (1, self.state.applied);
+        self.check_adoption(now)?;
+        let store_id = self.draw_id();
+        let replica_id = self.draw_id();
+        self.state = self.state.adopt(store_id, replica_id, self.own_member(), at_ms);
+        self.identity = self.new_identity(store_id, replica_id);
+        let (log, batch) = Log::bootstrap(replica_id, self.state.applied, self.state.to_bytes());
+        self.persistence.clear();
+        self.persistence.durable = LogPosition { term: 1, index: self.state.applied };
+        self.rollback_check = None;
+        self.snapshots.transfer = None;
+        self.comparison.frozen = false;
+        self.comparison.forget_matches();
         self.persist(identity_batch(&self.identity).then(batch));
         self.start_raft(log);
-        self.emit(Event::Bootstrapped(record));
+        self.emit(Event::Bootstrapped { store_id });
         self.process_ready(now);
-        Ok(record)
+        Ok(store_id)
     }
 
-    /// Compares copies by what their servers say. What is found must still hold once everyone has said it anew: a word from
-    /// before the others went wrong too must not cost the last copy that is right.
-    pub(super) fn check_divergence(&mut self, now: Micros, fresh: Micros) {
-        // Copies that are no more need no comparing; servers without disks draw a new number at each start.
-        self.digest_matches.retain(|copy, _| self.state.members.contains_key(copy));
-        let Some(node) = &self.node else { return };
-        let voters = &node.store().conf_state().voters;
-        let live =
-            |id: &u64| self.peers.values().find(|o| o.status.replica_id == *id && now < o.heard_at + fresh);
-        let one = |id: &u64| {
-            let other = live(id);
-            let same = other.and_then(|_| self.digest_matches.get(id).copied());
-            (
-                divergence::PeerComparison {
-                    replica_id: *id,
-                    matches: same,
-                    position: other
-                        .map_or((0, Digest::default()), |o| (o.status.applied, o.status.rolling_digest)),
-                },
-                other.map_or(0, |o| o.heard_at),
-            )
-        };
-        let (others, heard): (Vec<_>, Vec<_>) =
-            voters.iter().filter(|id| **id != self.identity.replica_id).map(one).unzip();
-        let verdict = divergence::verdict(voters.contains(&self.identity.replica_id), &others);
-        if verdict != self.found.0 {
-            self.found = (verdict.clone(), now);
-        }
-        let since = self.found.1;
-        let anew = heard.iter().all(|at| *at == 0 || *at > since + self.status_interval());
-        if verdict != divergence::Verdict::NoDivergence && !anew {
-            return;
+    /// Refuses an adoption while the store goes on or may still elect a leader.
+    fn check_adoption(&self, now: Micros) -> Result<(), RequestError> {
+        let refusal = |reason: &str| Err(RequestError::NotAllowed(reason.to_owned()));
+        if self.comparison.frozen {
+            return Ok(());
         }
-        // Until all are the same again: one that leaves decides nothing for those that stay.
-        let apart = others.iter().any(|other| other.matches != Some(true));
-        let frozen = verdict == divergence::Verdict::NoMajority || (self.frozen && apart);
-        if frozen && !self.frozen {
-            self.emit(Event::Frozen);
+        if self.leader.name.is_some() && self.rollback_check.is_none() {
+            return refusal("a majority goes on with the record as it is: nothing is to be decided");
         }
-        self.frozen = frozen;
-        match verdict {
-            divergence::Verdict::LocalDiverged(group) => {
-                self.emit(Event::LocalDivergence(group));
-                self.quarantine("it differs from the copies of a majority".to_owned());
-            }
-            divergence::Verdict::PeersDiverged(copies) if copies != self.reported_divergence => {
-                self.reported_divergence.clone_from(&copies);
-                self.emit(Event::PeerDivergence(copies));
-            }
-            divergence::Verdict::NoDivergence => self.reported_divergence.clear(),
-            _ => {}
+        if now < self.leaderless_since + LEADERLESS_ELECTIONS * self.config.election_timeout {
+            return refusal("a leader may still be found: ask again in a few seconds");
         }
+        Ok(())
     }
 
-    pub(super) fn voter_policy(&self) -> voter_selection::VoterPolicy {
-        let there = (2 * self.config.election_timeout).max(4 * self.status_interval());
-        voter_selection::VoterPolicy {
+    fn voter_policy(&self) -> VoterPolicy {
+        VoterPolicy {
             voters: self.config.voters,
             replace_after: self.config.replace_after,
-            reachable_within: there,
+            reachable_within: (2 * self.config.election_timeout).max(4 * self.status_interval()),
         }
     }
 
+    /// All replicas as this leader sees them; none without a replica.
     pub(super) fn candidates(&self, now: Micros) -> Vec<Candidate> {
-        let Some(node) = &self.node else { return Vec::new() };
-        let commit = node.raft.raft_log.committed;
-        let one = |(copy, member): (&u64, &Member)| {
-            let other = self.peers.get(member.name.as_str()).filter(|o| o.status.replica_id == *copy);
-            let heard = other.map_or(0, |o| o.heard_at).max(self.leads_since);
-            let me = *copy == self.identity.replica_id;
-            Candidate {
-                replica_id: *copy,
-                name: member.name.clone(),
-                zone: member.zone.clone(),
-                is_voter: node.store().conf_state().voters.contains(copy),
-                is_configured: me || self.config.peers.iter().any(|other| **other == *member.name),
-                silent_for: if me { 0 } else { now.saturating_sub(heard) },
-                caught_up: me || {
-                    let progress = node.raft.prs().get(*copy);
-                    let goes =
-                        |p: &&raft::Progress| p.state != raft::ProgressState::Snapshot && p.matched > 0;
-                    progress.filter(goes).is_some_and(|p| p.matched + CAUGHT_UP_LAG >= commit)
-                },
-                load: other.map_or(0, |o| u32::from(o.status.load_percent)),
-            }
+        self.state.members.iter().filter_map(|(id, member)| self.candidate(now, *id, member)).collect()
+    }
+
+    fn candidate(&self, now: Micros, replica_id: u64, member: &Member) -> Option<Candidate> {
+        let node = self.node.as_ref()?;
+        let peer = self.peers.get(member.name.as_str()).filter(|peer| peer.status.replica_id == replica_id);
+        let is_self = replica_id == self.identity.replica_id;
+        let last_heard_at = peer.map_or(0, |peer| peer.heard_at).max(self.leads_since);
+        let committed = node.raft.raft_log.committed;
+        let has_caught_up = |progress: &Progress| {
+            progress.state != ProgressState::Snapshot
+                && progress.matched > 0
+                && progress.matched + CAUGHT_UP_LAG >= committed
         };
-        self.state.members.iter().map(one).collect()
+        Some(Candidate {
+            replica_id,
+            name: member.name.clone(),
+            zone: member.zone.clone(),
+            is_voter: self.is_voter(replica_id),
+            is_configured: is_self || self.config.peers.iter().any(|peer| **peer == *member.name),
+            silent_for: if is_self { 0 } else { now.saturating_sub(last_heard_at) },
+            caught_up: is_self || node.raft.prs().get(replica_id).is_some_and(has_caught_up),
+            load: peer.map_or(0, |peer| u32::from(peer.status.load_percent)),
+        })
     }
 
-    /// A leader sees to who is in the record.
-    pub(super) fn adjust_membership(&mut self, now: Micros, _fresh: Micros) {
+    /// The leader proposes the membership change that is due, if there is one and none is under way.
+    fn adjust_membership(&mut self, now: Micros) {
         let Some(node) = &self.node else { return };
         if node.raft.has_pending_conf() || !node.store().conf_state().voters_outgoing.is_empty() {
             return;
         }
-        let asks = self.join_requests.iter().map(|(name, (copy, ..))| (name.clone(), *copy)).collect();
-        if let Some(change) = voter_selection::next_change(&self.voter_policy(), &self.candidates(now), &asks)
+        let join_requests =
+            self.join_requests.iter().map(|(name, request)| (name.clone(), request.replica_id)).collect();
+        let candidates = self.candidates(now);
+        if let Some(change) = voter_selection::next_change(&self.voter_policy(), &candidates, &join_requests)
         {
-            self.propose_change(&change);
+            self.propose_change(change);
         }
     }
 
-    pub(super) fn propose_change(&mut self, change: &MembershipChange) {
-        use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
-        let (steps, member): (Vec<_>, Option<Member>) = match change {
-            MembershipChange::AddLearner(copy, old) => {
-                let gone = old.iter().map(|old| (RemoveNode, *old));
-                let asked = self.join_requests.iter().find(|(_, (asks, ..))| asks == copy);
-                let member =
-                    asked.map(|(name, (_, zone, _))| Member { name: name.clone(), zone: zone.clone() });
-                (gone.chain([(AddLearnerNode, *copy)]).collect(), member)
-            }
-            MembershipChange::Remove(copy) => (vec![(RemoveNode, *copy)], None),
-            MembershipChange::Promote(copy) => (vec![(AddNode, *copy)], None),
-            MembershipChange::Demote(copy) => (vec![(AddLearnerNode, *copy)], None),
-            MembershipChange::Replace(new, old) => (vec![(AddNode, *new), (AddLearnerNode, *old)], None),
-        };
-        let mut all = ConfChangeV2::default();
-        for (kind, id) in steps {
-            let mut one = ConfChangeSingle::default();
-            one.set_change_type(kind);
-            one.node_id = id;
-            all.changes.push(one);
+    fn propose_change(&mut self, change: MembershipChange) {
+        let mut proposal = ConfChangeV2::default();
+        for (kind, replica_id) in conf_change_steps(&change) {
+            let mut step = ConfChangeSingle::default();
+            step.set_change_type(kind);
+            step.node_id = replica_id;
+            proposal.changes.push(step);
         }
-        all.context = postcard::to_allocvec(&member).unwrap_or_default().into();
-        let proposed = self.with_raft(|node| node.propose_conf_change(vec![], all).is_ok());
+        let new_member = self.member_to_add(&change);
+        proposal.context = postcard::to_allocvec(&new_member).unwrap_or_default().into();
+        let proposed = self.with_raft(|node| node.propose_conf_change(vec![], proposal).is_ok());
         if proposed == Some(true) {
-            self.emit(Event::ConfigurationChange(format!("{change:?}")));
+            self.emit(Event::ConfigurationChange { change });
         }
     }
 
-    /// An operator wants a member to vote, or not to. Only a leader can do that; others pass it on.
-    pub fn set_voter(&mut self, now: Micros, name: &str, votes: bool) -> Result<(), RequestError> {
+    /// The member that a change adds: it goes with the change, so that all replicas know its name and zone.
+    fn member_to_add(&self, change: &MembershipChange) -> Option<Member> {
+        let MembershipChange::AddLearner { replica_id, .. } = change else { return None };
+        let request = self.join_requests.iter().find(|(_, request)| request.replica_id == *replica_id);
+        request.map(|(name, request)| Member { name: name.clone(), zone: request.zone.clone() })
+    }
+
+    /// An operator wants a member to vote, or not to. Only the leader can do that; others pass it on.
+    pub fn set_voter(&mut self, now: Micros, name: &str, is_voter: bool) -> Result<(), RequestError> {
         if self.role != Role::Leader {
-            let leader = self.leader.0.clone().ok_or(RequestError::NoLeader)?;
-            self.send(
-                &MemberName::from(leader.as_str()),
-                PeerMessage::SetVoter(name.into(), votes),
-                Priority::Entry,
-            );
+            let leader = self.leader.name.as_deref().ok_or(RequestError::NoLeader)?;
+            let leader = MemberName::from(leader);
+            let request = PeerMessage::SetVoter { member: name.into(), is_voter };
+            self.send(&leader, &request, Priority::Entry);
             return Ok(());
         }
-        let (settings, all) = (self.voter_policy(), self.candidates(now));
+        let candidates = self.candidates(now);
+        let own_id = self.identity.replica_id;
         let change =
-            voter_selection::requested_change(&settings, &all, self.identity.replica_id, name, votes)
-                .map_err(RequestError::NotAllowed)?;
-        self.propose_change(&change);
+            voter_selection::requested_change(&self.voter_policy(), &candidates, own_id, name, is_voter)
+                .map_err(|error| RequestError::NotAllowed(error.to_string()))?;
+        self.propose_change(change);
         self.process_ready(now);
         Ok(())
     }
 }
+
+/// A change as steps of the Raft library, in order.
+fn conf_change_steps(change: &MembershipChange) -> Vec<(ConfChangeType, u64)> {
+    use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
+    match change {
+        MembershipChange::AddLearner { replica_id, replaces } => {
+            let mut steps: Vec<_> = replaces.iter().map(|old| (RemoveNode, *old)).collect();
+            steps.push((AddLearnerNode, *replica_id));
+            steps
+        }
+        MembershipChange::Remove { replica_id } => vec![(RemoveNode, *replica_id)],
+        MembershipChange::Promote { replica_id } => vec![(AddNode, *replica_id)],
+        MembershipChange::Demote { replica_id } => vec![(AddLearnerNode, *replica_id)],
+        MembershipChange::Replace { new_voter, old_voter } => {
+            vec![(AddNode, *new_voter), (AddLearnerNode, *old_voter)]
+        }
+    }
+}
--- a/crates/replicated-store/src/replica/requests.rs
+++ b/crates/replicated-store/src/replica/requests.rs
@@ -1,12 +1,53 @@
-//! Writes, and reads of the latest state.
+//! Proposals, and linearizable reads of the state by Raft's ReadIndex (Raft thesis, 6.4).
 
-use super::{PendingRead, ReadOutcome, Replica, RequestError, MAX_PENDING_READS};
+use std::collections::BTreeMap;
+
+use super::{ReadOutcome, Replica, RequestError, MAX_PENDING_READS};
 use crate::entry::{Entry, EntryId};
 use crate::state::Outcome;
 use crate::Micros;
 
+/// A read that waits for its read index, or for the state to reach it.
+struct PendingRead {
+    requested_at: Micros,
+    last_attempt_at: Micros,
+    attempts: u32,
+    read_index: Option<u64>,
+}
+
+/// All reads of this process.
+#[derive(Default)]
+pub(super) struct Reads {
+    pending: BTreeMap<u64, PendingRead>,
+    finished: Vec<(u64, ReadOutcome)>,
+    last_ticket: u64,
+    /// Drawn by this process: it tells its ReadIndex contexts from those of an earlier process.
+    nonce: u64,
+}
+
+impl Reads {
+    pub(super) fn new(nonce: u64) -> Reads {
+        Reads { nonce, ..Reads::default() }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The leader has answered a request with this context.
+    pub(super) fn handle_read_index(&mut self, context: &[u8], index: u64) {
+        let Ok((nonce, ticket, _attempt)) = postcard::from_bytes::<(u64, u64, u32)>(context) else { return };
+        if nonce != self.nonce {
+            return;
+        }
+        if let Some(read) = self.pending.get_mut(&ticket) {
+            read.read_index = Some(index);
+        }
+    }
+}
+
 impl Replica {
-    /// Writes an entry: it is on its way, and [`Record::outcome`] tells what becomes of it.
+    /// Proposes an entry; [`Replica::outcome`] says later what became of it. `at_ms` is Unix time in milliseconds.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -17,14 +58,14 @@
         if self.node.is_none() || self.rollback_check.is_some() {
             return Err(RequestError::Outside);
         }
-        if self.frozen {
+        if self.comparison.frozen {
             return Err(RequestError::Frozen);
         }
         let bytes = entry.to_envelope(id, &self.config.me, at_ms).to_bytes();
-        let given = self.with_raft(|node| node.propose(vec![], bytes));
-        let result = match given {
+        let proposed = self.with_raft(|node| node.propose(vec![], bytes));
+        let result = match proposed {
             Some(Ok(())) => Ok(()),
-            Some(Err(raft::Error::ProposalDropped)) if self.leader.0.is_some() => Err(RequestError::Busy),
+            Some(Err(raft::Error::ProposalDropped)) if self.leader.name.is_some() => Err(RequestError::Busy),
             Some(Err(_)) => Err(RequestError::NoLeader),
             None => Err(RequestError::Outside),
         };
@@ -34,63 +75,65 @@
 
     /// What became of an entry, if it has been applied here.
     pub fn outcome(&self, id: EntryId) -> Option<Outcome> {
-        let late = self.outcomes.iter().rev().find(|(done, _)| *done == id).map(|(_, outcome)| outcome);
-        late.or_else(|| self.state.outcome(id)).cloned()
+        let recent = self.outcomes.iter().rev().find(|(applied, _)| *applied == id);
+        recent.map(|(_, outcome)| outcome).or_else(|| self.state.outcome(id)).cloned()
     }
 
-    /// Asks for the latest state: once [`Record::take_reads`] says that the read of this number is ready, the state holds
-    /// all that was done before now.
+    /// Requests a linearizable read and returns its ticket. Once [`Replica::take_finished_reads`] says that it is ready,
+    /// the state holds all that was done before now.
     pub fn request_read(&mut self, now: Micros) -> Result<u64, RequestError> {
         if self.node.is_none() || self.rollback_check.is_some() {
             return Err(RequestError::Outside);
         }
-        if self.pending_reads.len() >= MAX_PENDING_READS {
+        if self.reads.len() >= MAX_PENDING_READS {
             return Err(RequestError::Busy);
         }
-        self.last_read_ticket += 1;
-        let ticket = self.last_read_ticket;
-        self.pending_reads.insert(
-            ticket,
-            PendingRead { requested_at: now, last_attempt_at: now, attempts: 0, read_index: None },
-        );
+        self.reads.last_ticket += 1;
+        let ticket = self.reads.last_ticket;
+        let read = PendingRead { requested_at: now, last_attempt_at: now, attempts: 0, read_index: None };
+        self.reads.pending.insert(ticket, read);
         self.request_read_index(ticket, 0);
         self.process_ready(now);
         Ok(ticket)
     }
 
-    /// Asks the leader for its index. The name of the question is this process's, this read's and this try's alone: the
-    /// library keeps questions by name, and the answer to one of an earlier process is an old index.
-    pub(super) fn request_read_index(&mut self, ticket: u64, tries: u32) {
-        let name = postcard::to_allocvec(&(self.read_nonce, ticket, tries)).unwrap_or_default();
-        self.with_raft(|node| node.read_index(name));
+    /// Asks the leader for its read index. The context is unique to this process, read and attempt: the Raft library
+    /// keeps requests by context, and an answer to one of an earlier process is an old index.
+    fn request_read_index(&mut self, ticket: u64, attempt: u32) {
+        let context = postcard::to_allocvec(&(self.reads.nonce, ticket, attempt)).unwrap_or_default();
+        self.with_raft(|node| node.read_index(context));
     }
 
-    /// Reads that are ready or over.
+    /// Reads that have ended since the last call, by their tickets.
     pub fn take_finished_reads(&mut self) -> Vec<(u64, ReadOutcome)> {
-        std::mem::take(&mut self.finished_reads)
+        std::mem::take(&mut self.reads.finished)
     }
 
+    /// Ends the reads that are ready or have timed out, and retries those without a read index.
     pub(super) fn finish_reads(&mut self, now: Micros) {
-        let (again, most) = (self.config.election_timeout / 2, 4 * self.config.election_timeout);
-        let mut ask = Vec::new();
-        let (index, finished) = (self.state.applied, &mut self.finished_reads);
-        self.pending_reads.retain(|ticket, waiting| {
-            if waiting.read_index.is_some_and(|wanted| wanted <= index) {
+        let retry_interval = self.config.election_timeout / 2;
+        let timeout = 4 * self.config.election_timeout;
+        let applied = self.state.applied;
+        let finished = &mut self.reads.finished;
+        let mut retries = Vec::new();
+        self.reads.pending.retain(|ticket, read| {
+            if read.read_index.is_some_and(|index| index <= applied) {
                 finished.push((*ticket, ReadOutcome::Ready));
                 return false;
             }
-            if now >= waiting.requested_at + most {
+            if now >= read.requested_at + timeout {
                 finished.push((*ticket, ReadOutcome::Failed(RequestError::TimedOut)));
                 return false;
             }
-            if waiting.read_index.is_none() && now >= waiting.last_attempt_at + again {
-                (waiting.last_attempt_at, waiting.attempts) = (now, waiting.attempts + 1);
-                ask.push((*ticket, waiting.attempts));
+            if read.read_index.is_none() && now >= read.last_attempt_at + retry_interval {
+                read.last_attempt_at = now;
+                read.attempts += 1;
+                retries.push((*ticket, read.attempts));
             }
             true
         });
-        for (ticket, tries) in ask {
-            self.request_read_index(ticket, tries);
+        for (ticket, attempt) in retries {
+            self.request_read_index(ticket, attempt);
         }
     }
 }
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -1,94 +1,182 @@
-//! What can be seen of it.
+//! Status reports for operators, exports and invariants.
 
-use super::{Replica, ReplicaStatus, ReplicaView, Role, MAX_PENDING_READS, MAX_QUEUED};
+use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+use super::actions::MAX_QUEUED;
+use super::{Replica, Role, MAX_PENDING_READS};
+use crate::entry::Digest;
 use crate::export::Export;
-use crate::state::State;
+use crate::state::{Member, State};
 use crate::Micros;
 
+/// How this server's replica stands, for people. The serialized names are those of `--json`.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaStatus {
+    /// The store's id; 0 is none.
+    #[serde(rename = "record")]
+    pub store_id: u64,
+    /// This replica's id; 0 is none.
+    #[serde(rename = "copy")]
+    pub replica_id: u64,
+    /// Its role.
+    pub role: Role,
+    /// The current term.
+    pub term: u64,
+    /// The leader, if one is known.
+    pub leader: Option<String>,
+    /// Index of the last applied entry.
+    pub applied: u64,
+    /// Index of the last entry that is known to be committed.
+    pub commit: u64,
+    /// Index of the last entry in the log.
+    #[serde(rename = "last")]
+    pub last_index: u64,
+    /// How long ago a leader was heard from, in milliseconds: a local read is as old as that.
+    pub leader_heard_ms: Option<u64>,
+    /// Rolling digest after the last applied entry.
+    #[serde(rename = "chain")]
+    pub rolling_digest: Digest,
+    /// All replicas of the store.
+    #[serde(rename = "copies")]
+    pub replicas: Vec<ReplicaView>,
+    /// During a snapshot transfer: the chunks that are there, and how many there are in all.
+    pub catching_up: Option<(u32, u32)>,
+    /// Entries of a newer program, which are kept and not applied.
+    #[serde(rename = "unknown")]
+    pub unsupported_entries: u64,
+    /// Nothing is written, because replicas differ.
+    pub frozen: bool,
+}
+
+/// One replica in a [`ReplicaStatus`].
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaView {
+    /// Its id.
+    #[serde(rename = "copy")]
+    pub replica_id: u64,
+    /// Its server's name.
+    #[serde(rename = "name")]
+    pub server: String,
+    /// Its server's zone.
+    pub zone: String,
+    /// Whether it votes.
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
+    /// Index of the last entry that it reported as applied.
+    pub applied: Option<u64>,
+    /// How long ago it reported that, in milliseconds.
+    pub heard_ms: Option<u64>,
+}
+
+/// Something that must never be.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvariantViolation {
+    /// An entry is applied that is not in the log.
+    #[error("applied {applied}, the last entry is {last_index}")]
+    AppliedBeyondLog {
+        /// Index of the last applied entry.
+        applied: u64,
+        /// Index of the last entry in the log.
+        last_index: u64,
+    },
+    /// A replica leads before its rollback check is over.
+    #[error("it leads, and has not heard what others remember of it")]
+    LeaderBeforeRollbackCheck,
+    /// A queue has outgrown its bound.
+    #[error("{reads} reads, {actions} actions")]
+    QueueTooLong {
+        /// Reads that wait.
+        reads: usize,
+        /// Actions that wait to be taken.
+        actions: usize,
+    },
+}
+
 impl Replica {
-    /// The state, as it is here.
+    /// The state after the last applied entry.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// What this server is to the record.
+    /// This server's role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The number of its copy, and of its record.
+    /// The replica's id, and its store's.
     pub fn ids(&self) -> (u64, u64) {
         (self.identity.replica_id, self.identity.store_id)
     }
 
-    /// How its part stands.
+    /// A report for operators.
     pub fn status(&self, now: Micros) -> ReplicaStatus {
         let node = self.node.as_ref();
-        let heard = |copy: &u64, name: &str| {
-            let other = self.peers.get(name).filter(|o| o.status.replica_id == *copy);
-            other.map(|o| (o.status.applied, now.saturating_sub(o.heard_at) / 1_000))
-        };
-        let copies = self.state.members.iter().map(|(copy, member)| {
-            let votes = node.is_some_and(|n| n.store().conf_state().voters.contains(copy));
-            let said = heard(copy, &member.name);
-            ReplicaView {
-                replica_id: *copy,
-                server: member.name.clone(),
-                zone: member.zone.clone(),
-                is_voter: votes,
-                applied: said.map(|(applied, _)| applied),
-                heard_ms: said.map(|(_, ms)| ms),
-            }
-        });
+        let replicas = self.state.members.iter().map(|(id, member)| self.view_of(now, *id, member));
+        let leader = &self.leader.name;
         ReplicaStatus {
             store_id: self.identity.store_id,
             replica_id: self.identity.replica_id,
             role: self.role,
-            term: node.map_or(0, |n| n.raft.term),
-            leader: self.leader.0.clone(),
+            term: node.map_or(0, |node| node.raft.term),
+            leader: leader.clone(),
             applied: self.state.applied,
-            commit: node.map_or(0, |n| n.raft.raft_log.committed),
-            last_index: node.map_or(0, |n| n.store().last_entry_index()),
-            leader_heard_ms: self.leader.0.as_ref().map(|_| now.saturating_sub(self.leader.1) / 1_000),
+            commit: node.map_or(0, |node| node.raft.raft_log.committed),
+            last_index: node.map_or(0, |node| node.store().last_entry_index()),
+            leader_heard_ms: leader.as_ref().map(|_| now.saturating_sub(self.leader.heard_at) / 1_000),
             rolling_digest: self.state.rolling_digest,
-            replicas: copies.collect(),
-            catching_up: self.transfer.as_ref().map(|(transfer, _)| transfer.progress()),
+            replicas: replicas.collect(),
+            catching_up: self.snapshots.transfer.as_ref().map(|(transfer, _)| transfer.progress()),
             unsupported_entries: self.state.unsupported_entries,
-            frozen: self.frozen,
+            frozen: self.comparison.frozen,
+        }
+    }
+
+    fn view_of(&self, now: Micros, replica_id: u64, member: &Member) -> ReplicaView {
+        let peer = self.peers.get(member.name.as_str()).filter(|peer| peer.status.replica_id == replica_id);
+        ReplicaView {
+            replica_id,
+            server: member.name.clone(),
+            zone: member.zone.clone(),
+            is_voter: self.is_voter(replica_id),
+            applied: peer.map(|peer| peer.status.applied),
+            heard_ms: peer.map(|peer| now.saturating_sub(peer.heard_at) / 1_000),
         }
     }
 
-    /// A copy for an operator who wants to keep or check it; `None` without one.
+    /// An export of the state and log for an operator; `None` without a replica.
     pub fn export(&self) -> Option<Export> {
         let log = self.node.as_ref()?.store();
-        let (_, _, state) = log.latest_snapshot();
         Some(Export {
             exported_by: self.config.me.to_string(),
             applied: self.state.applied,
             rolling_digest: self.state.rolling_digest,
-            snapshot: state.to_vec(),
+            snapshot: log.latest_snapshot().bytes.to_vec(),
             entries: log.entries_through(self.state.applied),
         })
     }
 
-    /// What must hold between any two calls; tests call it after each.
-    pub fn check_invariants(&self) -> Result<(), String> {
+    /// Checks what must hold between any two calls; tests call it after each.
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         if let Some(node) = &self.node {
-            let (applied, last) = (self.state.applied, node.store().last_entry_index());
-            if applied > last {
-                return Err(format!("applied {applied}, the last entry is {last}"));
+            let applied = self.state.applied;
+            let last_index = node.store().last_entry_index();
+            if applied > last_index {
+                return Err(InvariantViolation::AppliedBeyondLog { applied, last_index });
             }
             if self.rollback_check.is_some() && self.role == Role::Leader {
-                return Err("it leads, and has not heard what others remember of it".to_owned());
+                return Err(InvariantViolation::LeaderBeforeRollbackCheck);
             }
         }
-        if self.pending_reads.len() > MAX_PENDING_READS || self.actions.len() > MAX_QUEUED {
-            return Err(format!("{} reads, {} actions", self.pending_reads.len(), self.actions.len()));
+        let reads = self.reads.len();
+        let actions = self.actions.len();
+        if reads > MAX_PENDING_READS || actions > MAX_QUEUED {
+            return Err(InvariantViolation::QueueTooLong { reads, actions });
         }
         Ok(())
     }
 
-    /// Turns a bit of the state over, as bad memory might: for tests that want a copy to differ.
+    /// Flips a bit of the state, as faulty memory might: for tests that need a diverged replica.
     #[doc(hidden)]
     pub fn corrupt(&mut self, bit: u8) {
         self.state.rolling_digest[0] ^= 1 << bit;
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -1,27 +1,33 @@
-//! What the entries of the log come to, the same at every member that has applied as many of them.
+//! The state that the log's entries lead to: the same at every replica that has applied as many of them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{
-    digest, Content, Digest, DocumentUpdate, Entry, EntryId, Envelope, MAX_DOCUMENT_BYTES, MAX_NAME_BYTES,
+    digest, Content, Digest, DocumentPart, DocumentUpdate, Entry, EntryId, Envelope, MAX_DOCUMENT_BYTES,
+    MAX_NAME_BYTES, PART_BYTES,
 };
 
-/// Ids that are remembered, so that an entry written twice is applied once.
+#[cfg(test)]
+mod tests;
+
+/// Outcomes that are remembered, so that an entry proposed twice is applied once.
 const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
 /// Lines of history that are kept.
 const MAX_HISTORY_LINES: usize = 512;
-/// Documents.
+/// Characters of a note that its line of history shows.
+const MAX_NOTE_CHARS: usize = 200;
+/// Documents, removed ones included.
 const MAX_DOCUMENTS: usize = 256;
 /// Bytes of all documents together.
 const MAX_TOTAL_BYTES: usize = 32 << 20;
-/// Documents whose pieces are there and whose last entry is not; the oldest goes first.
+/// Documents whose parts are there and whose last entry is not; the oldest goes first.
 const MAX_UNFINISHED_DOCUMENTS: usize = 8;
 /// The last digests that are kept, to be compared with those of others.
 const MAX_REMEMBERED_DIGESTS: usize = 1_024;
 
-/// A copy of the record: one server's, under a number that it drew. A server that has lost its disk has another.
+/// A replica's server. A server that has lost its disk has another replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The server's name.
@@ -33,40 +39,40 @@
 /// A document as it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// How often it has been written since it was first there; goes on over taking out.
+    /// How often it has been written since it was first there; a removal counts and does not reset it.
     pub version: u64,
-    /// The content; `None` if it was taken out.
+    /// The content; `None` if it was removed.
     pub bytes: Option<Vec<u8>>,
-    /// The entry that wrote it.
+    /// Index of the entry that wrote it.
     pub index: u64,
-    /// Who wrote it.
+    /// The server that wrote it.
     pub author: String,
 }
 
-/// What became of an entry.
+/// What became of an entry. The serialized names are those of `--json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was applied; the version of the document, where it was about one.
+    /// It was applied; the version of the document, or 0 where it was about none.
     #[serde(rename = "Done")]
     Applied(u64),
-    /// Another version is there: this one.
+    /// The document has another version than the one expected: this one.
     Conflict(u64),
-    /// It can't be applied: too large, too many, or pieces missing.
+    /// It cannot be applied, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// Kept for a newer program.
+    /// It is of a newer program: kept and not applied.
     #[serde(rename = "Kept")]
     Unsupported,
 }
 
-/// A line of the history.
+/// A line of the history. The serialized names are those of `--json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryLine {
-    /// Its place in the log.
+    /// Index of the entry.
     pub index: u64,
-    /// Who wrote it, and when by that server's clock (Unix milliseconds).
+    /// Who wrote it, and when.
     #[serde(rename = "by")]
-    pub author: (String, u64),
+    pub author: Author,
     /// What it was, for people.
     #[serde(rename = "what")]
     pub description: String,
@@ -74,80 +80,103 @@
     pub outcome: Outcome,
 }
 
-/// The state after some entry.
+/// Who wrote an entry, and when; `--json` prints it as an array of both.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, u64)", into = "(String, u64)")]
+pub struct Author {
+    /// The server's name.
+    pub server: String,
+    /// The time by that server's clock, in Unix milliseconds.
+    pub at_ms: u64,
+}
+
+impl From<(String, u64)> for Author {
+    fn from((server, at_ms): (String, u64)) -> Author {
+        Author { server, at_ms }
+    }
+}
+
+impl From<Author> for (String, u64) {
+    fn from(author: Author) -> (String, u64) {
+        (author.server, author.at_ms)
+    }
+}
+
+/// The state after some entry. `postcard` encodes it by position, on disk, in snapshots and exports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The number of this record, drawn when it was founded, and of the one that it went on from by an operator's word.
+    /// Id of the store, drawn when it was bootstrapped.
     pub store_id: u64,
-    /// See `record`; 0 is none.
+    /// Id of the store from which this one was adopted; 0 is none.
     pub adopted_from: u64,
-    /// The last entry applied.
+    /// Index of the last applied entry.
     pub applied: u64,
-    /// Rolling digest of all entries and what became of them.
+    /// Rolling digest of all entries and their outcomes.
     pub rolling_digest: Digest,
-    /// Copies, by their numbers.
+    /// The store's replicas, by their ids.
     pub members: BTreeMap<u64, Member>,
     documents: BTreeMap<String, StoredDocument>,
+    /// Parts of documents that are being written, by the digest of the whole document.
     unfinished_documents: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
     recent_outcomes: VecDeque<(EntryId, Outcome)>,
     history: VecDeque<HistoryLine>,
-    /// Entries kept for a newer program.
+    /// Entries of newer programs, which are kept and not applied.
     pub unsupported_entries: u64,
     #[serde(skip)]
     recent_digests: VecDeque<(u64, Digest)>,
 }
 
 impl State {
-    /// The first state of a new record, as its founder makes it.
-    pub fn bootstrap(store_id: u64, founder: u64, member: Member) -> State {
-        let rolling_digest = digest(&[b"record", &store_id.to_le_bytes()]);
-        let members = BTreeMap::from([(founder, member)]);
-        State { store_id, applied: 1, rolling_digest, members, ..State::default() }
+    /// The first state of a new store, made by the replica that bootstraps it.
+    pub fn bootstrap(store_id: u64, replica_id: u64, member: Member) -> State {
+        State {
+            store_id,
+            applied: 1,
+            rolling_digest: digest(&[b"record", &store_id.to_le_bytes()]),
+            members: BTreeMap::from([(replica_id, member)]),
+            ..State::default()
+        }
     }
 
-    /// The first state of a new record that goes on from this one, with one member: a line of the history says so.
-    pub fn adopt(&self, record: u64, founder: u64, member: Member, at_ms: u64) -> State {
+    /// The first state of a new store that goes on from this one with one member; a line of the history says so.
+    pub fn adopt(&self, store_id: u64, replica_id: u64, member: Member, at_ms: u64) -> State {
         let mut state = self.clone();
-        let what = format!("adopted from record {:016x}", self.store_id);
-        let by = (member.name.clone(), at_ms);
-        (state.adopted_from, state.store_id) = (self.store_id, record);
-        state.members = BTreeMap::from([(founder, member)]);
-        state.recent_digests.clear();
         let index = state.applied + 1;
         state.history.push_back(HistoryLine {
             index,
-            author: by,
-            description: what,
+            author: Author { server: member.name.clone(), at_ms },
+            description: format!("adopted from record {:016x}", self.store_id),
             outcome: Outcome::Applied(0),
         });
-        state.advance_digest(index, &[b"adopted", &record.to_le_bytes()]);
+        state.adopted_from = self.store_id;
+        state.store_id = store_id;
+        state.members = BTreeMap::from([(replica_id, member)]);
+        state.recent_digests.clear();
+        state.advance_digest(index, &[b"adopted", &store_id.to_le_bytes()]);
         state
     }
 
-    /// Applies the entry at this index; the same at every member, so no clock and no chance here.
+    /// Applies the entry at this index. The result must be the same at every replica: no clock and no chance here. `None`
+    /// for data without an envelope, such as the Raft library's own empty entries.
     pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<(EntryId, Outcome)> {
         let envelope = Envelope::from_bytes(bytes);
-        // Without one: the library's own empty entries, and what nobody of this fleet can have written.
-        let outcome = envelope.as_ref().map(|envelope| (envelope.id, self.apply_envelope(index, envelope)));
-        let told = postcard::to_allocvec(&outcome).unwrap_or_default();
-        self.advance_digest(index, &[bytes, &told]);
+        let outcome = envelope.map(|envelope| (envelope.id, self.apply_envelope(index, &envelope)));
+        let encoded_outcome = postcard::to_allocvec(&outcome).unwrap_or_default();
+        self.advance_digest(index, &[bytes, &encoded_outcome]);
         outcome
     }
 
-    /// Notes a change of who holds copies.
+    /// Applies a change of members; `change` is its encoded form.
     pub fn apply_members(&mut self, index: u64, change: &[u8], act: impl FnOnce(&mut BTreeMap<u64, Member>)) {
         act(&mut self.members);
         self.advance_digest(index, &[b"members", change]);
     }
 
     fn advance_digest(&mut self, index: u64, parts: &[&[u8]]) {
-        let inner = digest(parts);
+        let entry_digest = digest(parts);
         self.applied = index;
-        self.rolling_digest = digest(&[&self.rolling_digest, &index.to_le_bytes(), &inner]);
-        if self.recent_digests.len() == MAX_REMEMBERED_DIGESTS {
-            self.recent_digests.pop_front();
-        }
-        self.recent_digests.push_back((index, self.rolling_digest));
+        self.rolling_digest = digest(&[&self.rolling_digest, &index.to_le_bytes(), &entry_digest]);
+        push_bounded(&mut self.recent_digests, MAX_REMEMBERED_DIGESTS, (index, self.rolling_digest));
     }
 
     /// The rolling digest after this entry, if that is among the last ones.
@@ -163,198 +192,142 @@
             return outcome.clone();
         }
         let entry = envelope.decode();
-        let what = match &entry {
-            Some(Entry::Note(text)) => text.chars().take(200).collect(),
-            Some(Entry::Document(document)) => format!("document {}", document.name),
-            _ => envelope.kind_name().to_owned(),
-        };
+        let description = describe(entry.as_ref(), envelope);
         let is_part = matches!(entry, Some(Entry::Part(_)));
         let outcome = match entry {
             Some(Entry::Note(_)) => Outcome::Applied(0),
-            Some(Entry::Part(part)) => self.store_part(part.document_digest, part.index, part.bytes),
-            Some(Entry::Document(document)) => self.update_document(index, &envelope.author, document),
+            Some(Entry::Part(part)) => self.store_part(part),
+            Some(Entry::Document(update)) => self.update_document(index, &envelope.author, update),
             None => {
                 self.unsupported_entries += 1;
                 Outcome::Unsupported
             }
         };
-        if self.recent_outcomes.len() == MAX_REMEMBERED_OUTCOMES {
-            self.recent_outcomes.pop_front();
-        }
-        self.recent_outcomes.push_back((envelope.id, outcome.clone()));
+        let remembered = (envelope.id, outcome.clone());
+        push_bounded(&mut self.recent_outcomes, MAX_REMEMBERED_OUTCOMES, remembered);
         if !is_part {
-            if self.history.len() == MAX_HISTORY_LINES {
-                self.history.pop_front();
-            }
-            let by = (envelope.author.clone(), envelope.written_at_ms);
-            self.history.push_back(HistoryLine {
-                index,
-                author: by,
-                description: what,
-                outcome: outcome.clone(),
-            });
+            let author = Author { server: envelope.author.clone(), at_ms: envelope.written_at_ms };
+            let line = HistoryLine { index, author, description, outcome: outcome.clone() };
+            push_bounded(&mut self.history, MAX_HISTORY_LINES, line);
         }
         outcome
     }
 
-    fn store_part(&mut self, whole: Digest, number: u16, bytes: Vec<u8>) -> Outcome {
-        let most = (MAX_DOCUMENT_BYTES / (crate::entry::MAX_ENTRY_BYTES / 2)) as u16;
-        if number > most {
-            return Outcome::Rejected(format!("piece {number}, {most} at most"));
+    fn store_part(&mut self, part: DocumentPart) -> Outcome {
+        let DocumentPart { document_digest, index, bytes } = part;
+        let max_index = (MAX_DOCUMENT_BYTES / PART_BYTES) as u16;
+        if index > max_index {
+            return Outcome::Rejected(format!("piece {index}, {max_index} at most"));
         }
-        if !self.unfinished_documents.iter().any(|(digest, _)| *digest == whole) {
-            if self.unfinished_documents.len() == MAX_UNFINISHED_DOCUMENTS {
-                self.unfinished_documents.pop_front();
-            }
-            self.unfinished_documents.push_back((whole, BTreeMap::new()));
+        let unfinished = &mut self.unfinished_documents;
+        if !unfinished.iter().any(|(digest, _)| *digest == document_digest) {
+            push_bounded(unfinished, MAX_UNFINISHED_DOCUMENTS, (document_digest, BTreeMap::new()));
         }
-        if let Some((_, pieces)) = self.unfinished_documents.iter_mut().find(|(digest, _)| *digest == whole) {
-            pieces.insert(number, bytes);
+        if let Some((_, parts)) = unfinished.iter_mut().find(|(digest, _)| *digest == document_digest) {
+            parts.insert(index, bytes);
         }
         Outcome::Applied(0)
     }
 
-    fn update_document(&mut self, index: u64, by: &str, document: DocumentUpdate) -> Outcome {
-        let DocumentUpdate { name, expected_version: expect, content } = document;
-        let now = self.documents.get(&name);
-        let present = now.filter(|held| held.bytes.is_some());
-        let version = present.map_or(0, |held| held.version);
-        if expect.is_some_and(|wanted| wanted != version) {
+    fn update_document(&mut self, index: u64, author: &str, update: DocumentUpdate) -> Outcome {
+        let DocumentUpdate { name, expected_version, content } = update;
+        let version = self.get(&name).map_or(0, |document| document.version);
+        if expected_version.is_some_and(|expected| expected != version) {
             return Outcome::Conflict(version);
         }
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Outcome::Rejected(format!("a name has 1 to {MAX_NAME_BYTES} bytes"));
         }
-        let bytes = match content {
-            Content::Removed => None,
-            Content::Inline(bytes) => Some(bytes),
-            Content::Parts(whole, count) => {
-                let place = self.unfinished_documents.iter().position(|(digest, _)| *digest == whole);
-                let pieces =
-                    place.and_then(|place| self.unfinished_documents.remove(place)).map(|(_, pieces)| pieces);
-                let bytes = pieces.unwrap_or_default().into_values().collect::<Vec<_>>().concat();
-                if digest(&[&bytes]) != whole {
-                    return Outcome::Rejected(format!("not all of its {count} pieces are there"));
-                }
-                Some(bytes)
-            }
+        let bytes = match self.resolve_content(content) {
+            Ok(bytes) => bytes,
+            Err(reason) => return Outcome::Rejected(reason),
         };
-        let old = present.and_then(|held| held.bytes.as_ref()).map_or(0, Vec::len);
-        let new = bytes.as_ref().map_or(0, Vec::len);
-        let held: usize = self.documents.values().filter_map(|h| h.bytes.as_ref()).map(Vec::len).sum();
-        if new > MAX_DOCUMENT_BYTES || held - old + new > MAX_TOTAL_BYTES {
-            return Outcome::Rejected(format!(
-                "{new} bytes: {MAX_DOCUMENT_BYTES} a document, {MAX_TOTAL_BYTES} in all"
-            ));
+        if let Err(reason) = self.check_limits(&name, bytes.as_deref()) {
+            return Outcome::Rejected(reason);
         }
-        if now.is_none() && self.documents.len() == MAX_DOCUMENTS {
-            return Outcome::Rejected(format!("{MAX_DOCUMENTS} documents are there, more are not kept"));
-        }
-        let version = now.map_or(0, |held| held.version) + 1;
-        self.documents.insert(name, StoredDocument { version, bytes, index, author: by.to_owned() });
+        // Also of a document that was removed: its versions go on.
+        let last_version = self.documents.get(&name).map_or(0, |document| document.version);
+        let version = last_version + 1;
+        self.documents.insert(name, StoredDocument { version, bytes, index, author: author.to_owned() });
         Outcome::Applied(version)
     }
 
-    /// A document that is there.
+    /// The bytes of a document's new content, `None` for a removal; an error says which parts are missing.
+    fn resolve_content(&mut self, content: Content) -> Result<Option<Vec<u8>>, String> {
+        let (document_digest, count) = match content {
+            Content::Removed => return Ok(None),
+            Content::Inline(bytes) => return Ok(Some(bytes)),
+            Content::Parts(document_digest, count) => (document_digest, count),
+        };
+        let unfinished = &mut self.unfinished_documents;
+        let position = unfinished.iter().position(|(digest, _)| *digest == document_digest);
+        let parts = position.and_then(|position| unfinished.remove(position)).map(|(_, parts)| parts);
+        let bytes = parts.unwrap_or_default().into_values().collect::<Vec<_>>().concat();
+        if digest(&[&bytes]) != document_digest {
+            return Err(format!("not all of its {count} pieces are there"));
+        }
+        Ok(Some(bytes))
+    }
+
+    /// Whether a document may take on this content; an error says which limit it would exceed.
+    fn check_limits(&self, name: &str, bytes: Option<&[u8]>) -> Result<(), String> {
+        let stored_bytes = |document: &StoredDocument| document.bytes.as_ref().map_or(0, Vec::len);
+        let old = self.get(name).map_or(0, stored_bytes);
+        let new = bytes.map_or(0, <[u8]>::len);
+        let total: usize = self.documents.values().map(stored_bytes).sum();
+        if new > MAX_DOCUMENT_BYTES || total - old + new > MAX_TOTAL_BYTES {
+            return Err(format!("{new} bytes: {MAX_DOCUMENT_BYTES} a document, {MAX_TOTAL_BYTES} in all"));
+        }
+        if !self.documents.contains_key(name) && self.documents.len() == MAX_DOCUMENTS {
+            return Err(format!("{MAX_DOCUMENTS} documents are there, more are not kept"));
+        }
+        Ok(())
+    }
+
+    /// A document, unless it was removed.
     pub fn get(&self, name: &str) -> Option<&StoredDocument> {
-        self.documents.get(name).filter(|held| held.bytes.is_some())
+        self.documents.get(name).filter(|document| document.bytes.is_some())
     }
 
-    /// All documents that are there.
+    /// All documents by name, without those that were removed.
     pub fn documents(&self) -> impl Iterator<Item = (&String, &StoredDocument)> {
-        self.documents.iter().filter(|(_, held)| held.bytes.is_some())
+        self.documents.iter().filter(|(_, document)| document.bytes.is_some())
     }
 
     /// What became of an entry, if it is among the last ones.
     pub fn outcome(&self, id: EntryId) -> Option<&Outcome> {
-        self.recent_outcomes.iter().rev().find(|(seen, _)| *seen == id).map(|(_, outcome)| outcome)
+        self.recent_outcomes.iter().rev().find(|(recent, _)| *recent == id).map(|(_, outcome)| outcome)
     }
 
-    /// The last lines, oldest first.
+    /// The last lines of history, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &HistoryLine> {
         self.history.iter()
     }
 
-    /// As it goes to disk and to other members.
+    /// Encodes the state, as it goes to disk and to other members.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// One that was read.
+    /// Decodes a state.
     pub fn from_bytes(bytes: &[u8]) -> Option<State> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn apply(state: &mut State, id: u128, entry: &Entry) -> Outcome {
-        let bytes = entry.to_envelope(id, "a", 0).to_bytes();
-        state.apply(state.applied + 1, &bytes).expect("an entry").1
-    }
-
-    fn write(state: &mut State, id: u128, name: &str, bytes: Vec<u8>, expect: Option<u64>) -> Outcome {
-        let all = Entry::document(name, bytes, expect);
-        (0..).zip(&all).map(|(n, entry)| apply(state, id * 1_000 + n, entry)).last().expect("entries")
-    }
-
-    #[test]
-    fn documents_have_versions_and_are_compared_and_set() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        assert_eq!(write(&mut state, 1, "x", b"one".to_vec(), Some(0)), Outcome::Applied(1));
-        assert_eq!(write(&mut state, 2, "x", b"two".to_vec(), Some(0)), Outcome::Conflict(1));
-        assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Applied(2));
-        // The same entry once more: its first outcome, and nothing changes.
-        assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Applied(2));
-        let gone = Entry::Document(DocumentUpdate {
-            name: "x".into(),
-            expected_version: None,
-            content: Content::Removed,
-        });
-        assert_eq!((apply(&mut state, 9, &gone), state.get("x")), (Outcome::Applied(3), None));
-        // Versions go on, so that one who saw version 2 does not take the new one for it.
-        assert_eq!(write(&mut state, 10, "x", b"again".to_vec(), Some(0)), Outcome::Applied(4));
-    }
-
-    #[test]
-    fn a_large_document_goes_in_pieces_and_a_missing_one_is_seen() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        let large: Vec<u8> = (0..200_000u32).map(|n| (n % 251) as u8).collect();
-        assert_eq!(write(&mut state, 1, "big", large.clone(), None), Outcome::Applied(1));
-        assert_eq!(state.get("big").and_then(|h| h.bytes.clone()), Some(large.clone()));
-        let mut all = Entry::document("big", [large, vec![1]].concat(), None);
-        all.remove(2);
-        let last = all.iter().zip(50..).map(|(e, id)| apply(&mut state, id, e)).last();
-        assert!(matches!(last, Some(Outcome::Rejected(_))), "{last:?}");
-        assert!(matches!(
-            write(&mut state, 3, "big", vec![0; MAX_DOCUMENT_BYTES + 1], None),
-            Outcome::Rejected(_)
-        ));
+/// What an entry is, for the history.
+fn describe(entry: Option<&Entry>, envelope: &Envelope) -> String {
+    match entry {
+        Some(Entry::Note(text)) => text.chars().take(MAX_NOTE_CHARS).collect(),
+        Some(Entry::Document(update)) => format!("document {}", update.name),
+        _ => envelope.kind_name().to_owned(),
     }
+}
 
-    #[test]
-    fn what_a_newer_program_wrote_is_kept_and_rolls_the_digest() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        let before = state.rolling_digest;
-        let newer = Envelope {
-            id: 5,
-            author: "b".into(),
-            written_at_ms: 1,
-            kind: 900,
-            format_version: 7,
-            payload: vec![1, 2],
-        };
-        assert_eq!(state.apply(2, &newer.to_bytes()), Some((5, Outcome::Unsupported)));
-        assert_eq!(
-            (state.unsupported_entries, state.rolling_digest == before, state.digest_at(2)),
-            (1, false, Some(state.rolling_digest))
-        );
-        let read = State::from_bytes(&state.to_bytes()).expect("readable");
-        assert_eq!(
-            (read.rolling_digest, read.unsupported_entries, read.outcome(5)),
-            (state.rolling_digest, 1, Some(&Outcome::Unsupported))
-        );
+/// Appends to a queue of bounded length; the oldest item goes first.
+fn push_bounded<T>(queue: &mut VecDeque<T>, max_length: usize, item: T) {
+    if queue.len() == max_length {
+        queue.pop_front();
     }
+    queue.push_back(item);
 }
--- a/crates/replicated-store/src/voter_selection.rs
+++ b/crates/replicated-store/src/voter_selection.rs
@@ -1,283 +1,316 @@
-//! Who is taken in, who votes and who is replaced: decided by the leader, one change at a time.
+//! Voter selection: which replicas are admitted, vote and are replaced, decided by the leader, one change at a time.
 //!
 //! No change is made that could cost a quorum: of the voters before and after it, taken by themselves, a majority must be
-//! there now. A server is in the record once: under a new number it takes the place of its old one.
+//! reachable now. A server has one replica: a new one takes the place of its old one.
 
 use std::collections::BTreeMap;
+use std::fmt;
+
+use thiserror::Error;
 
 use crate::Micros;
 
-/// A copy as the leader sees it.
+#[cfg(test)]
+mod tests;
+
+/// A replica as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its number.
+    /// Its id.
     pub replica_id: u64,
-    /// Its server, and the zone of that.
+    /// Its server's name.
     pub name: String,
-    /// See `name`.
+    /// Its server's zone.
     pub zone: String,
     /// It votes now.
     pub is_voter: bool,
-    /// Its server belongs to the fleet, as the leader was told.
+    /// Its server is configured as a member of the fleet.
     pub is_configured: bool,
-    /// For how long it has not been heard of.
+    /// For how long it has not been heard from, in microseconds.
     pub silent_for: Micros,
     /// It has all but the last few entries.
     pub caught_up: bool,
-    /// How sick and loaded it says it is; the lower the better.
+    /// The load that it reports, in percent.
     pub load: u32,
 }
 
-/// What the leader should do now.
+impl Candidate {
+    fn is_reachable(&self, policy: &VoterPolicy) -> bool {
+        self.silent_for < policy.reachable_within
+    }
+}
+
+/// A change of the members or their votes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Take this copy in, to learn, in the place of those that its server had before.
-    AddLearner(u64, Vec<u64>),
-    /// Let it vote.
-    Promote(u64),
-    /// The first votes from now on in the place of the second, which learns.
-    Replace(u64, u64),
-    /// It learns from now on.
-    Demote(u64),
-    /// Its server does not belong to the fleet any more: it goes.
-    Remove(u64),
+    /// Admits a replica as a learner.
+    AddLearner {
+        /// The new replica.
+        replica_id: u64,
+        /// The replicas that its server had before; they are removed.
+        replaces: Vec<u64>,
+    },
+    /// A learner votes from now on.
+    Promote {
+        /// The learner.
+        replica_id: u64,
+    },
+    /// One votes in the place of another, which becomes a learner.
+    Replace {
+        /// The learner that votes from now on.
+        new_voter: u64,
+        /// The voter that becomes a learner.
+        old_voter: u64,
+    },
+    /// A voter becomes a learner.
+    Demote {
+        /// The voter.
+        replica_id: u64,
+    },
+    /// Removes a replica whose server is not configured any more.
+    Remove {
+        /// The replica.
+        replica_id: u64,
+    },
+}
+
+impl fmt::Display for MembershipChange {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            MembershipChange::AddLearner { replica_id, replaces } => {
+                write!(f, "add learner {replica_id:016x}")?;
+                replaces.iter().try_for_each(|old| write!(f, ", remove {old:016x}"))
+            }
+            MembershipChange::Promote { replica_id } => write!(f, "promote {replica_id:016x}"),
+            MembershipChange::Replace { new_voter, old_voter } => {
+                write!(f, "promote {new_voter:016x}, demote {old_voter:016x}")
+            }
+            MembershipChange::Demote { replica_id } => write!(f, "demote {replica_id:016x}"),
+            MembershipChange::Remove { replica_id } => write!(f, "remove {replica_id:016x}"),
+        }
+    }
 }
 
-/// What the rule goes by.
+/// The policy by which voters are selected.
 #[derive(Clone, Copy, Debug)]
 pub struct VoterPolicy {
     /// How many should vote: three or five.
     pub voters: usize,
-    /// A voter silent for so long is replaced.
+    /// A voter that has been silent for so long is replaced, in microseconds.
     pub replace_after: Micros,
-    /// Silent for so long it does not count as there.
+    /// A replica that has been silent for less counts as reachable, in microseconds.
     pub reachable_within: Micros,
 }
 
+/// Why an operator's change is refused.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum VoterChangeError {
+    /// The server has no replica.
+    #[error("{server} holds no copy")]
+    NoReplica {
+        /// The server.
+        server: String,
+    },
+    /// The server votes already.
+    #[error("{server} votes already")]
+    AlreadyVotes {
+        /// The server.
+        server: String,
+    },
+    /// The server is a learner already.
+    #[error("{server} learns already")]
+    AlreadyLearns {
+        /// The server.
+        server: String,
+    },
+    /// The server lacks entries.
+    #[error("{server} has not caught up")]
+    NotCaughtUp {
+        /// The server.
+        server: String,
+    },
+    /// No learner could take the vote.
+    #[error("nobody else has caught up and could vote in its place")]
+    NoSuccessor,
+    /// The change would cost the quorum.
+    #[error("a majority of the voters would not be there after it")]
+    QuorumLost,
+}
+
 fn quorum(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// Whether of these voters a majority is there.
-fn has_quorum(all: &[Candidate], settings: &VoterPolicy, votes: impl Fn(&Candidate) -> bool) -> bool {
-    let voters: Vec<&Candidate> = all.iter().filter(|c| votes(c)).collect();
-    let there = voters.iter().filter(|c| c.silent_for < settings.reachable_within).count();
-    !voters.is_empty() && there >= quorum(voters.len())
+/// Whether a majority of these voters is reachable.
+fn has_quorum(all: &[Candidate], policy: &VoterPolicy, is_voter: impl Fn(&Candidate) -> bool) -> bool {
+    let voters: Vec<&Candidate> = all.iter().filter(|candidate| is_voter(candidate)).collect();
+    let reachable = voters.iter().filter(|voter| voter.is_reachable(policy)).count();
+    !voters.is_empty() && reachable >= quorum(voters.len())
 }
 
-/// Whether a change keeps a majority before and after it.
-fn keeps_quorum(all: &[Candidate], settings: &VoterPolicy, gain: Option<u64>, lose: &[u64]) -> bool {
-    let after = |c: &Candidate| (c.is_voter || Some(c.replica_id) == gain) && !lose.contains(&c.replica_id);
-    has_quorum(all, settings, |c| c.is_voter) && has_quorum(all, settings, after)
+/// Whether a majority is reachable before and after a change.
+fn keeps_quorum(all: &[Candidate], policy: &VoterPolicy, gained: Option<u64>, lost: &[u64]) -> bool {
+    let votes_after = |candidate: &Candidate| {
+        let is_gained = Some(candidate.replica_id) == gained;
+        (candidate.is_voter || is_gained) && !lost.contains(&candidate.replica_id)
+    };
+    has_quorum(all, policy, |candidate| candidate.is_voter) && has_quorum(all, policy, votes_after)
+}
+
+/// Voters in a zone, apart from one.
+fn voters_in_zone(all: &[Candidate], zone: &str, except: Option<u64>) -> usize {
+    all.iter()
+        .filter(|candidate| candidate.is_voter && candidate.zone == zone)
+        .filter(|candidate| Some(candidate.replica_id) != except)
+        .count()
 }
 
-/// The change that is due, if one is. `asks` are copies that want to be taken in, with their servers' names.
+/// The change that is due, if there is one. `join_requests` are replicas that want to be admitted, by their servers' names.
 pub fn next_change(
-    settings: &VoterPolicy,
+    policy: &VoterPolicy,
     all: &[Candidate],
-    asks: &BTreeMap<String, u64>,
+    join_requests: &BTreeMap<String, u64>,
 ) -> Option<MembershipChange> {
-    // A server that lost its disk comes back under a new number: its old one goes, whatever else is due.
-    for (name, copy) in asks {
-        if all.iter().any(|c| c.replica_id == *copy) {
-            continue;
-        }
-        let old: Vec<u64> = all.iter().filter(|c| c.name == *name).map(|c| c.replica_id).collect();
-        if keeps_quorum(all, settings, None, &old) {
-            return Some(MembershipChange::AddLearner(*copy, old));
+    admission(policy, all, join_requests)
+        .or_else(|| removal(policy, all))
+        .or_else(|| voter_change(policy, all))
+}
+
+/// A server that lost its disk comes back with a new replica: its old one goes, whatever else is due.
+fn admission(
+    policy: &VoterPolicy,
+    all: &[Candidate],
+    join_requests: &BTreeMap<String, u64>,
+) -> Option<MembershipChange> {
+    let is_member = |id: u64| all.iter().any(|candidate| candidate.replica_id == id);
+    let new_replicas = join_requests.iter().filter(|(_, id)| !is_member(**id));
+    for (server, replica_id) in new_replicas {
+        let old_replicas = all.iter().filter(|candidate| candidate.name == *server);
+        let replaces: Vec<u64> = old_replicas.map(|candidate| candidate.replica_id).collect();
+        if keeps_quorum(all, policy, None, &replaces) {
+            return Some(MembershipChange::AddLearner { replica_id: *replica_id, replaces });
         }
     }
-    if let Some(gone) =
-        all.iter().find(|c| !c.is_configured && keeps_quorum(all, settings, None, &[c.replica_id]))
-    {
-        return Some(MembershipChange::Remove(gone.replica_id));
-    }
-    let voters: Vec<&Candidate> = all.iter().filter(|c| c.is_voter).collect();
-    let zone = |zone: &str, but: Option<u64>| {
-        voters.iter().filter(|c| c.zone == zone && Some(c.replica_id) != but).count()
+    None
+}
+
+fn removal(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
+    let can_be_removed = |candidate: &&Candidate| {
+        !candidate.is_configured && keeps_quorum(all, policy, None, &[candidate.replica_id])
     };
-    let gone = voters.iter().filter(|c| c.silent_for >= settings.replace_after).max_by_key(|c| c.silent_for);
-    let ready = all.iter().filter(|c| {
-        !c.is_voter && c.is_configured && c.caught_up && c.silent_for < settings.reachable_within
-    });
-    let best = ready.min_by_key(|c| {
-        // Another zone than the other voters first, then the healthiest, then the name.
-        (zone(&c.zone, gone.map(|g| g.replica_id)), c.load, c.name.clone())
-    });
-    match (best, gone) {
-        (Some(best), Some(gone))
-            if keeps_quorum(all, settings, Some(best.replica_id), &[gone.replica_id]) =>
-        {
-            Some(MembershipChange::Replace(best.replica_id, gone.replica_id))
+    let candidate = all.iter().find(can_be_removed)?;
+    Some(MembershipChange::Remove { replica_id: candidate.replica_id })
+}
+
+fn voter_change(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
+    let voters: Vec<&Candidate> = all.iter().filter(|candidate| candidate.is_voter).collect();
+    let failed = voters
+        .iter()
+        .filter(|voter| voter.silent_for >= policy.replace_after)
+        .max_by_key(|voter| voter.silent_for);
+    let successor = best_learner(policy, all, failed.map(|voter| voter.replica_id));
+    match (successor, failed) {
+        (Some(successor), Some(failed)) => {
+            let (new_voter, old_voter) = (successor.replica_id, failed.replica_id);
+            keeps_quorum(all, policy, Some(new_voter), &[old_voter])
+                .then_some(MembershipChange::Replace { new_voter, old_voter })
         }
-        (Some(best), None)
-            if voters.len() < settings.voters && keeps_quorum(all, settings, Some(best.replica_id), &[]) =>
+        (None, Some(_)) => None,
+        (Some(successor), None)
+            if voters.len() < policy.voters && keeps_quorum(all, policy, Some(successor.replica_id), &[]) =>
         {
-            Some(MembershipChange::Promote(best.replica_id))
+            Some(MembershipChange::Promote { replica_id: successor.replica_id })
         }
-        (_, None) if voters.len() > settings.voters => {
-            let extra = voters.iter().max_by_key(|c| (zone(&c.zone, None), c.load, c.name.clone()))?;
-            keeps_quorum(all, settings, None, &[extra.replica_id])
-                .then_some(MembershipChange::Demote(extra.replica_id))
+        (_, None) if voters.len() > policy.voters => {
+            let surplus = voters.iter().max_by_key(|voter| {
+                (voters_in_zone(all, &voter.zone, None), voter.load, voter.name.clone())
+            })?;
+            let replica_id = surplus.replica_id;
+            keeps_quorum(all, policy, None, &[replica_id]).then_some(MembershipChange::Demote { replica_id })
         }
-        _ => None,
+        (_, None) => None,
     }
 }
 
-/// What an operator asks for by hand; an error says why not. As many vote afterwards as before, but for one too few: else
-/// the rule would undo it. `leader` keeps its vote.
+/// The learner that should vote next: in another zone than the other voters first, then the least loaded, then by name.
+fn best_learner<'a>(
+    policy: &VoterPolicy,
+    all: &'a [Candidate],
+    failed_voter: Option<u64>,
+) -> Option<&'a Candidate> {
+    all.iter()
+        .filter(|candidate| !candidate.is_voter && candidate.is_configured)
+        .filter(|candidate| candidate.caught_up && candidate.is_reachable(policy))
+        .min_by_key(|candidate| {
+            (voters_in_zone(all, &candidate.zone, failed_voter), candidate.load, candidate.name.clone())
+        })
+}
+
+/// The change by which a server votes, or does not, as an operator wants. As many vote afterwards as before, but for one
+/// too few: else [`next_change`] would undo it. `leader` keeps its vote.
 pub fn requested_change(
-    settings: &VoterPolicy,
+    policy: &VoterPolicy,
     all: &[Candidate],
     leader: u64,
-    name: &str,
-    votes: bool,
-) -> Result<MembershipChange, String> {
-    let found = all.iter().find(|c| c.name == name).ok_or(format!("{name} holds no copy"))?;
-    if found.is_voter == votes {
-        return Err(format!("{name} {} already", if votes { "votes" } else { "learns" }));
-    }
-    let there = |c: &&Candidate| c.silent_for < settings.reachable_within;
-    let zone = |c: &Candidate| all.iter().filter(|o| o.is_voter && o.zone == c.zone).count();
-    let change = if votes {
-        if !found.caught_up {
-            return Err(format!("{name} has not caught up"));
-        }
-        let few = all.iter().filter(|c| c.is_voter).count() < settings.voters;
-        let voters = all.iter().filter(|c| c.is_voter && c.replica_id != leader);
-        let other = voters.max_by_key(|c| (!there(c), zone(c), c.load, c.name.clone()));
-        match other {
-            Some(other) if !few => MembershipChange::Replace(found.replica_id, other.replica_id),
-            _ => MembershipChange::Promote(found.replica_id),
-        }
-    } else {
-        let ready = all.iter().filter(|c| !c.is_voter && c.caught_up).filter(there);
-        let best = ready.min_by_key(|c| (zone(c), c.load, c.name.clone()));
-        let best = best.ok_or("nobody else has caught up and could vote in its place")?;
-        MembershipChange::Replace(best.replica_id, found.replica_id)
+    server: &str,
+    is_voter: bool,
+) -> Result<MembershipChange, VoterChangeError> {
+    let server_name = || server.to_owned();
+    let candidate = all.iter().find(|candidate| candidate.name == server);
+    let candidate = candidate.ok_or_else(|| VoterChangeError::NoReplica { server: server_name() })?;
+    let change = match (candidate.is_voter, is_voter) {
+        (true, true) => return Err(VoterChangeError::AlreadyVotes { server: server_name() }),
+        (false, false) => return Err(VoterChangeError::AlreadyLearns { server: server_name() }),
+        (false, true) => requested_promotion(policy, all, leader, candidate)?,
+        (true, false) => requested_demotion(policy, all, candidate)?,
     };
-    let (gain, lose) = match change {
-        MembershipChange::Replace(new, old) => (new, vec![old]),
-        _ => (found.replica_id, vec![]),
+    let keeps = match change {
+        MembershipChange::Replace { new_voter, old_voter } => {
+            keeps_quorum(all, policy, Some(new_voter), &[old_voter])
+        }
+        _ => keeps_quorum(all, policy, Some(candidate.replica_id), &[]),
     };
-    if !keeps_quorum(all, settings, Some(gain), &lose) {
-        return Err("a majority of the voters would not be there after it".to_owned());
+    if keeps {
+        Ok(change)
+    } else {
+        Err(VoterChangeError::QuorumLost)
     }
-    Ok(change)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const SETTINGS: VoterPolicy = VoterPolicy { voters: 3, replace_after: 30, reachable_within: 3 };
-
-    fn one(copy: u64, zone: &str, votes: bool, silent: Micros) -> Candidate {
-        let (name, zone) = (format!("n{copy}"), zone.to_owned());
-        Candidate {
-            replica_id: copy,
-            name,
-            zone,
-            is_voter: votes,
-            is_configured: true,
-            silent_for: silent,
-            caught_up: true,
-            load: 0,
-        }
+fn requested_promotion(
+    policy: &VoterPolicy,
+    all: &[Candidate],
+    leader: u64,
+    candidate: &Candidate,
+) -> Result<MembershipChange, VoterChangeError> {
+    if !candidate.caught_up {
+        return Err(VoterChangeError::NotCaughtUp { server: candidate.name.clone() });
     }
-
-    #[test]
-    fn what_is_due() {
-        let none = BTreeMap::new();
-        let asks = BTreeMap::from([("n2".to_owned(), 12)]);
-        let three = || vec![one(1, "a", true, 0), one(2, "b", true, 0), one(3, "c", true, 0)];
-        let with = |more: Candidate| [three(), vec![more]].concat();
-        let silent = |n: usize, span: Micros, mut all: Vec<Candidate>| {
-            all[n].silent_for = span;
-            all
-        };
-        let cases = [
-            // One founder, and one that has caught up.
-            (vec![one(1, "a", true, 0), one(2, "b", false, 0)], &none, Some(MembershipChange::Promote(2))),
-            (
-                vec![one(1, "a", true, 0), Candidate { caught_up: false, ..one(2, "b", false, 0) }],
-                &none,
-                None,
-            ),
-            // Another zone first.
-            (
-                vec![one(1, "a", true, 0), one(2, "a", false, 0), one(3, "b", false, 0)],
-                &none,
-                Some(MembershipChange::Promote(3)),
-            ),
-            (with(one(4, "b", false, 0)), &none, None),
-            // Gone, but not for long; for long; and with nobody to take its place.
-            (silent(1, 20, with(one(4, "b", false, 0))), &none, None),
-            (silent(1, 40, with(one(4, "b", false, 0))), &none, Some(MembershipChange::Replace(4, 2))),
-            (silent(1, 40, three()), &none, None),
-            // Two of three are gone: nothing may be changed.
-            (silent(0, 40, silent(1, 40, with(one(4, "b", false, 0)))), &none, None),
-            // A disk was lost: its server has a new number.
-            (silent(1, 5, three()), &asks, Some(MembershipChange::AddLearner(12, vec![2]))),
-            // With another voter gone, taking the old number out leaves one of two: it waits.
-            (silent(0, 5, silent(1, 5, three())), &asks, None),
-            ([three(), vec![one(4, "a", true, 0)]].concat(), &none, Some(MembershipChange::Demote(4))),
-            // Taken out of the roster: it goes, unless that would cost a majority.
-            (
-                with(Candidate { is_configured: false, ..one(4, "b", false, 9) }),
-                &none,
-                Some(MembershipChange::Remove(4)),
-            ),
-            (
-                vec![
-                    one(1, "a", true, 0),
-                    one(2, "b", true, 9),
-                    Candidate { is_configured: false, ..one(3, "c", true, 0) },
-                ],
-                &none,
-                None,
-            ),
-        ];
-        for (all, asks, wanted) in cases {
-            assert_eq!(next_change(&SETTINGS, &all, asks), wanted, "{all:?}");
-        }
-        let four = || with(one(4, "b", false, 0));
-        let by_hand = |all: &[Candidate], name, votes| requested_change(&SETTINGS, all, 1, name, votes);
-        assert_eq!(by_hand(&four(), "n4", true), Ok(MembershipChange::Replace(4, 3)));
-        assert_eq!(by_hand(&silent(1, 9, four()), "n4", true), Ok(MembershipChange::Replace(4, 2)));
-        assert_eq!(by_hand(&four(), "n2", false), Ok(MembershipChange::Replace(4, 2)));
-        assert_eq!(by_hand(&three()[..2], "n1", true), Err("n1 votes already".to_owned()));
-        assert!(by_hand(&three(), "n2", false).is_err_and(|why| why.contains("in its place")));
-        assert!(by_hand(&silent(0, 9, silent(1, 9, four())), "n4", true).is_err());
+    let voters = all.iter().filter(|other| other.is_voter);
+    if voters.clone().count() < policy.voters {
+        return Ok(MembershipChange::Promote { replica_id: candidate.replica_id });
     }
-
-    proptest! {
-        /// Whatever is there, no change leaves a majority of the voters away, before or after it.
-        #[test]
-        fn no_change_costs_a_quorum(drawn in prop::collection::vec((0u8..3, any::<bool>(), 0u64..50, any::<bool>()), 1..8),
-            ask in 0usize..8) {
-            let all: Vec<Candidate> = (1..).zip(&drawn).map(|(copy, (zone, votes, silent, caught_up))| Candidate {
-                caught_up: *caught_up, ..one(copy, &zone.to_string(), *votes, *silent)
-            }).collect();
-            let asks = BTreeMap::from([(format!("n{ask}"), 99)]);
-            let (gain, lose) = match next_change(&SETTINGS, &all, &asks) {
-                None => return Ok(()),
-                Some(MembershipChange::AddLearner(_, old)) => (None, old),
-                Some(MembershipChange::Promote(copy)) => (Some(copy), vec![]),
-                Some(MembershipChange::Replace(new, old)) => (Some(new), vec![old]),
-                Some(MembershipChange::Demote(copy) | MembershipChange::Remove(copy)) => (None, vec![copy]),
-            };
-            let count = |votes: &dyn Fn(&Candidate) -> bool| {
-                let voters: Vec<_> = all.iter().filter(|c| votes(c)).collect();
-                (voters.iter().filter(|c| c.silent_for < SETTINGS.reachable_within).count(), voters.len())
-            };
-            for (there, voters) in [
-                count(&|c| c.is_voter),
-                count(&|c| (c.is_voter || Some(c.replica_id) == gain) && !lose.contains(&c.replica_id)),
-            ] {
-                prop_assert!(2 * there > voters, "{there} of {voters}");
-            }
+    let old_voter = voters.filter(|voter| voter.replica_id != leader).max_by_key(|voter| {
+        let in_zone = voters_in_zone(all, &voter.zone, None);
+        (!voter.is_reachable(policy), in_zone, voter.load, voter.name.clone())
+    });
+    Ok(match old_voter {
+        Some(old_voter) => {
+            MembershipChange::Replace { new_voter: candidate.replica_id, old_voter: old_voter.replica_id }
         }
-    }
+        None => MembershipChange::Promote { replica_id: candidate.replica_id },
+    })
+}
+
+fn requested_demotion(
+    policy: &VoterPolicy,
+    all: &[Candidate],
+    candidate: &Candidate,
+) -> Result<MembershipChange, VoterChangeError> {
+    let successor = all
+        .iter()
+        .filter(|other| !other.is_voter && other.caught_up && other.is_reachable(policy))
+        .min_by_key(|other| (voters_in_zone(all, &other.zone, None), other.load, other.name.clone()))
+        .ok_or(VoterChangeError::NoSuccessor)?;
+    Ok(MembershipChange::Replace { new_voter: successor.replica_id, old_voter: candidate.replica_id })
 }
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -7,9 +7,10 @@
 use umberloom_replicated_store::entry::{Content, DocumentPart, DocumentUpdate, Entry, Envelope};
 use umberloom_replicated_store::export::Export;
 use umberloom_replicated_store::log::{Manifest, StoredReplica, KEYSPACES};
-use umberloom_replicated_store::message::{self, PeerMessage, StatusMessage};
+use umberloom_replicated_store::message::{self, OfferedSnapshot, PeerMessage, StatusMessage};
 use umberloom_replicated_store::rollback::DurableProgress;
 use umberloom_replicated_store::state::{HistoryLine, Outcome};
+use umberloom_replicated_store::transfer::SnapshotChunk;
 use umberloom_replicated_store::State;
 use umberloom_store::disk::RealDisk;
 use umberloom_store::{Config as StoreConfig, Store};
@@ -41,19 +42,26 @@
         reachable: vec![MemberName::from("server-b"), MemberName::from("server-c")],
         receiver_progress: Some(DurableProgress { starts: 1, term: 2, last_index: 3 }),
         fetching_snapshot: true,
-        snapshot: (60_000, Manifest { digest: [9; 16], length: 123_456 }),
+        snapshot: OfferedSnapshot { index: 60_000, manifest: Manifest { digest: [9; 16], length: 123_456 } },
         load_percent: 42,
     };
     vec![
         ("status", PeerMessage::Status(Box::new(status))),
         ("status-empty", PeerMessage::Status(Box::default())),
-        ("raft", PeerMessage::Raft(300, vec![1, 2, 3])),
-        ("hop", PeerMessage::Relay(MemberName::from("server-c"), vec![4, 5])),
-        ("passed", PeerMessage::Relayed(MemberName::from("server-a"), 1_700_000_000_000_001, vec![6])),
-        ("join", PeerMessage::Join(77, MemberName::from("east"))),
-        ("hand", PeerMessage::SetVoter(MemberName::from("server-b"), true)),
-        ("ask", PeerMessage::ChunkRequest([1; 16], 400)),
-        ("piece", PeerMessage::Chunk([1; 16], 400, vec![255, 0])),
+        ("raft", PeerMessage::Raft { to: 300, message: vec![1, 2, 3] }),
+        ("hop", PeerMessage::Relay { to: MemberName::from("server-c"), message: vec![4, 5] }),
+        (
+            "passed",
+            PeerMessage::Relayed {
+                from: MemberName::from("server-a"),
+                boot_id: 1_700_000_000_000_001,
+                message: vec![6],
+            },
+        ),
+        ("join", PeerMessage::Join { replica_id: 77, zone: MemberName::from("east") }),
+        ("hand", PeerMessage::SetVoter { member: MemberName::from("server-b"), is_voter: true }),
+        ("ask", PeerMessage::ChunkRequest { digest: [1; 16], index: 400 }),
+        ("piece", PeerMessage::Chunk(SnapshotChunk { digest: [1; 16], index: 400, bytes: vec![255, 0] })),
     ]
 }
 
@@ -137,7 +145,7 @@
     let found: Vec<(String, Outcome)> =
         lines.iter().map(|l| (l.description.clone(), l.outcome.clone())).collect();
     assert_eq!(found, expected_history());
-    assert!(lines.iter().all(|line| line.author.1 > 1_700_000_000_000), "{lines:?}");
+    assert!(lines.iter().all(|line| line.author.at_ms > 1_700_000_000_000), "{lines:?}");
 }
 
 /// The rows of a store that a server of the earlier version left behind.
@@ -163,13 +171,10 @@
         assert_eq!(image.identity.server, name);
         assert_eq!(image.identity.starts, 1);
         let mut state = image.state.clone().expect("a snapshot");
-        let (_, last) = image.last();
+        let last_index = image.last_position().index;
         let log = umberloom_replicated_store::log::Log::load(image);
-        for (index, kind, bytes) in log.entries_through(last) {
-            match kind {
-                0 => drop(state.apply(index, &bytes)),
-                _ => state.apply_members(index, &bytes, |_| {}),
-            }
+        for entry in log.entries_through(last_index) {
+            entry.apply_to(&mut state);
         }
         assert_is_the_earlier_state(&state);
     }
@@ -184,11 +189,8 @@
     assert_eq!((verified.documents, verified.unsupported_entries), (documents.to_vec(), 0));
     assert_eq!(export.to_bytes(), EXPORT);
     let mut state = State::from_bytes(&export.snapshot).expect("a state");
-    for (index, kind, bytes) in &export.entries {
-        match kind {
-            0 => drop(state.apply(*index, bytes)),
-            _ => state.apply_members(*index, bytes, |_| {}),
-        }
+    for entry in &export.entries {
+        entry.apply_to(&mut state);
     }
     assert_is_the_earlier_state(&state);
 }
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -58,7 +58,8 @@
             quick
         };
         let fleet = settled(count, voters, 7, adjust);
-        let founded = fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped(_))).count();
+        let founded =
+            fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped { .. })).count();
         assert_eq!(founded, 1, "{count} servers");
     }
 }
@@ -196,7 +197,7 @@
         assert!(after > before + 30, "{name}: {before} to {after}");
         let led = fleet.told[from..]
             .iter()
-            .filter(|(.., t)| matches!(t, Event::RoleChanged(_, Role::Leader)))
+            .filter(|(.., t)| matches!(t, Event::RoleChanged { to: Role::Leader, .. }))
             .count();
         assert!(led <= 2, "{name}: {led} leaders in 5 s");
         fleet.cut.clear();
@@ -257,7 +258,7 @@
     (0..3).for_each(|n| fleet.start(n));
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
     assert_ne!(fleet.record(0).map(|r| r.ids().1), first);
-    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped(_))).count(), 2);
+    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped { .. })).count(), 2);
     // With disks it is the old one, whatever the order.
     let second = fleet.record(0).map(|r| r.ids().1);
     (0..3).for_each(|n| fleet.kill(n, true));
@@ -329,7 +330,7 @@
     fleet.run(fleet.now + 5 * SECOND).expect("sound");
     assert!((0..4).all(|n| fleet.record(n).map(|r| r.ids().1) == first), "the majority has left its record");
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
-    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore { .. })));
     // Without its copy it joins the one that most hold.
     fleet.lose_disk(cut);
     fleet.start(cut);
@@ -372,7 +373,7 @@
         fleet.start(behind);
     }
     fleet.until(30 * SECOND, |f| f.settled(3)).expect("settled");
-    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp { .. })));
 }
 
 /// Faults drawn from a seed while clients write and read; then none.
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/record.rs
@@ -12,6 +12,7 @@
 use umberloom_replicated_store::log::KEYSPACES;
 use umberloom_replicated_store::{
     Action, Entry, EntryId, Event, Micros, Priority, ReadOutcome, Replica, RequestError, StoredReplica,
+    StoredReplicaError,
 };
 use umberloom_store::disk::RealDisk;
 use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
@@ -53,7 +54,7 @@
 /// What the disk's thread says.
 pub enum Word {
     /// The store is open: what it holds, read there as that may take long.
-    Opened(Box<(Result<Option<StoredReplica>, String>, OpenedStore)>),
+    Opened(Box<(Result<Option<StoredReplica>, StoredReplicaError>, OpenedStore)>),
     /// Anything else.
     Done(WriterEvent),
 }
@@ -143,7 +144,7 @@
                 }
                 self.record = Some(record);
             }
-            Err(why) => error!(self.log, "record: its settings make no sense"; "why" => why),
+            Err(why) => error!(self.log, "record: its settings make no sense"; "why" => %why),
         }
     }
 
@@ -188,7 +189,11 @@
         }
     }
 
-    fn opened(&mut self, now: Micros, (image, found): (Result<Option<StoredReplica>, String>, OpenedStore)) {
+    fn opened(
+        &mut self,
+        now: Micros,
+        (image, found): (Result<Option<StoredReplica>, StoredReplicaError>, OpenedStore),
+    ) {
         self.opened_at = now;
         if let Some((place, why)) = &found.quarantined {
             error!(self.log, "record: what was on the disk is set aside"; "why" => why, "now" => %place.display());
@@ -199,7 +204,7 @@
                 self.begin(now, image);
             }
             Err(why) => {
-                error!(self.log, "record: what was on the disk makes no sense"; "why" => why);
+                error!(self.log, "record: what was on the disk makes no sense"; "why" => %why);
                 self.fresh = true;
                 self.retry(now);
             }
@@ -283,14 +288,14 @@
             let mut aside = None;
             for action in actions {
                 match action {
-                    Action::Send(to, bytes, Priority::Heartbeat | Priority::Vote) => {
+                    Action::Send { to, bytes, priority: Priority::Heartbeat | Priority::Vote } => {
                         membership.send(now, &to, RECORD, bytes)
                     }
-                    Action::Send(to, bytes, Priority::Entry | Priority::Snapshot) => {
+                    Action::Send { to, bytes, priority: Priority::Entry | Priority::Snapshot } => {
                         membership.send_bulk(now, &to, RECORD, bytes)
                     }
-                    Action::Persist(number, batch) => self.held.push_back((number, batch)),
-                    Action::Quarantine(why) => aside = Some(why),
+                    Action::Persist { number, batch } => self.held.push_back((number, batch)),
+                    Action::Quarantine { reason: why } => aside = Some(why),
                 }
             }
             if let Some(why) = aside {
@@ -320,35 +325,37 @@
     fn tell(&self, told: Event) {
         let log = &self.log;
         match told {
-            Event::Bootstrapped(record) => {
+            Event::Bootstrapped { store_id: record } => {
                 warn!(log, "a new record begins: what an earlier one held is not in it";
                     "record" => format!("{record:016x}"));
             }
-            Event::RoleChanged(from, to) => info!(log, "record role"; "from" => %from, "to" => %to),
-            Event::LeaderChanged(name) => {
+            Event::RoleChanged { from, to } => info!(log, "record role"; "from" => %from, "to" => %to),
+            Event::LeaderChanged { leader: name } => {
                 info!(log, "record leader"; "name" => name.unwrap_or_else(|| "nobody".to_owned()))
             }
-            Event::ConfigurationChange(what) => info!(log, "record members change"; "what" => what),
-            Event::RollbackDetected(seen) => {
+            Event::ConfigurationChange { change } => {
+                info!(log, "record members change"; "what" => %change);
+            }
+            Event::RollbackDetected { remembered: seen } => {
                 error!(log, "record: this copy was set back"; "term" => seen.term, "entry" => seen.last_index);
             }
-            Event::LocalDivergence(from) => {
+            Event::LocalDivergence { majority: from } => {
                 error!(log, "record: this copy differs from a majority's"; "copies" => format!("{from:x?}"));
             }
-            Event::PeerDivergence(copies) => {
+            Event::PeerDivergence { replicas: copies } => {
                 warn!(log, "record: copies differ from ours and a majority's"; "copies" => format!("{copies:x?}"));
             }
             Event::Frozen => error!(log, "record: copies differ and nobody can tell which is right"),
-            Event::Obsolete(ours, led) => {
+            Event::Obsolete { own_store: ours, led_store: led } => {
                 error!(log, "record: ours is an old one";
                     "ours" => format!("{ours:016x}"), "led" => format!("{led:016x}"));
             }
-            Event::CompetingStore(ours, led) => {
+            Event::CompetingStore { own_store: ours, led_store: led } => {
                 error!(log, "record: another one is led beside ours";
                     "ours" => format!("{ours:016x}"), "led" => format!("{led:016x}"));
             }
-            Event::LogFailed(why) => error!(log, "record: its log can't go on"; "why" => why),
-            Event::CaughtUp(index, bytes, took) => {
+            Event::LogFailed { reason: why } => error!(log, "record: its log can't go on"; "why" => why),
+            Event::CaughtUp { index, bytes, took } => {
                 info!(log, "record caught up"; "entry" => index, "bytes" => bytes, "ms" => took / 1_000);
             }
         }
--- a/crates/server/src/questions/record.rs
+++ b/crates/server/src/questions/record.rs
@@ -327,7 +327,7 @@
             Outcome::Rejected(why) => format!("refused: {why}"),
             Outcome::Unsupported => "kept for a newer program".to_owned(),
         };
-        vec![line.index.to_string(), line.author.0.clone(), line.description.clone(), outcome]
+        vec![line.index.to_string(), line.author.server.clone(), line.description.clone(), outcome]
     }));
     columns(&rows)
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -8,7 +8,7 @@
 use umberloom_membership::{Evidence, MemberState, MemberView, MessageCounts, PartitionStatus};
 use umberloom_quota::{ChangeCause, QuotaStatus};
 use umberloom_replicated_store::entry::Entry;
-use umberloom_replicated_store::state::HistoryLine;
+use umberloom_replicated_store::state::{Author, HistoryLine};
 use umberloom_replicated_store::{Outcome, ReplicaView, Role};
 
 use super::fleet::{Answer, FleetView, Question, Reply, What};
@@ -163,7 +163,7 @@
     ];
     let line = |(index, outcome)| HistoryLine {
         index,
-        author: ("server-a".to_owned(), 1_700_000_000_123),
+        author: Author { server: "server-a".to_owned(), at_ms: 1_700_000_000_123 },
         description: "document limits".to_owned(),
         outcome,
     };
