--- a/crates/dependencies/src/breaker.rs
+++ b/crates/dependencies/src/breaker.rs
@@ -1,19 +1,19 @@
-//! When a dependency is not called for a while.
+//! The circuit breaker of a dependency (Nygard, "Release It!").
 
 use std::collections::VecDeque;
 
 use rand::Rng;
 use umberloom::interface::Micros;
 
-use crate::config::BreakerConfig as Settings;
+use crate::config::BreakerConfig;
 use crate::probe_pacing;
 
-/// Probes in a row that must go well before it closes.
+/// Probes in a row that must succeed before it closes.
 const PROBES_TO_CLOSE: u32 = 3;
-/// Each time that a probe fails it stays open twice as long, up to so many times as long as at first: after
-/// a long outage service is to be back within seconds.
+/// Each time that a probe fails it stays open twice as long, up to this many times the configured time: after a long
+/// outage service is to be back within seconds.
 const MAX_OPEN_TIME_FACTOR: u32 = 4;
-/// Fewer calls than this tell nothing, or all that are looked back on where that is fewer.
+/// Fewer calls than this show nothing, or the whole window where that is smaller.
 const MIN_CALLS: usize = 5;
 
 /// Whether calls may be made.
@@ -21,16 +21,24 @@
 pub enum BreakerState {
     /// They may.
     Closed,
-    /// Not before this time.
-    Open(Micros),
-    /// One at a time, to see; so many have gone well.
-    HalfOpen(u32),
+    /// Not now.
+    Open {
+        /// When the first probe may be made.
+        until: Micros,
+    },
+    /// Single probes only.
+    HalfOpen {
+        /// Probes in a row that succeeded.
+        successes: u32,
+    },
 }
 
-/// Looks back on the last calls. It is for dependencies that are down: what turns calls away is told by the limit.
+/// Opens when too many of the last calls failed. It is for dependencies that are down: rejections by one that is
+/// overloaded lower the concurrency limit instead.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
-    config: Option<Settings>,
+    /// `None`: it never opens.
+    config: Option<BreakerConfig>,
     state: BreakerState,
     /// Whether each of the last calls failed.
     recent_failures: VecDeque<bool>,
@@ -41,8 +49,8 @@
 }
 
 impl CircuitBreaker {
-    /// Closed; without settings it stays so.
-    pub fn new(config: Option<Settings>) -> CircuitBreaker {
+    /// A closed breaker; without a configuration it stays so.
+    pub fn new(config: Option<BreakerConfig>) -> CircuitBreaker {
         CircuitBreaker {
             config,
             state: BreakerState::Closed,
@@ -53,19 +61,22 @@
         }
     }
 
-    /// New settings.
-    pub fn reconfigure(&mut self, settings: Option<Settings>) {
-        self.config = settings;
-        match settings {
-            Some(settings) => self.trim_window(settings),
-            None => (self.state, self.consecutive_opens) = (BreakerState::Closed, 0),
+    /// Applies a new configuration.
+    pub fn reconfigure(&mut self, config: Option<BreakerConfig>) {
+        self.config = config;
+        match config {
+            Some(config) => self.trim_window(config),
+            None => {
+                self.state = BreakerState::Closed;
+                self.consecutive_opens = 0;
+            }
         }
     }
 
-    /// Where it stands now.
+    /// Its state now.
     pub fn state(&self, now: Micros) -> BreakerState {
         match self.state {
-            BreakerState::Open(until) if now >= until => BreakerState::HalfOpen(0),
+            BreakerState::Open { until } if now >= until => BreakerState::HalfOpen { successes: 0 },
             state => state,
         }
     }
@@ -74,68 +85,72 @@
     pub fn allows(&self, now: Micros) -> bool {
         match self.state(now) {
             BreakerState::Closed => true,
-            BreakerState::Open(_) => false,
-            BreakerState::HalfOpen(_) => self.probes_in_flight == 0,
+            BreakerState::Open { .. } => false,
+            BreakerState::HalfOpen { .. } => self.probes_in_flight == 0,
         }
     }
 
-    /// A call starts that was allowed; whether it is a probe, to be told again at its end.
+    /// A call that is allowed starts; returns whether it is a probe, which [`CircuitBreaker::end`] must be passed.
     pub fn start(&mut self, now: Micros) -> bool {
         self.state = self.state(now);
-        let probe = matches!(self.state, BreakerState::HalfOpen(_));
-        self.probes_in_flight += usize::from(probe);
-        probe
+        let is_probe = matches!(self.state, BreakerState::HalfOpen { .. });
+        self.probes_in_flight += usize::from(is_probe);
+        is_probe
     }
 
-    /// A call is over. `failed` is `None` where it says nothing, as when nobody waited for it any more.
+    /// A call is over. `failed` is `None` where it shows nothing, as when nobody waited for it any more. `servers` is
+    /// the number of servers that call the same dependency.
     pub fn end(
         &mut self,
         now: Micros,
-        probe: bool,
+        is_probe: bool,
         failed: Option<bool>,
-        (servers, random): (u32, &mut impl Rng),
+        servers: u32,
+        random: &mut impl Rng,
     ) {
-        self.probes_in_flight -= usize::from(probe);
+        self.probes_in_flight -= usize::from(is_probe);
         let Some(failed) = failed else { return };
         match self.state(now) {
-            BreakerState::Closed => self.record(now, failed, (servers, random)),
-            // Calls from before it opened say nothing about now.
-            BreakerState::HalfOpen(well) if probe && !failed => {
-                self.state = if well + 1 >= PROBES_TO_CLOSE {
-                    BreakerState::Closed
-                } else {
-                    BreakerState::HalfOpen(well + 1)
-                };
-                if self.state == BreakerState::Closed {
-                    self.consecutive_opens = 0;
-                    self.clear_window();
-                }
+            BreakerState::Closed => self.record(now, failed, servers, random),
+            // Calls from before it opened show nothing about now.
+            BreakerState::HalfOpen { successes } if is_probe && !failed => {
+                self.count_success(successes + 1);
             }
-            BreakerState::HalfOpen(_) if probe => self.open(now, (servers, random)),
-            BreakerState::HalfOpen(_) | BreakerState::Open(_) => {}
+            BreakerState::HalfOpen { .. } if is_probe => self.open(now, servers, random),
+            BreakerState::HalfOpen { .. } | BreakerState::Open { .. } => {}
         }
     }
 
-    fn record(&mut self, now: Micros, failed: bool, among: (u32, &mut impl Rng)) {
-        let Some(settings) = self.config else { return };
+    fn count_success(&mut self, successes: u32) {
+        if successes < PROBES_TO_CLOSE {
+            self.state = BreakerState::HalfOpen { successes };
+            return;
+        }
+        self.state = BreakerState::Closed;
+        self.consecutive_opens = 0;
+        self.clear_window();
+    }
+
+    fn record(&mut self, now: Micros, failed: bool, servers: u32, random: &mut impl Rng) {
+        let Some(config) = self.config else { return };
         self.recent_failures.push_back(failed);
         self.failed_count += usize::from(failed);
-        self.trim_window(settings);
-        let enough = MIN_CALLS.min(settings.window_calls as usize);
-        if self.recent_failures.len() >= enough
-            && self.failed_count as f64 >= settings.failure_ratio * self.recent_failures.len() as f64
-        {
-            self.open(now, among);
+        self.trim_window(config);
+        let calls = self.recent_failures.len();
+        let min_calls = MIN_CALLS.min(config.window_calls as usize);
+        if calls >= min_calls && self.failed_count as f64 >= config.failure_ratio * calls as f64 {
+            self.open(now, servers, random);
         }
     }
 
-    /// Servers that saw it fail at one moment must not all look again at one moment.
-    fn open(&mut self, now: Micros, (servers, random): (u32, &mut impl Rng)) {
-        let Some(settings) = self.config else { return };
-        let span = settings.open_time
-            * Micros::from((1 << self.consecutive_opens.min(16)).min(MAX_OPEN_TIME_FACTOR));
+    /// Servers that saw the dependency fail at one moment must not all probe it at one moment.
+    fn open(&mut self, now: Micros, servers: u32, random: &mut impl Rng) {
+        let Some(config) = self.config else { return };
+        let factor = (1 << self.consecutive_opens.min(16)).min(MAX_OPEN_TIME_FACTOR);
+        let open_time = config.open_time * Micros::from(factor);
         self.consecutive_opens += 1;
-        self.state = BreakerState::Open(now + probe_pacing::spread_delay(servers, span, random));
+        let until = now + probe_pacing::spread_delay(servers, open_time, random);
+        self.state = BreakerState::Open { until };
         self.clear_window();
     }
 
@@ -144,8 +159,8 @@
         self.failed_count = 0;
     }
 
-    fn trim_window(&mut self, settings: Settings) {
-        while self.recent_failures.len() > settings.window_calls as usize {
+    fn trim_window(&mut self, config: BreakerConfig) {
+        while self.recent_failures.len() > config.window_calls as usize {
             self.failed_count -= usize::from(self.recent_failures.pop_front().unwrap_or(false));
         }
     }
--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -4,10 +4,10 @@
 
 /// The end of a call at the only server there is.
 fn end(breaker: &mut CircuitBreaker, now: Micros, probe: bool, failed: Option<bool>) {
-    breaker.end(now, probe, failed, (1, &mut ChaCha8Rng::seed_from_u64(1)));
+    breaker.end(now, probe, failed, 1, &mut ChaCha8Rng::seed_from_u64(1));
 }
 
-const SETTINGS: Settings = Settings { failure_ratio: 0.5, window_calls: 20, open_time: 1_000 };
+const CONFIG: BreakerConfig = BreakerConfig { failure_ratio: 0.5, window_calls: 20, open_time: 1_000 };
 
 fn call(breaker: &mut CircuitBreaker, now: Micros, failed: bool) -> bool {
     let allowed = breaker.allows(now);
@@ -19,74 +19,76 @@
 }
 
 #[test]
-fn it_opens_at_its_share_and_not_before() {
-    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
+fn opens_at_its_failure_ratio_and_not_before() {
+    let mut breaker = CircuitBreaker::new(Some(CONFIG));
     (0..40).for_each(|n| assert!(call(&mut breaker, 0, n % 3 == 0)));
     assert_eq!(breaker.state(0), BreakerState::Closed);
     while breaker.state(0) == BreakerState::Closed {
         call(&mut breaker, 0, true);
     }
-    assert_eq!(breaker.state(999), BreakerState::Open(1_000));
+    assert_eq!(breaker.state(999), BreakerState::Open { until: 1_000 });
     assert!(!breaker.allows(999));
 }
 
 #[test]
-fn one_probe_at_a_time_and_three_good_ones_close_it() {
-    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
+fn half_open_lets_one_probe_at_a_time_and_closes_after_three_successes() {
+    let mut breaker = CircuitBreaker::new(Some(CONFIG));
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     assert!(breaker.allows(1_000));
     let probe = breaker.start(1_000);
     assert!(probe && !breaker.allows(1_000));
     end(&mut breaker, 1_010, probe, Some(false));
-    assert!(call(&mut breaker, 1_020, false) && breaker.state(1_020) == BreakerState::HalfOpen(2));
+    assert!(
+        call(&mut breaker, 1_020, false) && breaker.state(1_020) == BreakerState::HalfOpen { successes: 2 }
+    );
     assert!(call(&mut breaker, 1_030, false) && breaker.state(1_030) == BreakerState::Closed);
 }
 
 #[test]
-fn failed_probes_keep_it_open_for_longer() {
-    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
+fn failed_probe_doubles_the_open_time() {
+    let mut breaker = CircuitBreaker::new(Some(CONFIG));
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     let mut at = 1_000;
     for span in [2_000, 4_000, 4_000, 4_000] {
         assert!(call(&mut breaker, at, true));
-        assert_eq!(breaker.state(at), BreakerState::Open(at + span));
+        assert_eq!(breaker.state(at), BreakerState::Open { until: at + span });
         at += span;
     }
 }
 
 #[test]
-fn calls_from_before_and_calls_without_a_word_do_not_count() {
-    let mut breaker = CircuitBreaker::new(Some(SETTINGS));
+fn old_calls_and_calls_without_a_verdict_do_not_count() {
+    let mut breaker = CircuitBreaker::new(Some(CONFIG));
     let old = breaker.start(0);
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     end(&mut breaker, 500, old, Some(false));
-    assert_eq!(breaker.state(500), BreakerState::Open(1_000));
+    assert_eq!(breaker.state(500), BreakerState::Open { until: 1_000 });
     let probe = breaker.start(1_000);
     end(&mut breaker, 1_100, probe, None);
     assert!(breaker.allows(1_100), "its place is free for another probe");
 }
 
-/// Guards against thirty servers that look again at one moment for having opened at one moment.
+/// Guards against thirty servers that probe at one moment because they opened at one moment.
 #[test]
-fn servers_that_opened_at_one_moment_do_not_look_again_at_one_moment() {
-    let mut looks: Vec<Micros> = (0..30)
+fn probes_of_servers_that_opened_together_are_spread() {
+    let mut probe_times: Vec<Micros> = (0..30)
         .map(|seed| {
-            let mut breaker = CircuitBreaker::new(Some(SETTINGS));
+            let mut breaker = CircuitBreaker::new(Some(CONFIG));
             let mut random = ChaCha8Rng::seed_from_u64(seed);
             while breaker.allows(1_000) {
                 let probe = breaker.start(1_000);
-                breaker.end(1_000, probe, Some(true), (30, &mut random));
+                breaker.end(1_000, probe, Some(true), 30, &mut random);
             }
-            let BreakerState::Open(until) = breaker.state(1_000) else { panic!("open") };
+            let BreakerState::Open { until } = breaker.state(1_000) else { panic!("open") };
             until
         })
         .collect();
-    looks.sort_unstable();
-    let span = SETTINGS.open_time;
-    assert!(looks.iter().all(|at| (1_000 + span..=1_000 + 2 * span).contains(at)));
-    let most = looks
+    probe_times.sort_unstable();
+    let span = CONFIG.open_time;
+    assert!(probe_times.iter().all(|at| (1_000 + span..=1_000 + 2 * span).contains(at)));
+    let most = probe_times
         .iter()
-        .map(|from| looks.iter().filter(|at| (*from..*from + span / 10).contains(*at)).count())
+        .map(|from| probe_times.iter().filter(|at| (*from..*from + span / 10).contains(*at)).count())
         .max();
     assert!(most <= Some(3 + 3 + 2), "{most:?}");
 }
--- a/crates/dependencies/src/dependency.rs
+++ b/crates/dependencies/src/dependency.rs
@@ -1,4 +1,4 @@
-//! Everything that is known of one dependency.
+//! Everything that is known of one dependency: its limits, breaker, endpoints, retry budget and queued calls.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -7,51 +7,69 @@
 use rand::Rng;
 use umberloom::interface::{Micros, Outcome};
 
-use crate::breaker::{self, CircuitBreaker};
+use crate::breaker::{BreakerState, CircuitBreaker};
 use crate::config::{DependencyConfig, LimitBounds};
 use crate::latency::LatencyWindow;
 use crate::limit::{CallSample, ConcurrencyLimit, LimitStatus};
 use crate::load_balancer::{EndpointStatus, LoadBalancer};
+use crate::plan::CallRef;
 use crate::retry::RetryBudget;
-use crate::PlanId;
 
-/// Calls that may wait for a place: far more than find one in the time that requests have.
+/// Calls that may be queued: far more than can start in the time that requests have.
 const MAX_QUEUED_CALLS: usize = 1_024;
-/// An attempt that may be followed by another gets half of the time that is left, but at least so many typical
-/// times where there are as many.
+/// An attempt that may be followed by a retry gets half of the time that is left, but at least this many times the
+/// typical latency where there is as much.
 const MIN_ATTEMPT_LATENCIES: f64 = 3.0;
 
-/// A call that waits for a place: by level, highest first, then by age.
-pub(crate) type QueuedCall = (Reverse<u16>, u64, PlanId, usize);
+/// A call that waits for capacity, ordered by priority level (highest first) and then by age.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueuedCall {
+    pub priority_level: Reverse<u16>,
+    /// Grows with each call that is queued.
+    pub ticket: u64,
+    pub call: CallRef,
+}
 
-/// How a dependency stands, and why.
+/// What is known of a dependency, for reports to people.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DependencyStatus {
     /// Its name.
     pub name: Rc<str>,
-    /// Its limit over all endpoints.
+    /// Its concurrency limit over all endpoints.
     pub limit: LimitStatus,
     /// Whether it is called at all.
-    pub breaker: breaker::BreakerState,
-    /// Repeated attempts that the budget allows now.
+    pub breaker: BreakerState,
+    /// Retries that the budget allows now.
     pub retry_budget: f64,
-    /// Calls that wait for a place.
+    /// Calls that wait for capacity.
     pub queued: usize,
     /// Its endpoints.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// What is asked of a dependency now.
+/// The demand for a dependency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Calls that wait for a place.
+    /// Calls that wait for capacity.
     pub queued: usize,
-    /// The highest level among them.
+    /// The highest priority level among them.
     pub max_priority_level: u16,
     /// Calls in flight.
     pub in_flight: usize,
 }
 
+/// An attempt that is over, as its dependency sees it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndedAttempt {
+    /// Index of the endpoint.
+    pub endpoint: usize,
+    /// The breaker let it through as a probe.
+    pub is_probe: bool,
+    pub took: Micros,
+    /// `None` if it was cancelled because nobody waits for it, which shows nothing.
+    pub outcome: Option<Outcome>,
+}
+
 #[derive(Debug)]
 pub(crate) struct Dependency {
     pub name: Rc<str>,
@@ -62,16 +80,12 @@
     pub load_balancer: LoadBalancer,
     pub latency: LatencyWindow,
     pub queue: BTreeSet<QueuedCall>,
-    /// No longer in the settings.
+    /// No longer configured: it is dropped once its last call has ended.
     pub retired: bool,
-    /// All bursts and shares that the budget ever had, for [`Service::check`].
-    max_policy: (f64, f64),
-}
-
-fn bounds(config: &DependencyConfig) -> LimitBounds {
-    let most = config.concurrency_ceiling();
-    let LimitBounds { initial: start, min: least, .. } = config.concurrency_limit;
-    LimitBounds { initial: start.min(most), min: least.min(most), max: most }
+    /// The largest burst that the retry budget ever had, for [`Dependency::check_invariants`].
+    max_budget_burst: f64,
+    /// The largest ratio that it ever had.
+    max_budget_ratio: f64,
 }
 
 impl Dependency {
@@ -80,7 +94,7 @@
             name: config.name.as_str().into(),
             retry_budget: RetryBudget::new(config.retry),
             breaker: CircuitBreaker::new(config.breaker),
-            limit: ConcurrencyLimit::new(bounds(&config)),
+            limit: ConcurrencyLimit::new(limit_bounds(&config)),
             load_balancer: LoadBalancer::new(
                 config.load_balancing,
                 &config.endpoints,
@@ -89,18 +103,19 @@
             latency: LatencyWindow::new(now),
             queue: BTreeSet::new(),
             retired: false,
-            max_policy: (config.retry.budget_burst, config.retry.budget_ratio),
+            max_budget_burst: config.retry.budget_burst,
+            max_budget_ratio: config.retry.budget_ratio,
             config,
         }
     }
 
-    /// New settings; what was learned stays.
+    /// Applies a new configuration and keeps what was learned.
     pub fn reconfigure(&mut self, now: Micros, config: DependencyConfig) {
         self.retry_budget.set_policy(config.retry);
-        self.max_policy.0 = self.max_policy.0.max(config.retry.budget_burst);
-        self.max_policy.1 = self.max_policy.1.max(config.retry.budget_ratio);
+        self.max_budget_burst = self.max_budget_burst.max(config.retry.budget_burst);
+        self.max_budget_ratio = self.max_budget_ratio.max(config.retry.budget_ratio);
         self.breaker.reconfigure(config.breaker);
-        self.limit.set_bounds(now, bounds(&config));
+        self.limit.set_bounds(now, limit_bounds(&config));
         self.load_balancer.reconfigure(
             now,
             config.load_balancing,
@@ -111,27 +126,29 @@
         self.config = config;
     }
 
-    /// Calls that wait for a place, the highest level among them, and calls in flight.
     pub fn demand(&self) -> Demand {
-        let level = self.queue.first().map_or(0, |(level, ..)| level.0);
-        Demand { queued: self.queue.len(), max_priority_level: level, in_flight: self.limit.in_flight() }
+        Demand {
+            queued: self.queue.len(),
+            max_priority_level: self.queue.first().map_or(0, |queued| queued.priority_level.0),
+            in_flight: self.limit.in_flight(),
+        }
     }
 
-    /// Whether nothing of it is under way.
+    /// Whether no call of it is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.limit.in_flight() == 0 && self.queue.is_empty()
     }
 
-    /// Takes a call in that waits for a place; `false` if too many do.
-    pub fn enqueue(&mut self, waiter: QueuedCall) -> bool {
-        let room = self.queue.len() < MAX_QUEUED_CALLS;
-        if room {
-            self.queue.insert(waiter);
+    /// Queues a call; `false` if the queue is full.
+    pub fn enqueue(&mut self, queued: QueuedCall) -> bool {
+        let has_room = self.queue.len() < MAX_QUEUED_CALLS;
+        if has_room {
+            self.queue.insert(queued);
         }
-        room
+        has_room
     }
 
-    /// The endpoint for one more call, if there is a place.
+    /// The endpoint for one more attempt, if there is capacity.
     pub fn pick_endpoint(&self, now: Micros, avoid: &[usize], random: &mut impl Rng) -> Option<usize> {
         if !self.limit.has_capacity() {
             return None;
@@ -139,54 +156,49 @@
         self.load_balancer.pick(now, avoid, random)
     }
 
-    /// How long the call that waits here is likely to wait yet.
-    pub fn expected_wait(&self, waiter: &QueuedCall) -> Micros {
-        let ahead = self.queue.range(..waiter).count() + 1;
+    /// How much longer this queued call is expected to wait.
+    pub fn expected_wait(&self, queued: &QueuedCall) -> Micros {
+        let ahead = self.queue.range(..queued).count() + 1;
         (ahead as f64 * self.limit.typical_latency() / self.limit.value().max(1) as f64) as Micros
     }
 
-    /// A call starts; whether it is one by which the breaker looks again.
+    /// An attempt starts; returns whether it is a probe of the breaker.
     pub fn start(&mut self, now: Micros, endpoint: usize) -> bool {
         self.limit.start();
         self.load_balancer.start(endpoint);
         self.breaker.start(now)
     }
 
-    /// It is over. `None`: it was given up because nobody waits for it any more, which says nothing.
-    pub fn end(
-        &mut self,
-        now: Micros,
-        (endpoint, probe): (usize, bool),
-        took: Micros,
-        outcome: Option<Outcome>,
-        random: &mut impl Rng,
-    ) {
-        let (sample, failed) = match outcome {
-            Some(Outcome::Ok) => (CallSample::Answered(took), Some(false)),
-            // Turned away: crowded, and neither down nor well.
+    /// An attempt that was started is over.
+    pub fn end(&mut self, now: Micros, attempt: EndedAttempt, random: &mut impl Rng) {
+        let (sample, failed) = match attempt.outcome {
+            Some(Outcome::Ok) => (CallSample::Answered(attempt.took), Some(false)),
+            // A rejection shows overload; it shows neither that the dependency is down nor that it is well.
             Some(Outcome::Rejected) => (CallSample::Dropped, None),
             Some(Outcome::TimedOut) => (CallSample::Dropped, Some(true)),
-            // How fast it fails says nothing about load.
+            // How fast it fails shows nothing about load.
             Some(Outcome::Error | Outcome::Unreachable | Outcome::ConnectionLost) => {
                 (CallSample::Ignored, Some(true))
             }
             Some(Outcome::NotStarted | Outcome::Aborted) | None => (CallSample::Ignored, None),
         };
-        if outcome == Some(Outcome::Ok) {
-            self.latency.record(now, took);
+        if attempt.outcome == Some(Outcome::Ok) {
+            self.latency.record(now, attempt.took);
         }
         self.limit.end(now, sample);
-        self.load_balancer.end(now, endpoint, sample, failed, random);
-        self.breaker.end(now, probe, failed, (self.config.load_balancing.servers, random));
+        self.load_balancer.end(now, attempt.endpoint, sample, failed, random);
+        let servers = self.config.load_balancing.servers;
+        self.breaker.end(now, attempt.is_probe, failed, servers, random);
     }
 
-    /// Until when an attempt may take that starts now, in a stage that ends at `end`.
-    pub fn attempt_deadline(&self, now: Micros, end: Micros, may_follow: bool) -> Micros {
-        if !may_follow {
-            return end;
+    /// The deadline of an attempt that starts now, of a call that must end at `call_deadline`.
+    pub fn attempt_deadline(&self, now: Micros, call_deadline: Micros, may_be_retried: bool) -> Micros {
+        if !may_be_retried {
+            return call_deadline;
         }
-        let left = end.saturating_sub(now);
-        now + (left / 2).max((self.limit.typical_latency() * MIN_ATTEMPT_LATENCIES) as Micros).min(left)
+        let left = call_deadline.saturating_sub(now);
+        let min_time = (self.limit.typical_latency() * MIN_ATTEMPT_LATENCIES) as Micros;
+        now + (left / 2).max(min_time).min(left)
     }
 
     pub fn status(&self, now: Micros) -> DependencyStatus {
@@ -202,19 +214,24 @@
 
     pub fn check_invariants(&self) -> Result<(), String> {
         let name = &self.name;
-        if self.limit.in_flight() != self.load_balancer.in_flight() {
-            return Err(format!(
-                "{name}: in flight {} and {}",
-                self.limit.in_flight(),
-                self.load_balancer.in_flight()
-            ));
+        let in_flight = self.limit.in_flight();
+        let at_endpoints = self.load_balancer.in_flight();
+        if in_flight != at_endpoints {
+            return Err(format!("{name}: {in_flight} calls in flight, {at_endpoints} at its endpoints"));
         }
         if !self.limit.is_within_bounds() || self.queue.len() > MAX_QUEUED_CALLS {
-            return Err(format!("{name}: limit {:?}, {} wait", self.limit, self.queue.len()));
+            return Err(format!("{name}: limit {:?}, {} calls queued", self.limit, self.queue.len()));
         }
-        if !self.retry_budget.is_not_overdrawn(self.max_policy.0, self.max_policy.1) {
-            return Err(format!("{name}: the budget is overdrawn, {:?}", self.retry_budget));
+        if !self.retry_budget.is_not_overdrawn(self.max_budget_burst, self.max_budget_ratio) {
+            return Err(format!("{name}: the retry budget is overdrawn, {:?}", self.retry_budget));
         }
-        self.load_balancer.check_invariants().map_err(|e| format!("{name}: {e}"))
+        self.load_balancer.check_invariants().map_err(|error| format!("{name}: {error}"))
     }
 }
+
+/// The configured bounds of the concurrency limit, within this server's part of the dependency's capacity.
+fn limit_bounds(config: &DependencyConfig) -> LimitBounds {
+    let max = config.concurrency_ceiling();
+    let configured = config.concurrency_limit;
+    LimitBounds { initial: configured.initial.min(max), min: configured.min.min(max), max }
+}
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -1,77 +1,89 @@
-//! A limit on calls in flight that climbs and falls with what latency shows.
+//! An adaptive limit on calls in flight: it rises while latency is low, and falls when latency or losses show overload
+//! (additive increase, multiplicative decrease, as in Netflix's concurrency-limits).
 
 use umberloom::interface::Micros;
 
 use crate::config::LimitBounds;
 
-/// Calls are slow when they typically take so many times their best, as the decision module has it.
+/// Calls are slow when they typically take this many times their best latency; the admission controller has the same.
 const SLOW_FACTOR: f64 = 3.0;
-/// The best time is forgotten at this rate a call, so that a dependency that has become slower for good is no
-/// longer held against what it once was.
+/// The best latency is forgotten at this rate a call, so that a dependency that has become slower for good is no
+/// longer compared with what it once was.
 const BEST_LATENCY_GROWTH: f64 = 1.001;
-/// Weight of the newest call in the typical time.
+/// Weight of the newest call in the typical latency.
 const LATENCY_GAIN: f64 = 0.1;
-/// What is left of the limit after one step down.
+/// What one decrease leaves of the limit.
 const DECREASE_FACTOR: f64 = 0.9;
 
-/// How a call bears on the limit.
+/// What a call that is over shows about load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSample {
-    /// It was answered after this time.
+    /// It was answered after this time, in microseconds.
     Answered(Micros),
-    /// It was turned away, or never came back: there was too much.
+    /// It was rejected or timed out: there was too much load.
     Dropped,
-    /// It says nothing about load: a connection that broke, a call that nobody waits for any more.
+    /// Nothing: a connection that was lost, a call that nobody waits for any more.
     Ignored,
 }
 
-/// What moved a limit last.
+/// Why a limit changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChangeCause {
-    /// Nothing yet, or new settings.
+    /// It is new, or has new bounds.
     Configured,
     /// Calls were quick and the limit was made use of.
     LowLatency,
-    /// Calls took over three times their best.
+    /// Calls took many times their best latency.
     HighLatency,
-    /// A call was turned away or never came back.
+    /// A call was rejected or timed out.
     Dropped,
 }
 
-/// A limit and why it stands where it does.
+/// A change of a limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LimitChange {
+    /// Why it changed.
+    pub cause: LimitChangeCause,
+    /// When.
+    pub at: Micros,
+}
+
+/// A limit and why it has its value, for reports to people.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitStatus {
     /// Calls that may be in flight.
     pub value: usize,
     /// Calls that are.
     pub in_flight: usize,
-    /// Least and most that the operator allows.
-    pub bounds: (usize, usize),
-    /// What moved it last, and when.
-    pub last_change: (LimitChangeCause, Micros),
-    /// The typical time of a call and the best, in microseconds; 0 while unknown.
+    /// The least value that is configured.
+    pub min: usize,
+    /// The highest value that is allowed.
+    pub max: usize,
+    /// Its last change.
+    pub last_change: LimitChange,
+    /// The typical latency of a call, in microseconds; 0 while unknown.
     pub typical_latency: f64,
-    /// The best time, slowly forgotten.
+    /// The best latency, slowly forgotten, in microseconds; 0 while unknown.
     pub best_latency: f64,
 }
 
-/// The limit.
+/// The limit, with the number of calls in flight.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     bounds: LimitBounds,
-    /// What is allowed from outside, whatever was learned: a part of an allowance that several servers share.
+    /// What is allowed from outside, whatever was learned: this server's share of a distributed quota.
     cap: usize,
     value: f64,
     in_flight: usize,
     typical_latency: Option<f64>,
     best_latency: f64,
-    last_change: (LimitChangeCause, Micros),
-    /// No second step down before the first can have shown.
+    last_change: LimitChange,
+    /// No second decrease before the first can have had an effect.
     next_decrease_at: Micros,
 }
 
 impl ConcurrencyLimit {
-    /// Starts where the bounds say.
+    /// A limit at the initial value of its bounds.
     pub fn new(bounds: LimitBounds) -> ConcurrencyLimit {
         ConcurrencyLimit {
             bounds,
@@ -80,42 +92,42 @@
             in_flight: 0,
             typical_latency: None,
             best_latency: 0.0,
-            last_change: (LimitChangeCause::Configured, 0),
+            last_change: LimitChange { cause: LimitChangeCause::Configured, at: 0 },
             next_decrease_at: 0,
         }
     }
 
-    /// New bounds; what was learned stays.
+    /// Applies new bounds; what was learned stays.
     pub fn set_bounds(&mut self, now: Micros, bounds: LimitBounds) {
         if self.bounds != bounds {
             self.bounds = bounds;
             self.value = self.value.clamp(bounds.min as f64, bounds.max as f64);
-            self.last_change = (LimitChangeCause::Configured, now);
+            self.last_change = LimitChange { cause: LimitChangeCause::Configured, at: now };
         }
     }
 
-    /// Calls that may be in flight.
-    pub fn value(&self) -> usize {
-        self.value as usize
-    }
-
-    /// No more calls than this may be in flight from now on; whether that is more than before.
+    /// Lets no more calls than `cap` be in flight; returns whether that is more than before.
     pub fn set_cap(&mut self, cap: usize) -> bool {
         let before = std::mem::replace(&mut self.cap, cap);
         cap > before
     }
 
-    /// Calls that are.
+    /// Calls that may be in flight as far as was learned, without the cap.
+    pub fn value(&self) -> usize {
+        self.value as usize
+    }
+
+    /// Calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Whether one more may start.
+    /// Whether one more call may start.
     pub fn has_capacity(&self) -> bool {
         self.in_flight < self.value().min(self.cap)
     }
 
-    /// Its typical time, 0 while unknown.
+    /// The typical latency of a call in microseconds, 0 while unknown.
     pub fn typical_latency(&self) -> f64 {
         self.typical_latency.unwrap_or(0.0)
     }
@@ -127,157 +139,76 @@
 
     /// A call that was started is over.
     pub fn end(&mut self, now: Micros, sample: CallSample) {
-        let used = 2 * self.in_flight >= self.value();
+        let was_used = 2 * self.in_flight >= self.value();
         self.in_flight = self.in_flight.saturating_sub(1);
         match sample {
             CallSample::Ignored => {}
             CallSample::Dropped => self.decrease(now, LimitChangeCause::Dropped),
-            CallSample::Answered(took) => {
-                let took = took.max(1) as f64;
-                let typical = self.typical_latency.map_or(took, |t| t + LATENCY_GAIN * (took - t));
-                self.best_latency = if self.typical_latency.is_none() {
-                    took
-                } else {
-                    typical.min(self.best_latency * BEST_LATENCY_GROWTH)
-                };
-                self.typical_latency = Some(typical);
+            CallSample::Answered(latency) => {
+                let typical = self.record_latency(latency);
                 if typical > SLOW_FACTOR * self.best_latency {
                     self.decrease(now, LimitChangeCause::HighLatency);
-                } else if used {
+                } else if was_used {
                     self.increase(now);
                 }
             }
         }
     }
 
+    /// Returns the typical latency.
+    fn record_latency(&mut self, latency: Micros) -> f64 {
+        let latency = latency.max(1) as f64;
+        let Some(before) = self.typical_latency else {
+            self.typical_latency = Some(latency);
+            self.best_latency = latency;
+            return latency;
+        };
+        let typical = before + LATENCY_GAIN * (latency - before);
+        self.typical_latency = Some(typical);
+        self.best_latency = typical.min(self.best_latency * BEST_LATENCY_GROWTH);
+        typical
+    }
+
     /// By one for as many calls as the limit lets be in flight.
     fn increase(&mut self, now: Micros) {
-        let next = (self.value + 1.0 / self.value).min(self.bounds.max as f64);
-        if next as usize != self.value() {
-            self.last_change = (LimitChangeCause::LowLatency, now);
-        }
-        self.value = next;
+        let value = (self.value + 1.0 / self.value).min(self.bounds.max as f64);
+        self.set_value(now, value, LimitChangeCause::LowLatency);
     }
 
-    fn decrease(&mut self, now: Micros, why: LimitChangeCause) {
+    fn decrease(&mut self, now: Micros, cause: LimitChangeCause) {
         if now < self.next_decrease_at {
             return;
         }
         self.next_decrease_at = now + self.typical_latency() as Micros;
-        let next = (self.value * DECREASE_FACTOR).max(self.bounds.min as f64);
-        if next as usize != self.value() {
-            self.last_change = (why, now);
+        let value = (self.value * DECREASE_FACTOR).max(self.bounds.min as f64);
+        self.set_value(now, value, cause);
+    }
+
+    fn set_value(&mut self, now: Micros, value: f64, cause: LimitChangeCause) {
+        if value as usize != self.value() {
+            self.last_change = LimitChange { cause, at: now };
         }
-        self.value = next;
+        self.value = value;
     }
 
-    /// Where it stands and why.
+    /// Its value and why it has it.
     pub fn status(&self) -> LimitStatus {
         LimitStatus {
             value: self.value(),
             in_flight: self.in_flight,
-            bounds: (self.bounds.min, self.bounds.max),
+            min: self.bounds.min,
+            max: self.bounds.max,
             last_change: self.last_change,
             typical_latency: self.typical_latency(),
             best_latency: self.best_latency,
         }
     }
 
-    /// Whether it stands within its bounds.
+    /// Whether its value is within its bounds.
     pub fn is_within_bounds(&self) -> bool {
         (self.bounds.min..=self.bounds.max).contains(&self.value())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const BOUNDS: LimitBounds = LimitBounds { initial: 4, min: 2, max: 20 };
-
-    /// As many calls as fit, each taking `took(in flight)`; returns the limit at the end.
-    fn play(limit: &mut ConcurrencyLimit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
-        for round in 0..rounds {
-            while limit.has_capacity() {
-                limit.start();
-            }
-            let crowd = limit.in_flight();
-            (0..crowd).for_each(|_| limit.end(round * 100_000, CallSample::Answered(took(crowd))));
-        }
-        limit.value()
-    }
-
-    #[test]
-    fn it_climbs_while_calls_are_quick_and_used() {
-        let mut limit = ConcurrencyLimit::new(BOUNDS);
-        assert_eq!(play(&mut limit, 100, |_| 1_000), 20);
-        assert_eq!(limit.status().last_change.0, LimitChangeCause::LowLatency);
-    }
-
-    #[test]
-    fn it_stays_where_it_is_not_made_use_of() {
-        let mut limit = ConcurrencyLimit::new(BOUNDS);
-        for now in 0..1_000 {
-            limit.start();
-            limit.end(now, CallSample::Answered(1_000));
-        }
-        assert_eq!((limit.value(), limit.status().last_change.0), (4, LimitChangeCause::Configured));
-    }
-
-    #[test]
-    fn it_settles_where_a_crowded_dependency_is_not_yet_slow() {
-        let mut limit = ConcurrencyLimit::new(BOUNDS);
-        // Over 8 at once each takes longer in step with the square of the crowd.
-        let took = |crowd: usize| if crowd <= 8 { 1_000 } else { 1_000 * (crowd * crowd) as u64 / 16 };
-        let end = play(&mut limit, 400, took);
-        assert!((6..=11).contains(&end), "{end}");
-    }
-
-    #[test]
-    fn what_is_turned_away_brings_it_down_once_a_call_time() {
-        let mut limit = ConcurrencyLimit::new(LimitBounds { initial: 20, ..BOUNDS });
-        limit.start();
-        limit.end(0, CallSample::Answered(1_000));
-        for _ in 0..10 {
-            limit.start();
-            limit.end(10_000, CallSample::Dropped);
-        }
-        assert_eq!((limit.value(), limit.status().last_change), (18, (LimitChangeCause::Dropped, 10_000)));
-        for round in 2..100 {
-            limit.start();
-            limit.end(round * 10_000, CallSample::Dropped);
-        }
-        assert_eq!(limit.value(), 2);
-    }
-
-    #[test]
-    fn new_bounds_hold_at_once() {
-        let mut limit = ConcurrencyLimit::new(BOUNDS);
-        limit.set_bounds(7, LimitBounds { initial: 1, min: 1, max: 3 });
-        assert_eq!((limit.value(), limit.status().last_change), (3, (LimitChangeCause::Configured, 7)));
-    }
-
-    proptest! {
-        #[test]
-        fn it_never_leaves_its_bounds(
-            least in 1usize..10, start in 0usize..10, most in 0usize..40,
-            steps in prop::collection::vec((0u64..100_000, 0u8..4, 1u64..10_000_000), 0..400),
-        ) {
-            let bounds = LimitBounds { min: least, initial: least + start, max: least + start + most };
-            let (mut limit, mut now, mut flying) = (ConcurrencyLimit::new(bounds), 0, 0usize);
-            for (after, what, took) in steps {
-                now += after;
-                if limit.has_capacity() && what != 3 {
-                    limit.start();
-                    flying += 1;
-                } else if flying > 0 {
-                    flying -= 1;
-                    let sample = match took % 3 { 0 => CallSample::Dropped, 1 => CallSample::Ignored, _ => CallSample::Answered(took) };
-                    limit.end(now, sample);
-                }
-                prop_assert!(limit.is_within_bounds() && limit.in_flight() == flying && flying <= bounds.max);
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -1,357 +1,238 @@
-//! Which endpoint a call goes to, and which endpoints are left out.
+//! Load balancing over the endpoints of a dependency, with outlier ejection as in Envoy.
+
+mod ejection;
+mod endpoint;
 
 use std::rc::Rc;
 
 use rand::Rng;
 use umberloom::interface::Micros;
 
+use self::endpoint::Endpoint;
 use crate::config::{LimitBounds, LoadBalancerConfig};
-use crate::latency::PeakLatency;
-use crate::limit::{CallSample, ConcurrencyLimit, LimitStatus};
-use crate::probe_pacing;
+use crate::limit::CallSample;
+
+pub use ejection::{Ejection, EjectionReason};
+pub use endpoint::{EndpointState, EndpointStatus};
 
-/// An endpoint that comes back starts with this part of its full share.
+/// An endpoint that comes back starts with this part of its full weight.
 const INITIAL_WEIGHT: f64 = 0.1;
-/// Of the part of its full share that an endpoint has while it comes back so much is used; the rest is for chance, as many
-/// servers draw by themselves.
+/// Of the weight that an endpoint has while it comes back this part is used; the rest is left for chance, as many
+/// servers draw independently.
 const RAMP_USED_SHARE: f64 = 0.5;
-/// Left out again, it stays out twice as long, up to so many times as long as at first.
-const MAX_EJECTION_FACTOR: u32 = 4;
-/// A failed call counts as so many times the usual time: an endpoint that fails fast must not draw calls by it.
+/// A failed call counts as this many times the median latency: an endpoint that fails fast must not attract calls.
 const FAILURE_LATENCY_FACTOR: f64 = 10.0;
-/// The usual time while none is known: a tenth of a second.
+/// The median latency while none is known, in microseconds: a tenth of a second.
 const DEFAULT_LATENCY: f64 = 100_000.0;
-/// Calls that an endpoint must have answered before its time is held against it.
-const MIN_ANSWERS: u32 = 10;
-
-/// Whether an endpoint is in use.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointState {
-    /// It is, with its full share from this time on.
-    Active(Micros),
-    /// It is left out until this time.
-    Ejected(Micros),
-    /// One call goes to it, to see.
-    Probing,
-}
-
-/// Why an endpoint was left out last.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EjectionReason {
-    /// It failed too often in a row.
-    ConsecutiveFailures,
-    /// It took many times what the others take.
-    HighLatency,
-}
 
-/// What an endpoint looks like from here.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EndpointStatus {
-    /// Its address.
-    pub address: Rc<str>,
-    /// Whether it is in use.
-    pub state: EndpointState,
-    /// Why it was left out last, and how often in a row.
-    pub last_ejection: Option<(EjectionReason, u32)>,
-    /// It would be left out, but too many are.
-    pub ejection_withheld: bool,
-    /// Its limit.
-    pub limit: LimitStatus,
-}
-
-#[derive(Clone, Debug)]
-struct Endpoint {
-    address: Rc<str>,
-    state: EndpointState,
-    limit: ConcurrencyLimit,
-    /// Times of calls that were answered, and what failed ones count as.
-    answer_latency: PeakLatency,
-    penalized_latency: PeakLatency,
-    answered: u32,
-    consecutive_failures: u32,
-    last_ejection: Option<(EjectionReason, u32)>,
-    ejection_withheld: bool,
-    /// No longer in the settings: it takes no new call and goes with its last one.
-    retired: bool,
-}
-
-/// All endpoints of one dependency. They are known by their places, which never change.
+/// All endpoints of one dependency. They are named by their indices, which never change.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     config: LoadBalancerConfig,
     endpoints: Vec<Endpoint>,
-    /// How many were out when the settings changed last: they may leave fewer out than that.
+    /// How many were ejected at the last reconfiguration, which may allow fewer than that.
     ejected_at_reconfigure: usize,
 }
 
 impl LoadBalancer {
-    /// Endpoints at these addresses.
-    pub fn new(settings: LoadBalancerConfig, addresses: &[String], bounds: LimitBounds) -> LoadBalancer {
-        let mut pool = LoadBalancer { config: settings, endpoints: Vec::new(), ejected_at_reconfigure: 0 };
-        pool.reconfigure(0, settings, addresses, bounds);
-        pool
+    /// All of the endpoints at these addresses are active.
+    pub fn new(config: LoadBalancerConfig, addresses: &[String], bounds: LimitBounds) -> LoadBalancer {
+        let mut balancer = LoadBalancer { config, endpoints: Vec::new(), ejected_at_reconfigure: 0 };
+        balancer.reconfigure(0, config, addresses, bounds);
+        balancer
     }
 
-    /// New settings: what is known of addresses that stay is kept, and those that are gone take no new calls.
+    /// Applies a new configuration: what is known of addresses that stay is kept, and those that are gone get no new
+    /// calls.
     pub fn reconfigure(
         &mut self,
         now: Micros,
-        settings: LoadBalancerConfig,
+        config: LoadBalancerConfig,
         addresses: &[String],
         bounds: LimitBounds,
     ) {
-        self.config = settings;
+        self.config = config;
         for endpoint in &mut self.endpoints {
-            endpoint.retired = !addresses.iter().any(|a| **a == *endpoint.address);
+            endpoint.retired = !addresses.iter().any(|address| **address == *endpoint.address);
             endpoint.limit.set_bounds(now, bounds);
         }
         for address in addresses {
-            if self.endpoints.iter().any(|e| *e.address == **address) {
-                continue;
-            }
-            let fresh = Endpoint {
-                address: address.as_str().into(),
-                state: EndpointState::Active(0),
-                limit: ConcurrencyLimit::new(bounds),
-                answer_latency: PeakLatency::default(),
-                penalized_latency: PeakLatency::default(),
-                answered: 0,
-                consecutive_failures: 0,
-                last_ejection: None,
-                ejection_withheld: false,
-                retired: false,
-            };
-            // The place of one that is gone, so that changes of the file never make the list grow for ever.
-            match self.endpoints.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
-                Some(gone) => *gone = fresh,
-                None => self.endpoints.push(fresh),
+            if !self.endpoints.iter().any(|endpoint| *endpoint.address == **address) {
+                self.add_endpoint(Endpoint::new(address, bounds));
             }
         }
         self.ejected_at_reconfigure = self.ejected_count();
     }
 
+    /// Reuses the index of an endpoint that is gone, so that reconfigurations never make the list grow for ever.
+    fn add_endpoint(&mut self, endpoint: Endpoint) {
+        match self.endpoints.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
+            Some(gone) => *gone = endpoint,
+            None => self.endpoints.push(endpoint),
+        }
+    }
+
     /// The address of an endpoint.
-    pub fn address(&self, place: usize) -> Rc<str> {
-        self.endpoints[place].address.clone()
+    pub fn address(&self, index: usize) -> Rc<str> {
+        self.endpoints[index].address.clone()
     }
 
-    /// The endpoint for a call, other than those in `avoid` as long as there is another. `None`: no place now.
+    /// The endpoint for a call, other than those in `avoid` as long as there is another; `None` if none has capacity.
     ///
-    /// One whose time out has passed is probed first. Otherwise two are drawn, and the better of them by calls in
-    /// flight and time taken of late gets the call. One that comes back is drawn for its part of its share only: a server
-    /// with few calls has no smaller step than one, and thirty of them with one call each would be all that it is to get
-    /// later. Where none is in use, all are again: calls that may fail tell more than calls that are not made.
+    /// An endpoint whose ejection is over is probed first. Otherwise two are drawn, and the better of them by calls in
+    /// flight and recent latency gets the call (power of two choices). An endpoint that comes back is drawn for its part
+    /// of its full weight only: a server with few calls has no smaller step than one, and thirty of them with one call
+    /// each would be all that it is to get later. Where no endpoint is active, all are used: calls that may fail show
+    /// more than calls that are not made.
     pub fn pick(&self, now: Micros, avoid: &[usize], random: &mut impl Rng) -> Option<usize> {
-        let usable = |p: &usize| !self.endpoints[*p].retired && self.endpoints[*p].limit.has_capacity();
-        let due =
-            |p: &usize| matches!(self.endpoints[*p].state, EndpointState::Ejected(until) if now >= until);
-        let fresh = |p: &usize| !avoid.contains(p);
-        let is_in = |p: &usize| matches!(self.endpoints[*p].state, EndpointState::Active(_));
-        let all = 0..self.endpoints.len();
-        if let Some(probe) = all.clone().find(|p| due(p) && usable(p) && fresh(p)) {
+        if let Some(probe) = self.due_probe(now, avoid) {
             return Some(probe);
         }
-        let none_in = !all.clone().any(|p| !self.endpoints[p].retired && is_in(&p));
-        let from = |p: &usize| usable(p) && (none_in || is_in(p));
-        let another = all.clone().any(|p| from(&p) && fresh(&p));
-        let from = |p: &usize| from(p) && (!another || fresh(p));
-        let count = all.clone().filter(from).count();
-        let nth = |n: usize| all.clone().filter(from).nth(n);
-        if count < 2 {
-            return nth(0);
+        let candidates = self.candidates(avoid);
+        if candidates.len() < 2 {
+            return candidates.first().copied();
         }
-        let first = nth(random.random_range(0..count))?;
-        let comes_back = |p: &usize| self.weight(now, &self.endpoints[*p]) < 1.0;
-        let settled = |p: &usize| from(p) && !comes_back(p) && *p != first;
-        let others = all.clone().filter(settled).count();
-        if others == 0 {
+        let first = candidates[random.random_range(0..candidates.len())];
+        let first_weight = self.weight(now, first);
+        let others: Vec<usize> =
+            candidates.into_iter().filter(|&c| c != first && self.weight(now, c) >= 1.0).collect();
+        if others.is_empty() {
             return Some(first);
         }
-        let second = all.clone().filter(settled).nth(random.random_range(0..others))?;
-        if comes_back(&first) {
-            let part = self.weight(now, &self.endpoints[first]) * RAMP_USED_SHARE;
-            return Some(if random.random_bool(part) { first } else { second });
+        let second = others[random.random_range(0..others.len())];
+        let takes_first = if first_weight < 1.0 {
+            random.random_bool(first_weight * RAMP_USED_SHARE)
+        } else {
+            self.cost(second) >= self.cost(first)
+        };
+        Some(if takes_first { first } else { second })
+    }
+
+    /// An endpoint whose ejection is over, for a probe.
+    fn due_probe(&self, now: Micros, avoid: &[usize]) -> Option<usize> {
+        let is_due = |endpoint: &Endpoint| match endpoint.state {
+            EndpointState::Ejected { until } => now >= until && endpoint.is_usable(),
+            _ => false,
+        };
+        (0..self.endpoints.len()).find(|index| is_due(&self.endpoints[*index]) && !avoid.contains(index))
+    }
+
+    /// Endpoints that may get a call: active ones, or all where none is active; without those to avoid as long as there
+    /// are others.
+    fn candidates(&self, avoid: &[usize]) -> Vec<usize> {
+        let none_active = !self.endpoints.iter().any(|e| !e.retired && e.is_active());
+        let is_candidate = |index: &usize| {
+            let endpoint = &self.endpoints[*index];
+            endpoint.is_usable() && (none_active || endpoint.is_active())
+        };
+        let mut candidates: Vec<usize> = (0..self.endpoints.len()).filter(is_candidate).collect();
+        if candidates.iter().any(|index| !avoid.contains(index)) {
+            candidates.retain(|index| !avoid.contains(index));
         }
-        Some(if self.cost(second) < self.cost(first) { second } else { first })
+        candidates
     }
 
-    /// Whether `pick` could give an endpoint that is none of these.
+    /// Whether an endpoint that is none of these has capacity.
     pub fn has_alternative(&self, avoid: &[usize]) -> bool {
-        let usable = |(p, e): (usize, &Endpoint)| !e.retired && !avoid.contains(&p) && e.limit.has_capacity();
-        self.endpoints.iter().enumerate().any(usable)
+        let is_alternative =
+            |(index, endpoint): (usize, &Endpoint)| endpoint.is_usable() && !avoid.contains(&index);
+        self.endpoints.iter().enumerate().any(is_alternative)
     }
 
-    fn cost(&self, place: usize) -> f64 {
-        let endpoint = &self.endpoints[place];
+    /// What one more call is expected to cost: calls in flight times latency.
+    fn cost(&self, index: usize) -> f64 {
+        let endpoint = &self.endpoints[index];
         let known = endpoint.answer_latency.value().max(endpoint.penalized_latency.value());
-        let time = if known > 0.0 { known } else { self.median_latency(None) };
-        (endpoint.limit.in_flight() + 1) as f64 * time
+        let latency = if known > 0.0 { known } else { self.median_latency(None) };
+        (endpoint.limit.in_flight() + 1) as f64 * latency
     }
 
-    /// The part of its full share that an endpoint gets: it grows while it comes back.
-    fn weight(&self, now: Micros, endpoint: &Endpoint) -> f64 {
-        let EndpointState::Active(full) = endpoint.state else { return INITIAL_WEIGHT };
-        let left = full.saturating_sub(now) as f64 / self.config.recovery_ramp.max(1) as f64;
+    /// The part of its full weight that an endpoint has: it grows while it comes back.
+    fn weight(&self, now: Micros, index: usize) -> f64 {
+        let EndpointState::Active { full_weight_at } = self.endpoints[index].state else {
+            return INITIAL_WEIGHT;
+        };
+        let left = full_weight_at.saturating_sub(now) as f64 / self.config.recovery_ramp.max(1) as f64;
         1.0 - (1.0 - INITIAL_WEIGHT) * left.min(1.0)
     }
 
-    /// The middle one of the times that endpoints take, without the one at `but`.
-    fn median_latency(&self, but: Option<usize>) -> f64 {
-        let known = |(p, e): &(usize, &Endpoint)| Some(*p) != but && !e.retired && e.answered > 0;
-        let known = self.endpoints.iter().enumerate().filter(known);
-        let mut times: Vec<f64> = known.map(|(_, e)| e.answer_latency.value()).collect();
-        times.sort_by(f64::total_cmp);
-        times.get(times.len().saturating_sub(1) / 2).copied().unwrap_or(DEFAULT_LATENCY)
+    /// The median of the latencies of all endpoints but `excluded`.
+    fn median_latency(&self, excluded: Option<usize>) -> f64 {
+        let is_known =
+            |(index, e): &(usize, &Endpoint)| Some(*index) != excluded && !e.retired && e.answered > 0;
+        let known = self.endpoints.iter().enumerate().filter(is_known);
+        let mut latencies: Vec<f64> = known.map(|(_, e)| e.answer_latency.value()).collect();
+        latencies.sort_by(f64::total_cmp);
+        let middle = latencies.len().saturating_sub(1) / 2;
+        latencies.get(middle).copied().unwrap_or(DEFAULT_LATENCY)
     }
 
     /// A call to this endpoint starts.
-    pub fn start(&mut self, place: usize) {
-        let endpoint = &mut self.endpoints[place];
+    pub fn start(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
         endpoint.limit.start();
-        if matches!(endpoint.state, EndpointState::Ejected(_)) {
+        if matches!(endpoint.state, EndpointState::Ejected { .. }) {
             endpoint.state = EndpointState::Probing;
         }
     }
 
-    /// It is over. `failed` is `None` where it says nothing of the endpoint's health.
+    /// A call to this endpoint is over. `failed` is `None` where that shows nothing of the endpoint's health.
     pub fn end(
         &mut self,
         now: Micros,
-        place: usize,
+        index: usize,
         sample: CallSample,
         failed: Option<bool>,
         random: &mut impl Rng,
     ) {
-        let usual = self.median_latency(Some(place));
-        let endpoint = &mut self.endpoints[place];
+        let median = self.median_latency(Some(index));
+        let endpoint = &mut self.endpoints[index];
         endpoint.limit.end(now, sample);
         match (failed, sample) {
-            (Some(true), _) => {
-                endpoint.consecutive_failures = endpoint.consecutive_failures.saturating_add(1);
-                let counts_as =
-                    usual.max(endpoint.answer_latency.value()).min(usual * FAILURE_LATENCY_FACTOR)
-                        * FAILURE_LATENCY_FACTOR;
-                endpoint.penalized_latency.record(now, counts_as as Micros);
-            }
-            (Some(false), CallSample::Answered(took)) => {
-                endpoint.consecutive_failures = 0;
-                endpoint.answered = endpoint.answered.saturating_add(1);
-                endpoint.answer_latency.record(now, took);
-                endpoint.penalized_latency.record(now, took);
-            }
+            (Some(true), _) => endpoint.record_failure(now, median),
+            (Some(false), CallSample::Answered(took)) => endpoint.record_answer(now, took),
             _ => {}
         }
-        if endpoint.state == EndpointState::Probing {
-            match failed {
-                Some(false) => self.readmit(now, place),
-                Some(true) => self.eject(now, place, EjectionReason::ConsecutiveFailures, random),
-                // It proved nothing: the next call may try.
-                None => endpoint.state = EndpointState::Ejected(now),
-            }
-        } else {
-            self.eject_if_outlier(now, place, random);
+        if endpoint.state != EndpointState::Probing {
+            return self.eject_if_outlier(now, index, random);
         }
-    }
-
-    fn readmit(&mut self, now: Micros, place: usize) {
-        let endpoint = &mut self.endpoints[place];
-        endpoint.state = EndpointState::Active(now + self.config.recovery_ramp);
-        endpoint.consecutive_failures = 0;
-        endpoint.answered = 0;
-        (endpoint.answer_latency, endpoint.penalized_latency) =
-            (PeakLatency::default(), PeakLatency::default());
-    }
-
-    fn eject_if_outlier(&mut self, now: Micros, place: usize, random: &mut impl Rng) {
-        let endpoint = &self.endpoints[place];
-        let EndpointState::Active(full) = endpoint.state else { return };
-        let lags = endpoint.answered >= MIN_ANSWERS
-            && endpoint.answer_latency.value()
-                > self.config.latency_factor * self.median_latency(Some(place))
-            && self
-                .endpoints
-                .iter()
-                .enumerate()
-                .any(|(p, e)| p != place && !e.retired && e.answered >= MIN_ANSWERS);
-        let reason = match endpoint.consecutive_failures >= self.config.consecutive_failures {
-            true => Some(EjectionReason::ConsecutiveFailures),
-            false => lags.then_some(EjectionReason::HighLatency),
-        };
-        match reason {
-            Some(reason) if self.may_eject() => self.eject(now, place, reason, random),
-            Some(_) => self.endpoints[place].ejection_withheld = true,
-            None => {
-                let endpoint = &mut self.endpoints[place];
-                endpoint.ejection_withheld = false;
-                // Well for as long again as it took to come back: its past is forgotten.
-                if endpoint.last_ejection.is_some() && now > full + self.config.recovery_ramp {
-                    endpoint.last_ejection = None;
-                }
-            }
+        match failed {
+            Some(false) => self.readmit(now, index),
+            Some(true) => self.eject(now, index, EjectionReason::ConsecutiveFailures, random),
+            // It proved nothing: the next call may try.
+            None => endpoint.state = EndpointState::Ejected { until: now },
         }
     }
 
-    fn may_eject(&self) -> bool {
-        let there = self.endpoints.iter().filter(|e| !e.retired).count();
-        (self.ejected_count() + 1) as f64 <= self.config.max_ejected_share * there as f64
-    }
-
-    /// How many are out.
-    fn ejected_count(&self) -> usize {
-        self.endpoints.iter().filter(|e| !e.retired && !matches!(e.state, EndpointState::Active(_))).count()
-    }
-
-    fn eject(&mut self, now: Micros, place: usize, reason: EjectionReason, random: &mut impl Rng) {
-        let endpoint = &mut self.endpoints[place];
-        let times = endpoint.last_ejection.map_or(0, |(_, times)| times);
-        let span =
-            self.config.base_ejection_time * Micros::from((1 << times.min(16)).min(MAX_EJECTION_FACTOR));
-        endpoint.last_ejection = Some((reason, times + 1));
-        // Servers that saw it fail at one moment must not all look again at one moment.
-        endpoint.state =
-            EndpointState::Ejected(now + probe_pacing::spread_delay(self.config.servers, span, random));
-        endpoint.ejection_withheld = false;
-    }
-
-    /// When the next endpoint that is out may be probed.
-    pub fn next_probe_at(&self) -> Option<Micros> {
-        let until = |e: &Endpoint| match e.state {
-            EndpointState::Ejected(until) if !e.retired => Some(until),
-            _ => None,
-        };
-        self.endpoints.iter().filter_map(until).min()
-    }
-
-    /// Calls in flight, and whether nothing is left of a pool whose dependency is gone.
+    /// Calls in flight at all endpoints.
     pub fn in_flight(&self) -> usize {
-        self.endpoints.iter().map(|e| e.limit.in_flight()).sum()
+        self.endpoints.iter().map(|endpoint| endpoint.limit.in_flight()).sum()
     }
 
-    /// How each endpoint stands.
+    /// What is known of each configured endpoint.
     pub fn status(&self) -> Vec<EndpointStatus> {
-        let there = self.endpoints.iter().filter(|e| !e.retired);
-        let view = |e: &Endpoint| EndpointStatus {
-            address: e.address.clone(),
-            state: e.state,
-            last_ejection: e.last_ejection,
-            ejection_withheld: e.ejection_withheld,
-            limit: e.limit.status(),
-        };
-        there.map(view).collect()
+        self.endpoints.iter().filter(|e| !e.retired).map(Endpoint::status).collect()
     }
 
-    /// What must always hold.
+    /// Checks what must always hold.
+    ///
+    /// # Errors
+    /// The first thing that does not hold.
     pub fn check_invariants(&self) -> Result<(), String> {
-        let there = self.endpoints.iter().filter(|e| !e.retired).count();
-        let (out, most) = (self.ejected_count(), (self.config.max_ejected_share * there as f64) as usize);
-        if out > most.max(self.ejected_at_reconfigure) {
-            return Err(format!("{out} endpoints are out, at most {most} may be"));
+        let ejected = self.ejected_count();
+        let max_ejected = (self.config.max_ejected_share * self.configured_count() as f64) as usize;
+        if ejected > max_ejected.max(self.ejected_at_reconfigure) {
+            return Err(format!("{ejected} endpoints are ejected, at most {max_ejected} may be"));
         }
-        match self.endpoints.iter().find(|e| !e.limit.is_within_bounds()) {
-            Some(e) => Err(format!("the limit of {} left its bounds", e.address)),
+        match self.endpoints.iter().find(|endpoint| !endpoint.limit.is_within_bounds()) {
+            Some(endpoint) => Err(format!("the limit of {} left its bounds", endpoint.address)),
             None => Ok(()),
         }
     }
+
+    fn configured_count(&self) -> usize {
+        self.endpoints.iter().filter(|endpoint| !endpoint.retired).count()
+    }
 }
 
 #[cfg(test)]
--- a/crates/dependencies/tests/engine/hard_cases.rs
+++ b/crates/dependencies/tests/engine/hard_cases.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::breaker;
 use umberloom_dependencies::config::{
-    DependencyConfig, Fallback, HedgePolicy, LimitBounds, LoadBalancerConfig, RetryPolicy,
+    DependencyConfig, Fallback, HedgePolicy, LimitBounds, LoadBalancerConfig, RetryPolicy, SharedCapacity,
 };
 
 use super::world::{call, config, parts, plan, stage, Started, World, MS};
@@ -308,15 +308,17 @@
 #[test]
 fn one_servers_share_of_what_a_dependency_survives_is_a_ceiling() {
     // `World::start` fails where the ceiling is passed.
-    let dependency =
-        DependencyConfig { capacity: Some((30.0, 10)), ..DependencyConfig::new("a", &["x", "y"]) };
+    let dependency = DependencyConfig {
+        capacity: Some(SharedCapacity { calls: 30.0, servers: 10 }),
+        ..DependencyConfig::new("a", &["x", "y"])
+    };
     let mut world = World::new(two_stages_of_one(dependency, true), |_| (10 * MS, Outcome::Ok));
     for id in 0..500 {
         world.ask(id, "book", 100 * MS);
         world.run_until(world.now + MS);
     }
     let limit = &world.engine.status(world.now)[0].limit;
-    assert_eq!((limit.bounds.1, limit.value <= 3), (3, true));
+    assert_eq!((limit.max, limit.value <= 3), (3, true));
 }
 
 #[test]
@@ -429,7 +431,7 @@
         world.ask(id, "book", 100 * MS);
         world.run_until(world.now + 2 * MS);
     }
-    assert!(matches!(world.engine.status(world.now)[0].breaker, breaker::BreakerState::Open(_)));
+    assert!(matches!(world.engine.status(world.now)[0].breaker, breaker::BreakerState::Open { .. }));
     let calls = world.started.len();
     world.ask(50, "book", 100 * MS);
     assert_eq!(world.ended(50).map(|e| parts(&e)).as_deref(), Some("a: BreakerOpen"));
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::{Micros, Outcome};
 use umberloom_dependencies::config::{
     BreakerConfig, CallConfig, Config, DependencyConfig, Fallback, FallbackCacheLimits, HedgePolicy,
-    LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, StageConfig,
+    LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, SharedCapacity, StageConfig,
 };
 
 use super::world::{World, MS};
@@ -19,6 +19,10 @@
     })
 }
 
+fn shared_capacity() -> impl Strategy<Value = SharedCapacity> {
+    (1.0f64..20.0, 1u32..5).prop_map(|(calls, servers)| SharedCapacity { calls, servers })
+}
+
 fn fallbacks() -> impl Strategy<Value = Vec<Fallback>> {
     prop_oneof![
         Just(vec![]),
@@ -32,7 +36,7 @@
     fn dependency(place: usize)(
         endpoints in 1usize..4, idempotent in any::<bool>(), hedge in any::<bool>(),
         max_retries in 0u32..4, budget_ratio in 0.0f64..0.5, budget_burst in 0.0f64..5.0, base_backoff in 0u64..20 * MS,
-        concurrency_limit in bounds(), endpoint_concurrency_limit in bounds(), capacity in prop::option::of((1.0f64..20.0, 1u32..5)),
+        concurrency_limit in bounds(), endpoint_concurrency_limit in bounds(), capacity in prop::option::of(shared_capacity()),
         failure_ratio in 0.1f64..=1.0, window_calls in 1u32..30, consecutive_failures in 1u32..6, max_ejected_share in 0.0f64..=1.0,
         fallbacks in fallbacks(),
     ) -> DependencyConfig {
--- a/crates/dependencies/tests/engine/world.rs
+++ b/crates/dependencies/tests/engine/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use umberloom::interface::{Micros, Outcome};
-use umberloom_dependencies::aggregation::{AggregateResponse, Part};
+use umberloom_dependencies::aggregation::{AggregateResponse, NamedPart, Part};
 use umberloom_dependencies::config::{CallConfig, Config, DependencyConfig, PlanConfig, StageConfig};
 use umberloom_dependencies::{Action, AttemptId, Engine, PlanId, PlanRequest};
 
@@ -268,16 +268,16 @@
         let spec = settings.plans.iter().find(|p| p.class == plan.class);
         let calls = spec.iter().flat_map(|p| &p.stages).flat_map(|s| &s.calls);
         let parts = end.envelope.iter().flat_map(|e| &e.parts);
-        let names: Vec<&str> = parts.clone().map(|(name, _)| &**name).collect();
+        let names: Vec<&str> = parts.clone().map(|named| &*named.name).collect();
         if end.outcome == Outcome::Ok {
             assert_eq!(names, calls.clone().map(|c| c.dependency.as_str()).collect::<Vec<_>>());
         }
-        for ((name, part), call) in parts.zip(calls) {
+        for (NamedPart { name, part }, call) in parts.zip(calls) {
             assert!(part.has_body() || !call.required, "{name} is needed");
             let reply = plan.replies.get(&**name);
             match part {
                 Part::Fresh(body) => assert_eq!(reply.map(Vec::as_slice), Some(&**body)),
-                Part::Cached(body, age) => {
+                Part::Cached { body, age } => {
                     assert_eq!(reply, None);
                     let key = plan.key.clone().expect("a key");
                     let kept = &self.kept[&(name.to_string(), plan.class.clone(), key)];
@@ -296,11 +296,11 @@
     let Some(envelope) = &end.envelope else { return format!("{:?}", end.outcome) };
     let word = |part: &Part| match part {
         Part::Fresh(_) => "fresh".to_owned(),
-        Part::Cached(_, age) => format!("kept {}", age / MS),
+        Part::Cached { age, .. } => format!("kept {}", age / MS),
         Part::Constant(_) => "constant".to_owned(),
         Part::Missing(why) => format!("{why:?}"),
     };
     let all: Vec<String> =
-        envelope.parts.iter().map(|(name, part)| format!("{name}: {}", word(part))).collect();
+        envelope.parts.iter().map(|named| format!("{}: {}", named.name, word(&named.part))).collect();
     all.join(", ")
 }
--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -5,7 +5,7 @@
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::{
     BreakerConfig, CallConfig, Config, ConfigLocation, DependencyConfig, Fallback, FallbackCacheLimits,
-    HedgePolicy, LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, StageConfig,
+    HedgePolicy, LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, SharedCapacity, StageConfig,
 };
 
 use crate::node::{list, show, Reader};
@@ -35,10 +35,14 @@
         let stage = |p: usize, s: usize| plan(p).and_then(|(_, stages)| stages.get(s));
         let found = match at {
             ConfigLocation::FallbackCache => Some(self.kept),
-            ConfigLocation::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
-            ConfigLocation::Plan(p) => plan(p).map(|(at, _)| *at),
-            ConfigLocation::Stage(p, s) => stage(p, s).map(|(at, _)| *at),
-            ConfigLocation::Call(p, s, c) => stage(p, s).and_then(|(_, calls)| calls.get(c).copied()),
+            ConfigLocation::Dependency { dependency: d } => {
+                self.dependencies.get(d).or(self.dependencies.last()).copied()
+            }
+            ConfigLocation::Plan { plan: p } => plan(p).map(|(at, _)| *at),
+            ConfigLocation::Stage { plan: p, stage: s } => stage(p, s).map(|(at, _)| *at),
+            ConfigLocation::Call { plan: p, stage: s, call: c } => {
+                stage(p, s).and_then(|(_, calls)| calls.get(c).copied())
+            }
         };
         found.unwrap_or(0)
     }
@@ -138,7 +142,7 @@
         let mut from = reader.properties(node);
         let calls = from.required("calls");
         let servers = from.whole("servers", 1, (1, 1_000_000)) as u32;
-        found.capacity = Some((calls, servers));
+        found.capacity = Some(SharedCapacity { calls, servers });
         from.done();
     }
     if let Some(node) = reader.one(within, "breaker") {
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -138,7 +138,7 @@
 fn shared(document: &KdlDocument, dependencies: &Dependencies) -> Vec<(String, u32)> {
     let whole = |name: &str| {
         let found = dependencies.dependencies.iter().find(|d| d.name == name)?;
-        found.capacity.map(|(calls, _)| calls as u32)
+        found.capacity.map(|capacity| capacity.calls as u32)
     };
     let names = dependencies.dependencies.iter().map(|d| d.name.as_str());
     let cut = |name: &&str| survives(document, name).is_some_and(|node| node.entry("servers").is_none());
--- a/crates/server/src/peers/list.rs
+++ b/crates/server/src/peers/list.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use slog::{debug, info, Logger};
 use umberloom::interface::Micros;
-use umberloom_dependencies::probe_pacing::ProbePacer;
+use umberloom_dependencies::probe_pacing::{ProbePacer, ProbeRate};
 
 use super::{dependency, stream};
 use crate::exchange::list::Word;
@@ -22,7 +22,7 @@
 const LIMIT: Duration = Duration::from_millis(300);
 /// While the service is down all servers together try it so often in so long: it is met by no more when it returns, and
 /// no entry lapses until then. Each server's own tries are drawn, at least one in a second and a half.
-const TRIES: (Micros, f64) = (100_000, 10.0);
+const TRIES: ProbeRate = ProbeRate { window: 100_000, max_probes: 10.0 };
 const LONGEST: Micros = 1_050_000;
 /// Reports in a row without an answer after which the service counts as not reached.
 const LOST: u32 = 4;
--- a/crates/server/src/peers/list/tests.rs
+++ b/crates/server/src/peers/list/tests.rs
@@ -23,11 +23,11 @@
                 tries.push(at);
             }
         }
-        let window = Duration::from_micros(TRIES.0);
+        let window = Duration::from_micros(TRIES.window);
         let within =
             |from: &Duration| tries.iter().filter(|at| (*from..*from + window).contains(*at)).count();
         let most = tries.iter().map(within).max().unwrap_or(0) as f64;
-        assert!(most <= TRIES.1 + 2.0 * TRIES.1.sqrt() + 2.0, "{servers}: {most}");
+        assert!(most <= TRIES.max_probes + 2.0 * TRIES.max_probes.sqrt() + 2.0, "{servers}: {most}");
     }
     // At any size an entry is renewed well before it would lapse.
     let mut large = list("n0", 300);
--- a/crates/server/src/plans.rs
+++ b/crates/server/src/plans.rs
@@ -269,11 +269,11 @@
             let closed = |v: &DependencyStatus| v.breaker == breaker::BreakerState::Closed;
             if before.is_some_and(|b| closed(b) != closed(view)) {
                 info!(self.log, "dependency"; "name" => &*view.name, "called" => closed(view),
-                    "budget" => view.retry_budget, "limit" => view.limit.value, "moved_by" => ?view.limit.last_change.0);
+                    "budget" => view.retry_budget, "limit" => view.limit.value, "moved_by" => ?view.limit.last_change.cause);
             }
             for endpoint in &view.endpoints {
                 let is_in = |e: &load_balancer::EndpointStatus| {
-                    matches!(e.state, load_balancer::EndpointState::Active(_))
+                    matches!(e.state, load_balancer::EndpointState::Active { .. })
                 };
                 let was = before.and_then(|b| b.endpoints.iter().find(|e| e.address == endpoint.address));
                 if was.is_some_and(|was| is_in(was) != is_in(endpoint)) {
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -17,12 +17,12 @@
     let envelope = AggregateResponse::decode(&body).expect("an envelope");
     let word = |part: &Part| match part {
         Part::Fresh(body) => String::from_utf8_lossy(body).into_owned(),
-        Part::Cached(body, _) => format!("kept {}", String::from_utf8_lossy(body)),
+        Part::Cached { body, .. } => format!("kept {}", String::from_utf8_lossy(body)),
         Part::Constant(body) => format!("constant {}", String::from_utf8_lossy(body)),
         Part::Missing(why) => format!("{why:?}"),
     };
     let all: Vec<String> =
-        envelope.parts.iter().map(|(name, part)| format!("{name}: {}", word(part))).collect();
+        envelope.parts.iter().map(|named| format!("{}: {}", named.name, word(&named.part))).collect();
     all.join(", ")
 }
 
