--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -32,9 +32,9 @@
     assert_eq!((&*fleet.membership.name, &*fleet.membership.zone), ("n1", "west"));
     assert_eq!(fleet.addresses[1], "127.0.0.1:7403".parse().expect("an address"));
     assert_eq!(fleet.shared, [("billing".to_owned(), 40)]);
-    assert_eq!((fleet.membership.timing.probe, fleet.loans.call), (250_000, 800_000));
+    assert_eq!((fleet.membership.timing.probe_interval, fleet.loans.call), (250_000, 800_000));
     assert_eq!(
-        (fleet.allowance(40).part(), operator.dependencies.dependencies[1].concurrency_ceiling()),
+        (fleet.allowance(40).own_share(), operator.dependencies.dependencies[1].concurrency_ceiling()),
         (14, 10)
     );
     // The server's own name among its peers is known only with the configuration.
@@ -76,10 +76,14 @@
     let operator = parse("f", &text, None).unwrap_or_else(|faults| panic!("{faults}"));
     let record = operator.fleet.and_then(|fleet| fleet.record).expect("a record");
     assert_eq!(
-        (record.config.election, record.config.replace_after, record.config.catch_up),
+        (
+            record.config.election_timeout,
+            record.config.replace_after,
+            record.config.catch_up_bytes_per_second
+        ),
         (500_000, 9_000_000, 102_400)
     );
-    assert_eq!((record.most, record.scrub, record.config.others.len()), (4 << 20, 7_000_000, 2));
+    assert_eq!((record.most, record.scrub, record.config.peers.len()), (4 << 20, 7_000_000, 2));
     assert_eq!(record.folder, Some("r".into()));
     let cases = [
         ("voters=3", "voters=2", "found 2 voters, expected 3 or 5"),
--- a/crates/server/src/peers/balancer.rs
+++ b/crates/server/src/peers/connection.rs
@@ -13,19 +13,21 @@
 use umberloom::interface::{Micros, RequestId};
 use umberloom_settings::shape::Shape;
 
-use super::stream::{self, Got};
-use crate::exchange::caller::{Activity, Answer, Check, Hint, ReplyTo, Request, Word, Work};
-use crate::exchange::Message;
+use super::stream::{self, ReadResult};
 use crate::lifecycle::clock::Clock;
 use crate::memory::budget::{Budget, Charge};
+use crate::messages::caller::{
+    ConnectionActivity, ConnectionCommand, HealthCheck, LoadHint, ReplyTo, Request, Response, WorkRequest,
+};
+use crate::messages::AdmissionMessage;
 use crate::wire::buffer::Buffer;
-use crate::wire::cgi::{self, Ask};
-use crate::wire::fastcgi::{self, Status};
-use crate::wire::responder::{Incoming, Responder, BODY, OPEN, PARAMS};
+use crate::wire::cgi::{self, CgiRequest};
+use crate::wire::fastcgi::{self, ProtocolStatus};
+use crate::wire::responder::{Incoming, Responder, MAX_BODY_BYTES, MAX_OPEN_REQUESTS, MAX_PARAMS_BYTES};
 
 /// Messages that may wait: an answer for each open request, and words of the front, of which one of each kind
 /// waits at most.
-pub(super) const MAILBOX: usize = 2 * OPEN;
+pub(super) const MAILBOX_CAPACITY: usize = 2 * MAX_OPEN_REQUESTS;
 /// Beyond this much to be written nothing more is read.
 const UNWRITTEN: usize = 256 * 1024;
 /// A peer that takes nothing for so long is closed.
@@ -37,7 +39,7 @@
 const WHOLE: Micros = 2_000_000;
 /// Bytes read for which no whole request came: those of a full number of requests at once, each as long as
 /// allowed. Whoever sends more is not about to ask.
-const USELESS: usize = OPEN * (PARAMS + BODY);
+const USELESS: usize = MAX_OPEN_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES);
 /// After our end of the stream, the peer has this long to end its own: well over the time within which a
 /// request may cross a close.
 const LINGER: Duration = Duration::from_millis(200);
@@ -48,21 +50,21 @@
 
 /// What all connections share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct ConnectionContext {
     /// The module's mailbox.
-    pub module: Sender<Message>,
+    pub admission: Sender<AdmissionMessage>,
     /// Names of the classes, in their order.
     pub classes: Rc<Vec<String>>,
     /// Names of the tenants, in their order; may be empty.
     pub tenants: Rc<Vec<String>>,
     /// The free value that goes with every answer.
-    pub hint: Hint,
+    pub load_hint: LoadHint,
     /// What requests say of themselves here.
     pub shape: Shape,
     /// Most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The last serial that was given to a request.
-    pub serial: Rc<Cell<u64>>,
+    pub last_serial: Rc<Cell<u64>>,
     /// The bound on memory.
     pub budget: Budget,
     /// The clock.
@@ -80,8 +82,8 @@
 
 impl Pending {
     /// What the module is told when nobody waits any more.
-    fn gone(self) -> Option<Message> {
-        self.id.map(|id| Message::Gone(id, self.serial))
+    fn gone(self) -> Option<AdmissionMessage> {
+        self.id.map(|id| AdmissionMessage::Cancelled { id, serial: self.serial })
     }
 }
 
@@ -90,16 +92,16 @@
     /// Whether this server is well.
     Check(bool),
     /// Work, of the class and the tenant at these places.
-    Work(Box<Work>, usize, usize),
+    Work(Box<WorkRequest>, usize, usize),
 }
 
 /// The actor of one connection.
 pub struct Connection {
     stream: Async<TcpStream>,
-    shared: Shared,
-    activity: Rc<Activity>,
-    words: Receiver<Word>,
-    me: Sender<Word>,
+    shared: ConnectionContext,
+    activity: Rc<ConnectionActivity>,
+    words: Receiver<ConnectionCommand>,
+    me: Sender<ConnectionCommand>,
     buffer: Buffer,
     responder: Responder,
     pending: BTreeMap<u16, Pending>,
@@ -125,21 +127,21 @@
     /// A connection that was just accepted, with its mailbox; `None` if there is no memory for it.
     pub fn new(
         stream: Async<TcpStream>,
-        shared: Shared,
-        activity: Rc<Activity>,
-    ) -> Option<(Connection, Sender<Word>)> {
-        let (me, words) = async_channel::bounded(MAILBOX);
+        shared: ConnectionContext,
+        activity: Rc<ConnectionActivity>,
+    ) -> Option<(Connection, Sender<ConnectionCommand>)> {
+        let (me, words) = async_channel::bounded(MAILBOX_CAPACITY);
         let charge = shared.budget.take(0)?;
         let now = shared.clock.now();
-        activity.last.set(now);
-        let responder = Responder::new(shared.connections);
+        activity.last_active.set(now);
+        let responder = Responder::new(shared.max_connections);
         let connection = Connection {
             stream,
             shared,
             activity,
             words,
             me: me.clone(),
-            buffer: Buffer::new(fastcgi::LARGEST),
+            buffer: Buffer::new(fastcgi::MAX_RECORD_BYTES),
             responder,
             pending: BTreeMap::new(),
             charge,
@@ -157,16 +159,18 @@
     }
 
     /// The same connection, but all that it asks within `span` is turned away, and then it ends.
-    pub fn turned_away(mut self, span: Micros) -> Connection {
+    pub fn rejecting_for(mut self, span: Micros) -> Connection {
         self.door = Some(self.shared.clock.now() + span);
         self
     }
 
     /// Turns away what has come whole by now, without waiting for more, and ends: for who finds no place at all. Its
     /// request may have been written long ago, and a close without an answer would lose it.
-    pub async fn turn_away_now(mut self) {
+    pub async fn reject_received_and_close(mut self) {
         self.door = Some(0);
-        while let (Ok(Got::Bytes(n)), false) = (stream::read(&self.stream, &mut self.buffer), self.deaf) {
+        while let (Ok(ReadResult::Bytes(n)), false) =
+            (stream::read(&self.stream, &mut self.buffer), self.deaf)
+        {
             self.useless += n;
             self.take().await;
             self.expect_whole();
@@ -190,7 +194,7 @@
         }
         // Nobody is left to hear the answers of what is still open.
         for gone in std::mem::take(&mut self.pending).into_values().filter_map(Pending::gone) {
-            if self.shared.module.send(gone).await.is_err() {
+            if self.shared.admission.send(gone).await.is_err() {
                 return;
             }
         }
@@ -201,25 +205,25 @@
         while let Ok(word) = self.words.try_recv() {
             self.heed(word);
         }
-        self.finishing |= self.activity.finish.get();
+        self.finishing |= self.activity.closing.get();
         self.write()?;
         let mut busy = false;
         if self.reads() {
             match stream::read(&self.stream, &mut self.buffer)? {
-                Got::Bytes(n) => {
+                ReadResult::Bytes(n) => {
                     self.touch();
                     self.useless += n;
                     self.take().await;
                     self.expect_whole();
                     busy = true;
                 }
-                Got::End => self.hear_no_more(),
+                ReadResult::Closed => self.hear_no_more(),
                 // Only now, so that after a standstill what lies in the socket is read first.
-                Got::Nothing if self.is_late() || self.is_to_go() => {
+                ReadResult::WouldBlock if self.is_late() || self.is_to_go() => {
                     debug!(self.shared.log, "no whole request came");
                     self.hear_no_more();
                 }
-                Got::Nothing => {}
+                ReadResult::WouldBlock => {}
             }
         }
         self.account();
@@ -238,22 +242,22 @@
     }
 
     fn unwritten(&self) -> usize {
-        self.responder.out.len() - self.written
+        self.responder.output.len() - self.written
     }
 
     fn is_over(&self, busy: bool) -> bool {
-        let done = self.responder.whole() == 0 && self.unwritten() == 0;
-        let quiet = !busy && self.responder.open() == 0 && self.buffer.unread().is_empty();
-        done && (self.deaf || self.responder.is_last() || (self.finishing && quiet))
+        let done = self.responder.complete_requests() == 0 && self.unwritten() == 0;
+        let quiet = !busy && self.responder.open_requests() == 0 && self.buffer.unread().is_empty();
+        done && (self.deaf || self.responder.is_close_requested() || (self.finishing && quiet))
     }
 
     /// Its place is needed, and it has not asked.
     fn is_to_go(&self) -> bool {
-        self.leaving && self.responder.whole() == 0 && !self.activity.asked.get()
+        self.leaving && self.responder.complete_requests() == 0 && !self.activity.has_requested.get()
     }
 
     fn touch(&mut self) {
-        self.activity.last.set(self.shared.clock.now());
+        self.activity.last_active.set(self.shared.clock.now());
     }
 
     fn hear_no_more(&mut self) {
@@ -266,10 +270,11 @@
     /// Begins to wait for a request of which a part has come. A peer that sends on and on must not be read
     /// for ever either.
     fn expect_whole(&mut self) {
-        let partial = self.responder.open() > self.responder.whole() || !self.buffer.unread().is_empty();
+        let partial = self.responder.open_requests() > self.responder.complete_requests()
+            || !self.buffer.unread().is_empty();
         if partial {
             self.awaits = self.awaits.or(Some(self.shared.clock.now()));
-        } else if self.activity.asked.get() {
+        } else if self.activity.has_requested.get() {
             self.awaits = None;
         }
         if self.useless > USELESS || self.is_late() {
@@ -290,16 +295,18 @@
 
     /// Books the memory that the connection takes; without room for it, it is of no more use.
     fn account(&mut self) {
-        let size = self.buffer.size() + self.responder.held() + self.responder.out.capacity();
+        let size = self.buffer.allocated_bytes()
+            + self.responder.buffered_bytes()
+            + self.responder.output.capacity();
         if !self.charge.resize(size) && !self.deaf {
             warn!(self.shared.log, "no memory for a connection"; "bytes" => size);
             self.hear_no_more();
         }
-        self.activity.open.set(self.responder.whole());
+        self.activity.open_requests.set(self.responder.complete_requests());
     }
 
     fn write(&mut self) -> std::io::Result<()> {
-        let n = stream::write(&self.stream, &self.responder.out[self.written..])?;
+        let n = stream::write(&self.stream, &self.responder.output[self.written..])?;
         self.written += n;
         if n > 0 {
             self.touch();
@@ -308,10 +315,10 @@
         if n > 0 || self.unwritten() == 0 {
             self.taken_at = self.shared.clock.now();
         }
-        if self.written == self.responder.out.len() {
+        if self.written == self.responder.output.len() {
             self.written = 0;
-            self.responder.out.clear();
-            self.responder.out.shrink_to(8 * 1024);
+            self.responder.output.clear();
+            self.responder.output.shrink_to(8 * 1024);
         }
         Ok(())
     }
@@ -319,7 +326,7 @@
     /// Waits until there is something to do.
     async fn wait(&mut self) -> std::io::Result<bool> {
         enum Next {
-            Word(Word),
+            Word(ConnectionCommand),
             Ready,
             Stalled,
         }
@@ -361,23 +368,25 @@
         Ok(false)
     }
 
-    fn heed(&mut self, word: Word) {
+    fn heed(&mut self, word: ConnectionCommand) {
         match word {
-            Word::Answer(slot, serial, answer) => self.answer(slot, serial, &answer),
+            ConnectionCommand::Respond { slot, serial, response } => self.answer(slot, serial, &response),
             // Its place is needed: one that never asked loses it even with a part of a request sent, but a whole one that
             // lies unread in the socket was given to this server and gets its answer.
-            Word::CloseIfIdle if !self.activity.asked.get() => self.leaving = true,
-            Word::CloseIfIdle => self.finishing |= self.responder.open() == 0,
-            Word::Finish => {}
+            ConnectionCommand::CloseIfIdle if !self.activity.has_requested.get() => self.leaving = true,
+            ConnectionCommand::CloseIfIdle => self.finishing |= self.responder.open_requests() == 0,
+            ConnectionCommand::Close => {}
         }
     }
 
-    fn answer(&mut self, slot: u16, serial: u64, answer: &Answer) {
+    fn answer(&mut self, slot: u16, serial: u64, answer: &Response) {
         if self.pending.get(&slot).is_some_and(|p| p.serial == serial) {
             self.pending.remove(&slot);
             match answer {
-                Answer::Aborted => self.responder.end_aborted(slot),
-                answer => self.responder.answer(slot, &cgi::encode(answer, self.shared.hint.get())),
+                Response::Aborted => self.responder.end_aborted(slot),
+                answer => {
+                    self.responder.respond(slot, &cgi::encode_response(answer, self.shared.load_hint.get()))
+                }
             }
         }
     }
@@ -385,7 +394,7 @@
     /// Takes all whole records off the buffer.
     async fn take(&mut self) {
         loop {
-            match self.responder.take(self.buffer.unread()) {
+            match self.responder.handle_record(self.buffer.unread()) {
                 Ok((0, _)) => return,
                 Ok((used, news)) => {
                     self.buffer.consume(used);
@@ -408,17 +417,17 @@
             Incoming::Abort(slot) => self.pending.get(&slot).cloned().and_then(Pending::gone),
             Incoming::Request { slot, params, body, too_long } => {
                 // Any whole request shows a peer that speaks the protocol, except one longer than that allows.
-                self.activity.asked.set(self.activity.asked.get() || !too_long);
+                self.activity.has_requested.set(self.activity.has_requested.get() || !too_long);
                 (self.awaits, self.useless) = (None, 0);
-                let serial = self.shared.serial.get() + 1;
-                self.shared.serial.set(serial);
+                let serial = self.shared.last_serial.get() + 1;
+                self.shared.last_serial.set(serial);
                 self.pending.insert(slot, Pending { serial, id: None });
                 self.read_request((slot, serial), &params, body, too_long)
             }
         };
         if let Some(message) = message {
             // The module is gone only when the program ends.
-            let _ = self.shared.module.send(message).await;
+            let _ = self.shared.admission.send(message).await;
         }
     }
 
@@ -430,45 +439,55 @@
         params: &[u8],
         body: Vec<u8>,
         too_long: bool,
-    ) -> Option<Message> {
+    ) -> Option<AdmissionMessage> {
         // Once the front lets nothing in, what is still read is turned away here: an answer that waited for the module
         // might not be written before the process ends.
-        if self.door.is_some() || self.activity.finish.get() {
+        if self.door.is_some() || self.activity.closing.get() {
             self.pending.remove(&slot);
-            self.responder.turn_away(slot, Status::Overloaded);
+            self.responder.reject(slot, ProtocolStatus::Overloaded);
             self.finishing = true;
             return None;
         }
         let reply_to = ReplyTo::new(self.me.clone(), slot, serial);
         let (work, class, tenant) = match self.understand(params, too_long) {
-            Ok(Meant::Check(full)) => return Some(Message::Check(Check { full, reply_to })),
+            Ok(Meant::Check(full)) => {
+                return Some(AdmissionMessage::HealthCheck(HealthCheck { is_deep: full, reply_to }))
+            }
             Ok(Meant::Work(work, class, tenant)) => (work, class, tenant),
             Err(why) => {
                 debug!(self.shared.log, "a request without sense"; "why" => why);
-                self.answer(slot, serial, &Answer::Senseless);
+                self.answer(slot, serial, &Response::BadRequest);
                 return None;
             }
         };
         let Some(charge) = self.shared.budget.take(params.len() + body.len() + PER_REQUEST) else {
             self.pending.remove(&slot);
-            self.responder.turn_away(slot, Status::Overloaded);
+            self.responder.reject(slot, ProtocolStatus::Overloaded);
             return None;
         };
         let id: RequestId = work.id.as_str().into();
         self.pending.insert(slot, Pending { serial, id: Some(id.clone()) });
-        Some(Message::Request(Box::new(Request { id, class, tenant, work: *work, body, reply_to, charge })))
+        Some(AdmissionMessage::Request(Box::new(Request {
+            id,
+            class,
+            tenant,
+            work: *work,
+            body,
+            reply_to,
+            charge,
+        })))
     }
 
     fn understand(&self, params: &[u8], too_long: bool) -> Result<Meant, &'static str> {
         if too_long {
             return Err("longer than allowed");
         }
-        let work = match cgi::ask(params)? {
-            Ask::Health(full) => return Ok(Meant::Check(full)),
-            Ask::Work(work) if work.is_timely(self.shared.clock.unix()) => work,
-            Ask::Work(_) => return Err("times far from now"),
+        let work = match cgi::parse_request(params)? {
+            CgiRequest::HealthCheck(full) => return Ok(Meant::Check(full)),
+            CgiRequest::Work(work) if work.is_timely(self.shared.clock.unix()) => work,
+            CgiRequest::Work(_) => return Err("times far from now"),
         };
-        if self.shared.shape.passes_deadline && work.budget.is_none() {
+        if self.shared.shape.passes_deadline && work.timeout.is_none() {
             return Err("no budget");
         }
         let class = self.shared.classes.iter().position(|name| *name == work.class);
@@ -491,20 +510,20 @@
         let stream = &self.stream;
         // Where nothing was said, no answer is on its way: its place is needed, and only what is there is read.
         let span = if self.told { LINGER } else { Duration::ZERO };
-        let drained = stream::within(span, async {
+        let drained = stream::with_timeout(span, async {
             let mut sink = Buffer::new(4 * 1024);
             let mut left = DRAINED;
             while let (Ok(got), true) = (stream::read(stream, &mut sink), left > 0) {
                 match got {
-                    Got::Bytes(n) => {
+                    ReadResult::Bytes(n) => {
                         sink.consume(n);
                         left = left.saturating_sub(n);
                         // A peer that never stops sending would keep all others waiting.
                         future::yield_now().await;
                     }
-                    Got::End => return,
-                    Got::Nothing if stream.readable().await.is_err() => return,
-                    Got::Nothing => {}
+                    ReadResult::Closed => return,
+                    ReadResult::WouldBlock if stream.readable().await.is_err() => return,
+                    ReadResult::WouldBlock => {}
                 }
             }
         });
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -4,7 +4,7 @@
 //! takes for a network that loses; what others send is bounded in length before it is read.
 
 mod link;
-mod record;
+mod replication;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -16,27 +16,29 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use slog::{debug, info, warn, Logger};
-use umberloom_membership::wire::{BuildInfo, Key, LONGEST_DATAGRAM};
-use umberloom_membership::{Action, Config, Event, MemberName, Membership, Micros, ReturnPath};
-use umberloom_operator_config::Record;
-use umberloom_quota::QuotaStatus;
+use umberloom_membership::wire::{BuildInfo, Key, MAX_DATAGRAM_LEN};
+use umberloom_membership::{Action, Event, MemberName, Membership, Micros, ReturnPath};
 
-use crate::exchange::fleet::{News, Order, Present, RECORD};
-use crate::exchange::Message;
 use crate::memory::budget::Charge;
-use crate::wire::fleet::{frame, Answer, FleetView, Kind, Question, Reply, What};
-use crate::wire::record::Told as record_told;
+use crate::messages::fleet::{
+    FleetCommand, FleetConfig, FleetEvent, QuotaReport, Reachability, REPLICATION_CHANNEL,
+};
+use crate::messages::AdmissionMessage;
+use crate::wire::fleet::{
+    encode_frame, FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView, FrameKind,
+};
+use crate::wire::replicated_store::StoreResponse as record_told;
 use link::Came;
-use record::{Keeper, Word};
+use replication::{Keeper, Word};
 
 /// Orders that may wait to be taken.
-pub const MAILBOX: usize = 512;
+pub const MAILBOX_CAPACITY: usize = 512;
 /// Frames that may wait to be taken, from all streams.
 const FRAMES: usize = 64;
 /// Streams that others may have open beyond one for each peer: guests, operators, and those that a restart left.
 const MORE: usize = 8;
 /// Memory of one stream: its longest frame, read and waiting.
-const STREAM: usize = 2 * crate::wire::fleet::LONGEST;
+const STREAM: usize = 2 * crate::wire::fleet::MAX_CONTENT_BYTES;
 /// Ways back that are remembered.
 const WAYS: usize = 256;
 /// Time between two words to the module about who is there, while nothing changes.
@@ -45,30 +47,30 @@
 const AT_ONCE: usize = 32;
 
 /// Descriptors that a fleet of so many peers takes: two sockets, a stream to and from each, and some more.
-pub fn descriptors(peers: usize) -> usize {
+pub fn descriptor_count(peers: usize) -> usize {
     2 + 2 * peers + MORE
 }
 
 /// Memory that it may take: streams are short, so a part of them is full at a time. With a record, what is long waits
 /// for each peer too.
-pub fn memory(peers: usize, record: bool) -> usize {
+pub fn memory_bytes(peers: usize, record: bool) -> usize {
     (peers / 8 + MORE) * STREAM
-        + if record { peers * link::BULK * crate::wire::fleet::LONGEST / 2 } else { 0 }
+        + if record { peers * link::BULK * crate::wire::fleet::MAX_CONTENT_BYTES / 2 } else { 0 }
 }
 
 /// The sockets, bound before anything is served.
-pub struct Sockets {
+pub struct FleetSockets {
     datagrams: Async<UdpSocket>,
     listener: Async<TcpListener>,
 }
 
-impl Sockets {
+impl FleetSockets {
     /// Datagrams and streams at the same address.
-    pub fn bind(address: SocketAddr) -> Result<Sockets, String> {
+    pub fn bind(address: SocketAddr) -> Result<FleetSockets, String> {
         let fail = |e: std::io::Error| format!("fleet: listen on {address}: {e}");
         let datagrams = UdpSocket::bind(address).and_then(Async::new).map_err(fail)?;
         let listener = TcpListener::bind(address).and_then(Async::new).map_err(fail)?;
-        Ok(Sockets { datagrams, listener })
+        Ok(FleetSockets { datagrams, listener })
     }
 }
 
@@ -79,7 +81,7 @@
 type From = (u64, Came);
 
 enum Next {
-    Order(Option<Order>),
+    Order(Option<FleetCommand>),
     Datagram,
     Frame(u64, Came),
     Accepted(TcpStream),
@@ -88,15 +90,15 @@
 }
 
 /// The actor.
-pub struct Fleet<'a> {
+pub struct FleetActor<'a> {
     executor: Rc<LocalExecutor<'a>>,
     membership: Membership,
     key: Key,
     name: MemberName,
     peers: usize,
-    sockets: Rc<Sockets>,
-    orders: Receiver<Order>,
-    module: Sender<Message>,
+    sockets: Rc<FleetSockets>,
+    orders: Receiver<FleetCommand>,
+    module: Sender<AdmissionMessage>,
     addresses: BTreeMap<MemberName, SocketAddr>,
     /// Streams to peers.
     outs: BTreeMap<MemberName, Out>,
@@ -107,8 +109,8 @@
     /// Where datagrams came from, for answers: the newest at the end.
     ways: VecDeque<(u64, SocketAddr)>,
     start: Instant,
-    told: (Present, Micros),
-    shares: Vec<(Rc<str>, QuotaStatus)>,
+    told: (Reachability, Micros),
+    shares: Vec<QuotaReport>,
     mine: BuildInfo,
     record: Option<Keeper>,
     load: u8,
@@ -116,19 +118,25 @@
     _charge: Charge,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> FleetActor<'a> {
     /// A server of this fleet, whose process started at `boot`, a Unix time in microseconds.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        sockets: Sockets,
-        (config, addresses, about, kept): (Config, Vec<SocketAddr>, BuildInfo, Option<Record>),
+        sockets: FleetSockets,
+        config: FleetConfig,
         (boot, seed): (u64, u64),
-        orders: Receiver<Order>,
-        module: Sender<Message>,
+        orders: Receiver<FleetCommand>,
+        module: Sender<AdmissionMessage>,
         charge: Charge,
         log: Logger,
-    ) -> Result<Fleet<'a>, String> {
+    ) -> Result<FleetActor<'a>, String> {
+        let FleetConfig {
+            membership: config,
+            peer_addresses: addresses,
+            build_info: about,
+            replicated_store: kept,
+        } = config;
         let name = config.name.clone();
         let key = Key::new(&config.fleet, &config.secret);
         let peers = config.peers.len();
@@ -137,7 +145,7 @@
         let mut membership = membership
             .map_err(|all| all.into_iter().map(|mistake| mistake.what).collect::<Vec<_>>().join("; "))?;
         membership.set_build_info(0, about.clone());
-        Ok(Fleet {
+        Ok(FleetActor {
             executor,
             membership,
             key,
@@ -153,7 +161,7 @@
             next: 0,
             ways: VecDeque::new(),
             start: Instant::now(),
-            told: (Present::default(), 0),
+            told: (Reachability::default(), 0),
             shares: Vec::new(),
             mine: about,
             record: kept.map(|settings| Keeper::new(0, settings, seed ^ boot, log.clone())),
@@ -174,7 +182,7 @@
             let now = self.now();
             match next {
                 Next::Order(None) => return,
-                Next::Order(Some(Order::Part)) => {
+                Next::Order(Some(FleetCommand::AnnounceDeparture)) => {
                     self.membership.announce_departure(now);
                     self.carry_out(now);
                     return;
@@ -248,20 +256,25 @@
         let Some(keeper) = &mut self.record else { return };
         keeper.pass(now, &mut self.membership, self.load);
         for ((id, number), told) in keeper.take_answers() {
-            self.reply(id, number, Reply::Record(told));
+            self.reply(id, number, FleetReply::Store(told));
         }
     }
 
-    fn obey(&mut self, now: Micros, order: Order) {
+    fn obey(&mut self, now: Micros, order: FleetCommand) {
         match order {
-            Order::Matter(to, kind, bytes) => self.membership.send(now, &to, kind, bytes),
-            Order::Load(percent) => {
+            FleetCommand::Send { to, channel, payload } => self.membership.send(now, &to, channel, payload),
+            FleetCommand::SetLoad(percent) => {
                 self.load = percent;
                 self.membership.set_load(percent);
             }
-            Order::Shares(shares) => self.shares = shares,
-            Order::Set(told) => {
-                let (config, addresses, about, kept) = *told;
+            FleetCommand::PublishQuotas(shares) => self.shares = shares,
+            FleetCommand::Reconfigure(config) => {
+                let FleetConfig {
+                    membership: config,
+                    peer_addresses: addresses,
+                    build_info: about,
+                    replicated_store: kept,
+                } = *config;
                 if let (Some(keeper), Some(settings)) = (&mut self.record, kept) {
                     keeper.set(settings);
                 }
@@ -273,16 +286,16 @@
                 self.membership.set_build_info(now, about.clone());
                 self.mine = about;
             }
-            Order::Leave => {
+            FleetCommand::Leave => {
                 self.membership.leave(now);
                 self.record.iter_mut().for_each(|keeper| keeper.leave(now));
             }
-            Order::Part => {}
+            FleetCommand::AnnounceDeparture => {}
         }
     }
 
     fn datagrams(&mut self, now: Micros) {
-        let mut bytes = [0; LONGEST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..AT_ONCE {
             let Ok((size, from)) = self.sockets.datagrams.get_ref().recv_from(&mut bytes) else { return };
             let way = self.way(from);
@@ -319,46 +332,46 @@
     fn frame(&mut self, now: Micros, id: u64, came: Came) {
         match came {
             Came::End => drop(self.ins.remove(&id)),
-            Came::Frame(Kind::Message, content) => {
+            Came::Frame(FrameKind::Message, content) => {
                 self.membership.handle_message(now, &content, ReturnPath::Stream(id))
             }
-            Came::Frame(Kind::Question, content) => {
-                match self.key.open::<Question>(&content, content.len()) {
+            Came::Frame(FrameKind::Request, content) => {
+                match self.key.open::<FleetRequest>(&content, content.len()) {
                     Ok(question) => self.answer(now, id, question),
                     Err(why) => debug!(self.log, "fleet: a question that is not believed"; "why" => ?why),
                 }
             }
-            Came::Frame(Kind::Answer, _) => {}
+            Came::Frame(FrameKind::Response, _) => {}
         }
     }
 
-    fn answer(&mut self, now: Micros, id: u64, question: Question) {
-        let reply = match question.what {
-            What::Record(asked) => {
+    fn answer(&mut self, now: Micros, id: u64, question: FleetRequest) {
+        let reply = match question.kind {
+            FleetRequestKind::Store(asked) => {
                 let Some(keeper) = &mut self.record else {
                     let why = "this server's file has no `record` in its fleet".to_owned();
-                    return self.reply(id, question.number, Reply::Record(record_told::Refused(why)));
+                    return self.reply(id, question.number, FleetReply::Store(record_told::Rejected(why)));
                 };
                 let unix =
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
                 return keeper.ask(now, unix, (id, question.number), asked);
             }
-            What::Members => Reply::Members(self.view(now)),
-            What::Explain(name) => match self.membership.explain(now, &name) {
-                Some(evidence) => Reply::Explain(evidence),
+            FleetRequestKind::Members => FleetReply::Members(self.view(now)),
+            FleetRequestKind::Explain(name) => match self.membership.explain(now, &name) {
+                Some(evidence) => FleetReply::Explain(evidence),
                 None => {
                     let members = self.membership.members(now);
-                    Reply::Unknown(members.iter().map(|m| m.name.to_string()).collect())
+                    FleetReply::UnknownMember(members.iter().map(|m| m.name.to_string()).collect())
                 }
             },
         };
         self.reply(id, question.number, reply);
     }
 
-    fn reply(&mut self, id: u64, number: u64, reply: Reply) {
-        let answer = self.key.seal(&Answer { number, reply });
+    fn reply(&mut self, id: u64, number: u64, reply: FleetReply) {
+        let answer = self.key.seal(&FleetResponse { number, reply });
         if let Some((answers, _)) = self.ins.get(&id) {
-            let _ = answers.try_send(frame(Kind::Answer, &answer));
+            let _ = answers.try_send(encode_frame(FrameKind::Response, &answer));
         }
     }
 
@@ -371,8 +384,12 @@
             sick: member.health_score(),
             silenced: member.is_fenced(),
             members: member.members(now),
-            allowances: self.shares.iter().map(|(name, view)| (name.to_string(), view.clone())).collect(),
-            disagreements: member.disagreements().map(|d| (d.with.to_string(), d.differences())).collect(),
+            allowances: self
+                .shares
+                .iter()
+                .map(|quota| (quota.dependency.to_string(), quota.status.clone()))
+                .collect(),
+            disagreements: member.view_divergences().map(|d| (d.peer.to_string(), d.differences())).collect(),
             counts: member.counts().clone(),
         }
     }
@@ -386,8 +403,10 @@
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
                     }
                 }
-                Action::Stream(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), false),
-                Action::Bulk(to, bytes) => self.stream(&to, frame(Kind::Message, &bytes), true),
+                Action::Stream(to, bytes) => {
+                    self.stream(&to, encode_frame(FrameKind::Message, &bytes), false)
+                }
+                Action::Bulk(to, bytes) => self.stream(&to, encode_frame(FrameKind::Message, &bytes), true),
                 Action::Reply(ReturnPath::Datagram(way), bytes) => {
                     if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
                         let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
@@ -395,20 +414,24 @@
                 }
                 Action::Reply(ReturnPath::Stream(id), bytes) => {
                     if let Some((answers, _)) = self.ins.get(&id) {
-                        let _ = answers.try_send(frame(Kind::Message, &bytes));
+                        let _ = answers.try_send(encode_frame(FrameKind::Message, &bytes));
                     }
                 }
             }
         }
         for matter in self.membership.take_messages() {
-            if let (RECORD, Some(keeper)) = (matter.channel, &mut self.record) {
+            if let (REPLICATION_CHANNEL, Some(keeper)) = (matter.channel, &mut self.record) {
                 keeper.hear(now, &matter.from, matter.boot, &matter.payload);
                 continue;
             }
-            let from = (matter.from, matter.boot);
-            let news = News::Matter { from, kind: matter.channel, bytes: matter.payload };
+            let news = FleetEvent::MessageReceived {
+                from: matter.from,
+                boot_id: matter.boot,
+                channel: matter.channel,
+                payload: matter.payload,
+            };
             // A module that has no time for it now is one whose loans have to wait.
-            let _ = self.module.try_send(Message::Fleet(news));
+            let _ = self.module.try_send(AdmissionMessage::Fleet(news));
         }
         for told in self.membership.take_events() {
             self.log(now, told);
@@ -433,15 +456,18 @@
         let members = self.membership.members(now);
         let named = || members.iter().filter(|m| m.named);
         let same = |shares: u64| shares == self.mine.shares;
-        let present = Present {
-            differ: named().any(|m| m.reached && !same(m.about.shares)),
-            all: named().all(|m| m.reached && same(m.about.shares)),
-            silenced: self.membership.is_fenced(),
-            reached,
+        let present = Reachability {
+            quota_basis_differs: named().any(|m| m.reached && !same(m.about.shares)),
+            all_agree: named().all(|m| m.reached && same(m.about.shares)),
+            fenced: self.membership.is_fenced(),
+            reachable: reached,
         };
         self.told.1 = now;
         if present != self.told.0
-            && self.module.try_send(Message::Fleet(News::Present(present.clone()))).is_ok()
+            && self
+                .module
+                .try_send(AdmissionMessage::Fleet(FleetEvent::ReachabilityChanged(present.clone())))
+                .is_ok()
         {
             self.told.0 = present;
         }
@@ -455,7 +481,7 @@
             Event::MemberStateChanged { name, from, to, cause } => {
                 info!(self.log, "member"; "name" => &*name, "from" => %from, "to" => %to, "cause" => cause);
             }
-            Event::Doubled(name, older, newer) => {
+            Event::NameConflict(name, older, newer) => {
                 warn!(self.log, "two processes of one name"; "name" => &*name, "older" => older, "newer" => newer);
             }
             Event::Fenced(by) => {
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/quota_leases.rs
@@ -11,32 +11,43 @@
 use async_channel::Sender;
 use slog::{info, warn, Logger};
 use umberloom_dependencies::Demand;
-use umberloom_quota::{CallId, Config, Message, Micros, QuotaStatus, SharedQuota};
+use umberloom_quota::{CallId, Message, Micros, SharedQuota};
 
-use crate::exchange::fleet::{News, Order, Present, ALLOWANCE};
+use crate::messages::calls::SharedQuotaConfig;
+use crate::messages::fleet::{FleetCommand, FleetEvent, QuotaReport, Reachability, QUOTA_CHANNEL};
 
 /// Time between two words to the fleet's actor about how they stand.
 const TELL_EVERY: Micros = 200_000;
 
 /// What is shared, by the dependency's name.
-pub struct Shares {
+pub struct QuotaLeases {
     all: BTreeMap<Rc<str>, SharedQuota>,
     /// Which one each call under way has its place from.
     calls: BTreeMap<CallId, Rc<str>>,
-    present: Present,
+    present: Reachability,
     start: Instant,
     seed: u64,
-    fleet: Option<Sender<Order>>,
+    fleet: Option<Sender<FleetCommand>>,
     told: Micros,
-    said: Vec<(Rc<str>, QuotaStatus)>,
+    said: Vec<QuotaReport>,
     log: Logger,
 }
 
-impl Shares {
+impl QuotaLeases {
     /// None yet.
-    pub fn new(fleet: Option<Sender<Order>>, seed: u64, log: Logger) -> Shares {
-        let (all, calls, present) = (BTreeMap::new(), BTreeMap::new(), Present::default());
-        Shares { all, calls, present, start: Instant::now(), seed, fleet, told: 0, said: Vec::new(), log }
+    pub fn new(fleet: Option<Sender<FleetCommand>>, seed: u64, log: Logger) -> QuotaLeases {
+        let (all, calls, present) = (BTreeMap::new(), BTreeMap::new(), Reachability::default());
+        QuotaLeases {
+            all,
+            calls,
+            present,
+            start: Instant::now(),
+            seed,
+            fleet,
+            told: 0,
+            said: Vec::new(),
+            log,
+        }
     }
 
     fn now(&self) -> Micros {
@@ -45,12 +56,12 @@
 
     /// What is shared from now on. One that stays keeps what it has lent and borrowed; those that are gone are
     /// returned: no bound holds for their calls any more.
-    pub fn set(&mut self, wanted: Vec<(Rc<str>, Config)>) -> Vec<Rc<str>> {
+    pub fn set(&mut self, wanted: Vec<SharedQuotaConfig>) -> Vec<Rc<str>> {
         let now = self.now();
-        let named = |name: &Rc<str>| wanted.iter().any(|(other, _)| other == name);
+        let named = |name: &Rc<str>| wanted.iter().any(|quota| quota.dependency == *name);
         let gone: Vec<Rc<str>> = self.all.keys().filter(|name| !named(name)).cloned().collect();
         gone.iter().for_each(|name| drop(self.all.remove(name)));
-        for (name, config) in wanted {
+        for SharedQuotaConfig { dependency: name, config } in wanted {
             let done = match self.all.get_mut(&name) {
                 Some(there) => there.reconfigure(now, config),
                 None => {
@@ -92,28 +103,38 @@
     }
 
     /// News of the fleet.
-    pub fn hear(&mut self, news: News) {
+    pub fn hear(&mut self, news: FleetEvent) {
         let now = self.now();
         match news {
-            News::Present(present) => {
-                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.silenced));
+            FleetEvent::ReachabilityChanged(present) => {
+                self.all.values_mut().for_each(|allowance| allowance.set_fenced(now, present.fenced));
                 self.present = present;
             }
-            News::Matter { from: (name, boot), kind: ALLOWANCE, bytes } => {
+            FleetEvent::MessageReceived {
+                from: name,
+                boot_id: boot,
+                channel: QUOTA_CHANNEL,
+                payload: bytes,
+            } => {
                 // What can't be read is of a program that says more than this one knows.
                 let Ok((about, message)) = postcard::from_bytes::<(String, Message)>(&bytes) else { return };
                 if let Some(allowance) = self.all.get_mut(about.as_str()) {
                     allowance.handle_message(now, &name, boot, &message);
                 }
             }
-            News::Matter { .. } => {}
+            FleetEvent::MessageReceived { .. } => {}
         }
     }
 
     /// What is due, with what is asked of a dependency now: how many calls may be in flight there.
     pub fn pass(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
         let now = self.now();
-        let Present { reached, differ, all, silenced } = &self.present;
+        let Reachability {
+            reachable: reached,
+            quota_basis_differs: differ,
+            all_agree: all,
+            fenced: silenced,
+        } = &self.present;
         let Some(allowance) = self.all.get_mut(dependency) else { return usize::MAX };
         allowance.set_fenced(now, *silenced);
         allowance.set_reachable(now, reached.clone(), *differ, *all);
@@ -124,7 +145,7 @@
             let bytes = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
             if let Some(fleet) = &self.fleet {
                 // A mailbox without room loses it, and the question is asked again.
-                let _ = fleet.try_send(Order::Matter(to, ALLOWANCE, bytes));
+                let _ = fleet.try_send(FleetCommand::Send { to, channel: QUOTA_CHANNEL, payload: bytes });
             }
         }
         demand.in_flight + free
@@ -144,10 +165,13 @@
             return;
         }
         self.told = now;
-        let views: Vec<(Rc<str>, QuotaStatus)> =
-            self.all.iter().map(|(name, allowance)| (name.clone(), allowance.status(now))).collect();
-        for (name, view) in &views {
-            let before = self.said.iter().find(|(said, _)| said == name).map(|(_, view)| view.part);
+        let report = |(name, allowance): (&Rc<str>, &SharedQuota)| QuotaReport {
+            dependency: name.clone(),
+            status: allowance.status(now),
+        };
+        let views: Vec<QuotaReport> = self.all.iter().map(report).collect();
+        for QuotaReport { dependency: name, status: view } in &views {
+            let before = self.said.iter().find(|said| said.dependency == *name).map(|said| said.status.part);
             if before.is_some_and(|part| part != view.part) {
                 info!(self.log, "allowance"; "dependency" => &**name, "part" => view.part, "whole" => view.whole,
                     "moved_by" => ?view.moved.0);
@@ -155,7 +179,7 @@
         }
         self.said = views.clone();
         if let Some(fleet) = &self.fleet {
-            let _ = fleet.try_send(Order::Shares(views));
+            let _ = fleet.try_send(FleetCommand::PublishQuotas(views));
         }
     }
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -11,8 +11,8 @@
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Outcome, ReplicaView, Role};
 
-use super::fleet::{Answer, FleetView, Question, Reply, What};
-use super::record::{Asked, Told};
+use super::fleet::{FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView};
+use super::replicated_store::{StoreRequest, StoreResponse};
 
 const QUESTIONS: &str = include_str!("golden/questions.txt");
 const ANSWERS: &str = include_str!("golden/answers.txt");
@@ -128,71 +128,71 @@
 
 fn record_standing() -> umberloom_replicated_store::ReplicaStatus {
     let copy = |copy, votes, applied| ReplicaView {
-        copy,
-        name: format!("server-{copy}"),
+        replica_id: copy,
+        server: format!("server-{copy}"),
         zone: "east".to_owned(),
-        votes,
+        is_voter: votes,
         applied,
         heard_ms: applied,
     };
     umberloom_replicated_store::ReplicaStatus {
-        record: u64::MAX - 5,
-        copy: 7,
+        store_id: u64::MAX - 5,
+        replica_id: 7,
         role: Role::Leader,
         term: 12,
         leader: Some("server-a".to_owned()),
         applied: 300,
         commit: 301,
-        last: 302,
+        last_index: 302,
         leader_heard_ms: Some(20),
-        chain: [5; 16],
-        copies: vec![copy(7, true, Some(300)), copy(8, false, None)],
+        rolling_digest: [5; 16],
+        replicas: vec![copy(7, true, Some(300)), copy(8, false, None)],
         catching_up: Some((3, 9)),
-        unknown: 1,
+        unsupported_entries: 1,
         frozen: true,
     }
 }
 
 fn history() -> Vec<HistoryLine> {
     let outcomes = [
-        Outcome::Done(0),
-        Outcome::Done(2),
+        Outcome::Applied(0),
+        Outcome::Applied(2),
         Outcome::Conflict(2),
-        Outcome::Refused("too large".to_owned()),
-        Outcome::Kept,
+        Outcome::Rejected("too large".to_owned()),
+        Outcome::Unsupported,
     ];
     let line = |(index, outcome)| HistoryLine {
         index,
-        by: ("server-a".to_owned(), 1_700_000_000_123),
-        what: "document limits".to_owned(),
+        author: ("server-a".to_owned(), 1_700_000_000_123),
+        description: "document limits".to_owned(),
         outcome,
     };
     (300..).zip(outcomes).map(line).collect()
 }
 
-fn questions() -> Vec<Question> {
-    let show = |latest| Asked::Show { name: "limits".to_owned(), latest, from: 70_000 };
+fn questions() -> Vec<FleetRequest> {
+    let show = |latest| StoreRequest::ReadDocument { name: "limits".to_owned(), latest, from: 70_000 };
     let record = [
-        Asked::Status,
+        StoreRequest::Status,
         show(true),
         show(false),
-        Asked::History(20),
-        Asked::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
-        Asked::Hand("server-b".to_owned(), true),
-        Asked::Export(65_536),
-        Asked::Adopt,
+        StoreRequest::History(20),
+        StoreRequest::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
+        StoreRequest::SetVoter("server-b".to_owned(), true),
+        StoreRequest::Export(65_536),
+        StoreRequest::Adopt,
     ];
-    let fleet = [What::Members, What::Explain("server-b".to_owned())];
-    let all = fleet.into_iter().chain(record.map(What::Record));
-    all.map(|what| Question { number: 70_000, what }).collect()
+    let fleet = [FleetRequestKind::Members, FleetRequestKind::Explain("server-b".to_owned())];
+    let all = fleet.into_iter().chain(record.map(FleetRequestKind::Store));
+    all.map(|what| FleetRequest { number: 70_000, kind: what }).collect()
 }
 
-fn answers() -> Vec<Answer> {
+fn answers() -> Vec<FleetResponse> {
     let role = |role| {
         let standing = umberloom_replicated_store::ReplicaStatus { role, ..record_standing() };
-        Told::Status(Box::new(standing))
+        StoreResponse::Status(Box::new(standing))
     };
-    let document = Told::Document {
+    let document = StoreResponse::Document {
         version: 2,
         index: 300,
         by: "server-a".to_owned(),
@@ -200,24 +200,24 @@
         part: vec![1, 2, 255],
         age_ms: Some(40),
     };
-    let mut record: Vec<Told> =
+    let mut record: Vec<StoreResponse> =
         [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(role).to_vec();
     record.extend([
         document,
-        Told::Nothing(vec!["limits".to_owned()]),
-        Told::History(history()),
-        Told::Taken,
-        Told::Bytes(vec![1, 2], 70_000),
-        Told::Refused("nobody leads".to_owned()),
+        StoreResponse::UnknownDocument(vec!["limits".to_owned()]),
+        StoreResponse::History(history()),
+        StoreResponse::Accepted,
+        StoreResponse::ExportPart(vec![1, 2], 70_000),
+        StoreResponse::Rejected("nobody leads".to_owned()),
     ]);
-    record.extend(history().into_iter().map(|line| Told::Done(line.outcome)));
+    record.extend(history().into_iter().map(|line| StoreResponse::WriteOutcome(line.outcome)));
     let fleet = [
-        Reply::Members(fleet_view()),
-        Reply::Explain(evidence()),
-        Reply::Unknown(vec!["server-a".to_owned(), "server-b".to_owned()]),
+        FleetReply::Members(fleet_view()),
+        FleetReply::Explain(evidence()),
+        FleetReply::UnknownMember(vec!["server-a".to_owned(), "server-b".to_owned()]),
     ];
-    let all = fleet.into_iter().chain(record.into_iter().map(Reply::Record));
-    all.map(|reply| Answer { number: 70_000, reply }).collect()
+    let all = fleet.into_iter().chain(record.into_iter().map(FleetReply::Store));
+    all.map(|reply| FleetResponse { number: 70_000, reply }).collect()
 }
 
 #[test]
