--- a/crates/server/src/dependency_calls/status_log.rs
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -41,13 +41,13 @@
     if is_closed(previous) != is_closed(current) {
         info!(log, "circuit breaker changed"; "dependency" => &*current.name, "closed" => is_closed(current),
             "retry_budget" => current.retry_budget, "limit" => current.limit.value,
-            "limit_cause" => ?current.limit.last_change.0);
+            "limit_cause" => ?current.limit.last_change.cause);
     }
 }
 
 fn log_endpoints(previous: &DependencyStatus, current: &DependencyStatus, log: &Logger) {
     let is_in_use = |endpoint: &load_balancer::EndpointStatus| {
-        matches!(endpoint.state, load_balancer::EndpointState::Active(_))
+        matches!(endpoint.state, load_balancer::EndpointState::Active { .. })
     };
     for endpoint in &current.endpoints {
         let before = previous.endpoints.iter().find(|before| before.address == endpoint.address);
