--- a/src/admission/downstream_calls.rs
+++ b/src/admission/downstream_calls.rs
@@ -129,7 +129,7 @@
         let (settings, calls) = (&self.settings, &mut self.calls);
         let time_limit = calls.time_limit(self.requests.count(Stage::Calling), settings);
         let is_down = calls.failures_in_row >= MAX_ATTEMPTS;
-        let is_shut = is_down && now < calls.probe_at;
+        let is_breaker_open = is_down && now < calls.probe_at;
         // Servers that start or recover together have no mean yet that would keep their calls apart.
         let is_cautious = safe_quota(settings) < 1.0 && now < calls.cautious_until;
         let is_early = is_cautious && settings.downstream == Downstream::Shared && now < calls.probe_at;
@@ -143,12 +143,12 @@
         calls.saw_no_time |= has_no_time;
         let must_not_repeat = request.call_may_have_run && class.idempotency != Idempotency::Idempotent;
         let is_hopeless = must_not_repeat || request.call_attempts >= MAX_ATTEMPTS || now + typical >= until;
-        if class.degraded_weight_share > 0.0 && (is_hopeless || is_shut || has_no_time) {
+        if class.degraded_weight_share > 0.0 && (is_hopeless || is_breaker_open || has_no_time) {
             request.stage = Stage::Running;
             out.push(Action::SkipCall(request.id.clone()));
         } else if is_hopeless {
             self.abandon(now, sequence, out);
-        } else if time_limit > typical && !is_shut && !is_early && now >= request.call_not_before {
+        } else if time_limit > typical && !is_breaker_open && !is_early && now >= request.call_not_before {
             request.stage = Stage::Calling;
             request.call_attempts += 1;
             if is_cautious || is_down {
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -55,10 +55,10 @@
         let (now, objective_end) = (now as f64, request.objective_end as f64);
         // Elsewhere it would wait to be read as here, then run.
         let has_no_time = now + read_delay + expected * MIN_RUN_SHARE > objective_end;
-        let is_jam = self.health.retry_share > MAX_RETRY_SHARE;
-        let is_costly = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
+        let mostly_retries = self.health.retry_share > MAX_RETRY_SHARE;
+        let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
         let spare = objective_end - now - read_delay - expected;
-        (self.retry_after(spare), has_no_time || is_jam || is_costly)
+        (self.retry_after(spare), has_no_time || mostly_retries || costs_connection)
     }
 
     /// About as long as the wait queue takes to empty, or a part of the spare time: a retry must be in time.
@@ -107,8 +107,8 @@
             let until = if request.is_late { request.deadline } else { request.objective_end };
             let time_left = until as f64 - now as f64;
             // Only a new request goes elsewhere, sooner at a lower level, and where that costs no connection.
-            let is_costly = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
-            let may_move = !starts_now && !request.was_considered && !is_costly;
+            let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
+            let may_move = !starts_now && !request.was_considered && !costs_connection;
             let level = self.priority_level(now, request) as f64;
             let wait_share = 2.0 * WAIT_SHARE * level / self.priority_weights.len() as f64;
             let waits_too_long = may_move && wait > (time_left - run_time) * wait_share;
--- a/tests/abandonment.rs
+++ b/tests/abandonment.rs
@@ -11,23 +11,23 @@
     settings
 }
 
-/// Guards against holding what was given up until near its deadline, to keep its client from asking again:
-/// a safe run past its aim is turned away at once with a time to come back, and stopped where it can be.
+/// Guards against answering an abandoned request only near its deadline, to keep its client from retrying: an
+/// idempotent run past its objective is rejected at once with a Retry-After, and preempted where it can be.
 #[test]
 fn an_idempotent_run_past_its_objective_is_rejected_at_once() {
     let mut controller = controller(default_settings());
     let actions = send(&mut controller, 0, &[("long", 0)]);
     assert_eq!(admitted(&actions), ["long"]);
     let before_objective = step(&mut controller, 2 * SEC - 10 * MS, vec![busy_timer()]);
-    assert!(rejection(&before_objective, "long").is_none(), "its aim is 2 s: {before_objective:?}");
+    assert!(rejection(&before_objective, "long").is_none(), "its objective is 2 s: {before_objective:?}");
     let past_objective = step(&mut controller, 2 * SEC, vec![busy_timer()]);
-    let (retry_after, terminal) = rejection(&past_objective, "long").expect("answered at its aim");
+    let (retry_after, terminal) = rejection(&past_objective, "long").expect("answered at its objective");
     assert!(retry_after > 0 && terminal, "a time to come back, and nowhere else: {past_objective:?}");
     assert!(past_objective.contains(&Action::Preempt(id("long"))));
 }
 
-/// Guards against a keyed run that was given up being refused after it ran (a duplicate by the rules) or
-/// held to its deadline: it is failed at its aim, and its repeat will join it.
+/// Guards against rejecting a keyed run that was abandoned (its retry would be a double effect) or answering it
+/// only at its deadline: it is failed at its objective, and its duplicates wait for its result.
 #[test]
 fn a_keyed_run_past_its_objective_is_failed_and_not_rejected() {
     let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
@@ -53,8 +53,8 @@
     assert_eq!(failed(&due), ["sale"]);
 }
 
-/// Guards against holding a repeat that waits for another's answer until its deadline: past its aim it is
-/// worth nothing, and it is failed at once, never refused.
+/// Guards against a duplicate that waits until its deadline: past its objective its answer earns nothing, and it
+/// is failed at once, never rejected.
 #[test]
 fn a_duplicate_past_its_objective_is_failed_at_once() {
     let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
--- a/tests/caller_timeouts.rs
+++ b/tests/caller_timeouts.rs
@@ -5,16 +5,16 @@
 use umberloom::interface::*;
 use umberloom::AdmissionController;
 
-/// Sends attempts with the timeout `waits`, one at a time, each served at once.
+/// Sends attempts with this timeout, one at a time, each served at once.
 fn serve_with_timeout(
     controller: &mut AdmissionController,
     from: Micros,
     count: usize,
-    waits: Micros,
+    timeout: Micros,
 ) -> Micros {
     for n in 0..count {
         let name = format!("{from}-{n}");
-        step(controller, from + n as u64 * 10 * MS, vec![Event::Arrived(arrival(&name, 0, waits))]);
+        step(controller, from + n as u64 * 10 * MS, vec![Event::Arrived(arrival(&name, 0, timeout))]);
         step(controller, from + n as u64 * 10 * MS + MS, vec![run_ended(&name, MS)]);
     }
     from + count as u64 * 10 * MS
@@ -24,7 +24,7 @@
 fn a_longer_timeout_than_usual_shows_a_later_attempt() {
     let mut controller = controller(default_settings());
     let now = serve_with_timeout(&mut controller, 0, 20, 2_400 * MS);
-    // 3.5 s of 6 s are left: it is 2.5 s old and its aim of 2 s has passed.
+    // 3.5 s of 6 s are left: it is 2.5 s old and its objective of 2 s has passed.
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
     assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "{actions:?}");
     let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("young", 0, 5_000 * MS))]);
@@ -61,9 +61,9 @@
     let mut controller = controller(default_settings());
     let mut now = 0;
     for n in 0..60 {
-        // Attempts wait 2.4 s, and a third of the tries get the client's 3 s whole.
-        let waits = if n % 3 == 0 { 3_000 * MS } else { 2_400 * MS };
-        now = serve_with_timeout(&mut controller, now, 1, waits);
+        // The usual timeout of an attempt is 2.4 s; a third of the attempts have all of the client's 3 s.
+        let timeout = if n % 3 == 0 { 3_000 * MS } else { 2_400 * MS };
+        now = serve_with_timeout(&mut controller, now, 1, timeout);
     }
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("whole", 0, 3_000 * MS))]);
     assert_eq!(admitted(&actions), ["whole"], "not three seconds old: {actions:?}");
@@ -81,8 +81,8 @@
     assert_eq!(admitted(&actions), ["short"]);
 }
 
-/// Guards against work on what is late already: where callers tell no wait, a marked try is as old as one
-/// that was turned away here and stayed away as told.
+/// Guards against work on requests that are late already: where callers state no timeout, a marked retry is as old
+/// as a request that was rejected here and waited for its Retry-After.
 #[test]
 fn retries_without_a_timeout_are_as_old_as_rejected_requests() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,13 +59,13 @@
     }
 }
 
-pub fn arrival(name: &str, class: usize, waits: Micros) -> Arrival {
+pub fn arrival(name: &str, class: usize, timeout: Micros) -> Arrival {
     Arrival {
         id: Arc::from(name),
         class,
         tenant: 0,
         caller: 1,
-        caller_timeout: Some(waits),
+        caller_timeout: Some(timeout),
         read_delay: 0,
         queued_kb: 20.0,
         rank: if class == 0 { 0.2 } else { 0.8 },
@@ -358,9 +358,9 @@
         match action {
             Action::Admit(id) => self.admit(id),
             Action::Reject { id, .. } => {
-                let request = self.requests.get(id).expect("refuses what is here");
+                let request = self.requests.get(id).expect("rejects a known request");
                 let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !request.ran, "rule 2: {id} ran and is turned away");
+                assert!(safe || !request.ran, "rule 2: {id} ran and is rejected");
                 self.rejected += 1;
                 self.record_answer(id);
             }
@@ -407,7 +407,7 @@
 
     fn admit(&mut self, id: &RequestId) {
         let request = self.requests.get_mut(id).expect("admits what is here");
-        assert_eq!(request.stage, Stage::Queued, "{id} is not held");
+        assert_eq!(request.stage, Stage::Queued, "{id} is not queued");
         assert!(!request.ran, "rule 2: {id} runs twice");
         if let Some((drain, _)) = self.drain {
             assert!(
@@ -433,10 +433,10 @@
         let now = self.now;
         self.keys.retain(|_, end| *end > now);
         for (id, request) in &self.requests {
-            let waits = !request.answered && !request.cancelled;
-            assert!(!waits || now <= request.due + self.settings.answer_slack, "rule 1: {id} is overdue");
+            let is_open = !request.answered && !request.cancelled;
+            assert!(!is_open || now <= request.due + self.settings.answer_slack, "rule 1: {id} is overdue");
             if let Some((_, stop)) = self.drain {
-                assert!(!waits || now < stop, "rule 3: {id} is unanswered at the stop");
+                assert!(!is_open || now < stop, "rule 3: {id} is unanswered at the stop");
             }
         }
         let kb = |i: &TrackedRequest| match i.stage {
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -37,10 +37,11 @@
 fn a_lagging_cpu_gauge_does_not_raise_the_limit_under_demand() {
     let mut controller = controller(default_settings());
     send(&mut controller, 0, &[("a", 0), ("b", 0), ("c", 0)]);
-    let crowded = Event::Timer(Gauges { cpu: Some(0.3), on_cores: Some(6.0), ..Gauges::default() });
-    let early =
-        (1..25).flat_map(|n| step(&mut controller, n * 20 * MS, vec![crowded.clone()])).collect::<Vec<_>>();
-    let reading = step(&mut controller, 500 * MS, vec![crowded]);
+    let overloaded = Event::Timer(Gauges { cpu: Some(0.3), on_cores: Some(6.0), ..Gauges::default() });
+    let early = (1..25)
+        .flat_map(|n| step(&mut controller, n * 20 * MS, vec![overloaded.clone()]))
+        .collect::<Vec<_>>();
+    let reading = step(&mut controller, 500 * MS, vec![overloaded]);
     assert!(admitted(&early).is_empty() && admitted(&reading).is_empty(), "{early:?} {reading:?}");
 }
 
@@ -96,11 +97,11 @@
     host.step(vec![Event::Arrived(arrival("a", 0, 6 * SEC)), Event::Arrived(arrival("b", 0, 6 * SEC))]);
     host.now = 500 * MS;
     host.step(vec![idle_timer()]);
-    let crowd = (1..40).map(|tag| run_interval(&mut host, 40, 8.0, tag)).collect::<Vec<_>>();
-    assert_eq!(*crowd.last().expect("some"), 2, "never below the cores: {crowd:?}");
+    let slots = (1..40).map(|tag| run_interval(&mut host, 40, 8.0, tag)).collect::<Vec<_>>();
+    assert_eq!(*slots.last().expect("some"), 2, "never below the cores: {slots:?}");
 }
 
-/// Guards against climbing in a crowd on counts that rise with the other work (reading, new connections):
+/// Guards against climbing under overload on counts that rise with the other work (reading, new connections):
 /// there only what is well beyond chance moves the limit, and that still does.
 #[test]
 fn under_overload_only_significant_completions_move_the_limit() {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -19,7 +19,7 @@
     assert_eq!(
         idle_timeout(&step(&mut controller, SEC, vec![open_connections(6.0)])),
         None,
-        "half a crowd is 8"
+        "half the survivable concurrency is 8"
     );
     assert_eq!(idle_timeout(&step(&mut controller, 2 * SEC, vec![open_connections(40.0)])), Some(15 * SEC));
     assert_eq!(idle_timeout(&step(&mut controller, 3 * SEC, vec![open_connections(40.0)])), Some(7_500 * MS));
@@ -43,7 +43,7 @@
             idle_timeout(&actions).is_some()
         })
     };
-    assert!(!closes(10, 30.0), "twice the survivable crowd is 32");
+    assert!(!closes(10, 30.0), "twice the survivable concurrency is 32");
     assert!(closes(10, 40.0), "nothing proves that so many find a place");
     assert!(closes(1_000, 30.0), "nobody comes again");
 }
@@ -56,6 +56,6 @@
         let mut controller = controller(Settings { tier, ..default_settings() });
         (1..20).any(|n| idle_timeout(&step(&mut controller, n * SEC, vec![open_connections(40.0)])).is_some())
     };
-    assert!(closes(0), "strangers fill the table of the first tier");
+    assert!(closes(0), "new callers fill the table of the first tier");
     assert!(!closes(1));
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn the_search_is_limited_to_the_look_ahead() {
-    // Work so short that a long hold is no reason to refuse.
+    // Runs are so short that a long wait queue is no reason to reject.
     let mut controller = controller_with_two_running(default_settings());
     let names: Vec<String> = (0..32).map(|n| format!("low{n}")).collect();
     let mut all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
--- a/tests/downstream_calls.rs
+++ b/tests/downstream_calls.rs
@@ -97,7 +97,7 @@
     let until = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Call(_, t) = a { Some(*t) } else { None })
     };
-    // Its aim is 2 s away.
+    // Its objective is 2 s away.
     let first = until(&actions).expect("a call");
     assert!(first < SEC, "{first}");
     step(&mut controller, first, vec![Event::CallEnded(id("a"), Outcome::TimedOut, first)]);
@@ -162,8 +162,8 @@
         step(&mut controller, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, 20 * MS)]);
         step(&mut controller, now + 40 * MS, vec![run_ended(&name, 40 * MS)]);
     }
-    assert!(round(&mut controller, 2 * SEC, "stood"));
-    let reply = Event::CallEnded(id("stood"), Outcome::Ok, 10 * SEC);
+    assert!(round(&mut controller, 2 * SEC, "stalled"));
+    let reply = Event::CallEnded(id("stalled"), Outcome::Ok, 10 * SEC);
     step(&mut controller, 12 * SEC, vec![reply]);
     assert!(round(&mut controller, 12 * SEC + 10 * MS, "next"), "a call is as quick as it was");
 }
--- a/tests/generated_events.rs
+++ b/tests/generated_events.rs
@@ -33,11 +33,11 @@
 }
 
 fn random_arrival(host: &Host, random: &mut Random, n: usize) -> Event {
-    let waits = if random.chance(80) { Some(1 + random.below(4 * SEC)) } else { None };
+    let timeout = if random.chance(80) { Some(1 + random.below(4 * SEC)) } else { None };
     let class = random.below(2) as usize;
     let keyed = host.settings.classes[class].idempotency == Idempotency::WithKey;
     Event::Arrived(Arrival {
-        caller_timeout: waits,
+        caller_timeout: timeout,
         read_delay: random.below(300 * MS).min(host.now),
         tenant: random.below(2) as usize,
         caller: random.below(3),
@@ -123,8 +123,8 @@
     for seed in 1..=80 {
         let host = play_sequence(seed);
         assert_eq!(host.unanswered(), 0, "seed {seed}: all is answered at the stop");
-        let crowd = f64::from(host.settings.cores) * host.settings.overload_per_core;
-        assert!(host.max_running as f64 <= crowd, "seed {seed}: {} run", host.max_running);
+        let survivable = f64::from(host.settings.cores) * host.settings.overload_per_core;
+        assert!(host.max_running as f64 <= survivable, "seed {seed}: {} run", host.max_running);
         if host.settings.downstream == Downstream::Shared {
             let calls = host.settings.call_quota.max(1.0);
             assert!(host.max_calling as f64 <= calls, "seed {seed}: {} calls", host.max_calling);
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -168,22 +168,22 @@
     let mut settings = default_settings();
     settings.memory_kb = 2_000.0;
     let mut controller = controller_with_short_runs(settings);
-    // Held ones of 20 kB; a running one takes 320 kB.
+    // A queued request takes 20 kB, a running one 320 kB.
     let names: Vec<String> = (0..120).map(|n| format!("r{n:03}")).collect();
     let all: Vec<(&str, usize)> = names.iter().enumerate().map(|(n, s)| (s.as_str(), n % 2)).collect();
     let actions = send(&mut controller, 0, &all);
     let rejected_ids = rejected(&actions);
     assert!(!rejected_ids.is_empty());
     assert_eq!(rejected_ids[0], "r118", "the newest of the low class goes first");
-    let (running, held) = (admitted(&actions).len(), 120 - rejected_ids.len() - admitted(&actions).len());
-    assert!((running * 320 + held * 20) as f64 <= 2_000.0);
+    let (running, queued) = (admitted(&actions).len(), 120 - rejected_ids.len() - admitted(&actions).len());
+    assert!((running * 320 + queued * 20) as f64 <= 2_000.0);
 }
 
 #[test]
 fn fewer_requests_run_while_warming_up() {
-    let count = |cold: bool| {
+    let count = |starts_cold: bool| {
         let mut settings = default_settings();
-        settings.starts_cold = cold;
+        settings.starts_cold = starts_cold;
         settings.overload_per_core = 4.0;
         let mut controller = controller_with_short_runs(settings);
         let names: Vec<String> = (0..40).map(|n| format!("r{n}")).collect();
@@ -210,7 +210,7 @@
     send(&mut controller, 0, &names.map(|n| (n, 0)));
     let actions = step(&mut controller, MS, names.iter().map(|n| Event::NeedsCall(id(n))).collect());
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 2);
-    // One given up lingers in the dependency's hands and keeps its place.
+    // The dependency still works on a call that timed out, which keeps its place.
     let actions = step(&mut controller, 2 * MS, vec![Event::CallEnded(id("a"), Outcome::TimedOut, MS)]);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 0);
     let actions = step(&mut controller, 300 * MS, vec![busy_timer()]);
@@ -308,7 +308,7 @@
     }
 }
 
-/// Two cores near the floor of the crowd, cold: the cores themselves may always run, and no more.
+/// Two cores with the least survivable concurrency while warming up: as many requests as cores may run, and no more.
 #[test]
 fn two_cores_warming_up_run_no_more_than_they_survive() {
     let mut settings = default_settings();
@@ -331,7 +331,7 @@
     (settings.downstream, settings.call_quota) = (Downstream::Shared, 0.2);
     let mut controller = AdmissionController::new(0, settings).expect("sound settings");
     send(&mut controller, 0, &[("a", 0)]);
-    // The first one waits for a moment that each server draws by itself: all may have started at once.
+    // The first call waits for a random time: all servers may have started at once.
     step(&mut controller, 0, vec![Event::NeedsCall(id("a"))]);
     let actions = step_until(&mut controller, 0, 2 * SEC);
     let call = |(now, action): &(Micros, Action)| match action {
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -49,7 +49,7 @@
         step(&mut controller, n * 200 * MS + MS, vec![Event::RunEnded(id(&name), Outcome::Error, MS)]);
     }
     let actions = send(&mut controller, SEC, &[("a", 0), ("b", 0), ("c", 0), ("d", 0)]);
-    let last = rejection(&actions, "d").expect("refused");
+    let last = rejection(&actions, "d").expect("rejected");
     assert_eq!(last, (SEC, false), "elsewhere it may do well");
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// Guards against a cascade at size: where the list follows readiness, servers that left it together because
-/// what they read had waited long swamped the rest (results-jhb h6afac0, incident i45ed73).
+/// what they read had waited long overloaded the rest (results-jhb h6afac0, incident i45ed73).
 #[test]
 fn a_long_read_delay_does_not_change_readiness() {
     let mut controller = controller(default_settings());
@@ -89,7 +89,7 @@
             vec![Event::Arrived(late), busy_timer()],
         )));
     }
-    assert_eq!(published, [], "what it reads is older than any aim, yet it is no less ready");
+    assert_eq!(published, [], "arrivals are past any objective, yet readiness stays");
 }
 
 #[test]
@@ -106,7 +106,7 @@
         let mut published = Vec::new();
         for n in 0..60 {
             let now = n * 500 * MS;
-            // Runs that fail quickly make it sick; then nothing comes and the evidence fades.
+            // Failing runs make it unhealthy; then nothing arrives and the evidence decays.
             let events = if n < 20 {
                 let failing = Event::RunEnded(id(&format!("r{}", n.max(1) - 1)), Outcome::Error, 10 * MS);
                 vec![Event::Arrived(arrival(&format!("r{n}"), 0, 3 * SEC)), failing, busy_timer()]
@@ -127,7 +127,7 @@
 }
 
 /// Guards against checks that do real work on cores that are wanted (mapas-central i4f6bde: callers' checks
-/// took both cores of a server for the whole day): once crowded it answers them from store, and only then.
+/// took both cores of a server for the whole day): once overloaded it sets its readiness, and only then.
 #[test]
 fn readiness_is_published_once_when_cores_are_overloaded() {
     let mut settings = default_settings();
@@ -136,9 +136,9 @@
     let quiet: Vec<bool> =
         (1..100).flat_map(|n| readiness(&step(&mut quiet, n * 100 * MS, vec![busy_timer()]))).collect();
     assert_eq!(quiet, [], "two want two cores: checks go on showing whether work gets done");
-    let mut crowded = controller(settings);
+    let mut overloaded = controller(settings);
     let wants = Gauges { cpu: Some(1.0), on_cores: Some(9.0), ..Gauges::default() };
-    let looks = (1..100).map(|n| step(&mut crowded, n * 100 * MS, vec![Event::Timer(wants)]));
+    let looks = (1..100).map(|n| step(&mut overloaded, n * 100 * MS, vec![Event::Timer(wants)]));
     let published: Vec<Action> = looks.flatten().collect();
     assert_eq!(readiness(&published), [true], "once");
     assert!(
--- a/tests/shared_dependency.rs
+++ b/tests/shared_dependency.rs
@@ -50,13 +50,13 @@
                 self.next += 1;
                 events.push(Event::Arrived(arrival(&format!("r{}", self.next), 0, 100 * SEC)));
             }
-            // What an action brings about is told at once.
+            // Events that follow from actions come at once.
             while !events.is_empty() {
                 let actions = step(&mut self.all[n], now, std::mem::take(&mut events));
                 for action in actions {
                     match action {
                         Action::Admit(name) => events.push(Event::NeedsCall(name)),
-                        // A run at a call ends with its request, one that is stopped as it is told.
+                        // A run that waits for a call ends with its request, a preempted one at once.
                         Action::Preempt(name) | Action::Fail(name) => {
                             events.push(Event::RunEnded(name, Outcome::Aborted, 0));
                         }
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -11,7 +11,7 @@
     // Spare time is 1.4 s, a quarter of it 0.35 s; the first waits 0.3 s, the second 0.6 s.
     let actions = send(&mut controller, now, &[("first", 0), ("second", 0)]);
     assert_eq!(rejected(&actions), ["second"]);
-    let (retry_after, terminal) = rejection(&actions, "second").expect("refused");
+    let (retry_after, terminal) = rejection(&actions, "second").expect("rejected");
     assert!(retry_after > 0 && !terminal, "another server may have room");
 }
 
@@ -52,8 +52,8 @@
             break;
         }
     }
-    let at = seen.expect("refused");
-    assert!(at < 2 * SEC - 500 * MS, "at {at}, before the aim of 2 s less a run");
+    let at = seen.expect("rejected");
+    assert!(at < 2 * SEC - 500 * MS, "at {at}, before the objective of 2 s less a run");
 }
 
 #[test]
@@ -70,7 +70,7 @@
 #[test]
 fn hung_runs_raise_the_expected_run_time() {
     let (mut controller, now) = saturated_controller(default_settings(), 200 * MS);
-    // Both running ones hang until they are given up at their aim, and so do their successors.
+    // Both running requests hang until they are abandoned at their objective, and so do their successors.
     for round in 0..4 {
         let at = now + round * 2 * SEC;
         for tick in 1..=100 {
@@ -90,8 +90,8 @@
     let all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
     let actions = send(&mut controller, 0, &all);
     assert_eq!(admitted(&actions).len(), 2);
-    let held = 20 - 2 - rejected(&actions).len();
-    assert!((1..6).contains(&held), "{held} are held");
+    let queued = 20 - 2 - rejected(&actions).len();
+    assert!((1..6).contains(&queued), "{queued} are queued");
 }
 
 /// A controller that knows run times of `run` for the low class, with idle cores.
@@ -106,8 +106,8 @@
     (controller, now)
 }
 
-/// Guards against refusing for too long a wait what can start at once: runs expected to take about their
-/// aim left it no spare time, and the rule took that for a wait (pack-sale on a quiet day of mapas-central).
+/// Guards against rejecting for its wait a request that can start at once: a run expected to take about its
+/// objective has no spare time, which was taken for a wait (pack-sale on a quiet day of mapas-central).
 #[test]
 fn requests_that_can_start_at_once_are_not_rejected_for_their_wait() {
     let (mut controller, now) = controller_with_idle_cores(1_900 * MS);
@@ -117,7 +117,7 @@
 }
 
 /// Guards against runs that are late before they start: on a slow server what is expected to take longer than
-/// its aim goes elsewhere at once, though a core is free (mapas-central quiet: half of the servers are slow).
+/// its objective goes elsewhere at once, though a core is free (mapas-central quiet: half of the servers are slow).
 #[test]
 fn requests_that_would_end_too_late_are_rejected_though_a_core_is_free() {
     let (mut controller, now) = controller_with_idle_cores(2_100 * MS);
@@ -134,7 +134,7 @@
     );
 }
 
-/// Guards against refusing early what no other server gets, at the price of a connection for its next try.
+/// Guards against early rejections where the next attempt would cost a connection.
 #[test]
 fn requests_of_new_callers_may_wait_while_they_can_meet_the_objective() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
@@ -182,9 +182,9 @@
 #[test]
 fn callers_become_new_again_after_the_idle_timeout() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
-    let mut last_is_terminal = |at: Micros, name: &str, strangers: u64| {
+    let mut last_is_terminal = |at: Micros, name: &str, callers: u64| {
         let from =
-            |n: u64| Arrival { caller: 100 + n % strangers, ..arrival(&format!("{name}{n}"), 0, 6 * SEC) };
+            |n: u64| Arrival { caller: 100 + n % callers, ..arrival(&format!("{name}{n}"), 0, 6 * SEC) };
         let actions = step(&mut controller, at, (0..48).map(|n| Event::Arrived(from(n))).collect());
         rejection(&actions, &format!("{name}47")).map(|r| r.1)
     };
@@ -193,26 +193,26 @@
     assert_eq!(last_is_terminal(now + 40 * SEC, "away", 48), Some(true));
 }
 
-/// Guards against advice that makes who follows it late: a quarter of what the request can spare at most.
+/// Guards against a Retry-After that makes the retry late: it is a quarter of the spare time at most.
 #[test]
 fn retry_after_leaves_time_for_the_retry() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
     let actions = send(&mut controller, now, &[("a", 1), ("b", 1), ("c", 0)]);
     let (retry_after, _) = rejection(&actions, "c").expect("would wait too long");
-    // The hold takes 0.6 s to empty; of 2 s the run takes 0.6 s.
+    // The wait queue takes 0.6 s to empty; of 2 s the run takes 0.6 s.
     assert!((300 * MS..=350 * MS).contains(&retry_after), "{retry_after}");
-    // Who has no time left is not told to hurry.
+    // Without spare time the Retry-After is as long as the wait queue takes.
     let old = Event::Arrived(Arrival { read_delay: 1_900 * MS, ..arrival("d", 1, 6 * SEC) });
     let actions = step(&mut controller, now + MS, vec![old]);
     assert!(rejection(&actions, "d").expect("no time").0 >= 590 * MS, "{actions:?}");
 }
 
-/// Guards against a refusal that names no time to come back: with little held, the advice by what is held
+/// Guards against a rejection without a Retry-After: with a short wait queue, the time by what is queued
 /// would be a few milliseconds or none, and callers that heed it come straight back.
 #[test]
 fn every_rejection_has_a_retry_after() {
     let (mut controller, now) = saturated_controller(default_settings(), 50 * MS);
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("late", 0, 10 * MS))]);
     let (retry_after, _) = rejection(&actions, "late").expect("no time for it: {actions:?}");
-    assert!((100 * MS..=SEC).contains(&retry_after), "advice {retry_after}");
+    assert!((100 * MS..=SEC).contains(&retry_after), "retry after {retry_after}");
 }
--- a/tests/tenant_quota.rs
+++ b/tests/tenant_quota.rs
@@ -52,7 +52,7 @@
     let names: Vec<String> = (0..60).map(|n| format!("o{n}")).collect();
     events.extend(names.iter().map(|n| tenant_arrival(0, n, 1)));
     let actions = step(&mut controller, now, events);
-    let first = rejected(&actions).first().cloned().expect("some are refused");
+    let first = rejected(&actions).first().cloned().expect("some are rejected");
     assert_eq!(rejection(&actions, &first), Some((0, true)), "the caller's other tenants are welcome");
 }
 
