--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins around the server that was built with these tests.
+//! The server that was built with these tests, with fakes of all its peers around it.
 #![allow(dead_code, unused_imports)]
 
 use std::ops::{Deref, DerefMut};
@@ -10,7 +10,7 @@
     balancer, dependency, Agent, Announce, Balancer, Dependency, Records, Request,
 };
 
-/// A world around that server.
+/// That server and its fakes.
 pub struct World(umberloom_protocol_fakes::World);
 
 pub fn program() -> &'static Path {
@@ -18,7 +18,7 @@
 }
 
 impl World {
-    /// A server whose agent is up and whose list has heard of it.
+    /// A server whose agent is up and that is registered.
     pub fn up(change: Change) -> World {
         World(umberloom_protocol_fakes::World::up(program(), change))
     }
@@ -37,7 +37,7 @@
         world
     }
 
-    /// A server whose agent accepts its link and says nothing yet.
+    /// A server whose agent accepts its link and has not greeted yet.
     pub fn start(change: Change) -> World {
         World(umberloom_protocol_fakes::World::start(program(), change))
     }
@@ -62,12 +62,12 @@
     umberloom_protocol_fakes::world::run(program(), arguments, config)
 }
 
-/// What a fleet of servers of this program is to be.
+/// Options of a fleet of this server.
 pub fn options(servers: usize) -> umberloom_fault_harness::Options {
     umberloom_fault_harness::Options::new(program(), servers)
 }
 
-/// A fleet that stands whole, asked all the while.
+/// A fleet that is complete and gets requests all the time.
 pub fn whole(servers: usize) -> umberloom_fault_harness::Fleet {
     let mut fleet =
         umberloom_fault_harness::Fleet::start(options(servers)).unwrap_or_else(|why| panic!("{why}"));
@@ -76,24 +76,24 @@
     fleet
 }
 
-/// Waits are bounded within; what they say is the failure.
-pub trait OrPanic {
-    fn done(self);
+/// Fails the test with the message of an error.
+pub trait UnwrapOrPanic {
+    fn unwrap_or_panic(self);
 }
 
-impl OrPanic for Result<(), String> {
-    fn done(self) {
+impl UnwrapOrPanic for Result<(), String> {
+    fn unwrap_or_panic(self) {
         self.unwrap_or_else(|why| panic!("{why}"));
     }
 }
 
-/// Nothing that must always hold was broken.
+/// Asserts that no invariant was broken.
 pub fn sound(mut fleet: umberloom_fault_harness::Fleet) {
     let breaches = fleet.breaches();
     assert!(breaches.is_empty(), "{}", breaches.join("\n"));
 }
 
-/// Time for a fault to show.
+/// Gives a fault time to show.
 pub fn rest(ms: u64) {
     std::thread::sleep(std::time::Duration::from_millis(ms));
 }
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{options, rest, sound, whole, OrPanic};
+use common::{options, rest, sound, whole, UnwrapOrPanic};
 use serde_json::Value;
 use umberloom_fault_harness::{Faults, Fleet};
 
@@ -47,7 +47,7 @@
     for n in 0..3 {
         fleet.servers[n].start().expect("a process");
     }
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").done());
+    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     fleet
 }
 
@@ -57,10 +57,10 @@
     let mut fleet = Fleet::prepare(options(5)).expect("a fleet");
     fleet.set_all(Faults { cut: true, ..Faults::default() });
     (0..5).for_each(|n| fleet.servers[n].start().expect("a process"));
-    (0..5).for_each(|n| fleet.servers[n].wait_until_well().done());
+    (0..5).for_each(|n| fleet.servers[n].wait_until_well().unwrap_or_panic());
     rest(500);
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     fleet.ask(2, Duration::from_millis(20));
     for (n, other) in [(0, 4), (4, 0), (2, 1)] {
         assert_eq!(fleet.holds(n, other), "present");
@@ -73,9 +73,9 @@
     let mut fleet = whole(5);
     // The first still hears the second; the second hears nothing of it.
     fleet.change(0, 1, |faults| faults.cut = true);
-    fleet.until_stands(0, "majority").done();
-    fleet.until_stands(1, "majority").done();
-    fleet.until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0)).done();
+    fleet.until_stands(0, "majority").unwrap_or_panic();
+    fleet.until_stands(1, "majority").unwrap_or_panic();
+    fleet.until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0)).unwrap_or_panic();
     rest(2_000);
     // Others reach both, so nobody holds either for failed.
     assert_eq!((held(&mut fleet, 0, 1, "failed"), held(&mut fleet, 1, 0, "failed")), (0, 0));
@@ -85,7 +85,7 @@
     );
     assert_eq!(fleet.standing(2), "whole");
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -93,13 +93,13 @@
 fn a_cut_in_three_parts_leaves_no_majority_and_heals() {
     let fleet = whole(5);
     fleet.part(&[&[0, 1], &[2, 3], &[4]]);
-    fleet.until_stands(0, "minority").done();
-    fleet.until_stands(3, "minority").done();
-    fleet.until_stands(4, "alone").done();
-    fleet.until_holds(0, 4, "failed").done();
+    fleet.until_stands(0, "minority").unwrap_or_panic();
+    fleet.until_stands(3, "minority").unwrap_or_panic();
+    fleet.until_stands(4, "alone").unwrap_or_panic();
+    fleet.until_holds(0, 4, "failed").unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").done();
-    fleet.until("one view", |fleet| (1..5).all(|n| fleet.holds(0, n) == "present")).done();
+    fleet.until_all("whole").unwrap_or_panic();
+    fleet.until("one view", |fleet| (1..5).all(|n| fleet.holds(0, n) == "present")).unwrap_or_panic();
     sound(fleet);
 }
 
@@ -108,7 +108,7 @@
     let mut fleet = whole(5);
     fleet.part(&[&[0, 1], &[3, 4]]);
     for n in [0, 1, 3, 4] {
-        fleet.until_stands(n, "majority").done();
+        fleet.until_stands(n, "majority").unwrap_or_panic();
     }
     rest(2_500);
     assert_eq!(fleet.standing(2), "whole");
@@ -116,7 +116,7 @@
         assert_eq!(held(&mut fleet, n, other, "failed"), 0, "the bridge answers for it");
     }
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -128,9 +128,9 @@
     let there = |state: String| state == "present" || state == "suspected";
     // Held for failed for a moment at worst: who hears of it comes back.
     let all = |fleet: &Fleet| (0..5).all(|n| (0..5).filter(|o| *o != n).all(|o| there(fleet.holds(n, o))));
-    fleet.until("all to be there", all).done();
+    fleet.until("all to be there", all).unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -139,7 +139,7 @@
     let fleet = whole(3);
     fleet.set_all(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
     rest(2_500);
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     for n in 0..3 {
         let view = fleet.view(n).expect("a view");
         let (heard, replayed) = (view["counts"]["heard"][0].as_u64(), refused(&fleet, n, "Replayed"));
@@ -156,10 +156,10 @@
         .until("damage", |fleet| {
             (0..3).all(|n| refused(fleet, n, "Damaged") + refused(fleet, n, "Foreign") > 3)
         })
-        .done();
-    fleet.until_all("whole").done();
+        .unwrap_or_panic();
+    fleet.until_all("whole").unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -167,12 +167,12 @@
 fn who_stood_still_for_long_is_given_up_and_believes_nothing_on_wake() {
     let mut fleet = whole(3);
     fleet.servers[2].stop(true);
-    fleet.until_holds(0, 2, "failed").done();
-    fleet.until_holds(1, 2, "failed").done();
+    fleet.until_holds(0, 2, "failed").unwrap_or_panic();
+    fleet.until_holds(1, 2, "failed").unwrap_or_panic();
     rest(1_500);
     fleet.servers[2].stop(false);
-    fleet.until_all("whole").done();
-    fleet.until_holds(0, 2, "present").done();
+    fleet.until_all("whole").unwrap_or_panic();
+    fleet.until_holds(0, 2, "present").unwrap_or_panic();
     // Its timers had all run out; nobody is failed by that.
     assert_eq!(held(&mut fleet, 2, 0, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
     let said = fleet.history.said("n3", "standing");
@@ -186,7 +186,7 @@
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=2500");
     let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
     fleet.servers[2].stop(true);
-    fleet.until_holds(0, 2, "suspected").done();
+    fleet.until_holds(0, 2, "suspected").unwrap_or_panic();
     fleet.servers[0].stop(true);
     // Nothing waits for it on wake that would tell it better before it looks at its timers.
     fleet.change(1, 0, |faults| faults.cut = true);
@@ -198,8 +198,8 @@
     fleet.servers[0].stop(false);
     rest(200);
     fleet.heal();
-    fleet.until_all("whole").done();
-    fleet.until_holds(0, 2, "present").done();
+    fleet.until_all("whole").unwrap_or_panic();
+    fleet.until_holds(0, 2, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 2, "failed"), 0);
     sound(fleet);
 }
@@ -211,11 +211,11 @@
     let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
     fleet.ask(2, Duration::from_millis(20));
     fleet.servers[1].stop(true);
-    fleet.until_holds(0, 1, "suspected").done();
+    fleet.until_holds(0, 1, "suspected").unwrap_or_panic();
     rest(5_000);
     fleet.servers[1].stop(false);
-    fleet.until_all("whole").done();
-    fleet.until_holds(0, 1, "present").done();
+    fleet.until_all("whole").unwrap_or_panic();
+    fleet.until_holds(0, 1, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
     sound(fleet);
 }
@@ -230,8 +230,8 @@
         .until("the new process", |fleet| {
             member(fleet, 0, 1)["boot"].as_u64() > before && reaches(fleet, 0, 1)
         })
-        .done();
-    fleet.until_all("whole").done();
+        .unwrap_or_panic();
+    fleet.until_all("whole").unwrap_or_panic();
     assert_eq!((fleet.holds(0, 1), fleet.holds(2, 1)), ("present".into(), "present".into()));
     sound(fleet);
 }
@@ -240,13 +240,15 @@
 fn a_second_process_of_a_name_elsewhere_is_told_and_falls_silent() {
     let mut fleet = twins();
     fleet.servers[3].start().expect("a process");
-    fleet.until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true)).done();
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").done());
+    fleet
+        .until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true))
+        .unwrap_or_panic();
+    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     // Silent, it uses nothing of the part that belongs to its name, but it serves.
     rest(1_500);
     assert_eq!(fleet.view(3).expect("a view")["allowances"][0][1]["used"], 0);
     assert_eq!(fleet.view(0).expect("a view")["silenced"], false);
-    fleet.servers[3].wait_until_well().done();
+    fleet.servers[3].wait_until_well().unwrap_or_panic();
     sound(fleet);
 }
 
@@ -257,10 +259,10 @@
         fleet.relay(n, 0).lead(fleet.servers[3].fleet);
     }
     fleet.servers[3].start().expect("a process");
-    (1..4).for_each(|n| fleet.until_stands(n, "whole").done());
+    (1..4).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     fleet
         .until("the earlier to be told", |fleet| fleet.view(0).is_ok_and(|view| view["silenced"] == true))
-        .done();
+        .unwrap_or_panic();
     fleet.servers[1].read_log();
     assert!(!fleet.history.said("n2", "two processes of one name").is_empty());
     sound(fleet);
@@ -270,16 +272,16 @@
 fn the_last_one_of_a_fleet_serves_alone() {
     let mut fleet = whole(4);
     (1..4).for_each(|n| fleet.servers[n].kill());
-    fleet.until_stands(0, "alone").done();
+    fleet.until_stands(0, "alone").unwrap_or_panic();
     let served = |fleet: &Fleet| {
         fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::End::Served))
     };
     let before = served(&fleet);
-    fleet.until("more to be served", |fleet| served(fleet) > before + 20).done();
+    fleet.until("more to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
     for n in 1..4 {
         fleet.servers[n].start().expect("a process");
     }
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -298,7 +300,7 @@
     fleet.servers[0].read_log();
     let changes = fleet.history.said("n1", "standing").len();
     assert!((2..=7).contains(&changes), "{changes} changes");
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -307,11 +309,11 @@
     let mut fleet = whole(4);
     fleet.set_all(Faults { no_datagrams: true, ..Faults::default() });
     rest(3_000);
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     // Who starts meanwhile comes in by streams alone.
     fleet.servers[3].kill();
     fleet.servers[3].start().expect("a process");
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed"), 0);
     sound(fleet);
 }
@@ -323,14 +325,14 @@
     fleet.change(2, 1, |faults| faults.stall = true);
     // Every member asks for loans and writes by stream; what waits for the one that never reads is lost.
     rest(2_500);
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").done());
+    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     // Without datagrams towards it, only it is off.
     fleet.change(0, 1, |faults| faults.no_datagrams = true);
     fleet.change(2, 1, |faults| faults.no_datagrams = true);
-    fleet.until("the two to know", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1)).done();
+    fleet.until("the two to know", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1)).unwrap_or_panic();
     assert!(reaches(&fleet, 0, 2) && reaches(&fleet, 2, 0));
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -341,7 +343,7 @@
     let past = fleet.direction(1, 0).remembered();
     assert!(past.len() > 10);
     fleet.servers[1].kill();
-    fleet.until_holds(0, 1, "failed").done();
+    fleet.until_holds(0, 1, "failed").unwrap_or_panic();
     let before = refused(&fleet, 0, "Replayed");
     let end = Instant::now() + Duration::from_millis(1_500);
     while Instant::now() < end {
@@ -353,13 +355,13 @@
     // A process that has started since is not the one that they were for.
     fleet.servers[0].kill();
     fleet.servers[0].start().expect("a process");
-    fleet.until_stands(0, "majority").done();
+    fleet.until_stands(0, "majority").unwrap_or_panic();
     fleet.relay(1, 0).replay(&past);
     rest(300);
     assert!(!reaches(&fleet, 0, 1));
     assert!(refused(&fleet, 0, "Unproven") + refused(&fleet, 0, "NotForUs") > 0);
     fleet.servers[1].start().expect("a process");
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -367,16 +369,16 @@
 fn who_leaves_says_so_and_is_not_missed() {
     let mut fleet = whole(4);
     fleet.servers[3].terminate();
-    fleet.until_holds(0, 3, "leaving").done();
+    fleet.until_holds(0, 3, "leaving").unwrap_or_panic();
     let status = fleet.servers[3].wait_until_ended().expect("it ends");
     assert!(status.success(), "{status}");
-    fleet.until_holds(0, 3, "left").done();
-    fleet.until_holds(1, 3, "left").done();
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").done());
+    fleet.until_holds(0, 3, "left").unwrap_or_panic();
+    fleet.until_holds(1, 3, "left").unwrap_or_panic();
+    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     // Killed, one is missed.
     fleet.servers[2].kill();
-    fleet.until_holds(0, 2, "failed").done();
-    fleet.until_stands(0, "minority").done();
+    fleet.until_holds(0, 2, "failed").unwrap_or_panic();
+    fleet.until_stands(0, "minority").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -388,9 +390,9 @@
         fleet.servers[n].write_operator(&fleet.operator(n)).expect("written");
         fleet.servers[n].start().expect("a process");
     }
-    (0..2).for_each(|n| fleet.until_stands(n, "whole").done());
+    (0..2).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
     // The third is a guest of the two, as no file names it.
-    fleet.until("a guest", |fleet| member(fleet, 0, 2)["named"] == false).done();
+    fleet.until("a guest", |fleet| member(fleet, 0, 2)["named"] == false).unwrap_or_panic();
     for n in 0..2 {
         let sound = fleet.operator(n);
         for (part, other) in [("secret \"between us\"", "secret \"new\""), ("peer \"n", "peer \"n1\" x=1 //")]
@@ -404,7 +406,7 @@
             .until("both to be refused", |fleet| {
                 fleet.servers[n].log().matches("the old configuration stays").count() == 2
             })
-            .done();
+            .unwrap_or_panic();
         assert!(fleet.servers[n].log().contains("the fleet's secret has changed, which needs a new start"));
     }
     (0..2).for_each(|n| assert_eq!(fleet.standing(n), "whole"));
@@ -412,7 +414,7 @@
         fleet.told_of[n].push(2);
         fleet.reload(n);
     }
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     assert_eq!(member(&fleet, 0, 2)["named"], true);
     sound(fleet);
 }
@@ -430,7 +432,7 @@
         .until("a disagreement", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"].to_string().contains("n3: there"))
         })
-        .done();
+        .unwrap_or_panic();
     let evidence = fleet.servers[0].ask(&["explain", "n2"]).expect("evidence").to_string();
     assert!(evidence.contains("its view differs") && evidence.contains("not in its roster"), "{evidence}");
     assert!(fleet.servers[0].ask(&["explain", "n9"]).expect_err("unknown").contains("it knows: n2, n3"));
@@ -440,6 +442,6 @@
         .until("agreement", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"] == serde_json::json!([]))
         })
-        .done();
+        .unwrap_or_panic();
     sound(fleet);
 }
--- a/crates/server/tests/fleet_quota.rs
+++ b/crates/server/tests/fleet_quota.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{options, rest, sound, OrPanic};
+use common::{options, rest, sound, UnwrapOrPanic};
 use umberloom_fault_harness::{script, Faults, Fleet, Script};
 
 /// A fleet whose first server has nearly all of the need, each with a part of four.
@@ -39,14 +39,14 @@
 }
 
 fn until_borrowed(fleet: &Fleet, n: usize) {
-    fleet.until("a loan", |fleet| figure(fleet, n, "borrowed") >= 2).done();
+    fleet.until("a loan", |fleet| figure(fleet, n, "borrowed") >= 2).unwrap_or_panic();
 }
 
 #[test]
 fn what_others_do_not_need_goes_to_the_one_that_does() {
     let fleet = uneven(4);
     until_borrowed(&fleet, 0);
-    fleet.until("more than its part in use", |fleet| fleet.most_in_use() >= 8).done();
+    fleet.until("more than its part in use", |fleet| fleet.most_in_use() >= 8).unwrap_or_panic();
     // Need that moves takes the loans along.
     need(&fleet, 2);
     until_borrowed(&fleet, 2);
@@ -58,7 +58,7 @@
     let fleet = uneven(3);
     until_borrowed(&fleet, 0);
     fleet.part(&[&[0], &[1, 2]]);
-    fleet.until("its loans to end", |fleet| figure(fleet, 0, "borrowed") == 0).done();
+    fleet.until("its loans to end", |fleet| figure(fleet, 0, "borrowed") == 0).unwrap_or_panic();
     assert_eq!(figure(&fleet, 0, "part"), 4);
     // The others go on with theirs, and lend to each other.
     need(&fleet, 1);
@@ -94,7 +94,7 @@
         fleet.servers[n].start().expect("a process");
         // Others still use what it lent, and the calls of the one before it go on.
         need_everywhere(&fleet);
-        fleet.until("its part", |fleet| figure(fleet, n, "part") == 4).done();
+        fleet.until("its part", |fleet| figure(fleet, n, "part") == 4).unwrap_or_panic();
         rest(700);
         need(&fleet, 0);
     }
@@ -111,7 +111,7 @@
     fleet.servers[1].start().expect("a process");
     // What it lent before its end is still in use, and it has need of its own now.
     need_everywhere(&fleet);
-    fleet.until("its part", |fleet| figure(fleet, 1, "part") == 4).done();
+    fleet.until("its part", |fleet| figure(fleet, 1, "part") == 4).unwrap_or_panic();
     rest(700);
     need(&fleet, 0);
     until_borrowed(&fleet, 0);
@@ -134,7 +134,7 @@
     fleet.reload(3);
     need(&fleet, 1);
     for n in 1..4 {
-        fleet.until("a greater part", |fleet| figure(fleet, n, "part") >= 5).done();
+        fleet.until("a greater part", |fleet| figure(fleet, n, "part") >= 5).unwrap_or_panic();
     }
     until_borrowed(&fleet, 1);
     sound(fleet);
@@ -153,11 +153,11 @@
         .until("a loan within its part", |fleet| {
             figure(fleet, 0, "borrowed") > 0 && figure(fleet, 0, "borrowed") <= 4
         })
-        .done();
+        .unwrap_or_panic();
     let before = fleet.spans().len();
-    fleet.until("more calls", |fleet| fleet.spans().len() > before + 20).done();
+    fleet.until("more calls", |fleet| fleet.spans().len() > before + 20).unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     sound(fleet);
 }
 
--- a/crates/server/tests/fleet_replicated_store.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{options, rest, sound, OrPanic};
+use common::{options, rest, sound, UnwrapOrPanic};
 use serde_json::Value;
 use umberloom_fault_harness::linear::{breaches, Operation};
 use umberloom_fault_harness::Fleet;
@@ -18,7 +18,7 @@
     told.record = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
     told.disk = disk.then(|| "most-mb=64".to_owned());
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(voters).done();
+    fleet.until_kept(voters).unwrap_or_panic();
     fleet.ask(2, Duration::from_millis(20));
     fleet
 }
@@ -38,7 +38,7 @@
 }
 
 fn until_leads(fleet: &Fleet, but: usize) -> usize {
-    fleet.until("another leader", |fleet| fleet.leader().is_some_and(|n| n != but)).done();
+    fleet.until("another leader", |fleet| fleet.leader().is_some_and(|n| n != but)).unwrap_or_panic();
     fleet.leader().expect("a leader")
 }
 
@@ -136,7 +136,7 @@
     let copies: Vec<Value> = (0..3).map(|n| fleet.kept(n, "copy")).collect();
     (0..3).for_each(|n| fleet.servers[n].kill());
     (0..3).for_each(|n| fleet.servers[n].start().expect("a process"));
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!((fleet.kept(0, "record"), latest(&fleet, 2, "limits")), (record, Ok("forty".to_owned())));
     // The same copies, not new ones: a disk that is there is used.
     assert_eq!((0..3).map(|n| fleet.kept(n, "copy")).collect::<Vec<_>>(), copies);
@@ -180,7 +180,7 @@
                 fleet.heal();
             }
         }
-        fleet.until_kept(3).done();
+        fleet.until_kept(3).unwrap_or_panic();
     }
     clients.finish(60);
     sound(fleet);
@@ -205,7 +205,7 @@
     let local = fleet.record(learners[0], &["show", "--local", "x"]);
     assert!(local.is_err_and(|why| why.contains("no document")));
     fleet.heal();
-    fleet.until("one record", |fleet| latest(fleet, leader, "x").is_ok()).done();
+    fleet.until("one record", |fleet| latest(fleet, leader, "x").is_ok()).unwrap_or_panic();
     // The minority's write may come through now, after the other: never in its place.
     let version = fleet.record(leader, &["show", "x"]).expect("there")["version"].as_u64();
     let content = latest(&fleet, leader, "x").expect("there");
@@ -255,15 +255,15 @@
                 }
             }
         }
-        fleet.until(case, |fleet| put(fleet, hub, "x", case).is_ok()).done();
+        fleet.until(case, |fleet| put(fleet, hub, "x", case).is_ok()).unwrap_or_panic();
         let before = fleet.kept(hub, "term").as_u64();
         rest(2_500);
         let after = fleet.kept(hub, "term").as_u64();
         assert!(after <= before.map(|term| term + 2), "{case}: {before:?} to {after:?}: endless elections");
         assert_eq!(latest(&fleet, hub, "x"), Ok(case.to_owned()), "{case}");
         fleet.heal();
-        fleet.until_all("whole").done();
-        fleet.until_kept(5).done();
+        fleet.until_all("whole").unwrap_or_panic();
+        fleet.until_kept(5).unwrap_or_panic();
     }
     sound(fleet);
 }
@@ -278,7 +278,7 @@
     fleet.servers[n].lose_disk();
     put(&fleet, fleet.leader().expect("a leader"), "x", "meanwhile").expect("written");
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_ne!(fleet.kept(n, "copy"), copy);
     assert_eq!(fleet.record(n, &["show", "--local", "x"]).expect("there")["content"], "meanwhile");
     sound(fleet);
@@ -291,7 +291,7 @@
     fleet.servers[n].kill();
     let old = fleet.servers[n].disk_image().expect("a file");
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     let copy = fleet.kept(n, "copy");
     for round in 0..5 {
         put(&fleet, n, "x", &format!("round {round}")).expect("written");
@@ -300,7 +300,7 @@
     fleet.servers[n].kill();
     fleet.servers[n].put_disk(&old).expect("put back");
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_ne!(fleet.kept(n, "copy"), copy, "it voted under its old number");
     assert_eq!(said(&mut fleet, n, "record: this copy was set back").len(), 1);
     assert!(
@@ -317,7 +317,7 @@
     told.record = Some("voters=3 election-ms=400 replace-after-s=30".to_owned());
     told.disk = Some("most-mb=64 scrub-s=1".to_owned());
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     fleet.ask(2, Duration::from_millis(20));
     put(&fleet, 0, "x", &"content ".repeat(4_000)).expect("written");
     let n = voter(&fleet);
@@ -325,8 +325,8 @@
     fleet.servers[n].flip_disk(8_000, 500).expect("flipped");
     fleet.servers[n].start().expect("a process");
     // It serves at once, whatever its disk holds.
-    fleet.servers[n].wait_until_well().done();
-    fleet.until_kept(3).done();
+    fleet.servers[n].wait_until_well().unwrap_or_panic();
+    fleet.until_kept(3).unwrap_or_panic();
     let lines = said(&mut fleet, n, "record: what was on the disk is set aside");
     let why = lines.first().map(|line| line["why"].to_string()).unwrap_or_default();
     assert!(why.contains("rows.redb: damaged at"), "{lines:?}");
@@ -336,8 +336,8 @@
     fleet.servers[m].flip_disk(8_000, 500).expect("flipped");
     fleet
         .until("a new copy", |fleet| !fleet.kept(m, "copy").is_null() && fleet.kept(m, "copy") != copy)
-        .done();
-    fleet.until_kept(3).done();
+        .unwrap_or_panic();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(latest(&fleet, m, "x").map(|content| content.len()), Ok(32_000));
     sound(fleet);
 }
@@ -351,12 +351,12 @@
     for n in 0..3 {
         fleet.servers[n].kill();
         fleet.servers[n].start().expect("a process");
-        fleet.until_kept(3).done();
+        fleet.until_kept(3).unwrap_or_panic();
     }
     assert_eq!((fleet.kept(0, "record"), latest(&fleet, 1, "x")), (record.clone(), Ok("lost".to_owned())));
     (0..3).for_each(|n| fleet.servers[n].kill());
     (0..3).for_each(|n| fleet.servers[n].start().expect("a process"));
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_ne!(fleet.kept(0, "record"), record);
     let begun: usize = (0..3).map(|n| said(&mut fleet, n, NEW).len()).sum();
     assert_eq!(begun, 2, "each new record is told of by its founder");
@@ -378,15 +378,15 @@
         let votes: Vec<&Value> = copies.iter().filter(|copy| copy["votes"] == true).collect();
         votes.len() == 3 && votes.iter().all(|copy| copy["name"] != name.as_str())
     };
-    fleet.until("another voter", replaced).done();
+    fleet.until("another voter", replaced).unwrap_or_panic();
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(fleet.kept(n, "role"), "Learner");
     // By hand it votes again, in the place of another, and stays.
     fleet.record(n, &["promote", &name]).expect("asked");
-    fleet.until("its vote", |fleet| fleet.kept(n, "role") == "Voter").done();
+    fleet.until("its vote", |fleet| fleet.kept(n, "role") == "Voter").unwrap_or_panic();
     rest(1_500);
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(fleet.kept(n, "role"), "Voter");
     let leader = fleet.leader().expect("a leader");
     let why = fleet.record(leader, &["promote", &name]).expect_err("it votes");
@@ -401,7 +401,9 @@
     let leader = fleet.leader().expect("a leader");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     fleet.servers[leader].terminate();
-    fleet.until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader")).done();
+    fleet
+        .until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader"))
+        .unwrap_or_panic();
     // Nobody had to miss it first: it still drains.
     assert!(fleet.servers[leader].ended().is_none(), "it ended before another led");
     let status = fleet.servers[leader].wait_until_ended().expect("it ends");
@@ -411,7 +413,7 @@
     assert_eq!(found.len(), 1);
     assert_eq!(latest(&fleet, found[0], "x"), Ok("kept".to_owned()));
     fleet.servers[leader].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     sound(fleet);
 }
 
@@ -421,7 +423,7 @@
     told.record = Some("voters=3 election-ms=400 replace-after-s=60 catch-up-kb=1500".to_owned());
     told.disk = Some("most-mb=64".to_owned());
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     fleet.ask(2, Duration::from_millis(20));
     let n = voter(&fleet);
     fleet.servers[n].kill();
@@ -431,24 +433,26 @@
         // A busy machine may cost the leader its lead meanwhile.
         fleet
             .until("a write", |fleet| put(fleet, leader, &format!("large{document}"), &large).is_ok())
-            .done();
+            .unwrap_or_panic();
     }
     let mut highest = 0;
     for _ in 0..3 {
         fleet.servers[n].start().expect("a process");
         let there = |fleet: &Fleet| fleet.kept(n, "catching_up")[0].as_u64();
-        fleet.until("a snapshot under way", |fleet| there(fleet).is_some()).done();
+        fleet.until("a snapshot under way", |fleet| there(fleet).is_some()).unwrap_or_panic();
         // But for the last pieces, which the kill may have caught on their way to the disk.
         let first = there(&fleet).unwrap_or(0);
         assert!(first + 8 >= highest, "{first} pieces after a restart, {highest} before");
-        fleet.until("pieces", |fleet| there(fleet).is_some_and(|there| there > highest + 10)).done();
+        fleet
+            .until("pieces", |fleet| there(fleet).is_some_and(|there| there > highest + 10))
+            .unwrap_or_panic();
         // It serves, and says how far it is; beats are not held up by pieces.
-        fleet.until_all("whole").done();
+        fleet.until_all("whole").unwrap_or_panic();
         highest = there(&fleet).unwrap_or(highest);
         fleet.servers[n].kill();
     }
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     let large_ones = |line: &&Value| line["bytes"].as_u64() > Some(5_000_000);
     assert_eq!(said(&mut fleet, n, "record caught up").iter().filter(large_ones).count(), 1);
     assert_eq!(latest(&fleet, n, "large11").map(|content| content.len()), Ok(large.len()));
@@ -469,7 +473,7 @@
     fleet.servers[3].wait_until_ended().expect("it ends");
     rest(800);
     fleet.heal();
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(fleet.kept(0, "copies").as_array().map(Vec::len), Some(3));
     put(&fleet, 2, "x", "after").expect("written");
     assert_eq!(latest(&fleet, 1, "x"), Ok("after".to_owned()));
@@ -490,12 +494,12 @@
     for n in [1, 2] {
         fleet.servers[n].start().expect("a process");
     }
-    fleet.until_all("whole").done();
+    fleet.until_all("whole").unwrap_or_panic();
     rest(2_500);
     assert_eq!((fleet.leader(), fleet.kept(0, "record")), (None, record.clone()));
     assert_eq!(fleet.record(0, &["show", "--local", "x"]).expect("there")["content"], "all that is left");
-    fleet.until("a decision", |fleet| fleet.record(0, &["adopt"]).is_ok()).done();
-    fleet.until_kept(3).done();
+    fleet.until("a decision", |fleet| fleet.record(0, &["adopt"]).is_ok()).unwrap_or_panic();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(latest(&fleet, 2, "x"), Ok("all that is left".to_owned()));
     assert_ne!(fleet.kept(0, "record"), record);
     let lines = fleet.record(1, &["history"]).expect("there");
@@ -515,23 +519,27 @@
         fleet.servers[n].write_operator(&text).expect("written");
     }
     (0..5).for_each(|n| fleet.servers[n].start().expect("a process"));
-    fleet.until_kept(5).done();
+    fleet.until_kept(5).unwrap_or_panic();
     fleet.ask(2, Duration::from_millis(20));
     let large = "content ".repeat(50_000);
     for document in 0..4 {
         let n = (0..3).find(|n| fleet.kept(*n, "role") != "Outside").expect("one with room");
-        fleet.until("a write", |fleet| put(fleet, n, &format!("large{document}"), &large).is_ok()).done();
+        fleet
+            .until("a write", |fleet| put(fleet, n, &format!("large{document}"), &large).is_ok())
+            .unwrap_or_panic();
     }
     for n in full {
-        fleet.until("a line about it", |fleet| fleet.servers[n].log().contains("bytes would be kept")).done();
+        fleet
+            .until("a line about it", |fleet| fleet.servers[n].log().contains("bytes would be kept"))
+            .unwrap_or_panic();
     }
     assert_eq!(latest(&fleet, 0, "large3").map(|content| content.len()), Ok(large.len()));
     for document in 0..4 {
         fleet
             .until("a write", |fleet| fleet.record(0, &["remove", &format!("large{document}")]).is_ok())
-            .done();
+            .unwrap_or_panic();
     }
-    fleet.until_kept(5).done();
+    fleet.until_kept(5).unwrap_or_panic();
     sound(fleet);
 }
 
@@ -542,18 +550,20 @@
     told.timing = "timing".to_owned();
     told.damp_ms = 1_000;
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(5).done();
+    fleet.until_kept(5).unwrap_or_panic();
     fleet.ask(1, Duration::from_millis(200));
     put(&fleet, 23, "x", "everywhere").expect("written");
     let leader = fleet.leader().expect("a leader");
     fleet.servers[leader].kill();
     until_leads(&fleet, leader);
     let n = (leader + 1) % 24;
-    fleet.until("a write", |fleet| put(fleet, n, "x", "after it").is_ok()).done();
+    fleet.until("a write", |fleet| put(fleet, n, "x", "after it").is_ok()).unwrap_or_panic();
     let there = |fleet: &Fleet, n: usize| {
         fleet.record(n, &["show", "--local", "x"]).is_ok_and(|said| said["content"] == "after it")
     };
-    fleet.until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n))).done();
+    fleet
+        .until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n)))
+        .unwrap_or_panic();
     sound(fleet);
 }
 
@@ -567,13 +577,15 @@
     let folder = fleet.servers[n].record_folder();
     std::fs::write(&folder, "not a folder").expect("written");
     fleet.servers[n].start().expect("a process");
-    fleet.servers[n].wait_until_well().done();
-    fleet.until("a line about it", |fleet| fleet.servers[n].log().contains("expected a folder")).done();
+    fleet.servers[n].wait_until_well().unwrap_or_panic();
+    fleet
+        .until("a line about it", |fleet| fleet.servers[n].log().contains("expected a folder"))
+        .unwrap_or_panic();
     assert!(fleet.record(n, &["status"]).is_err_and(|why| why.contains("its disk can't be used now")));
     put(&fleet, (n + 1) % 3, "x", "by the others").expect("written");
     std::fs::remove_file(&folder).expect("removed");
     // Without a restart.
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(latest(&fleet, n, "x"), Ok("by the others".to_owned()));
     sound(fleet);
 }
@@ -589,7 +601,7 @@
         fleet.servers[n].put_disk(&rows).expect("put back");
         fleet.servers[n].start().expect("a process");
     }
-    fleet.until_kept(3).done();
+    fleet.until_kept(3).unwrap_or_panic();
     assert_eq!(latest(&fleet, 0, "limits"), Ok("fifty".to_owned()));
     assert_eq!(latest(&fleet, 1, "routes"), Ok(r#"{"billing":["10.0.0.1:80"]}"#.to_owned()));
     // The replicas go on under their numbers, and versions go on where they were.
