--- a/crates/server/src/admission/agent_events.rs
+++ b/crates/server/src/admission/agent_events.rs
@@ -123,7 +123,7 @@
 
     /// Handles the agent's answer to a gauge sample.
     pub(super) fn handle_gauges(&mut self, tag: u64, values: Vec<f64>) {
-        if !self.gauge_sample.as_ref().is_some_and(|sample| sample.tag == tag) {
+        if self.gauge_sample.as_ref().is_none_or(|sample| sample.tag != tag) {
             return;
         }
         self.gauge_sample = None;
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Runs that call several dependencies, on sockets, with each way to go wrong.
+//! Call plans of several dependencies, on sockets, with each kind of failure.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use umberloom_dependencies::aggregation::{AggregateResponse, Part};
 
-/// Parts of the envelope in a `deliver` command, in one line.
+/// Parts of the aggregated response in a `deliver` command, in one line.
 fn parts(deliver: &Value) -> String {
     let body = STANDARD.decode(deliver["body"].as_str().expect("a body")).expect("base64");
     let envelope = AggregateResponse::decode(&body).expect("an envelope");
@@ -26,7 +26,7 @@
     all.join(", ")
 }
 
-/// Class `search` needs the platform's records and wants `extra`, in a stage of 400 ms.
+/// An operator's file: class `search` needs the platform's records service and may do without `extra`, in a stage of 400 ms.
 fn operator(extra: &[&Dependency], more: &str) -> String {
     let endpoints: Vec<String> = extra.iter().map(|d| format!("\"{}\"", d.address)).collect();
     format!(
@@ -37,8 +37,8 @@
     )
 }
 
-/// One run up to its delivered envelope; the records service answers at once.
-fn one(world: &mut World, id: &str) -> String {
+/// Makes one run with calls; gives the parts of its response. The records service replies at once.
+fn run_one(world: &mut World, id: &str) -> String {
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, id).with("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"));
     assert_eq!(world.agent.expect("launch").0, id);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn calls_of_a_stage_are_made_side_by_side_and_come_back_in_one_envelope() {
+fn calls_of_a_stage_are_concurrent_and_delivered_as_one_response() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
     let mut balancer = world.running("a");
@@ -60,7 +60,7 @@
     let mut call = world.records.call();
     assert_eq!(call.request.line, "POST /records/op HTTP/1.1");
     assert_eq!((call.request.header("Op-Of"), call.request.body.as_slice()), ("a", &b"what"[..]));
-    // The other one does not wait for it.
+    // The other call does not wait for it.
     eventually("the other call", || (extra.calls() == 1).then_some(()));
     assert_eq!(extra.bodies(), [b"what"]);
     assert!(extra.waits_ms().iter().all(|&ms| ms <= 400), "{:?}", extra.waits_ms());
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn whatever_a_wanted_one_does_the_rest_is_delivered_in_time() {
+fn the_rest_of_a_stage_is_delivered_in_time_whatever_an_optional_dependency_does() {
     let extra = Dependency::start(Behaviour::Hang);
-    // No breaker and no further attempts: every behaviour is met.
+    // No circuit breaker and no retries, so that a call is made under every behaviour.
     let more = "retry most=0 share=0\n no-breaker";
     let mut world = World::up_with(|_| (), &operator(&[&extra], more));
     let before = world.memory_kb();
@@ -108,23 +108,23 @@
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
         extra.behave(behaviour.clone());
         let start = Instant::now();
-        let found = one(&mut world, &format!("r{number}"));
+        let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
         // Far less than the time that the request has; the machine may be slow.
         assert!(start.elapsed() < Duration::from_secs(10), "{behaviour:?}");
     }
     extra.behave(Behaviour::Down);
     eventually("the port to be shut", || std::net::TcpStream::connect(extra.address).is_err().then_some(()));
-    assert_eq!(one(&mut world, "down"), "records: booked, extra: Unreachable");
-    assert!(world.memory_kb() < before + 8_192, "a reply of 3 GB is not held");
+    assert_eq!(run_one(&mut world, "down"), "records: booked, extra: Unreachable");
+    assert!(world.memory_kb() < before + 8_192, "a reply of 3 GB is not buffered");
     assert!(world.is_alive());
 }
 
 #[test]
-fn a_needed_one_that_fails_is_never_served() {
+fn a_request_whose_required_dependency_fails_is_not_served() {
     let mut world = World::up_with(
         |config| {
-            // Nothing may be left out, so a call that fails fails its request.
+            // No call may be skipped, so one that fails fails its request.
             config["settings"]["family_info"]["class_skip_worth"] = json!([0.0, 0.0, 0.0]);
             config["settings"]["classes"][0]["effect"] = json!("non_idempotent");
         },
@@ -137,28 +137,28 @@
 }
 
 #[test]
-fn another_endpoint_takes_the_calls_of_one_that_is_down() {
+fn calls_to_an_endpoint_that_is_down_go_to_another() {
     let (down, up) = (Dependency::start(Behaviour::Down), Dependency::start(Behaviour::quick(b"notes")));
     eventually("the port to be shut", || std::net::TcpStream::connect(down.address).is_err().then_some(()));
     let mut world = World::up_with(|_| (), &operator(&[&down, &up], "retry burst=20"));
     for number in 0..12 {
-        assert_eq!(one(&mut world, &format!("r{number}")), "records: booked, extra: notes");
+        assert_eq!(run_one(&mut world, &format!("r{number}")), "records: booked, extra: notes");
     }
     assert_eq!(up.calls(), 12);
 }
 
 #[test]
-fn a_kept_reply_stands_in_and_a_constant_after_it() {
+fn a_failed_call_falls_back_to_the_cached_reply() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let more = "retry most=0\n fallback {\n kept max-age-ms=60000\n constant \"none\"\n }";
     let mut world = World::up_with(|_| (), &operator(&[&extra], more));
-    assert_eq!(one(&mut world, "first"), "records: booked, extra: notes");
+    assert_eq!(run_one(&mut world, "first"), "records: booked, extra: notes");
     extra.behave(Behaviour::failing());
-    assert_eq!(one(&mut world, "second"), "records: booked, extra: kept notes");
+    assert_eq!(run_one(&mut world, "second"), "records: booked, extra: kept notes");
 }
 
 #[test]
-fn a_file_that_no_longer_names_a_dependency_lets_its_calls_end() {
+fn calls_to_a_removed_dependency_end_normally() {
     let extra =
         Dependency::start(Behaviour::Answer { body: b"notes".to_vec(), median_ms: 300.0, sigma: 0.01 });
     let other = Dependency::start(Behaviour::quick(b"other"));
@@ -173,12 +173,12 @@
     assert_eq!(parts(&deliver), "records: booked, extra: notes");
     world.agent.outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    assert_eq!(one(&mut world, "b"), "records: booked, new: other");
+    assert_eq!(run_one(&mut world, "b"), "records: booked, new: other");
     assert_eq!(extra.calls(), 1);
 }
 
 #[test]
-fn a_broken_file_changes_nothing() {
+fn an_invalid_operator_file_changes_nothing() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
     for broken in
@@ -191,39 +191,39 @@
         });
     }
     assert!(world.log().contains("operator.kdl:2:11: no dependency is called"), "{}", world.log());
-    assert_eq!(one(&mut world, "a"), "records: booked, extra: notes");
+    assert_eq!(run_one(&mut world, "a"), "records: booked, extra: notes");
 }
 
 #[test]
-fn the_platforms_records_service_moves_with_the_configuration() {
+fn calls_follow_the_configured_address_of_the_records_service() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
-    assert_eq!(one(&mut world, "a"), "records: booked, extra: notes");
+    assert_eq!(run_one(&mut world, "a"), "records: booked, extra: notes");
     let records = common::Records::start();
     world.reconfigure(|config| config["records"] = json!(records.address));
     let old = std::mem::replace(&mut world.records, records);
     eventually("the new plans", || world.log().contains("new plans").then_some(()));
     world.agent.wait_samples(3);
-    assert_eq!(one(&mut world, "b"), "records: booked, extra: notes");
+    assert_eq!(run_one(&mut world, "b"), "records: booked, extra: notes");
     drop(old);
 }
 
 #[test]
-fn a_server_that_leaves_in_the_middle_of_a_stage_answers_and_ends() {
+fn a_server_that_drains_during_a_stage_answers_and_exits() {
     let extra = Dependency::start(Behaviour::Hang);
     let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"what");
     eventually("the call", || (extra.calls() == 1).then_some(()));
     world.terminate();
-    // Whatever it is, there is one answer, and the calls are given up with it.
+    // There is one answer, and the calls are cancelled with it.
     assert!(matches!(balancer.answer().status, 500 | 503));
     assert!(world.ended().success());
     assert_eq!(balancer.try_answer(), None);
 }
 
 #[test]
-fn a_request_that_is_given_up_gives_its_calls_up() {
+fn an_aborted_request_cancels_its_calls() {
     let extra = Dependency::start(Behaviour::Hang);
     let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
     let mut balancer = world.running("a");
@@ -244,7 +244,7 @@
     let file = operator(&[], more).replace("endpoints ", &format!("endpoints \"{}\"", server.address));
     let mut world = World::up_with(|_| (), &file);
     let whole = format!("records: booked, extra: {}", "n".repeat(20_000));
-    assert_eq!(one(&mut world, "first"), whole);
+    assert_eq!(run_one(&mut world, "first"), whole);
     assert_eq!(server.calls(), [b"what"]);
     let cases = [
         (AjpBehaviour::Answer(200, b"notes".to_vec()), "notes"),
@@ -258,11 +258,11 @@
     ];
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
         server.behave(behaviour.clone());
-        let found = one(&mut world, &format!("r{number}"));
+        let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
     }
-    // Idle for long, it is asked first; what does not answer is left for a new connection, and nothing is lost.
+    // A connection that was idle for long is tested first; one that does not answer is replaced, and no call is lost.
     server.behave(AjpBehaviour::DeafToPings);
     std::thread::sleep(Duration::from_millis(1_300));
-    assert_eq!(one(&mut world, "after a pause"), "records: booked, extra: well");
+    assert_eq!(run_one(&mut world, "after a pause"), "records: booked, extra: well");
 }
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -1,4 +1,4 @@
-//! Twenty-four processes that do not know each other call one service, on which a stand-in counts.
+//! Twenty-four servers without a fleet call one service, a fake that counts the calls.
 
 mod common;
 
@@ -14,29 +14,29 @@
 
 const SERVERS: usize = 24;
 /// Calls at once that the service survives, of all servers: less than one for each.
-const WHOLE: f64 = 12.0;
+const CAPACITY: f64 = 12.0;
 
 /// Calls take a tenth of a second.
-fn well() -> Behaviour {
+fn healthy() -> Behaviour {
     Behaviour::Answer { body: b"booked".to_vec(), median_ms: 100.0, sigma: 0.05 }
 }
 
 /// Calls of all servers while `span` passes, and what the budget allows for as long as that took: N in each 100 ms, as a call
 /// takes as long, and 2 x root of N + 2 for chance. Servers wait by their own clocks between calls, so that a
 /// machine that is slow makes it fewer.
-fn counted(service: &Dependency, span: Duration) -> (f64, f64) {
+fn count_calls(service: &Dependency, span: Duration) -> (f64, f64) {
     service.take_counts();
     let began = Instant::now();
     rest(span.as_millis() as u64);
     let calls = service.take_counts().0 as f64;
-    let budget = WHOLE * (began.elapsed().as_secs_f64() / 0.1);
+    let budget = CAPACITY * (began.elapsed().as_secs_f64() / 0.1);
     (calls, budget + 2.0 * budget.sqrt() + 2.0)
 }
 
 #[test]
-fn probes_and_first_calls_of_24_processes_stay_within_what_the_service_survives() {
+fn probes_and_first_calls_of_24_servers_stay_within_the_capacity_of_the_service() {
     let folder = std::env::temp_dir().join(format!("umberloom-calls-{}", std::process::id()));
-    let service = Dependency::start(well());
+    let service = Dependency::start(healthy());
     let mut servers: Vec<Server> = (0..SERVERS)
         .map(|n| {
             let mut server =
@@ -45,7 +45,7 @@
                 ("/records", json!(service.address)),
                 ("/seed", json!(format!("8c1f30d27a5b{n:04x}"))),
                 ("/settings/servers", json!(SERVERS)),
-                ("/settings/family_info/dep_share", json!(WHOLE / SERVERS as f64)),
+                ("/settings/family_info/dep_share", json!(CAPACITY / SERVERS as f64)),
             ];
             server
         })
@@ -55,14 +55,14 @@
     let at: Vec<_> = servers.iter().map(|server| (server.listen, server.farm.over())).collect();
     let traffic = Traffic::start(&at, 2, Duration::from_millis(10));
     // First calls after a start; then all lose the service at one moment, and find it back.
-    let (calls, most) = counted(&service, Duration::from_secs(2));
-    assert!(calls > 0.0 && calls <= most, "{calls} first calls, {most} allowed");
+    let (calls, allowed) = count_calls(&service, Duration::from_secs(2));
+    assert!(calls > 0.0 && calls <= allowed, "{calls} first calls, {allowed} allowed");
     service.behave(Behaviour::failing());
-    let (calls, most) = counted(&service, Duration::from_secs(4));
-    assert!(calls > 0.0 && calls <= most, "{calls} calls while it was down, {most} allowed");
-    service.behave(well());
-    let (calls, most) = counted(&service, Duration::from_secs(3));
-    assert!(calls > 0.0 && calls <= most, "{calls} calls after it returned, {most} allowed");
+    let (calls, allowed) = count_calls(&service, Duration::from_secs(4));
+    assert!(calls > 0.0 && calls <= allowed, "{calls} calls while it was down, {allowed} allowed");
+    service.behave(healthy());
+    let (calls, allowed) = count_calls(&service, Duration::from_secs(3));
+    assert!(calls > 0.0 && calls <= allowed, "{calls} calls after it returned, {allowed} allowed");
     drop(traffic);
     assert!(servers.iter_mut().all(|server| !server.has_crashed()));
     servers.iter_mut().for_each(Server::kill);
--- a/crates/server/tests/rules.rs
+++ b/crates/server/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules on sockets where peers fail: links, floods, bad bytes, the end.
+//! Failures of peers, on sockets: cut links, floods, malformed bytes, and the end of the process.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use common::balancer::record;
 use common::{eventually, Balancer, Request, World};
 
-/// A generator of bytes that repeats itself exactly.
-fn noise(seed: u64, length: usize) -> Vec<u8> {
+/// The same bytes for the same seed.
+fn pseudo_random_bytes(seed: u64, length: usize) -> Vec<u8> {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
         state ^= state << 13;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_new_link_goes_on_where_the_last_one_broke() {
+fn a_new_agent_link_resumes_where_the_last_one_was_cut() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     world.agent.wait_samples(2);
@@ -35,7 +35,7 @@
     world.agent.linked();
     assert_eq!(world.agent.subscribed, [0, 0]);
     world.agent.greet_again();
-    // One run was read of and ended while there was no link; the other launch was never read.
+    // One launch was read, and its run ended while there was no link; the other was never read.
     world.agent.outcome("ended", "fine", b"r1");
     let (id, command) = world.agent.expect("launch");
     assert_eq!((id.as_str(), command["class"].as_str()), ("unread", Some("search")));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn notices_seen_before_are_dropped_and_known_commands_are_not_repeated() {
+fn notices_seen_before_are_dropped_and_confirmed_commands_are_not_repeated() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"x");
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn requests_that_come_without_a_link_are_launched_on_the_next() {
+fn requests_that_arrive_without_an_agent_link_are_launched_on_the_next() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     world.agent.cut();
     world.agent.linked();
     balancer.send(&Request::new(1, "a"));
-    // Checks are answered from the module's word meanwhile.
+    // Health checks are answered by the readiness meanwhile.
     assert_eq!(world.balancer().ask(&Request::check(1, "")).status, 200);
     world.agent.greet_again();
     assert_eq!(world.agent.expect("launch").0, "a");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn bad_lines_from_the_agent_cost_the_link_and_nothing_else() {
+fn malformed_lines_from_the_agent_close_only_the_link() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     let endless = vec![b'x'; 70_000];
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn bad_bytes_cost_their_connection_only() {
+fn malformed_bytes_close_only_their_connection() {
     let mut world = World::up(|_| ());
-    let mut sound = world.running("sound");
+    let mut healthy = world.running("healthy");
     for seed in 0..40 {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
-        let bytes = noise(seed, 600);
+        let bytes = pseudo_random_bytes(seed, 600);
         let sent = Request::new(2, &format!("bad{seed}")).bytes();
-        // Noise alone, a sound start cut off, and a sound start with noise behind it.
+        // Random bytes alone, a valid start cut off, and a valid start followed by random bytes.
         let _ = match seed % 3 {
             0 => stream.write_all(&bytes),
             1 => stream.write_all(&sent[..bytes[0] as usize % sent.len()]),
@@ -115,15 +115,15 @@
         };
     }
     assert!(world.is_alive());
-    world.agent.outcome("sound", "fine", b"r");
-    assert_eq!(sound.answer().body, b"r");
+    world.agent.outcome("healthy", "fine", b"r");
+    assert_eq!(healthy.answer().body, b"r");
 }
 
 #[test]
-fn requests_open_on_a_connection_that_turns_bad_are_still_answered() {
+fn requests_in_flight_on_a_connection_with_malformed_bytes_are_still_answered() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
-    // In one piece with a sound record before it.
+    // In one write with a valid record before it.
     balancer.send_bytes(&[record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
     assert_eq!(balancer.record().map(|(kind, ..)| kind), Some(10));
     world.agent.outcome("a", "fine", b"r");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_balancer_that_ends_its_side_still_gets_its_answers() {
+fn a_balancer_that_shuts_down_its_side_still_gets_its_answers() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a"));
@@ -151,7 +151,7 @@
     assert_eq!(balancer.answer().status, 0);
     assert_eq!(world.agent.expect("freeze").0, "a");
     world.agent.outcome("a", "broken_off", b"");
-    // Its number serves another request, which gets only its own answer.
+    // Its slot is used by another request, which gets only its own answer.
     balancer.send(&Request::new(1, "b"));
     let mut next = world.agent.command();
     while next["op"] == "freeze" {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn more_open_requests_than_allowed_are_overloaded() {
+fn requests_beyond_the_limit_of_a_connection_are_overloaded() {
     let world = World::up(|_| ());
     let mut balancer = world.balancer();
     for slot in 1..=33 {
@@ -174,12 +174,12 @@
 }
 
 #[test]
-fn a_full_table_of_connections_delays_nobody_who_is_in() {
+fn a_full_connection_table_delays_no_established_connection() {
     let mut world = World::up(|config| config["limits"]["sockets"] = 64.into());
     let mut first = world.running("a");
     let crowd: Vec<TcpStream> =
         (0..80).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
-    // Those in do nothing, so one after the other leaves its place.
+    // The established ones are idle, so one after the other is closed for another.
     let mut last = world.balancer();
     assert_eq!(last.ask(&Request::check(1, "")).status, 200);
     assert!(world.descriptors() <= 64, "{}", world.descriptors());
@@ -190,15 +190,15 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_delays_nobody_else() {
+fn a_peer_that_does_not_read_delays_no_other_peer() {
     let mut world = World::up(|_| ());
-    let mut deaf = world.balancer();
-    deaf.stream.set_write_timeout(Some(std::time::Duration::from_millis(300))).expect("a time limit");
+    let mut stuck = world.balancer();
+    stuck.stream.set_write_timeout(Some(std::time::Duration::from_millis(300))).expect("a time limit");
     let question = record(9, 0, b"\x0f\x00FCGI_MPXS_CONNS");
     let flood = question.repeat(1_000);
-    // Until nothing more goes in: its answers fill all there is between the two.
+    // Until nothing more can be written: the answers fill all buffers between the two.
     let mut sent = 0;
-    while sent < 256 << 20 && deaf.stream.write_all(&flood).is_ok() {
+    while sent < 256 << 20 && stuck.stream.write_all(&flood).is_ok() {
         sent += flood.len();
     }
     assert!(sent < 256 << 20);
@@ -208,12 +208,12 @@
 }
 
 #[test]
-fn a_peer_that_sends_on_after_nonsense_is_cut_off() {
+fn a_peer_that_keeps_sending_malformed_bytes_is_disconnected() {
     let mut world = World::up(|_| ());
     let mut flooder = world.balancer();
     let flood = vec![0; 1 << 20];
     let mut sent = 0;
-    // No more than is read while the connection ends, and what fits between the two.
+    // No more than is read while the connection is closed, and what fits into the buffers.
     while sent < 256 && flooder.stream.write_all(&flood).is_ok() {
         sent += 1;
     }
@@ -229,7 +229,7 @@
     let half: Vec<u8> = (1..=32)
         .flat_map(|slot| [record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, slot, &[0; 16_000])].concat())
         .collect();
-    // Ten times as much as may be held; some of it may be turned away while it is sent.
+    // Ten times as much as may be buffered; some connections may be closed while they send.
     let mut crowd = Vec::new();
     for _ in 0..300 {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_name_in_use_cannot_be_used_to_end_the_request_that_has_it() {
+fn a_second_request_of_the_same_id_cannot_abort_the_first() {
     let mut world = World::up(|_| ());
     let (mut owner, mut other) = (world.balancer(), world.balancer());
     owner.send(&Request::new(1, "a"));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_leaving_server_answers_all_that_arrives_and_ends_well() {
+fn a_draining_server_answers_all_requests_and_exits_with_success() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("before");
     world.terminate();
@@ -268,7 +268,7 @@
     let mut answers = [balancer.answer(), balancer.answer()];
     answers.sort_by_key(|a| a.slot);
     assert_eq!((answers[0].status, answers[0].body.as_slice()), (200, &b"r"[..]));
-    // By the module's word, whatever it is: the run that it may have launched was never ended.
+    // Rejected, or failed if it was launched, as its run never ended.
     assert!(matches!(answers[1].status, 500 | 503), "{:?}", answers[1]);
     assert!(world.ended().success());
     assert_eq!(balancer.try_answer(), None);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn idle_connections_end_without_a_reset() {
+fn idle_connections_are_closed_without_a_reset() {
     let mut world = World::up(|_| ());
     let mut idle = world.balancer();
     assert_eq!(idle.ask(&Request::check(1, "")).status, 200);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn an_agent_that_comes_up_late_is_waited_for() {
+fn a_server_waits_for_an_agent_that_comes_up_late() {
     let mut world = World::start(|_| ());
     world.agent.linked();
     eventually("the listening socket", || TcpStream::connect(world.listen).ok());
@@ -309,13 +309,13 @@
 }
 
 #[test]
-fn a_standstill_of_the_machine_costs_no_peer_its_connection() {
+fn a_stall_of_the_process_closes_no_connection() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"x");
     let mut call = world.records.call();
     world.signal("STOP");
-    // What its peers do meanwhile is there when it goes on, as are all the timers that came due.
+    // What its peers send meanwhile is there when it goes on, as are all the timers that came due.
     call.reply("200 OK", "", b"y");
     balancer.send(&Request::new(2, "b"));
     std::thread::sleep(std::time::Duration::from_millis(700));
--- a/crates/server/tests/serving.rs
+++ b/crates/server/tests/serving.rs
@@ -1,10 +1,10 @@
-//! Requests, calls, health and the list, on sockets.
+//! Requests, downstream calls, health checks and registration, on sockets.
 
 mod common;
 
 use common::{Balancer, Request, World};
 
-fn noise(length: usize) -> Vec<u8> {
+fn pseudo_random_bytes(length: usize) -> Vec<u8> {
     (0..length as u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
 
@@ -17,7 +17,7 @@
 #[test]
 fn bodies_and_results_pass_unchanged() {
     let mut world = World::up(|_| ());
-    let (body, result) = (noise(2 * 1024), noise(4 * 1024));
+    let (body, result) = (pseudo_random_bytes(2 * 1024), pseudo_random_bytes(4 * 1024));
     let mut balancer = world.balancer();
     balancer.send(&Request::new(7, "9b1f03aa5c7e2d41").body(&body));
     let (id, command) = world.agent.expect("launch");
@@ -34,8 +34,8 @@
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     let all: Vec<u8> = (1..=4).flat_map(|n| Request::new(n, &format!("{n:016x}")).bytes()).collect();
-    // In pieces that end anywhere.
-    all.chunks(11).for_each(|piece| balancer.send_bytes(piece));
+    // In chunks that end anywhere.
+    all.chunks(11).for_each(|chunk| balancer.send_bytes(chunk));
     let mut launched: Vec<String> = (0..4).map(|_| world.agent.expect("launch").0).collect();
     launched.reverse();
     for id in &launched {
@@ -49,22 +49,22 @@
 }
 
 #[test]
-fn one_request_gets_one_answer() {
+fn a_run_that_ends_twice_is_answered_once() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.outcome("a", "fine", b"first");
     world.agent.outcome("a", "fine", b"second");
     assert_eq!(balancer.answer().body, b"first");
-    // Whatever more were written for it would come before the next answer.
+    // A second response to it would come before the next answer.
     assert_eq!(balancer.ask(&Request::check(2, "")).status, 200);
 }
 
 #[test]
-fn a_result_after_the_final_answer_is_dropped() {
+fn a_result_after_the_final_response_is_dropped() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").with("HTTP_BUDGET_MS", "1500"));
-    // However slow the machine is, the answer is given by then: served it can't be.
+    // However slow the machine is, the response comes by then, as the run has not ended.
     let answer = balancer.answer();
     assert!(matches!(answer.status, 500 | 503), "{answer:?}");
     world.agent.outcome("a", "fine", b"late");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn failures_after_a_run_are_no_refusals() {
+fn a_failed_run_is_answered_500_and_not_rejected() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     for end in ["fault", "broken_off", "late"] {
@@ -85,44 +85,44 @@
 }
 
 #[test]
-fn what_nobody_waits_for_any_more_is_refused_unrun() {
+fn a_request_whose_caller_no_longer_waits_is_rejected_without_a_run() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     let past = (common::unix_ms() - 60_000).to_string();
     let old = Request::new(1, "a").with("HTTP_RECEIVED_AT", &past).with("HTTP_BUDGET_MS", "5");
     assert_eq!(balancer.ask(&old).status, 503);
     balancer.send(&Request::new(2, "b"));
-    // Its run is the first that the agent hears of.
+    // Its run is the first that the agent is told to start.
     assert_eq!(world.agent.expect("launch").0, "b");
 }
 
 #[test]
-fn requests_without_sense_never_reach_the_module() {
+fn malformed_requests_are_answered_400_and_never_launched() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
-    let sound = Request::new(1, "a");
-    let senseless = [
-        sound.clone().without("HTTP_RECEIVED_AT"),
-        sound.clone().without("HTTP_BUDGET_MS"),
-        sound.clone().without("HTTP_SENT_BY"),
-        sound.clone().without("HTTP_FOOTPRINT_KB"),
-        sound.clone().without("HTTP_PRIORITY_RANK"),
-        sound.clone().without("HTTP_REQUEST_ID"),
-        sound.clone().with("HTTP_RECEIVED_AT", "1000"),
-        sound.clone().with("HTTP_BUDGET_MS", "18446744073709551"),
-        sound.clone().with("SCRIPT_NAME", "/svc/unheard-of"),
-        sound.clone().with("SCRIPT_NAME", "/else"),
+    let valid = Request::new(1, "a");
+    let malformed = [
+        valid.clone().without("HTTP_RECEIVED_AT"),
+        valid.clone().without("HTTP_BUDGET_MS"),
+        valid.clone().without("HTTP_SENT_BY"),
+        valid.clone().without("HTTP_FOOTPRINT_KB"),
+        valid.clone().without("HTTP_PRIORITY_RANK"),
+        valid.clone().without("HTTP_REQUEST_ID"),
+        valid.clone().with("HTTP_RECEIVED_AT", "1000"),
+        valid.clone().with("HTTP_BUDGET_MS", "18446744073709551"),
+        valid.clone().with("SCRIPT_NAME", "/svc/unheard-of"),
+        valid.clone().with("SCRIPT_NAME", "/else"),
     ];
-    for request in &senseless {
+    for request in &malformed {
         assert_eq!(balancer.ask(request).status, 400);
     }
-    // Of one that is too long the rest is not waited for, so its connection is of no more use.
+    // A request that is too long is not read to its end, so its connection is closed.
     let mut other = world.balancer();
-    assert_eq!(other.ask(&sound.clone().body(&noise(2 * 1024 + 1))).status, 400);
+    assert_eq!(other.ask(&valid.clone().body(&pseudo_random_bytes(2 * 1024 + 1))).status, 400);
     assert_eq!(other.try_answer(), None);
     balancer.send(&Request::new(1, "sound"));
     assert_eq!(world.agent.expect("launch").0, "sound");
-    // A name that is in use is not given to the module either.
+    // Nor is one whose name is in use.
     assert_eq!(balancer.ask(&Request::new(2, "sound")).status, 400);
     world.agent.outcome("sound", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
@@ -131,7 +131,7 @@
 #[test]
 fn a_call_and_its_reply_pass_unchanged() {
     let mut world = World::up(|_| ());
-    let (asked, reply) = (noise(96), noise(700));
+    let (asked, reply) = (pseudo_random_bytes(96), pseudo_random_bytes(700));
     let mut balancer = world.running("a");
     world.agent.needs_call("a", &asked);
     let mut call = world.records.call();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn calls_go_over_one_connection_after_another_is_done() {
+fn consecutive_calls_share_one_connection() {
     let mut world = World::up(|_| ());
     let _balancer = world.running("a");
     let mut peers = Vec::new();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_call_that_never_began_is_made_again() {
+fn a_call_that_was_not_begun_is_retried() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"x");
@@ -177,7 +177,7 @@
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     let seq = world.agent.needs_call("a", b"x");
-    // An answer that breaks off proves nothing, as little as an error does.
+    // A reply that is cut off does not prove that the call never ran, and neither does an error.
     world.records.call().reply("500 Error", "", b"");
     drop(world.records.call().stream.shutdown(std::net::Shutdown::Both));
     world.records.call().reply("504 Late", "", b"");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_run_goes_on_without_a_call_that_nobody_takes() {
+fn a_run_goes_on_without_a_call_to_an_unreachable_service() {
     let mut world = World::up(|config| config["records"] = "127.0.0.1:1".into());
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"x");
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_call_is_given_up_with_its_request() {
+fn a_call_is_cancelled_when_its_run_ends() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.needs_call("a", b"x");
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_command_the_agent_refuses_fails_its_request() {
+fn a_launch_that_the_agent_rejects_fails_its_request() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.say(&serde_json::json!({"op": "refusal", "end": "launch", "id": "a"}));
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_notice_without_sense_fails_its_request_and_is_met_once() {
+fn an_invalid_notice_fails_its_request_and_keeps_the_link() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.agent.outcome("a", "never heard of", b"");
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn nothing_is_good_before_the_greeting() {
+fn health_checks_fail_and_requests_are_rejected_until_the_agent_is_up() {
     let mut world = World::start(|_| ());
     world.agent.linked();
     let mut balancer = world.balancer();
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_deep_check_does_work_until_the_module_has_spoken() {
+fn a_deep_health_check_makes_the_agent_work_until_readiness_is_set() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     for (end, status) in [("fine", 200), ("fault", 500)] {
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn the_list_is_told_steadily_and_again_after_it_was_down() {
+fn the_registration_is_repeated_and_goes_on_after_an_outage() {
     let world = World::up(|_| ());
     for _ in 0..3 {
         assert_eq!(world.announce.report(), "true");
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_killed_server_starts_afresh_under_its_address() {
+fn a_killed_server_restarts_under_its_address() {
     let mut world = World::up(|_| ());
     let _balancer = world.running("a");
     world.kill_and_restart();
@@ -281,25 +281,25 @@
     assert_eq!(balancer.ask(&Request::check(1, "")).status, 200);
 }
 
-/// The new shape: no request states how long its caller waits, and running work can't be stopped.
-fn untold(config: &mut serde_json::Value) {
+/// Settings under which no request states a deadline and running work can't be preempted.
+fn without_deadlines(config: &mut serde_json::Value) {
     let settings = &mut config["settings"];
     settings["family_info"]["passes_deadline"] = false.into();
     settings["family_info"]["preemption"] = "silent".into();
     settings["load_report"] = serde_json::json!({"how": "piggyback", "names": ["backlog"]});
     settings["client_habits"] = serde_json::json!({"marks_retry": true});
-    // `room` is given up after 0.6 s.
+    // The deadline of `room` is 0.6 s.
     settings["classes"][2]["aim_us"] = 600_000.into();
     settings["classes"][2]["hard_limit_us"] = 600_000.into();
 }
 
 #[test]
-fn without_stated_waits_the_limit_of_the_class_counts() {
-    let mut world = World::up(untold);
+fn without_stated_deadlines_the_deadline_of_the_class_counts() {
+    let mut world = World::up(without_deadlines);
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").without("HTTP_BUDGET_MS").with("HTTP_ATTEMPT", "2"));
     assert_eq!(world.agent.expect("launch").0, "a");
-    // A wait that is stated all the same is no part of the agreement: this one would be over at once.
+    // A deadline that is stated all the same is ignored: this one would have passed at once.
     balancer.send(&Request::new(2, "b").with("HTTP_BUDGET_MS", "1"));
     assert_eq!(world.agent.expect("launch").0, "b");
     for id in ["a", "b"] {
@@ -310,20 +310,20 @@
     let sent = std::time::Instant::now();
     balancer.send(&room);
     assert_eq!(world.agent.expect("launch").0, "c");
-    // It runs and runs: its final answer comes by the limit of its class.
+    // Its run does not end: the final response comes by the deadline of its class.
     let answer = balancer.answer();
-    assert_eq!(answer.status, 500, "what has run is never turned away");
+    assert_eq!(answer.status, 500, "a request that has run is never rejected");
     let took = sent.elapsed().as_millis();
     assert!((400..5_000).contains(&took), "{took} ms");
     assert!(world.is_alive());
 }
 
 #[test]
-fn a_request_without_a_stated_wait_makes_no_sense_where_waits_are_stated() {
+fn a_request_without_a_deadline_is_malformed_only_where_deadlines_are_stated() {
     let world = World::up(|_| ());
     let mut balancer = world.balancer();
     assert_eq!(balancer.ask(&Request::new(1, "a").without("HTTP_BUDGET_MS")).status, 400);
-    let mut world = World::up(untold);
+    let mut world = World::up(without_deadlines);
     let mut balancer = world.balancer();
     assert_eq!(balancer.ask(&Request::new(1, "a").with("HTTP_ATTEMPT", "0")).status, 400);
     balancer.send(&Request::new(2, "b").without("HTTP_BUDGET_MS"));
