--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -53,9 +53,9 @@
             total: whole,
             roster,
             own_name: me,
-            lease: loan,
-            max_call: call,
-            max_delivery: delivery,
+            lease_duration: loan,
+            max_call_duration: call,
+            max_delivery_delay: delivery,
             clock_drift: drift,
         }
     }
@@ -213,8 +213,13 @@
 }
 
 fn loans(reader: &mut Reader, node: Option<&KdlNode>) -> Loans {
-    let allowance::Config { lease: loan, max_call: call, max_delivery: delivery, clock_drift: drift, .. } =
-        allowance::Config::new(1, &["a"], "a");
+    let allowance::Config {
+        lease_duration: loan,
+        max_call_duration: call,
+        max_delivery_delay: delivery,
+        clock_drift: drift,
+        ..
+    } = allowance::Config::new(1, &["a"], "a");
     let unless_set = Loans { loan, call, delivery, drift };
     let Some(node) = node else { return unless_set };
     reader.leaf(node);
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,46 +1,57 @@
-//! What is in use, lent and borrowed, and until when.
+//! Calls in use, leases granted and leases held, and until when.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberName, Micros};
 
-/// What a host calls a call; each under way has a name of its own.
+/// The host's number of a call; each call in use has a number of its own.
 pub type CallId = u64;
-/// A loan by its lender, the start of the lender's process and its number there.
-pub(crate) type LeaseId = (MemberName, u64, u64);
 
-/// Places that others use of ours.
+/// Names one lease in the whole fleet.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LeaseId {
+    /// The server that lends.
+    pub lender: MemberName,
+    /// The start of its process.
+    pub lender_boot_id: u64,
+    /// The number that this process gave it.
+    pub number: u64,
+}
+
+/// A lease of our own permits to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Loan {
+pub(crate) struct GrantedLease {
     pub borrower: MemberName,
-    pub boot: u64,
+    pub borrower_boot_id: u64,
     pub permits: u32,
     pub until: Micros,
 }
 
-/// Places of others that we use.
+/// A lease of another server's permits to us.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Borrowed {
+pub(crate) struct HeldLease {
     pub permits: u32,
     pub until: Micros,
     /// When it last served a call.
     pub last_used_at: Micros,
 }
 
-/// A call in use.
+/// The permit of a call in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallPermit {
-    /// Its stated time, and the time on its way, have run out.
+    /// By then the call's stated time, and the time on its way, have run out.
     pub until: Micros,
-    /// The loan whose place it has; none is our own part.
+    /// The lease that the permit is of; `None` is the own share.
     pub lease: Option<LeaseId>,
 }
 
-/// All of it.
+/// All calls and leases of one quota on one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger {
-    pub lent: BTreeMap<u64, Loan>,
-    pub borrowed: BTreeMap<LeaseId, Borrowed>,
+    /// Leases that we granted, by our own number.
+    pub granted: BTreeMap<u64, GrantedLease>,
+    /// Leases that we hold.
+    pub held: BTreeMap<LeaseId, HeldLease>,
     pub calls: BTreeMap<CallId, CallPermit>,
 }
 
@@ -48,27 +59,46 @@
     /// Forgets what has run out by now.
     pub fn expire(&mut self, now: Micros) {
         self.calls.retain(|_, call| now < call.until);
-        self.lent.retain(|_, loan| now < loan.until);
-        // Calls of a loan end before it does.
-        self.borrowed.retain(|_, loan| now < loan.until);
+        self.granted.retain(|_, lease| now < lease.until);
+        // Calls of a lease end before it does.
+        self.held.retain(|_, lease| now < lease.until);
     }
 
+    /// Permits lent to others.
     pub fn lent(&self) -> u32 {
-        self.lent.values().map(|loan| loan.permits).sum()
+        self.granted.values().map(|lease| lease.permits).sum()
     }
 
+    /// Permits borrowed from others.
     pub fn borrowed(&self) -> u32 {
-        self.borrowed.values().map(|loan| loan.permits).sum()
+        self.held.values().map(|lease| lease.permits).sum()
+    }
+
+    /// Calls that use permits of the own share.
+    pub fn used_of_own_share(&self) -> u32 {
+        self.calls.values().filter(|call| call.lease.is_none()).count() as u32
+    }
+
+    /// Calls that use permits of this lease.
+    pub fn used_of(&self, id: &LeaseId) -> u32 {
+        self.calls.values().filter(|call| call.lease.as_ref() == Some(id)).count() as u32
     }
 
-    pub fn used_of(&self, loan: Option<&LeaseId>) -> u32 {
-        self.calls.values().filter(|call| call.lease.as_ref() == loan).count() as u32
+    /// Permits of leases that are free, where the lease lasts until `needed_until` at least.
+    pub fn free_of_leases(&self, needed_until: Micros) -> u32 {
+        self.held
+            .iter()
+            .filter(|(_, lease)| lease.until >= needed_until)
+            .map(|(id, lease)| lease.permits.saturating_sub(self.used_of(id)))
+            .sum()
     }
 
-    /// The loan with a free place that lasts longest.
-    pub fn longest_free(&self) -> Option<(LeaseId, Micros)> {
-        let free = |(key, loan): &(&LeaseId, &Borrowed)| self.used_of(Some(key)) < loan.permits;
-        let all = self.borrowed.iter().filter(free);
-        all.max_by_key(|(_, loan)| loan.until).map(|(key, loan)| (key.clone(), loan.until))
+    /// The lease with a free permit that lasts longest, and its end.
+    pub fn longest_free_lease(&self) -> Option<(LeaseId, Micros)> {
+        self.held
+            .iter()
+            .filter(|(id, lease)| self.used_of(id) < lease.permits)
+            .max_by_key(|(_, lease)| lease.until)
+            .map(|(id, lease)| (id.clone(), lease.until))
     }
 }
--- /dev/null
+++ b/crates/quota/src/quota/borrowing.rs
@@ -0,0 +1,120 @@
+//! The borrower's side: leases are requested while calls wait, and returned early when nothing needs them.
+
+use rand::seq::SliceRandom;
+
+use super::{SharedQuota, MAX_LEASES, MAX_PENDING_REQUESTS};
+use crate::ledger::{HeldLease, LeaseId};
+use crate::message::Message;
+use crate::status::ChangeCause;
+use crate::{MemberName, Micros};
+
+/// Least time between two rounds of requests: some round trips.
+pub(super) const REQUEST_INTERVAL: Micros = 20_000;
+/// A server that had nothing to lend is not asked again for so long.
+const DENIED_BACKOFF: Micros = 200_000;
+/// Servers asked in one round, so that one that is slow does not hold up the demand (power of two choices).
+const REQUESTS_PER_ROUND: usize = 2;
+
+/// A request that has not been answered.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PendingRequest {
+    lender: MemberName,
+    request_number: u64,
+}
+
+impl SharedQuota {
+    /// Forgets requests whose leases would be over, and denials that are old.
+    pub(super) fn expire_requests(&mut self, now: Micros) {
+        let lifetime = self.config.lease_duration;
+        self.pending_requests.retain(|_, sent_at| now < *sent_at + lifetime);
+        self.denied_until.retain(|_, until| now < *until);
+    }
+
+    /// Requests leases while calls wait and no permit is free, or a lease that is used is about to end.
+    pub(super) fn request_leases(&mut self, now: Micros) {
+        let too_early = now < self.last_request_at + REQUEST_INTERVAL;
+        if self.fenced || too_early || !self.needs_leases(now) {
+            return;
+        }
+        let lenders = self.choose_lenders();
+        if lenders.is_empty() {
+            return;
+        }
+        self.last_request_at = now;
+        let waiting = self.demand.waiting.max(1);
+        let permits = waiting.div_ceil(lenders.len() as u32).min(self.config.total);
+        let priority_level = self.demand.priority_level;
+        for lender in lenders {
+            let request_number = self.next_number();
+            let pending = PendingRequest { lender: lender.clone(), request_number };
+            self.pending_requests.insert(pending, now);
+            self.outbox.push((lender, Message::Request { request_number, permits, priority_level }));
+        }
+    }
+
+    fn needs_leases(&self, now: Micros) -> bool {
+        if self.demand.waiting > 0 && self.available(now) == 0 {
+            return true;
+        }
+        let ends_before = now + self.config.lease_duration / 4;
+        let is_ending =
+            |(id, lease): (&LeaseId, &HeldLease)| lease.until < ends_before && self.ledger.used_of(id) > 0;
+        self.ledger.held.iter().any(is_ending)
+    }
+
+    /// Servers to ask, drawn at random from those that have neither denied of late nor still to answer.
+    fn choose_lenders(&mut self) -> Vec<MemberName> {
+        let mut lenders = self.reachable.clone();
+        lenders.retain(|name| {
+            let is_pending = self.pending_requests.keys().any(|pending| pending.lender == *name);
+            !is_pending && !self.denied_until.contains_key(name)
+        });
+        lenders.shuffle(&mut self.random);
+        let room = MAX_PENDING_REQUESTS.saturating_sub(self.pending_requests.len());
+        lenders.truncate(REQUESTS_PER_ROUND.min(room));
+        lenders
+    }
+
+    /// Returns leases that serve nothing while nothing waits.
+    pub(super) fn return_unused_leases(&mut self, now: Micros) {
+        if self.demand.waiting > 0 {
+            return;
+        }
+        let idle_timeout = self.config.lease_duration / 4;
+        let is_unused = |(id, lease): &(&LeaseId, &HeldLease)| {
+            now >= lease.last_used_at + idle_timeout && self.ledger.used_of(id) == 0
+        };
+        let unused: Vec<LeaseId> =
+            self.ledger.held.iter().filter(is_unused).map(|(id, _)| id.clone()).collect();
+        for id in unused {
+            self.ledger.held.remove(&id);
+            self.outbox.push((id.lender, Message::Return { lease_number: id.number }));
+        }
+    }
+
+    pub(super) fn handle_grant(
+        &mut self,
+        now: Micros,
+        request_number: u64,
+        id: LeaseId,
+        permits: u32,
+        duration: Micros,
+    ) {
+        let pending = PendingRequest { lender: id.lender.clone(), request_number };
+        let Some(requested_at) = self.pending_requests.remove(&pending) else { return };
+        // From before it was requested, and by a clock that may run slow.
+        let duration = duration.min(self.config.lease_duration);
+        let until = requested_at + self.config.scale_down_for_drift(duration);
+        if now < until && self.ledger.held.len() < MAX_LEASES && !self.fenced {
+            self.ledger.held.insert(id, HeldLease { permits, until, last_used_at: now });
+            self.record_change(now, ChangeCause::Borrowed);
+        }
+    }
+
+    pub(super) fn handle_deny(&mut self, now: Micros, lender: &MemberName, request_number: u64) {
+        let pending = PendingRequest { lender: lender.clone(), request_number };
+        if self.pending_requests.remove(&pending).is_some() {
+            self.denied_until.insert(lender.clone(), now + DENIED_BACKOFF);
+        }
+    }
+}
--- a/crates/quota/tests/wire_format.rs
+++ b/crates/quota/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of message about loans, as written by commit 604394b: servers of that version and of this one
-//! share one allowance while a new version is rolled out.
+//! The bytes of each kind of message about leases, as written by commit 604394b: servers of that version and of this one
+//! share one quota while a new version is rolled out.
 
 use umberloom_quota::Message;
 
@@ -7,10 +7,13 @@
 
 fn messages() -> [(&'static str, Message); 4] {
     [
-        ("ask", Message::Ask(1_000, 3, 2)),
-        ("grant", Message::Grant(1_000, 70_000, 3, 2_000_000)),
-        ("deny", Message::Deny(1_001)),
-        ("return", Message::Return(70_000)),
+        ("ask", Message::Request { request_number: 1_000, permits: 3, priority_level: 2 }),
+        (
+            "grant",
+            Message::Grant { request_number: 1_000, lease_number: 70_000, permits: 3, duration: 2_000_000 },
+        ),
+        ("deny", Message::Deny { request_number: 1_001 }),
+        ("return", Message::Return { lease_number: 70_000 }),
     ]
 }
 
--- a/crates/server/src/shares.rs
+++ b/crates/server/src/shares.rs
@@ -59,8 +59,9 @@
                         .map(|new| drop(self.all.insert(name.clone(), new)))
                 }
             };
-            if let Err(mistakes) = done {
-                warn!(self.log, "allowance not taken up"; "dependency" => &*name, "why" => mistakes.join("; "));
+            if let Err(errors) = done {
+                let why = errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
+                warn!(self.log, "allowance not taken up"; "dependency" => &*name, "why" => why);
             }
         }
         gone
