--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -15,7 +15,7 @@
 /// The holder of a name that has not been heard for so long has lost it: an earlier start may take it up again, as
 /// after a restart with a clock that was set back.
 const NAME_LOST_AFTER: Micros = 5_000_000;
-/// A later start that sends hellos for so long without proving itself is told who has its name.
+/// A later start that sends hellos for so long without proving itself is notified that the name is taken.
 const UNPROVEN_CLAIM_TIMEOUT: Micros = 3_000_000;
 
 /// The process that has our name.
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -16,7 +16,7 @@
 struct EarlierProcess {
     /// 0 if there was none.
     boot_id: u64,
-    /// Whether it was heard of late.
+    /// Whether it was heard within the evidence timeout.
     heard: bool,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Makes a session for a sender that is not in the roster, if there is room.
+    /// Begins a session with a sender that is not in the roster, if there is room.
     fn admit_guest(&mut self, name: &MemberName) -> bool {
         let has_room = self.guests.len() < MAX_GUESTS && name.len() <= MAX_NAME_LEN;
         if has_room {
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -48,14 +48,14 @@
     next_tick: Micros,
 }
 
-/// How far this server has gone towards its end.
+/// How far the graceful shutdown of this server has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Departure {
-    /// It has not been told to end.
+    /// No departure is planned.
     Staying,
-    /// It has been told to end, and is still a member.
+    /// [`Membership::leave`] was called; it is still a member.
     Leaving,
-    /// It has announced its departure, and does nothing more.
+    /// [`Membership::announce_departure`] was called; it does nothing more.
     Departed,
 }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The program and configuration that this server runs; all members are told.
+    /// The program and configuration that this server runs; all members are notified.
     pub fn set_build_info(&mut self, now: Micros, build_info: BuildInfo) {
         self.build_info = BuildInfo { zone: self.config.zone.to_string(), ..build_info };
         self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::Gossip);
@@ -158,7 +158,7 @@
         self.load_percent = percent.min(100);
     }
 
-    /// This server will end: the others are told. It goes on being a member until
+    /// This server will end: the others are notified. It goes on being a member until
     /// [`Membership::announce_departure`].
     pub fn leave(&mut self, now: Micros) {
         self.observe_time(now);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// A living member that has held another view for long.
+/// A living member whose view has differed from this server's for long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewDivergence {
     /// The member.
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -26,7 +26,7 @@
 const MAC_LEN: usize = 16;
 const SEAL_LEN: usize = 1 + TAG_LEN + MAC_LEN;
 
-/// The key of one fleet, by which its messages are told from all others.
+/// The key of one fleet, by which its messages are recognized.
 #[derive(Clone)]
 pub struct Key {
     tag: [u8; TAG_LEN],
@@ -106,7 +106,7 @@
     pub load_percent: u8,
     /// Its local health score, from 0 to 8, see [`crate::health`].
     pub health_score: u8,
-    /// It has been told to end.
+    /// It will end soon: its graceful shutdown has begun.
     pub leaving: bool,
 }
 
