--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -81,6 +81,7 @@
             }
         };
         if let Err(errors) = result {
+            let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
             warn!(self.log, "quota settings rejected";
                 "dependency" => &*dependency, "errors" => errors.join("; "));
         }
