--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -22,7 +22,7 @@
 //! let connections: Vec<ConnectionState> = (0..30).map(busy).collect();
 //! // The first listener has borrowed everything. Requests on a new connection of the second one are rejected, and the
 //! // borrowed connections are closed after their request.
-//! assert_eq!(table.admit(0, 1, &connections).0, Admission::RejectRequests);
+//! assert_eq!(table.admit(0, 1, &connections).admission, Admission::RejectRequests);
 //! assert_eq!(table.borrowed_connections_to_close(&connections).len(), 10);
 //! ```
 
--- a/crates/connection-admission/src/read_scheduler.rs
+++ b/crates/connection-admission/src/read_scheduler.rs
@@ -1,10 +1,11 @@
-//! Whose request is read next: a share of what the server takes in at once, by weight.
+//! Whose request is read next, where more wait than the server reads at once.
 
 use std::collections::VecDeque;
 
-/// Requests of several listeners on their way to the decisions. At most so many are on it; where more wait, the
-/// listeners take turns by weight (deficit round robin, Shreedhar and Varghese 1995, with one request as the unit), and
-/// what one leaves the others use.
+/// Bounds the requests that are being read and not yet handed on, and shares them among listeners.
+///
+/// Where more callers wait, the listeners take turns by weight (deficit round robin, Shreedhar and Varghese 1995, with
+/// one request as the unit), and what one leaves idle the others use.
 #[derive(Clone, Debug)]
 pub struct ReadScheduler {
     max_in_flight: usize,
@@ -17,16 +18,25 @@
 #[derive(Clone, Debug)]
 struct Listener {
     weight: u32,
-    /// Requests that it may still pass in this turn.
+    /// Reads that it may still start in this turn.
     credit: u32,
-    /// Who waits, the first at the front.
+    /// Callers that wait, in order of arrival.
     waiting: VecDeque<u64>,
     in_flight: usize,
 }
 
+/// A caller whose request is read next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NextRead {
+    /// Its listener.
+    pub listener: usize,
+    /// The caller.
+    pub caller: u64,
+}
+
 impl ReadScheduler {
-    /// At most `most` on their way, shared by these weights, each at least 1.
-    pub fn new(most: usize, weights: &[u32]) -> ReadScheduler {
+    /// At most `max_in_flight` reads at once, shared by these weights, each counted as at least 1.
+    pub fn new(max_in_flight: usize, weights: &[u32]) -> ReadScheduler {
         let listener = |&weight: &u32| Listener {
             weight: weight.max(1),
             credit: 0,
@@ -34,17 +44,17 @@
             in_flight: 0,
         };
         ReadScheduler {
-            max_in_flight: most.max(1),
+            max_in_flight: max_in_flight.max(1),
             listeners: weights.iter().map(listener).collect(),
             in_flight: 0,
             current_listener: 0,
         }
     }
 
-    /// A caller has something to pass; `true` if it may at once. Else [`Reading::next_up`] names it when it may.
+    /// A caller has a request to read; returns whether it may be read at once. Else [`ReadScheduler::next_read`] names
+    /// the caller when it may.
     pub fn request_read(&mut self, listener: usize, caller: u64) -> bool {
-        let alone = self.listeners.iter().all(|l| l.waiting.is_empty());
-        if alone && self.in_flight < self.max_in_flight {
+        if !self.has_waiting() && self.in_flight < self.max_in_flight {
             self.start_read(listener);
             return true;
         }
@@ -54,8 +64,8 @@
         false
     }
 
-    /// A request of this listener has arrived.
-    pub fn handle_request_read(&mut self, listener: usize) {
+    /// A request of this listener has been read and handed on.
+    pub fn handle_read_end(&mut self, listener: usize) {
         if let Some(listener) = self.listeners.get_mut(listener).filter(|l| l.in_flight > 0) {
             listener.in_flight -= 1;
             self.in_flight -= 1;
@@ -69,29 +79,33 @@
         }
     }
 
-    /// The next one that may pass, with its listener; to be called until it gives none.
-    pub fn next_reader(&mut self) -> Option<(usize, u64)> {
-        if self.in_flight >= self.max_in_flight || self.listeners.iter().all(|l| l.waiting.is_empty()) {
+    /// The next read that may start; to be called until there is none.
+    pub fn next_read(&mut self) -> Option<NextRead> {
+        if self.in_flight >= self.max_in_flight || !self.has_waiting() {
             return None;
         }
         loop {
-            let listener = &mut self.listeners[self.current_listener];
+            let index = self.current_listener;
+            let listener = &mut self.listeners[index];
             if listener.credit > 0 {
                 if let Some(caller) = listener.waiting.pop_front() {
                     listener.credit -= 1;
-                    let turn = self.current_listener;
-                    self.start_read(turn);
-                    return Some((turn, caller));
+                    self.start_read(index);
+                    return Some(NextRead { listener: index, caller });
                 }
             }
-            // Credit that nobody makes use of is not saved up.
-            listener.credit = 0;
-            self.current_listener = (self.current_listener + 1) % self.listeners.len();
-            let next = &mut self.listeners[self.current_listener];
-            next.credit = next.weight;
+            self.next_turn();
         }
     }
 
+    fn next_turn(&mut self) {
+        // Credit that nobody makes use of is not saved up.
+        self.listeners[self.current_listener].credit = 0;
+        self.current_listener = (self.current_listener + 1) % self.listeners.len();
+        let next = &mut self.listeners[self.current_listener];
+        next.credit = next.weight;
+    }
+
     fn start_read(&mut self, listener: usize) {
         if let Some(listener) = self.listeners.get_mut(listener) {
             listener.in_flight += 1;
@@ -99,17 +113,29 @@
         }
     }
 
-    /// Requests on their way, and callers that wait.
-    pub fn load(&self) -> (usize, usize) {
-        (self.in_flight, self.listeners.iter().map(|l| l.waiting.len()).sum())
+    fn has_waiting(&self) -> bool {
+        self.listeners.iter().any(|listener| !listener.waiting.is_empty())
+    }
+
+    /// Reads in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    /// Callers that wait.
+    pub fn waiting(&self) -> usize {
+        self.listeners.iter().map(|listener| listener.waiting.len()).sum()
     }
 
-    /// What must always hold.
+    /// Checks what must always hold.
+    ///
+    /// # Errors
+    /// What does not hold.
     pub fn check_invariants(&self) -> Result<(), String> {
-        let sum: usize = self.listeners.iter().map(|l| l.in_flight).sum();
+        let sum: usize = self.listeners.iter().map(|listener| listener.in_flight).sum();
         if sum != self.in_flight || sum > self.max_in_flight {
             return Err(format!(
-                "{sum} on their way, counted as {}, at most {}",
+                "{sum} reads in flight, counted as {}, at most {}",
                 self.in_flight, self.max_in_flight
             ));
         }
@@ -118,99 +144,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn who_is_alone_passes_at_once() {
-        let mut reading = ReadScheduler::new(2, &[1, 1]);
-        assert!(reading.request_read(0, 1) && reading.request_read(0, 2) && !reading.request_read(0, 3));
-        assert_eq!(reading.next_reader(), None);
-        reading.handle_request_read(0);
-        assert_eq!((reading.next_reader(), reading.next_reader()), (Some((0, 3)), None));
-    }
-
-    #[test]
-    fn a_flood_of_one_does_not_keep_the_other_waiting() {
-        let mut reading = ReadScheduler::new(1, &[1, 1]);
-        assert!(reading.request_read(0, 0));
-        (1..1_000).for_each(|caller| assert!(!reading.request_read(0, caller)));
-        assert!(!reading.request_read(1, 5_000));
-        let mut passed = Vec::new();
-        for _ in 0..3 {
-            reading.handle_request_read(passed.last().map_or(0, |(listener, _)| *listener));
-            passed.extend(reading.next_reader());
-        }
-        assert!(passed.contains(&(1, 5_000)), "{passed:?}");
-    }
-
-    #[test]
-    fn turns_are_by_weight_while_both_wait() {
-        let mut reading = ReadScheduler::new(1, &[3, 1]);
-        assert!(reading.request_read(0, 0));
-        for caller in 1..400 {
-            reading.request_read((caller % 2) as usize, caller);
-        }
-        let (mut counts, mut last) = ([0; 2], 0);
-        for _ in 0..100 {
-            reading.handle_request_read(last);
-            let (listener, _) = reading.next_reader().expect("many wait");
-            counts[listener] += 1;
-            last = listener;
-        }
-        assert_eq!(counts, [75, 25]);
-    }
-
-    #[test]
-    fn who_is_gone_is_not_named() {
-        let mut reading = ReadScheduler::new(1, &[1]);
-        assert!(reading.request_read(0, 1) && !reading.request_read(0, 2) && !reading.request_read(0, 3));
-        reading.cancel_read(0, 2);
-        reading.handle_request_read(0);
-        assert_eq!(reading.next_reader(), Some((0, 3)));
-    }
-
-    proptest! {
-        /// Everybody who waits passes in the end, in turn within a listener, and never too many at once.
-        #[test]
-        fn all_pass_and_none_too_many(
-            most in 1usize..5, weights in prop::collection::vec(0u32..4, 1..4),
-            steps in prop::collection::vec((0usize..3, 0u8..3), 0..300),
-        ) {
-            let mut reading = ReadScheduler::new(most, &weights);
-            let (mut flying, mut passed, mut asked) = (Vec::new(), Vec::new(), 0u64);
-            for (listener, what) in steps {
-                let listener = listener % weights.len();
-                if what == 0 {
-                    if let Some(listener) = flying.pop() {
-                        reading.handle_request_read(listener);
-                    }
-                } else {
-                    asked += 1;
-                    if reading.request_read(listener, asked) {
-                        flying.push(listener);
-                        passed.push((listener, asked));
-                    }
-                }
-                while let Some((listener, caller)) = reading.next_reader() {
-                    flying.push(listener);
-                    passed.push((listener, caller));
-                }
-                prop_assert_eq!(reading.check_invariants(), Ok(()));
-            }
-            while reading.load() != (0, 0) {
-                flying.drain(..).for_each(|listener| reading.handle_request_read(listener));
-                while let Some((listener, caller)) = reading.next_reader() {
-                    flying.push(listener);
-                    passed.push((listener, caller));
-                }
-            }
-            prop_assert_eq!(passed.len() as u64, asked);
-            for listener in 0..weights.len() {
-                let mine: Vec<u64> = passed.iter().filter(|(l, _)| *l == listener).map(|(_, c)| *c).collect();
-                prop_assert!(mine.windows(2).all(|w| w[0] < w[1]));
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/dependencies/src/config/tests.rs
+++ b/crates/dependencies/src/config/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 
+/// Changes a valid configuration.
+type Mistake = fn(&mut Config);
+
 fn valid_config() -> Config {
     let call = |name: &str, needed| CallConfig { dependency: name.to_owned(), required: needed };
     let stage = |calls| StageConfig { weight: 1.0, min_time: 0, max_time: 1_000_000, calls };
@@ -16,81 +19,66 @@
     assert_eq!(valid_config().validate(), []);
 }
 
+/// Makes one mistake in a valid configuration, and expects an error at this location with this text.
+fn assert_reported(make_mistake: Mistake, location: ConfigLocation, text: &str) {
+    let mut config = valid_config();
+    make_mistake(&mut config);
+    let found = config.validate();
+    assert!(
+        found.iter().any(|error| error.location == location && error.reason.contains(text)),
+        "{text}: {found:?}"
+    );
+}
+
 #[test]
-fn every_mistake_is_reported_with_its_location() {
-    type Mistake = fn(&mut Config);
-    let cases: [(Mistake, ConfigLocation, &str); 14] = [
-        (|c| c.fallback_cache.max_entries = usize::MAX, ConfigLocation::FallbackCache, "kept results"),
-        (
-            |c| c.dependencies[1].name = "a".to_owned(),
-            ConfigLocation::Dependency { dependency: 1 },
-            "a second dependency",
-        ),
-        (
-            |c| c.dependencies[0].endpoints.clear(),
-            ConfigLocation::Dependency { dependency: 0 },
-            "0 endpoints",
-        ),
-        (
-            |c| c.dependencies[0].endpoints[1] = "x".to_owned(),
-            ConfigLocation::Dependency { dependency: 0 },
-            "twice",
-        ),
-        (
-            |c| c.dependencies[0].retry.budget_ratio = f64::NAN,
-            ConfigLocation::Dependency { dependency: 0 },
-            "retry budget",
-        ),
-        (
-            |c| c.dependencies[0].retry.max_retries = 11,
-            ConfigLocation::Dependency { dependency: 0 },
-            "11 further",
-        ),
-        (
-            |c| c.dependencies[1].hedge = Some(HedgePolicy { quantile: 0.9, min_delay: 0 }),
-            ConfigLocation::Dependency { dependency: 1 },
-            "safe to",
-        ),
-        (
-            |c| c.dependencies[1].concurrency_limit.min = 0,
-            ConfigLocation::Dependency { dependency: 1 },
-            "a limit from 0",
-        ),
+fn mistake_in_the_cache_limits_is_reported_with_its_location() {
+    let location = ConfigLocation::FallbackCache;
+    assert_reported(|c| c.fallback_cache.max_entries = usize::MAX, location, "kept results");
+}
+
+#[test]
+fn mistakes_in_a_dependency_are_reported_with_its_location() {
+    let first = ConfigLocation::Dependency { dependency: 0 };
+    let second = ConfigLocation::Dependency { dependency: 1 };
+    let cases: [(Mistake, ConfigLocation, &str); 10] = [
+        (|c| c.dependencies[1].name = "a".to_owned(), second, "a second dependency"),
+        (|c| c.dependencies[0].endpoints.clear(), first, "0 endpoints"),
+        (|c| c.dependencies[0].endpoints[1] = "x".to_owned(), first, "twice"),
+        (|c| c.dependencies[0].retry.budget_ratio = f64::NAN, first, "retry budget"),
+        (|c| c.dependencies[0].retry.max_retries = 11, first, "11 further"),
+        (|c| c.dependencies[1].hedge = Some(HedgePolicy { quantile: 0.9, min_delay: 0 }), second, "safe to"),
+        (|c| c.dependencies[1].concurrency_limit.min = 0, second, "a limit from 0"),
         (
             |c| c.dependencies[1].capacity = Some(SharedCapacity { calls: 0.5, servers: 3 }),
-            ConfigLocation::Dependency { dependency: 1 },
+            second,
             "survives",
         ),
         (
             |c| {
                 c.dependencies[0].breaker =
-                    Some(BreakerConfig { failure_ratio: 0.0, ..BreakerConfig::default() })
+                    Some(BreakerConfig { failure_ratio: 0.0, ..BreakerConfig::default() });
             },
-            ConfigLocation::Dependency { dependency: 0 },
+            first,
             "breaker",
         ),
-        (
-            |c| c.dependencies[0].load_balancing.latency_factor = f64::NAN,
-            ConfigLocation::Dependency { dependency: 0 },
-            "lag",
-        ),
-        (|c| c.plans[0].stages[0].weight = 0.0, ConfigLocation::Stage { plan: 0, stage: 0 }, "a share of 0"),
-        (
-            |c| c.plans[0].stages[0].min_time = 2_000_000,
-            ConfigLocation::Stage { plan: 0, stage: 0 },
-            "at least 2000 ms",
-        ),
-        (
-            |c| c.plans[0].stages[0].calls[1].dependency = "c".to_owned(),
-            ConfigLocation::Call { plan: 0, stage: 0, call: 1 },
-            "no dependency",
-        ),
+        (|c| c.dependencies[0].load_balancing.latency_factor = f64::NAN, first, "lag"),
+    ];
+    for (make_mistake, location, text) in cases {
+        assert_reported(make_mistake, location, text);
+    }
+}
+
+#[test]
+fn mistakes_in_a_plan_are_reported_with_their_location() {
+    let stage = ConfigLocation::Stage { plan: 0, stage: 0 };
+    let second_call = ConfigLocation::Call { plan: 0, stage: 0, call: 1 };
+    let cases: [(Mistake, ConfigLocation, &str); 3] = [
+        (|c| c.plans[0].stages[0].weight = 0.0, stage, "a share of 0"),
+        (|c| c.plans[0].stages[0].min_time = 2_000_000, stage, "at least 2000 ms"),
+        (|c| c.plans[0].stages[0].calls[1].dependency = "c".to_owned(), second_call, "no dependency"),
     ];
-    for (make_mistake, at, what) in cases {
-        let mut config = valid_config();
-        make_mistake(&mut config);
-        let found = config.validate();
-        assert!(found.iter().any(|m| m.location == at && m.reason.contains(what)), "{what}: {found:?}");
+    for (make_mistake, location, text) in cases {
+        assert_reported(make_mistake, location, text);
     }
 }
 
--- a/crates/dependencies/src/engine/attempts.rs
+++ b/crates/dependencies/src/engine/attempts.rs
@@ -15,6 +15,7 @@
 use crate::AttemptId;
 
 /// An attempt about to be sent.
+#[derive(Clone, Copy)]
 struct NewAttempt {
     call: CallRef,
     /// Index of the endpoint.
--- a/crates/dependencies/tests/engine/world.rs
+++ b/crates/dependencies/tests/engine/world.rs
@@ -224,7 +224,7 @@
                     }
                 }
                 Action::FinishPlan { plan, outcome, response: envelope } => {
-                    self.done(plan, Ended { at: self.now, outcome, envelope })
+                    self.done(plan, Ended { at: self.now, outcome, envelope });
                 }
             }
         }
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -228,17 +228,17 @@
     /// Where a new connection finds its place.
     fn admission(&mut self) -> Admission {
         if self.connections.len() < self.table.capacity() {
-            return Admission::Accepted;
+            return Admission::Accept;
         }
         let now = self.context.clock.now();
-        let (lot, closed) = self.table.admit(now, 0, &self.connection_states());
-        if let Some(entry) = closed.and_then(|id| self.connections.get(&id)) {
+        let decision = self.table.admit(now, 0, &self.connection_states());
+        if let Some(entry) = decision.close_first.and_then(|id| self.connections.get(&id)) {
             entry.close_if_idle(now);
         }
-        if lot != Admission::Accepted {
+        if decision.admission != Admission::Accept {
             self.log_table_full();
         }
-        lot
+        decision.admission
     }
 
     fn log_table_full(&mut self) {
