--- a/crates/dependencies/tests/engine/main.rs
+++ b/crates/dependencies/tests/engine/main.rs
@@ -1,6 +1,6 @@
-//! The engine in a world of scripted dependencies, with its rules checked after every event.
+//! The engine in a host of scripted dependencies, with its rules checked after every event.
 
-mod hard_cases;
+mod fault_scenarios;
 mod outage;
 mod properties;
-mod world;
+mod simulated_host;
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -1,4 +1,4 @@
-//! Many random plans and behaviours. `World` holds every step to the rules.
+//! Many random plans and behaviours. `SimulatedHost` checks every step.
 
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -9,7 +9,7 @@
     LimitBounds, LoadBalancerConfig, PlanConfig, RetryPolicy, SharedCapacity, StageConfig,
 };
 
-use super::world::{World, MS};
+use super::simulated_host::{SimulatedHost, MS};
 
 fn bounds() -> impl Strategy<Value = LimitBounds> {
     (1usize..3, 0usize..4, 0usize..8).prop_map(|(least, start, most)| LimitBounds {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Stage and need of each call; share, least and span of each stage.
+/// Stage of each call and whether it is required; weight, minimum time and range of times of each stage.
 type Drawn = (Vec<(usize, bool)>, Vec<(f64, u64, u64)>);
 
 /// Every plan calls some of the five dependencies, each once.
@@ -69,15 +69,15 @@
     );
     prop::collection::vec(one, 1..4).prop_map(|all| {
         let plan = |(number, (calls, times)): (usize, Drawn)| {
-            let stage = |(which, (share, least, more)): (usize, (f64, u64, u64))| {
+            let stage = |(which, (weight, min_time, range)): (usize, (f64, u64, u64))| {
                 let here = calls.iter().enumerate().filter(|(_, (stage, _))| *stage == which);
                 let calls: Vec<CallConfig> = here
                     .map(|(d, (_, needed))| CallConfig { dependency: format!("d{d}"), required: *needed })
                     .collect();
                 (!calls.is_empty()).then_some(StageConfig {
-                    weight: share,
-                    min_time: least,
-                    max_time: least + more,
+                    weight,
+                    min_time,
+                    max_time: min_time + range,
                     calls,
                 })
             };
@@ -97,14 +97,14 @@
     })
 }
 
-/// How calls end: a mood that changes now and then, so that outages and lulls are met.
-fn moody(seed: u64) -> impl FnMut(&super::world::Started) -> (Micros, Outcome) {
+/// How attempts end: each dependency changes its mode now and then, so that outages and quiet times occur.
+fn random_outcomes(seed: u64) -> impl FnMut(&super::simulated_host::StartedAttempt) -> (Micros, Outcome) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut moods = [0u8; 5];
+    let mut modes = [0u8; 5];
     move |call| {
         let place = usize::from(call.dependency.as_bytes()[1] - b'0');
         if random.random_bool(0.05) {
-            moods[place] = random.random_range(0..5);
+            modes[place] = random.random_range(0..5);
         }
         let outcomes = [
             Outcome::Error,
@@ -114,14 +114,14 @@
             Outcome::NotStarted,
             Outcome::TimedOut,
         ];
-        let outcome = match moods[place] {
+        let outcome = match modes[place] {
             0 | 1 => Outcome::Ok,
             2 => outcomes[random.random_range(0..outcomes.len())],
             3 => outcomes[place],
             _ if random.random_bool(0.5) => Outcome::Ok,
             _ => outcomes[random.random_range(0..outcomes.len())],
         };
-        let slow = moods[place] == 1 || random.random_bool(0.1);
+        let slow = modes[place] == 1 || random.random_bool(0.1);
         (if slow { random.random_range(0..400 * MS) } else { random.random_range(0..20 * MS) }, outcome)
     }
 }
@@ -130,39 +130,39 @@
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_plan_ends_in_time_and_every_rule_holds(
+    fn every_plan_ends_in_time_and_all_checks_hold(
         all in configs(), other in configs(), seed in any::<u64>(),
         requests in prop::collection::vec((0u64..15 * MS, 0usize..4, 0u64..400 * MS, 0u16..4, 0u8..8), 1..150),
     ) {
         prop_assert_eq!(all.validate(), []);
-        let mut world = World::new(all.clone(), moody(seed));
-        let mut given_up = 0;
+        let mut host = SimulatedHost::new(all.clone(), random_outcomes(seed));
+        let mut cancelled = 0;
         for (id, &(after, class, time, level, what)) in requests.iter().enumerate() {
             let class = format!("c{class}");
-            let has_plan = world.engine.has_plan(&class);
+            let has_plan = host.engine.has_plan(&class);
             if has_plan {
                 let key = ["x", "y"][id % 2];
-                world.ask_as(id as u64, &class, time, level, (what % 2 == 0).then_some(key), what == 7);
+                host.start_plan_as(id as u64, &class, time, level, (what % 2 == 0).then_some(key), what == 7);
             }
-            world.run_until(world.now + after);
-            if has_plan && what == 5 && world.ended(id as u64).is_none() {
-                given_up += 1;
-                world.give_up(id as u64);
+            host.run_until(host.now + after);
+            if has_plan && what == 5 && host.ended_plan(id as u64).is_none() {
+                cancelled += 1;
+                host.cancel_plan(id as u64);
             }
         }
-        world.run_until(world.now + 1_000 * MS);
-        let asked = requests.iter().filter(|r| world.engine.has_plan(&format!("c{}", r.1))).count();
-        prop_assert_eq!(world.all_ended().count() + given_up, asked);
-        prop_assert_eq!(world.engine.in_flight(), (0, 0));
-        // And with other settings, on what was learned.
-        world.set(other);
+        host.run_until(host.now + 1_000 * MS);
+        let started = requests.iter().filter(|r| host.engine.has_plan(&format!("c{}", r.1))).count();
+        prop_assert_eq!(host.ended_plans().count() + cancelled, started);
+        prop_assert_eq!(host.engine.in_flight(), (0, 0));
+        // And with another configuration, on what was learned.
+        host.reconfigure(other);
         for id in 1_000..1_040 {
-            if world.engine.has_plan("c0") {
-                world.ask_as(id, "c0", 200 * MS, 0, Some("x"), false);
+            if host.engine.has_plan("c0") {
+                host.start_plan_as(id, "c0", 200 * MS, 0, Some("x"), false);
             }
-            world.run_until(world.now + 5 * MS);
+            host.run_until(host.now + 5 * MS);
         }
-        world.run_until(world.now + 1_000 * MS);
-        prop_assert_eq!(world.engine.in_flight(), (0, 0));
+        host.run_until(host.now + 1_000 * MS);
+        prop_assert_eq!(host.engine.in_flight(), (0, 0));
     }
 }
