--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -1,4 +1,4 @@
-//! Rare moments, made to happen every time: what comes between two steps of a server that ends, waits or has no room.
+//! Races that are made to happen every time: what arrives between two steps of a server that ends, waits or has no room.
 
 mod common;
 
@@ -13,36 +13,35 @@
 
 use common::{eventually, Announce, Balancer, Request, World, PATIENCE};
 
-/// Leaves the running server no descriptor beyond those that it holds, and says how many that are.
-fn no_more_descriptors(world: &World) -> usize {
+/// Leaves the running server no descriptor beyond those that it has open.
+fn exhaust_descriptors(world: &World) {
     let free = (0..).find(|n| !world.holds_descriptor(*n)).expect("a free number");
     limit_descriptors(world, free);
-    free
 }
 
-/// The system's own limit on the descriptors of the running server.
+/// Sets the system's limit on the descriptors of the running server.
 fn limit_descriptors(world: &World, most: usize) {
     let limit = format!("--nofile={most}:{most}");
     let done = Command::new("prlimit").args(["--pid", &world.id().to_string(), &limit]).status();
     assert!(done.expect("prlimit").success());
 }
 
-/// What a peer gets until its connection ends, which must come in order: a reset may take an answer with it.
-fn rest(stream: &mut TcpStream) -> Vec<u8> {
+/// What a peer gets until its connection is closed, which must happen without a reset: that may take an answer with it.
+fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an end in order");
     bytes
 }
 
-/// Guards against a reset of what waits to be accepted when the socket closes while the system has no descriptor: these
-/// requests were given to the server whole, and each must be answered once others have ended.
+/// Guards against a reset of the connections in the accept queue when the socket closes while the system has no descriptor:
+/// their requests were sent completely, and each must be answered once other connections are closed.
 #[test]
-fn requests_that_wait_without_a_descriptor_are_answered_at_the_end() {
+fn requests_in_the_accept_queue_are_answered_by_a_draining_server_without_descriptors() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
     let mut idle: Vec<Balancer> = (0..8).map(|_| world.balancer()).collect();
     idle.iter_mut().for_each(|b| assert_eq!(b.ask(&Request::check(1, "")).status, 200));
-    no_more_descriptors(&world);
+    exhaust_descriptors(&world);
     let mut waiting: Vec<Balancer> = (0..4).map(|_| world.balancer()).collect();
     waiting.iter_mut().enumerate().for_each(|(n, b)| b.send(&Request::new(1, &format!("waiting{n}"))));
     world.terminate();
@@ -51,35 +50,35 @@
         assert!(answer.protocol_status == 2 || matches!(answer.status, 500 | 503), "{answer:?}");
         assert_eq!(balancer.try_answer(), None);
     }
-    idle.iter_mut().for_each(|b| assert_eq!(rest(&mut b.stream), b""));
+    idle.iter_mut().for_each(|b| assert_eq!(read_to_end(&mut b.stream), b""));
     assert!(world.ended().success());
 }
 
-/// Guards against a server that idle clients deafen: with the list down and every descriptor that the system gives taken by
-/// clients that asked once and rest, what is open goes on, calls and the agent's link are made anew, signals are heeded, new
-/// connections find a place as idle ones give way, and the list hears of the server again by itself.
+/// Guards against a server that idle clients make unreachable: with the registration service down and every descriptor that
+/// the system gives taken by idle clients, requests in flight go on, calls and the agent's link get new connections, signals
+/// are handled, new connections are accepted as idle ones are closed, and the registration goes on by itself.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_the_list_is_down_keep_nothing_from_going_on() {
+fn idle_clients_that_take_all_descriptors_block_nothing_while_the_registration_is_down() {
     let mut world = World::up_within(64, |config| {
         config["limits"]["sockets"] = 1_024.into();
         config["settings"]["family_info"]["idle_us"] = 300_000_000.into();
     });
     let mut live = world.running("live");
     world.announce.set_down(true);
-    let mut crowd: Vec<Balancer> = Vec::new();
+    let mut idle_clients: Vec<Balancer> = Vec::new();
     for _ in 0..100 {
         let mut idle = Balancer::tolerant(TcpStream::connect(world.listen).expect("connected"));
         idle.send(&Request::check(1, ""));
-        crowd.push(idle);
+        idle_clients.push(idle);
     }
-    // One that comes after them is served within the usual patience, if not at the first try: places are kept free.
-    eventually("a place", || {
+    // A client that comes after them is served within the usual patience, if not at its first attempt.
+    eventually("a connection that is served", || {
         let mut late = Balancer::tolerant(TcpStream::connect(world.listen).expect("connected"));
         late.stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time limit");
         late.stream.write_all(&Request::check(1, "").bytes()).ok()?;
         late.try_answer().filter(|answer| answer.status == 200)
     });
-    // A call on a new connection, and the agent's link made anew.
+    // A call on a new connection, and a new link to the agent.
     world.agent.needs_call("live", b"x");
     world.records.call().reply("200 OK", "Connection: close\r\n", b"y");
     assert_eq!(world.agent.expect("deliver").0, "live");
@@ -92,21 +91,21 @@
         world.agent.outcome(id, "fine", id.as_bytes());
         assert_eq!((live.answer().slot, slot), (slot, slot));
     }
-    // A signal with the list's new address: it opens a connection there.
+    // A signal with a new address of the registration service: the server connects to it.
     let announce = Announce::start();
     world.reconfigure(|config| config["announce"] = serde_json::json!(announce.address));
     let old = std::mem::replace(&mut world.announce, announce);
     world.announce.expect("true");
     assert!(world.descriptors() <= 64, "{}", world.descriptors());
     assert!(world.log().contains("fewer descriptors than configured"));
-    drop((old, crowd));
+    drop((old, idle_clients));
     world.terminate();
     world.announce.expect("false");
     assert!(world.ended().success());
 }
 
-/// Serves one request and says well to a check, or says how far it came.
-fn is_ready(world: &mut World, id: &str) {
+/// Waits for a good health check, and serves one request.
+fn wait_until_ready(world: &mut World, id: &str) {
     let mut balancer = world.balancer();
     eventually("a good check", || (balancer.ask(&Request::check(1, "")).status == 200).then_some(()));
     balancer.send(&Request::new(2, id));
@@ -115,8 +114,9 @@
     assert_eq!(balancer.answer().body, b"r");
 }
 
-/// What the operators ask of restarts: of all that restart together, with the list down, slow or well, with requests in flight
-/// and with an agent that is late, nine in ten are ready within 10 s. Ready is a good check and a request served.
+/// The operators' bound for restarts: of all servers that restart together, with the registration service down or up, with
+/// requests in flight and with an agent that is late, nine in ten are ready within 10 s. Ready is a good health check and a
+/// request served.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_within_ten_seconds() {
     let mut worlds: Vec<World> =
@@ -145,7 +145,7 @@
             world.agent.greet_again();
         }
         for world in &mut worlds {
-            is_ready(world, &format!("round {round}"));
+            wait_until_ready(world, &format!("round {round}"));
             in_time += usize::from(began.elapsed() < Duration::from_secs(10));
         }
         worlds.iter().for_each(|world| world.announce.set_down(false));
@@ -154,8 +154,8 @@
     assert!(in_time >= 27, "{in_time} of 30");
 }
 
-/// A class whose runs must not take effect twice and can't go on without their call, and one that may be repeated.
-fn effects(config: &mut Value) {
+/// Classes that are not idempotent, have idempotency keys, and are idempotent. No call may be skipped.
+fn classes_by_idempotency(config: &mut Value) {
     config["stop_ms"] = 3_000.into();
     config["settings"]["family_info"]["class_skip_worth"] = json!([0.0, 0.0, 0.0]);
     config["settings"]["family_info"]["class_calls"] = json!([true, true, true]);
@@ -164,23 +164,23 @@
 }
 
 /// A request of one of these classes.
-fn of_class(slot: u16, id: &str, class: &str) -> Request {
+fn request_of_class(slot: u16, id: &str, class: &str) -> Request {
     Request::new(slot, id).with("SCRIPT_NAME", &format!("/svc/{class}")).with("HTTP_ONCE_KEY", id)
 }
 
-/// Guards against an effect that is had twice: a kept connection to records is closed in the moment in which the next call
-/// is on it. What may not be repeated is not called again, what may is.
+/// Guards against a call that takes effect twice: a pooled connection to the records service is closed while the next call
+/// is on it. Only a call that is idempotent is retried.
 #[test]
-fn a_call_on_a_kept_connection_that_is_closed_at_that_moment_is_repeated_only_where_it_may_be() {
-    let mut world = World::up(effects);
+fn a_call_on_a_pooled_connection_that_is_closed_under_it_is_retried_only_if_idempotent() {
+    let mut world = World::up(classes_by_idempotency);
     let mut balancer = world.balancer();
     for class in ["book", "room", "search"] {
-        balancer.send(&of_class(1, class, class));
+        balancer.send(&request_of_class(1, class, class));
         assert_eq!(world.agent.expect("launch").0, class);
         world.agent.needs_call(class, b"first");
         world.records.call().reply("200 OK", "", b"y");
         assert_eq!(world.agent.expect("deliver").0, class);
-        // The next call comes on the same connection, is read whole, and gets no word.
+        // The next call comes on the same connection, is read completely, and gets no reply.
         world.agent.needs_call(class, b"second");
         let call = world.records.call();
         assert_eq!(call.request.header("Op-Of"), class);
@@ -191,28 +191,28 @@
             world.agent.outcome(class, "fine", b"r");
             assert_eq!(balancer.answer().status, 200);
         } else {
-            // Had it been called again, that call would come before the next class's.
+            // A retry would come before the next class's call.
             assert_eq!(balancer.answer().status, 500, "{class}");
         }
     }
     assert!(world.is_alive());
 }
 
-/// Guards against a second run of a keyed request: its repeat comes on another connection in the moment in which the first
-/// try ends, before or after the end is read, and when its caller is gone.
+/// Guards against a second run under one idempotency key: the duplicate arrives on another connection as the run of the first
+/// attempt ends, before or after the end is read, and when its caller is gone.
 #[test]
-fn a_repeat_that_meets_the_end_of_its_first_try_gets_its_result_and_runs_nothing() {
-    let mut world = World::up(effects);
-    for round in 0..6 {
+fn a_duplicate_that_arrives_as_the_run_ends_gets_its_result_and_never_runs() {
+    let mut world = World::up(classes_by_idempotency);
+    for round in 0..8 {
         let id = format!("first{round}");
-        let first = of_class(1, &id, "room");
-        let again = of_class(1, &format!("again{round}"), "room").with("HTTP_ONCE_KEY", &id);
+        let first = request_of_class(1, &id, "room");
+        let again = request_of_class(1, &format!("again{round}"), "room").with("HTTP_ONCE_KEY", &id);
         let (mut one, mut other) = (world.balancer(), world.balancer());
         one.send(&first);
         assert_eq!(world.agent.expect("launch").0, id);
-        match round % 3 {
+        match round % 4 {
             0 => {
-                // While the server stands still both lie unread, the end first.
+                // While the server is stalled both are unread, the end first.
                 world.signal("STOP");
                 world.agent.outcome(&id, "fine", b"once");
                 other.send(&again);
@@ -224,8 +224,8 @@
                 world.agent.outcome(&id, "fine", b"once");
                 world.signal("CONT");
             }
-            _ => {
-                // Its caller leaves in the moment of its answer; the effect was had all the same.
+            2 => {
+                // Its caller disconnects as the run ends, which has taken effect all the same.
                 drop(one);
                 world.agent.outcome(&id, "fine", b"once");
                 other.send(&again);
@@ -233,13 +233,21 @@
                 assert!(answer.body == b"once" || answer.status == 500, "{answer:?}");
                 continue;
             }
+            _ => {
+                // The end has been read for certain, as its result is answered.
+                world.agent.outcome(&id, "fine", b"once");
+                assert_eq!(one.answer().body, b"once");
+                other.send(&again);
+                assert_eq!(other.answer().body, b"once");
+                continue;
+            }
         }
         assert_eq!(one.answer().body, b"once");
         assert_eq!(other.answer().body, b"once");
     }
-    // Nothing was launched but the first tries: the next command but stops is another request's.
+    // Nothing was launched but the first attempts: the next command other than a stop is another request's.
     let mut balancer = world.balancer();
-    balancer.send(&of_class(1, "last", "search"));
+    balancer.send(&request_of_class(1, "last", "search"));
     let mut next = world.agent.command();
     while next["op"] == "freeze" {
         next = world.agent.command();
@@ -247,10 +255,10 @@
     assert_eq!((&next["op"], &next["id"]), (&json!("launch"), &json!("last")));
 }
 
-/// Guards against callers sent to a server that leaves, and against a grace that begins with the greeting: the notice comes
-/// before the agent is up.
+/// Guards against callers sent to a draining server, and against a grace that begins when the agent is up: the notice comes
+/// before that.
 #[test]
-fn a_notice_before_the_agent_is_up_is_never_followed_by_a_word_that_work_is_taken() {
+fn a_server_that_drains_before_its_agent_is_up_takes_no_work() {
     let mut world = World::start(|config| {
         config["stop_ms"] = 2_000.into();
         config["settings"]["guarantees"]["drain_grace_us"] = 100_000.into();
@@ -262,14 +270,14 @@
     world.agent.greet_again();
     assert_eq!(world.announce.report(), "false");
     let mut balancer = world.balancer();
-    // It reached the machine after the grace, which began with the notice: nothing runs.
+    // It arrives after the grace, which began with the notice, so it is not run.
     assert_eq!(balancer.ask(&Request::new(1, "late")).status, 503);
     assert!(world.ended().success());
 }
 
-/// Notices that come twice, between two others, or while the program starts: it ends once and in order, or it never served.
+/// Signals that come twice, between two others, or while the program starts: it ends once and in order, or never served.
 #[test]
-fn notices_at_any_moment_end_it_once_and_in_order() {
+fn signals_at_any_moment_end_the_process_once_and_in_order() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
     let mut balancer = world.running("a");
     world.reconfigure(|config| config["records"] = "127.0.0.1:9".into());
@@ -289,10 +297,10 @@
     }
 }
 
-/// A connection that ends at any byte of a request, by an end or by a reset, and one whose bytes come one by one: its
-/// neighbour and the server see nothing of it.
+/// A connection that is closed at any byte of a request, with a reset or without, and one whose bytes come one by one: other
+/// connections are not affected.
 #[test]
-fn a_request_cut_at_any_byte_costs_its_connection_only() {
+fn a_request_cut_at_any_byte_closes_only_its_connection() {
     let mut world = World::up(|_| ());
     let mut neighbour = world.running("neighbour");
     let bytes = Request::check(7, "").bytes();
@@ -301,7 +309,7 @@
         stream.write_all(&bytes[..cut]).expect("written");
         if cut % 2 == 0 {
             stream.shutdown(Shutdown::Write).expect("ended");
-            assert_eq!(rest(&mut stream), b"", "{cut}");
+            assert_eq!(read_to_end(&mut stream), b"", "{cut}");
         }
     }
     let mut slow = world.balancer();
@@ -314,7 +322,7 @@
     assert!(world.is_alive());
 }
 
-/// A reply of records that breaks off at any byte is no reply, and the run goes on without it or is called for again.
+/// A reply of the records service that is cut at any byte is not delivered, and its call is retried.
 #[test]
 fn a_reply_cut_at_any_byte_is_never_delivered() {
     let mut world = World::up(|_| ());
@@ -338,9 +346,9 @@
     }
 }
 
-/// A flood on one connection and one on many: who asks in turn beside them is served.
+/// A flood on one connection and one on many: a client beside them is served.
 #[test]
-fn floods_on_one_connection_and_on_many_keep_nobody_out() {
+fn floods_on_one_connection_and_on_many_delay_no_other_client() {
     let mut world = World::up(|config| config["limits"]["sockets"] = 128.into());
     let mut usual = world.balancer();
     assert_eq!(usual.ask(&Request::check(1, "")).status, 200);
@@ -376,10 +384,10 @@
     assert!(world.descriptors() <= 128 && world.is_alive());
 }
 
-/// Guards against an exit at the end of a standstill: the moment of the stop has passed by the clock, nobody has stopped the
-/// process, and requests lie unread on a connection and in the backlog.
+/// Guards against an exit right after a stall: the stop has passed by the clock, nobody has killed the process, and requests
+/// are unread on a connection and in the accept queue.
 #[test]
-fn what_lies_unread_after_a_standstill_over_the_end_is_answered() {
+fn requests_unread_after_a_stall_past_the_stop_are_answered() {
     let mut world = World::up(|config| config["stop_ms"] = 1_000.into());
     let mut idle = world.balancer();
     assert_eq!(idle.ask(&Request::check(1, "")).status, 200);
