--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -1,361 +1,334 @@
-//! Who is in the record: how this server comes in, what it says of itself, and what it sees to while it leads.
+//! Which replicas belong to the store: how this server joins, and what it decides while it leads.
 
 use std::collections::BTreeMap;
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
-use raft::SnapshotStatus;
+use raft::{Progress, ProgressState};
 use rand::Rng;
 use umberloom_membership::MemberName;
 
-use super::{Event, Other, Priority, Replica, RequestError, Role, CAUGHT_UP};
-use crate::divergence;
-use crate::entry::Digest;
-use crate::log::{copy_batch, Copy, Log};
-use crate::message::{PeerMessage, Status};
-use crate::rollback::{Seen, Verdict};
+use super::{Event, Peer, Priority, Replica, RequestError, Role, CAUGHT_UP_LAG};
+use crate::log::{identity_batch, Log, LogPosition, ReplicaIdentity};
+use crate::message::{OfferedSnapshot, PeerMessage, StatusMessage};
+use crate::rollback::DurableProgress;
 use crate::state::{Member, State};
-use crate::voter_selection::{self, Candidate, Change};
+use crate::voter_selection::{self, Candidate, MembershipChange, VoterPolicy};
 use crate::Micros;
 
+/// Reachable members that a status names at most.
+const MAX_REPORTED_REACHABLE: usize = 64;
+/// Election timeouts without a leader after which none is expected any more.
+const LEADERLESS_ELECTIONS: Micros = 5;
+
+/// A replica that asks to be admitted.
+pub(super) struct JoinRequest {
+    pub(super) replica_id: u64,
+    pub(super) zone: String,
+    pub(super) received_at: Micros,
+}
+
 impl Replica {
-    pub(super) fn handle_status(&mut self, now: Micros, from: &MemberName, boot: u64, status: Status) {
-        if self.others.get(from).is_some_and(|other| other.boot > boot) {
-            return;
+    /// Time between two statuses to each peer. As with heartbeats of the membership, each member sends fewer where there
+    /// are many.
+    pub(super) fn status_interval(&self) -> Micros {
+        (self.config.election_timeout / 4).max(10_000 * self.config.peers.len() as Micros)
+    }
+
+    /// At each status interval: does what is due, and sends a status to all peers.
+    pub(super) fn run_periodic_checks(&mut self, now: Micros) {
+        let fresh_for = 4 * self.status_interval();
+        self.join_requests.retain(|_, request| now < request.received_at + fresh_for);
+        if self.identity.replica_id == 0 || self.identity.store_id == 0 {
+            self.join_or_bootstrap(now, fresh_for);
+        } else {
+            self.request_admission(now, fresh_for);
+            self.check_competing_stores(now, fresh_for);
         }
-        self.memory.note(status.copy, status.seen);
-        if let Some(returning) = &mut self.returning {
-            returning.hear(from, status.of_you);
+        self.check_divergence(now, fresh_for);
+        if self.role == Role::Leader {
+            self.adjust_membership(now);
         }
-        let ours = status.record == self.copy.record && self.copy.record != 0;
-        if ours && status.copy != 0 {
-            if let Some(chain) = self.state.digest_at(status.applied).filter(|_| status.applied > 0) {
-                self.compared.insert(status.copy, chain == status.chain);
-            }
+        for peer in self.config.peers.clone() {
+            let status = self.status_for(&peer);
+            self.send(&peer, &PeerMessage::Status(Box::new(status)), Priority::Heartbeat);
         }
-        // A copy that waits for a snapshot that it is not getting: the leader sends anew.
-        let waits = self.node.as_ref().and_then(|node| node.raft.prs().get(status.copy));
-        let stuck = waits.is_some_and(|progress| progress.state == raft::ProgressState::Snapshot);
-        if ours && stuck && !status.fetches && self.role == Role::Leader {
-            let copy = status.copy;
-            self.with(|node| node.report_snapshot(copy, SnapshotStatus::Failure));
+    }
+
+    fn status_for(&self, receiver: &MemberName) -> StatusMessage {
+        let receiver_id = self.peers.get(receiver).map_or(0, |peer| peer.status.replica_id);
+        let durable = self.persistence.durable;
+        let snapshot = self.node.as_ref().map(|node| {
+            let snapshot = node.store().latest_snapshot();
+            OfferedSnapshot { index: snapshot.index, manifest: snapshot.manifest }
+        });
+        StatusMessage {
+            store_id: self.identity.store_id,
+            replica_id: self.identity.replica_id,
+            adopted_from: self.state.adopted_from,
+            durable: DurableProgress {
+                starts: self.identity.starts,
+                term: durable.term,
+                last_index: durable.index,
+            },
+            is_voter: matches!(self.role, Role::Voter | Role::Leader),
+            applied: self.state.applied,
+            rolling_digest: self.state.rolling_digest,
+            leader: self.leader.name.as_deref().map(MemberName::from),
+            reachable: self.reachable.iter().take(MAX_REPORTED_REACHABLE).cloned().collect(),
+            receiver_progress: self.peer_progress.progress_of(receiver_id),
+            fetching_snapshot: self.snapshots.transfer.is_some(),
+            snapshot: snapshot.unwrap_or_default(),
+            load_percent: self.load_percent,
         }
-        self.others.insert(from.clone(), Other { boot, heard: now, status });
     }
 
-    pub(super) fn status_every(&self) -> Micros {
-        // As beats of the membership: with many members each says it more seldom.
-        (self.config.election / 4).max(10_000 * self.config.others.len() as Micros)
+    /// A new replica of this server, with an id that is drawn for it.
+    fn new_identity(&self, store_id: u64, replica_id: u64) -> ReplicaIdentity {
+        ReplicaIdentity { store_id, replica_id, server: self.config.me.to_string(), starts: 1 }
     }
 
-    /// Whether a returning copy may take part.
-    pub(super) fn returned(&mut self, now: Micros) {
-        let Some(returning) = &self.returning else { return };
-        let Some(node) = &self.node else { return };
-        let conf = node.store().conf();
-        let name = |id: &u64| self.state.members.get(id).map(|member| MemberName::from(member.name.as_str()));
-        let others: Vec<MemberName> =
-            conf.voters.iter().filter(|id| **id != self.copy.id).filter_map(name).collect();
-        match returning.verdict(&others) {
-            Verdict::Wait => {}
-            Verdict::Sound => {
-                self.returning = None;
-                self.tick_at = now;
-            }
-            Verdict::SetBack(seen) => {
-                self.tell(Event::RollbackDetected(seen));
-                self.set_aside(format!("others remember term {} and entry {} of it", seen.term, seen.last));
-            }
-        }
+    fn own_member(&self) -> Member {
+        Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() }
     }
 
-    /// Now and then: what we are is said, and what is due is done.
-    pub(super) fn look(&mut self, now: Micros) {
-        let fresh = 4 * self.status_every();
-        self.asks.retain(|_, (.., at)| now < *at + fresh);
-        if self.copy.id == 0 || self.copy.record == 0 {
-            self.join_or_found(now, fresh);
-        } else {
-            self.stay(now, fresh);
+    fn draw_id(&mut self) -> u64 {
+        // 0 stands for none.
+        self.random.next_u64().max(1)
+    }
+
+    /// Without a replica: joins the store that others have, or bootstraps one if no member of the whole fleet has one.
+    fn join_or_bootstrap(&mut self, now: Micros, fresh_for: Micros) {
+        let is_live = |peer: &Peer| now < peer.heard_at + fresh_for;
+        // Two stores have leaders only where an operator adopted twice: the one that more servers have is joined.
+        let mut servers_by_store: BTreeMap<u64, usize> = BTreeMap::new();
+        for peer in self.peers.values().filter(|peer| is_live(peer) && peer.status.store_id != 0) {
+            *servers_by_store.entry(peer.status.store_id).or_default() += 1;
         }
-        self.compare(now, fresh);
-        if self.role == Role::Leader {
-            self.lead(now, fresh);
+        if let Some((store_id, _)) = servers_by_store.into_iter().max_by_key(|(_, servers)| *servers) {
+            return self.join(store_id);
         }
-        let names: Vec<MemberName> = self.config.others.clone();
-        for name in names {
-            let status = self.say(&name);
-            self.send(&name, PeerMessage::Status(Box::new(status)), Priority::Heartbeat);
+        let is_complete = self.config.peers.iter().all(|name| self.peers.get(name).is_some_and(is_live));
+        // All are there and none has a store: the first by name bootstraps it, so that no two do.
+        let is_first = self.config.peers.iter().all(|name| self.config.me < *name);
+        if is_complete && is_first {
+            self.bootstrap();
         }
     }
 
-    pub(super) fn say(&self, to: &MemberName) -> Status {
-        let node = self.node.as_ref();
-        let copy = self.others.get(to).map_or(0, |other| other.status.copy);
-        Status {
-            record: self.copy.record,
-            copy: self.copy.id,
-            from: self.state.from,
-            seen: Seen { starts: self.copy.starts, term: self.durable.0, last: self.durable.1 },
-            votes: matches!(self.role, Role::Voter | Role::Leader),
-            applied: self.state.index,
-            chain: self.state.chain,
-            leader: self.leader.0.as_deref().map(MemberName::from),
-            reaches: self.reached.iter().take(64).cloned().collect(),
-            of_you: self.memory.of(copy),
-            fetches: self.transfer.is_some(),
-            snapshot: node.map_or_else(Default::default, |node| {
-                let (index, manifest, _) = node.store().snapshot_bytes();
-                (index, manifest)
-            }),
-            load: self.load,
-        }
+    fn join(&mut self, store_id: u64) {
+        let replica_id = self.draw_id();
+        self.identity = self.new_identity(store_id, replica_id);
+        self.persist(identity_batch(&self.identity));
+        self.start_raft(Log::default());
     }
 
-    /// Without a copy: one of a record that others have; or, if nobody of the whole roster has one, a new record.
-    pub(super) fn join_or_found(&mut self, now: Micros, fresh: Micros) {
-        let live = |other: &&Other| now < other.heard + fresh;
-        // Two records are led only where an operator decided twice: the one that more servers hold is joined.
-        let mut held: BTreeMap<u64, usize> = BTreeMap::new();
-        for other in self.others.values().filter(live).filter(|o| o.status.record != 0) {
-            *held.entry(other.status.record).or_default() += 1;
-        }
-        if let Some((record, _)) = held.into_iter().max_by_key(|(_, servers)| *servers) {
-            let id = self.random.next_u64().max(1);
-            self.copy = Copy { record, id, name: self.config.me.to_string(), starts: 1 };
-            let batch = copy_batch(&self.copy);
-            self.persist(batch);
-            return self.begin(Log::default());
-        }
-        let all = self
-            .config
-            .others
-            .iter()
-            .all(|name| self.others.get(name).is_some_and(|o| now < o.heard + fresh));
-        // All are there and none has a record: the first by name begins one, so that no two do.
-        let first = self.config.others.iter().all(|name| self.config.me < *name);
-        if !all || !first {
+    fn bootstrap(&mut self) {
+        let store_id = self.draw_id();
+        let replica_id = self.draw_id();
+        self.identity = self.new_identity(store_id, replica_id);
+        self.state = State::bootstrap(store_id, replica_id, self.own_member());
+        let (log, batch) = Log::bootstrap(replica_id, 1, self.state.to_bytes());
+        self.persist(identity_batch(&self.identity).then(batch));
+        self.start_raft(log);
+        self.emit(Event::Bootstrapped { store_id });
+    }
+
+    /// A replica that is not a member yet asks the leader to be admitted.
+    fn request_admission(&mut self, now: Micros, fresh_for: Micros) {
+        if self.state.members.contains_key(&self.identity.replica_id) {
             return;
         }
-        let (record, id) = (self.random.next_u64().max(1), self.random.next_u64().max(1));
-        self.copy = Copy { record, id, name: self.config.me.to_string(), starts: 1 };
-        let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
-        self.state = State::bootstrap(record, id, member);
-        let (log, batch) = Log::bootstrap(id, 1, self.state.bytes());
-        let batch = copy_batch(&self.copy).then(batch);
-        self.persist(batch);
-        self.begin(log);
-        self.tell(Event::Bootstrapped(record));
+        let leader = self
+            .peers
+            .values()
+            .filter(|peer| now < peer.heard_at + fresh_for)
+            .filter(|peer| peer.status.store_id == self.identity.store_id)
+            .find_map(|peer| peer.status.leader.clone());
+        if let Some(leader) = leader {
+            let replica_id = self.identity.replica_id;
+            let join = PeerMessage::Join { replica_id, zone: self.config.zone.clone() };
+            self.send(&leader, &join, Priority::Entry);
+        }
     }
 
-    /// With a copy: asks to be taken in where it is not yet, and sees when its record is another than the one that lives.
-    pub(super) fn stay(&mut self, now: Micros, fresh: Micros) {
-        let inside = self.state.members.contains_key(&self.copy.id);
-        let live = |other: &&Other| now < other.heard + fresh;
-        if !inside {
-            let leader = self.others.values().filter(live).find_map(|o| {
-                (o.status.record == self.copy.record).then(|| o.status.leader.clone()).flatten()
-            });
-            if let Some(leader) = leader {
-                let word = PeerMessage::Join(self.copy.id, self.config.zone.clone());
-                self.send(&leader, word, Priority::Entry);
-            }
-        }
-        let led = |other: &&Other| {
-            let record = other.status.record;
-            live(other) && record != 0 && record != self.copy.record && other.status.leader.is_some()
+    /// Looks for another store that has a leader: it has replaced ours, or competes with it.
+    fn check_competing_stores(&mut self, now: Micros, fresh_for: Micros) {
+        let own_store = self.identity.store_id;
+        let is_led = |peer: &&Peer| {
+            let status = &peer.status;
+            let is_other_store = status.store_id != 0 && status.store_id != own_store;
+            now < peer.heard_at + fresh_for && is_other_store && status.leader.is_some()
         };
-        let lone = self.leader.0.is_none() && now >= self.leader.1 + 5 * self.config.election;
-        let decided = |other: &&Other| self.frozen && other.status.from == self.copy.record;
-        let Some(other) = self.others.values().filter(led).max_by_key(|o| decided(o)) else {
-            self.another = 0;
+        let election_timeout = self.config.election_timeout;
+        let is_leaderless = self.leader.name.is_none()
+            && now >= self.leader.heard_at + LEADERLESS_ELECTIONS * election_timeout;
+        let frozen = self.comparison.frozen;
+        let has_adopted = |peer: &Peer| frozen && peer.status.adopted_from == own_store;
+        let Some(peer) = self.peers.values().filter(is_led).max_by_key(|peer| has_adopted(peer)) else {
+            self.competing_store = 0;
             return;
         };
-        let record = other.status.record;
-        // Ours has no leader for long, or can't go on and an operator has decided for that one: it is the old one. One that
-        // is led and goes on yields to nobody: an operator who decided at a server that was only cut off must not undo
-        // what a majority agrees on.
-        if lone || decided(&other) {
-            self.tell(Event::Obsolete(self.copy.record, record));
-            self.set_aside(format!("another record ({record:016x}) is led, this one is not"));
-        } else if record != self.another {
-            self.another = record;
-            self.tell(Event::CompetingStore(self.copy.record, record));
+        let led_store = peer.status.store_id;
+        // Ours has had no leader for long, or is frozen and an operator has adopted that one: ours is obsolete. One that
+        // has a leader and goes on yields to nobody: an operator who adopted a replica that was only cut off must not undo
+        // what a majority has committed.
+        if is_leaderless || has_adopted(peer) {
+            self.emit(Event::Obsolete { own_store, led_store });
+            self.quarantine(format!("another record ({led_store:016x}) is led, this one is not"));
+        } else if led_store != self.competing_store {
+            self.competing_store = led_store;
+            self.emit(Event::CompetingStore { own_store, led_store });
         }
     }
 
-    /// An operator decides that this copy is the record from now on: a new one begins with its state. For the day on which
-    /// no majority of the old one will ever come back, or all its copies differ.
+    /// An operator adopts this replica: a new store starts from its state. For the day on which no majority of the old one
+    /// will ever come back, or all its replicas differ. `at_ms` is Unix time in milliseconds, for the history.
     pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<u64, RequestError> {
-        if self.node.is_none() || self.state.record == 0 {
+        if self.node.is_none() || self.state.store_id == 0 {
             return Err(RequestError::Outside);
         }
-        let rule = |why: &str| Err(RequestError::Rule(why.to_owned()));
-        if !self.frozen && self.leader.0.is_some() && self.returning.is_none() {
-            return rule("a majority goes on with the record as it is: nothing is to be decided");
-        }
-        if !self.frozen && now < self.alone_since + 5 * self.config.election {
-            return rule("a leader may still be found: ask again in a few seconds");
-        }
-        let (record, id) = (self.random.next_u64().max(1), self.random.next_u64().max(1));
-        let member = Member { name: self.config.me.to_string(), zone: self.config.zone.to_string() };
-        self.state = self.state.adopt(record, id, member, at_ms);
-        self.copy = Copy { record, id, name: self.config.me.to_string(), starts: 1 };
-        let (log, batch) = Log::bootstrap(id, self.state.index, self.state.bytes());
-        self.steps.clear();
-        (self.returning, self.transfer, self.frozen) = (None, None, false);
-        self.compared.clear();
-        self.durable = (1, self.state.index);
-        self.persist(copy_batch(&self.copy).then(batch));
-        self.begin(log);
-        self.tell(Event::Bootstrapped(record));
-        self.settle(now);
-        Ok(record)
+        self.check_adoption(now)?;
+        let store_id = self.draw_id();
+        let replica_id = self.draw_id();
+        self.state = self.state.adopt(store_id, replica_id, self.own_member(), at_ms);
+        self.identity = self.new_identity(store_id, replica_id);
+        let (log, batch) = Log::bootstrap(replica_id, self.state.applied, self.state.to_bytes());
+        self.persistence.clear();
+        self.persistence.durable = LogPosition { term: 1, index: self.state.applied };
+        self.rollback_check = None;
+        self.snapshots.transfer = None;
+        self.comparison.frozen = false;
+        self.comparison.forget_matches();
+        self.persist(identity_batch(&self.identity).then(batch));
+        self.start_raft(log);
+        self.emit(Event::Bootstrapped { store_id });
+        self.process_ready(now);
+        Ok(store_id)
     }
 
-    /// Compares copies by what their servers say. What is found must still hold once everyone has said it anew: a word from
-    /// before the others went wrong too must not cost the last copy that is right.
-    pub(super) fn compare(&mut self, now: Micros, fresh: Micros) {
-        // Copies that are no more need no comparing; servers without disks draw a new number at each start.
-        self.compared.retain(|copy, _| self.state.members.contains_key(copy));
-        let Some(node) = &self.node else { return };
-        let voters = &node.store().conf().voters;
-        let live = |id: &u64| self.others.values().find(|o| o.status.copy == *id && now < o.heard + fresh);
-        let one = |id: &u64| {
-            let other = live(id);
-            let same = other.and_then(|_| self.compared.get(id).copied());
-            (
-                divergence::Other {
-                    copy: *id,
-                    same,
-                    says: other.map_or((0, Digest::default()), |o| (o.status.applied, o.status.chain)),
-                },
-                other.map_or(0, |o| o.heard),
-            )
-        };
-        let (others, heard): (Vec<_>, Vec<_>) =
-            voters.iter().filter(|id| **id != self.copy.id).map(one).unzip();
-        let verdict = divergence::verdict(voters.contains(&self.copy.id), &others);
-        if verdict != self.found.0 {
-            self.found = (verdict.clone(), now);
-        }
-        let since = self.found.1;
-        let anew = heard.iter().all(|at| *at == 0 || *at > since + self.status_every());
-        if verdict != divergence::Verdict::Fine && !anew {
-            return;
+    /// Refuses an adoption while the store goes on or may still elect a leader.
+    fn check_adoption(&self, now: Micros) -> Result<(), RequestError> {
+        let refusal = |reason: &str| Err(RequestError::NotAllowed(reason.to_owned()));
+        if self.comparison.frozen {
+            return Ok(());
         }
-        // Until all are the same again: one that leaves decides nothing for those that stay.
-        let apart = others.iter().any(|other| other.same != Some(true));
-        let frozen = verdict == divergence::Verdict::NobodyKnows || (self.frozen && apart);
-        if frozen && !self.frozen {
-            self.tell(Event::Frozen);
+        if self.leader.name.is_some() && self.rollback_check.is_none() {
+            return refusal("a majority goes on with the record as it is: nothing is to be decided");
         }
-        self.frozen = frozen;
-        match verdict {
-            divergence::Verdict::WeDiffer(group) => {
-                self.tell(Event::LocalDivergence(group));
-                self.set_aside("it differs from the copies of a majority".to_owned());
-            }
-            divergence::Verdict::TheyDiffer(copies) if copies != self.differing => {
-                self.differing.clone_from(&copies);
-                self.tell(Event::PeerDivergence(copies));
-            }
-            divergence::Verdict::Fine => self.differing.clear(),
-            _ => {}
+        if now < self.leaderless_since + LEADERLESS_ELECTIONS * self.config.election_timeout {
+            return refusal("a leader may still be found: ask again in a few seconds");
         }
+        Ok(())
     }
 
-    pub(super) fn settings(&self) -> voter_selection::Settings {
-        let there = (2 * self.config.election).max(4 * self.status_every());
-        voter_selection::Settings {
+    fn voter_policy(&self) -> VoterPolicy {
+        VoterPolicy {
             voters: self.config.voters,
             replace_after: self.config.replace_after,
-            there,
+            reachable_within: (2 * self.config.election_timeout).max(4 * self.status_interval()),
         }
     }
 
+    /// All replicas as this leader sees them; none without a replica.
     pub(super) fn candidates(&self, now: Micros) -> Vec<Candidate> {
-        let Some(node) = &self.node else { return Vec::new() };
-        let commit = node.raft.raft_log.committed;
-        let one = |(copy, member): (&u64, &Member)| {
-            let other = self.others.get(member.name.as_str()).filter(|o| o.status.copy == *copy);
-            let heard = other.map_or(0, |o| o.heard).max(self.leads_since);
-            let me = *copy == self.copy.id;
-            Candidate {
-                copy: *copy,
-                name: member.name.clone(),
-                zone: member.zone.clone(),
-                votes: node.store().conf().voters.contains(copy),
-                belongs: me || self.config.others.iter().any(|other| **other == *member.name),
-                silent: if me { 0 } else { now.saturating_sub(heard) },
-                caught_up: me || {
-                    let progress = node.raft.prs().get(*copy);
-                    let goes =
-                        |p: &&raft::Progress| p.state != raft::ProgressState::Snapshot && p.matched > 0;
-                    progress.filter(goes).is_some_and(|p| p.matched + CAUGHT_UP >= commit)
-                },
-                burden: other.map_or(0, |o| u32::from(o.status.load)),
-            }
+        self.state.members.iter().filter_map(|(id, member)| self.candidate(now, *id, member)).collect()
+    }
+
+    fn candidate(&self, now: Micros, replica_id: u64, member: &Member) -> Option<Candidate> {
+        let node = self.node.as_ref()?;
+        let peer = self.peers.get(member.name.as_str()).filter(|peer| peer.status.replica_id == replica_id);
+        let is_self = replica_id == self.identity.replica_id;
+        let last_heard_at = peer.map_or(0, |peer| peer.heard_at).max(self.leads_since);
+        let committed = node.raft.raft_log.committed;
+        let has_caught_up = |progress: &Progress| {
+            progress.state != ProgressState::Snapshot
+                && progress.matched > 0
+                && progress.matched + CAUGHT_UP_LAG >= committed
         };
-        self.state.members.iter().map(one).collect()
+        Some(Candidate {
+            replica_id,
+            name: member.name.clone(),
+            zone: member.zone.clone(),
+            is_voter: self.is_voter(replica_id),
+            is_configured: is_self || self.config.peers.iter().any(|peer| **peer == *member.name),
+            silent_for: if is_self { 0 } else { now.saturating_sub(last_heard_at) },
+            caught_up: is_self || node.raft.prs().get(replica_id).is_some_and(has_caught_up),
+            load: peer.map_or(0, |peer| u32::from(peer.status.load_percent)),
+        })
     }
 
-    /// A leader sees to who is in the record.
-    pub(super) fn lead(&mut self, now: Micros, _fresh: Micros) {
+    /// The leader proposes the membership change that is due, if there is one and none is under way.
+    fn adjust_membership(&mut self, now: Micros) {
         let Some(node) = &self.node else { return };
-        if node.raft.has_pending_conf() || !node.store().conf().voters_outgoing.is_empty() {
+        if node.raft.has_pending_conf() || !node.store().conf_state().voters_outgoing.is_empty() {
             return;
         }
-        let asks = self.asks.iter().map(|(name, (copy, ..))| (name.clone(), *copy)).collect();
-        if let Some(change) = voter_selection::due(&self.settings(), &self.candidates(now), &asks) {
-            self.change(&change);
+        let join_requests =
+            self.join_requests.iter().map(|(name, request)| (name.clone(), request.replica_id)).collect();
+        let candidates = self.candidates(now);
+        if let Some(change) = voter_selection::next_change(&self.voter_policy(), &candidates, &join_requests)
+        {
+            self.propose_change(change);
         }
     }
 
-    pub(super) fn change(&mut self, change: &Change) {
-        use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
-        let (steps, member): (Vec<_>, Option<Member>) = match change {
-            Change::Admit(copy, old) => {
-                let gone = old.iter().map(|old| (RemoveNode, *old));
-                let asked = self.asks.iter().find(|(_, (asks, ..))| asks == copy);
-                let member =
-                    asked.map(|(name, (_, zone, _))| Member { name: name.clone(), zone: zone.clone() });
-                (gone.chain([(AddLearnerNode, *copy)]).collect(), member)
-            }
-            Change::Remove(copy) => (vec![(RemoveNode, *copy)], None),
-            Change::Promote(copy) => (vec![(AddNode, *copy)], None),
-            Change::Demote(copy) => (vec![(AddLearnerNode, *copy)], None),
-            Change::Replace(new, old) => (vec![(AddNode, *new), (AddLearnerNode, *old)], None),
-        };
-        let mut all = ConfChangeV2::default();
-        for (kind, id) in steps {
-            let mut one = ConfChangeSingle::default();
-            one.set_change_type(kind);
-            one.node_id = id;
-            all.changes.push(one);
+    fn propose_change(&mut self, change: MembershipChange) {
+        let mut proposal = ConfChangeV2::default();
+        for (kind, replica_id) in conf_change_steps(&change) {
+            let mut step = ConfChangeSingle::default();
+            step.set_change_type(kind);
+            step.node_id = replica_id;
+            proposal.changes.push(step);
         }
-        all.context = postcard::to_allocvec(&member).unwrap_or_default().into();
-        let proposed = self.with(|node| node.propose_conf_change(vec![], all).is_ok());
+        let new_member = self.member_to_add(&change);
+        proposal.context = postcard::to_allocvec(&new_member).unwrap_or_default().into();
+        let proposed = self.with_raft(|node| node.propose_conf_change(vec![], proposal).is_ok());
         if proposed == Some(true) {
-            self.tell(Event::ConfigurationChange(format!("{change:?}")));
+            self.emit(Event::ConfigurationChange { change });
         }
     }
 
-    /// An operator wants a member to vote, or not to. Only a leader can do that; others pass it on.
-    pub fn set_voter(&mut self, now: Micros, name: &str, votes: bool) -> Result<(), RequestError> {
+    /// The member that a change adds: it goes with the change, so that all replicas know its name and zone.
+    fn member_to_add(&self, change: &MembershipChange) -> Option<Member> {
+        let MembershipChange::AddLearner { replica_id, .. } = change else { return None };
+        let request = self.join_requests.iter().find(|(_, request)| request.replica_id == *replica_id);
+        request.map(|(name, request)| Member { name: name.clone(), zone: request.zone.clone() })
+    }
+
+    /// An operator wants a member to vote, or not to. Only the leader can do that; others pass it on.
+    pub fn set_voter(&mut self, now: Micros, name: &str, is_voter: bool) -> Result<(), RequestError> {
         if self.role != Role::Leader {
-            let leader = self.leader.0.clone().ok_or(RequestError::NoLeader)?;
-            self.send(
-                &MemberName::from(leader.as_str()),
-                PeerMessage::Hand(name.into(), votes),
-                Priority::Entry,
-            );
+            let leader = self.leader.name.as_deref().ok_or(RequestError::NoLeader)?;
+            let leader = MemberName::from(leader);
+            let request = PeerMessage::SetVoter { member: name.into(), is_voter };
+            self.send(&leader, &request, Priority::Entry);
             return Ok(());
         }
-        let (settings, all) = (self.settings(), self.candidates(now));
-        let change = voter_selection::by_hand(&settings, &all, self.copy.id, name, votes)
-            .map_err(RequestError::Rule)?;
-        self.change(&change);
-        self.settle(now);
+        let candidates = self.candidates(now);
+        let own_id = self.identity.replica_id;
+        let change =
+            voter_selection::requested_change(&self.voter_policy(), &candidates, own_id, name, is_voter)
+                .map_err(|error| RequestError::NotAllowed(error.to_string()))?;
+        self.propose_change(change);
+        self.process_ready(now);
         Ok(())
     }
 }
+
+/// A change as steps of the Raft library, in order.
+fn conf_change_steps(change: &MembershipChange) -> Vec<(ConfChangeType, u64)> {
+    use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
+    match change {
+        MembershipChange::AddLearner { replica_id, replaces } => {
+            let mut steps: Vec<_> = replaces.iter().map(|old| (RemoveNode, *old)).collect();
+            steps.push((AddLearnerNode, *replica_id));
+            steps
+        }
+        MembershipChange::Remove { replica_id } => vec![(RemoveNode, *replica_id)],
+        MembershipChange::Promote { replica_id } => vec![(AddNode, *replica_id)],
+        MembershipChange::Demote { replica_id } => vec![(AddLearnerNode, *replica_id)],
+        MembershipChange::Replace { new_voter, old_voter } => {
+            vec![(AddNode, *new_voter), (AddLearnerNode, *old_voter)]
+        }
+    }
+}
--- a/crates/replicated-store/tests/virtual_records.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -12,7 +12,7 @@
 
 /// Short times, so that a run has many elections.
 fn quick(config: &mut Config) {
-    (config.election, config.replace_after) = (200_000, 2 * SECOND);
+    (config.election_timeout, config.replace_after) = (200_000, 2 * SECOND);
 }
 
 fn five(config: &mut Config) {
@@ -58,7 +58,8 @@
             quick
         };
         let fleet = settled(count, voters, 7, adjust);
-        let founded = fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped(_))).count();
+        let founded =
+            fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped { .. })).count();
         assert_eq!(founded, 1, "{count} servers");
     }
 }
@@ -189,14 +190,14 @@
         fleet.cut = cut(leader, &others).into_iter().collect();
         fleet.run(fleet.now + SECOND).expect("sound");
         let (from, hub) = (fleet.told.len(), others[0]);
-        let before = fleet.record(hub).map_or(0, |r| r.state().index);
+        let before = fleet.record(hub).map_or(0, |r| r.state().applied);
         let mut random = ChaCha8Rng::seed_from_u64(1);
         busy(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
-        let after = fleet.record(hub).map_or(0, |r| r.state().index);
+        let after = fleet.record(hub).map_or(0, |r| r.state().applied);
         assert!(after > before + 30, "{name}: {before} to {after}");
         let led = fleet.told[from..]
             .iter()
-            .filter(|(.., t)| matches!(t, Event::RoleChanged(_, Role::Leader)))
+            .filter(|(.., t)| matches!(t, Event::RoleChanged { to: Role::Leader, .. }))
             .count();
         assert!(led <= 2, "{name}: {led} leaders in 5 s");
         fleet.cut.clear();
@@ -239,8 +240,8 @@
     let replaced = |f: &VirtualRecord| {
         let stands = f.leader().and_then(|n| f.record(n)).map(|r| r.status(f.now));
         stands.is_some_and(|s| {
-            s.copies.iter().filter(|c| c.votes).count() == 3
-                && !s.copies.iter().any(|c| c.votes && c.name == format!("m{voter}"))
+            s.replicas.iter().filter(|c| c.is_voter).count() == 3
+                && !s.replicas.iter().any(|c| c.is_voter && c.server == format!("m{voter}"))
         })
     };
     fleet.until(10 * SECOND, replaced).expect("replaced");
@@ -257,7 +258,7 @@
     (0..3).for_each(|n| fleet.start(n));
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
     assert_ne!(fleet.record(0).map(|r| r.ids().1), first);
-    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped(_))).count(), 2);
+    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped { .. })).count(), 2);
     // With disks it is the old one, whatever the order.
     let second = fleet.record(0).map(|r| r.ids().1);
     (0..3).for_each(|n| fleet.kill(n, true));
@@ -295,14 +296,16 @@
     fleet.until(10 * SECOND, frozen).expect("frozen");
     assert!(fleet.aside.is_empty(), "nobody can tell which is wrong: {:?}", fleet.aside);
     let leader = fleet.leader().expect("a leader");
-    let before = fleet.record(leader).map(|r| r.state().index);
+    let before = fleet.record(leader).map(|r| r.state().applied);
     fleet.write(leader, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
-    assert_eq!(fleet.record(leader).map(|r| r.state().index), before, "written although frozen");
+    assert_eq!(fleet.record(leader).map(|r| r.state().applied), before, "written although frozen");
     fleet.adopt(2).expect("decided");
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
     let state = fleet.record(0).expect("runs").state();
-    assert!(state.get("x").is_some() && state.history().any(|line| line.what.starts_with("adopted from")));
+    assert!(
+        state.get("x").is_some() && state.history().any(|line| line.description.starts_with("adopted from"))
+    );
     fleet.write(1, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
     assert_eq!(fleet.record(0).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
@@ -327,7 +330,7 @@
     fleet.run(fleet.now + 5 * SECOND).expect("sound");
     assert!((0..4).all(|n| fleet.record(n).map(|r| r.ids().1) == first), "the majority has left its record");
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
-    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore { .. })));
     // Without its copy it joins the one that most hold.
     fleet.lose_disk(cut);
     fleet.start(cut);
@@ -340,7 +343,7 @@
 fn one_that_is_far_behind_catches_up_and_is_killed_on_the_way() {
     fn slow(config: &mut Config) {
         quick(config);
-        config.catch_up = 400 << 10;
+        config.catch_up_bytes_per_second = 400 << 10;
     }
     let mut fleet = settled(3, 3, 12, slow);
     let behind = (0..3).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
@@ -370,7 +373,7 @@
         fleet.start(behind);
     }
     fleet.until(30 * SECOND, |f| f.settled(3)).expect("settled");
-    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp(..))));
+    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp { .. })));
 }
 
 /// Faults drawn from a seed while clients write and read; then none.
--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -128,6 +128,8 @@
         deadline: Micros,
         levels: usize,
     ) {
+        // A run that waits for another call no longer waits for the one before.
+        self.cancel_plan(now, &request.id);
         self.last_plan += 1;
         let plan = self.last_plan;
         self.plans.insert(plan, PlanInFlight { id: request.id.clone(), started_at: now, body });
@@ -135,11 +137,11 @@
         let plan_request = PlanRequest {
             plan,
             class: &request.work.class,
-            level: (request.work.rank * levels as f64) as u16,
-            key: request.work.subject_key.as_deref(),
-            until: deadline,
-            due: request.deadline,
-            again: request.had_call_plan,
+            priority_level: (request.work.rank * levels as f64) as u16,
+            resource_key: request.work.subject_key.as_deref(),
+            call_deadline: deadline,
+            request_deadline: request.deadline,
+            is_retry: request.had_call_plan,
         };
         let mut actions = Vec::new();
         self.engine.start_plan(now, &plan_request, &mut actions);
@@ -224,15 +226,15 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Start { attempt, plan, dependency, address, until } => {
-                    if !self.start_attempt(now, attempt, plan, &dependency, &address, until) {
+                Action::StartAttempt { attempt, plan, dependency, address, deadline } => {
+                    if !self.start_attempt(now, attempt, plan, &dependency, &address, deadline) {
                         let more = self.reject_attempt(now, attempt);
                         actions.extend(more);
                     }
                 }
-                Action::Cancel(attempt) => self.cancel_attempt(attempt),
-                Action::Done { plan, outcome, envelope } => {
-                    let reply = envelope.map(|envelope| envelope.encode()).unwrap_or_default();
+                Action::CancelAttempt(attempt) => self.cancel_attempt(attempt),
+                Action::FinishPlan { plan, outcome, response } => {
+                    let reply = response.map(|response| response.encode()).unwrap_or_default();
                     self.finish_plan(now, plan, outcome, reply);
                 }
             }
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -144,7 +144,7 @@
         let Reachability { reachable, quota_basis_differs, all_agree, fenced } = &self.reachability;
         quota.set_fenced(now, *fenced);
         quota.set_reachable(now, reachable.clone(), *quota_basis_differs, *all_agree);
-        quota.set_demand(demand.waiting as u32, demand.level);
+        quota.set_demand(demand.queued as u32, demand.max_priority_level);
         quota.handle_timeout(now);
         let available = quota.available(now) as usize;
         let messages = quota.take_messages();
