--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -293,3 +293,6 @@
         self.finished.push(FinishedPlan { id, outcome, duration: now - started_at, reply });
     }
 }
+
+#[cfg(test)]
+mod tests;
