--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -216,7 +216,7 @@
             self.handle_notice(notice).await?;
         }
         if link.buffer.is_full() {
-            return Err(LinkEnd::Malformed(MalformedInput("a line too long")));
+            return Err(LinkEnd::Malformed(MalformedInput::LineTooLong));
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/server/src/peers/connection/input.rs
@@ -0,0 +1,100 @@
+//! From bytes to messages for admission.
+
+use slog::debug;
+use umberloom::interface::Micros;
+
+use super::{Connection, OpenRequest, MAX_BYTES_WITHOUT_REQUEST, MAX_UNWRITTEN_BYTES, REQUEST_TIMEOUT};
+use crate::wire::responder::Incoming;
+
+impl Connection {
+    pub(super) fn wants_input(&self) -> bool {
+        !self.input_closed && self.unwritten_bytes() < MAX_UNWRITTEN_BYTES
+    }
+
+    /// Handles what is in the buffer after so many bytes were read into it.
+    pub(super) async fn handle_input(&mut self, bytes: usize) {
+        self.bytes_without_request += bytes;
+        self.handle_records().await;
+        self.track_partial_request();
+    }
+
+    /// Nothing more is read; requests that are not complete are dropped.
+    pub(super) fn stop_reading(&mut self) {
+        self.input_closed = true;
+        self.request_awaited_since = None;
+        self.responder.drop_partial();
+        self.buffer.consume(usize::MAX);
+    }
+
+    /// Whether the time for a complete request is over.
+    pub(super) fn is_request_overdue(&self) -> bool {
+        self.request_deadline().is_some_and(|until| self.context.clock.now() >= until)
+    }
+
+    /// When a connection without a complete request is closed.
+    pub(super) fn request_deadline(&self) -> Option<Micros> {
+        let complete_by = self.request_awaited_since.map(|since| since + REQUEST_TIMEOUT);
+        complete_by.into_iter().chain(self.reject_until).min()
+    }
+
+    /// Starts the timeout of a request of which a part has arrived. A peer that sends without end must not be read
+    /// for ever either.
+    fn track_partial_request(&mut self) {
+        let has_partial_request = self.responder.open_requests() > self.responder.complete_requests();
+        if has_partial_request || !self.buffer.unread().is_empty() {
+            self.request_awaited_since = self.request_awaited_since.or(Some(self.context.clock.now()));
+        } else if self.activity.has_requested.get() {
+            self.request_awaited_since = None;
+        }
+        if self.bytes_without_request > MAX_BYTES_WITHOUT_REQUEST || self.is_request_overdue() {
+            debug!(self.context.log, "closed: bytes received without a complete request";
+                "bytes" => self.bytes_without_request);
+            self.stop_reading();
+        }
+    }
+
+    /// Takes all complete records off the buffer.
+    async fn handle_records(&mut self) {
+        loop {
+            match self.responder.handle_record(self.buffer.unread()) {
+                Ok((0, _)) => return,
+                Ok((consumed, incoming)) => {
+                    self.buffer.consume(consumed);
+                    if let Some(incoming) = incoming {
+                        self.handle_incoming(incoming).await;
+                    }
+                }
+                Err(e) => {
+                    debug!(self.context.log, "connection closed: malformed input"; "error" => %e);
+                    return self.stop_reading();
+                }
+            }
+        }
+    }
+
+    async fn handle_incoming(&mut self, incoming: Incoming) {
+        let message = match incoming {
+            // Its slot stays taken until admission has let go of it: there can't be more responses on their way than
+            // there may be open requests.
+            Incoming::Abort(slot) => {
+                self.open_requests.get(&slot).cloned().and_then(OpenRequest::into_cancellation)
+            }
+            Incoming::Request { slot, params, body, too_long } => {
+                if !too_long {
+                    // Any complete request shows a peer that speaks the protocol.
+                    self.activity.has_requested.set(true);
+                }
+                self.request_awaited_since = None;
+                self.bytes_without_request = 0;
+                let serial = self.context.last_serial.get() + 1;
+                self.context.last_serial.set(serial);
+                self.open_requests.insert(slot, OpenRequest { serial, id: None });
+                self.accept_request(slot, serial, &params, body, too_long)
+            }
+        };
+        if let Some(message) = message {
+            // Admission is gone only when the program ends.
+            let _ = self.context.admission.send(message).await;
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/peers/connection/request.rs
@@ -0,0 +1,129 @@
+//! A complete request: its parameters are checked, its memory is booked, and it goes to admission.
+
+use slog::debug;
+use umberloom::interface::RequestId;
+
+use super::{Connection, ConnectionContext, OpenRequest, REQUEST_OVERHEAD_BYTES};
+use crate::messages::caller::{HealthCheck, ReplyTo, Request, Response, WorkRequest};
+use crate::messages::AdmissionMessage;
+use crate::wire::cgi::{self, CgiRequest};
+use crate::wire::fastcgi::ProtocolStatus;
+
+/// A request whose parameters are valid.
+enum ValidRequest {
+    HealthCheck { is_deep: bool },
+    Work(ValidWork),
+}
+
+/// Work, with the positions of its class and tenant in the settings.
+struct ValidWork {
+    request: Box<WorkRequest>,
+    class: usize,
+    tenant: usize,
+}
+
+/// Why a request is answered with status 400.
+#[derive(Debug, thiserror::Error)]
+enum InvalidRequest {
+    #[error("longer than allowed")]
+    TooLong,
+    #[error(transparent)]
+    Params(#[from] cgi::InvalidParams),
+    #[error("times far from now")]
+    TimesFarOff,
+    #[error("no budget")]
+    NoTimeout,
+    #[error("no known class")]
+    UnknownClass,
+    #[error("no known tenant")]
+    UnknownTenant,
+    #[error("no tenant")]
+    NoTenant,
+}
+
+impl Connection {
+    /// The message for admission, unless the request is answered here: one that is not valid, or for which there is
+    /// no memory.
+    pub(super) fn accept_request(
+        &mut self,
+        slot: u16,
+        serial: u64,
+        params: &[u8],
+        body: Vec<u8>,
+        too_long: bool,
+    ) -> Option<AdmissionMessage> {
+        // Once the listener drains, what is still read is rejected here: a response that waited for admission might not
+        // be written before the process ends.
+        if self.reject_until.is_some() || self.activity.closing.get() {
+            self.reject_overloaded(slot);
+            self.draining = true;
+            return None;
+        }
+        let reply_to = ReplyTo::new(self.own_mailbox.clone(), slot, serial);
+        let work = match validate(params, too_long, &self.context) {
+            Ok(ValidRequest::HealthCheck { is_deep }) => {
+                return Some(AdmissionMessage::HealthCheck(HealthCheck { is_deep, reply_to }));
+            }
+            Ok(ValidRequest::Work(work)) => work,
+            Err(e) => {
+                debug!(self.context.log, "invalid request"; "error" => %e);
+                self.respond(slot, serial, &Response::BadRequest);
+                return None;
+            }
+        };
+        let bytes = params.len() + body.len() + REQUEST_OVERHEAD_BYTES;
+        let Some(charge) = self.context.budget.take(bytes) else {
+            self.reject_overloaded(slot);
+            return None;
+        };
+        let id: RequestId = work.request.id.as_str().into();
+        self.open_requests.insert(slot, OpenRequest { serial, id: Some(id.clone()) });
+        Some(AdmissionMessage::Request(Box::new(Request {
+            id,
+            class: work.class,
+            tenant: work.tenant,
+            work: *work.request,
+            body,
+            reply_to,
+            charge,
+        })))
+    }
+
+    fn reject_overloaded(&mut self, slot: u16) {
+        self.open_requests.remove(&slot);
+        self.responder.reject(slot, ProtocolStatus::Overloaded);
+    }
+}
+
+fn validate(
+    params: &[u8],
+    too_long: bool,
+    context: &ConnectionContext,
+) -> Result<ValidRequest, InvalidRequest> {
+    if too_long {
+        return Err(InvalidRequest::TooLong);
+    }
+    let request = match cgi::parse_request(params)? {
+        CgiRequest::HealthCheck(is_deep) => return Ok(ValidRequest::HealthCheck { is_deep }),
+        CgiRequest::Work(request) => request,
+    };
+    if !request.is_timely(context.clock.unix()) {
+        return Err(InvalidRequest::TimesFarOff);
+    }
+    if context.shape.passes_deadline && request.timeout.is_none() {
+        return Err(InvalidRequest::NoTimeout);
+    }
+    let class = context.classes.iter().position(|name| *name == request.class);
+    let class = class.ok_or(InvalidRequest::UnknownClass)?;
+    let tenant = find_tenant(request.tenant.as_ref(), &context.tenants)?;
+    Ok(ValidRequest::Work(ValidWork { request: Box::new(request), class, tenant }))
+}
+
+/// Position of the request's tenant; 0 where no tenants are configured. Where there are, every request needs one.
+fn find_tenant(name: Option<&String>, tenants: &[String]) -> Result<usize, InvalidRequest> {
+    if tenants.is_empty() {
+        return Ok(0);
+    }
+    let name = name.ok_or(InvalidRequest::NoTenant)?;
+    tenants.iter().position(|tenant| tenant == name).ok_or(InvalidRequest::UnknownTenant)
+}
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -58,11 +58,11 @@
     let both =
         |one, other| parse_request(&params_and(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
     assert!(both("k", "k").is_ok());
-    assert_eq!(both("k", "l"), Err("two idempotency keys"));
+    assert_eq!(both("k", "l"), Err(InvalidParams::ConflictingKeys));
     assert!(!read(&[("HTTP_ATTEMPT_AGAIN", "0")]).is_retry && read(&[("HTTP_ATTEMPT", "2")]).is_retry);
     assert_eq!(
         parse_request(&params_and(&[("HTTP_ATTEMPT_AGAIN", "maybe")])),
-        Err("no mark of a further try")
+        Err(InvalidParams::InvalidRetryMark)
     );
     for senseless in ["", "-3", "NaN", "inf", "1e12", "0.0000001"] {
         assert_eq!(read(&[("HTTP_WORK_ESTIMATE", senseless)]).cost, None, "{senseless}");
@@ -72,22 +72,22 @@
 #[test]
 fn a_missing_or_senseless_field_is_named() {
     let bad = [
-        ("HTTP_REQUEST_ID", "", "no id"),
-        ("HTTP_RECEIVED_AT", "soon", "no time of arrival"),
-        ("HTTP_RECEIVED_AT", "18446744073709551615", "no time of arrival"),
-        ("HTTP_BUDGET_MS", "-1", "no budget"),
-        ("HTTP_SENT_BY", "x", "no sender"),
-        ("HTTP_FOOTPRINT_KB", "NaN", "no footprint"),
-        ("HTTP_FOOTPRINT_KB", "0", "no footprint"),
-        ("HTTP_FOOTPRINT_KB", "2000", "no footprint"),
-        ("HTTP_PRIORITY_RANK", "1", "no rank"),
-        ("REQUEST_METHOD", "GET", "not a POST"),
-        ("SCRIPT_NAME", "/else", "an unknown path"),
+        ("HTTP_REQUEST_ID", "", InvalidParams::InvalidId),
+        ("HTTP_RECEIVED_AT", "soon", InvalidParams::InvalidArrivalTime),
+        ("HTTP_RECEIVED_AT", "18446744073709551615", InvalidParams::InvalidArrivalTime),
+        ("HTTP_BUDGET_MS", "-1", InvalidParams::InvalidTimeout),
+        ("HTTP_SENT_BY", "x", InvalidParams::InvalidSender),
+        ("HTTP_FOOTPRINT_KB", "NaN", InvalidParams::InvalidFootprint),
+        ("HTTP_FOOTPRINT_KB", "0", InvalidParams::InvalidFootprint),
+        ("HTTP_FOOTPRINT_KB", "2000", InvalidParams::InvalidFootprint),
+        ("HTTP_PRIORITY_RANK", "1", InvalidParams::InvalidRank),
+        ("REQUEST_METHOD", "GET", InvalidParams::NotPost),
+        ("SCRIPT_NAME", "/else", InvalidParams::UnknownPath),
     ];
     for (field, value, why) in bad {
         assert_eq!(parse_request(&params(|name| (name == field).then_some(value))), Err(why), "{field}");
     }
-    assert_eq!(parse_request(&[]), Err("no path"));
+    assert_eq!(parse_request(&[]), Err(InvalidParams::MissingPath));
     assert!(parse_request(&[9, 9]).is_err());
 }
 
--- a/crates/server/src/wire/fastcgi.rs
+++ b/crates/server/src/wire/fastcgi.rs
@@ -60,7 +60,7 @@
     match bytes.first() {
         None => return Ok(None),
         Some(1) => {}
-        Some(_) => return Err(MalformedInput("not a record of FastCGI 1.0")),
+        Some(_) => return Err(MalformedInput::FastCgiVersion),
     }
     if bytes.len() < HEADER_BYTES {
         return Ok(None);
@@ -117,7 +117,7 @@
 
 /// The name-value pairs that `bytes` hold.
 pub fn parse_pairs(mut bytes: &[u8]) -> Result<Vec<NameValuePair<'_>>, MalformedInput> {
-    const CUT: MalformedInput = MalformedInput("a name-value pair is longer than its stream");
+    const CUT: MalformedInput = MalformedInput::TruncatedPair;
     let mut all = Vec::new();
     while !bytes.is_empty() {
         let name = take_length(&mut bytes).ok_or(CUT)?;
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -57,11 +57,9 @@
 pub fn parse_reply(bytes: &[u8], ended: bool) -> Result<Option<Reply>, MalformedInput> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
-    let size = match head.parse(bytes).map_err(|_| MalformedInput("not a reply in HTTP"))? {
+    let size = match head.parse(bytes).map_err(|_| MalformedInput::InvalidReply)? {
         httparse::Status::Complete(size) => size,
-        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
-            return Err(MalformedInput("a head too long"))
-        }
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => return Err(MalformedInput::HeadTooLong),
         httparse::Status::Partial => return Ok(None),
     };
     let status = head.code.unwrap_or(0);
@@ -95,9 +93,9 @@
     }
     match body_framing(reply)? {
         Framing::Chunked => parse_chunks(rest),
-        Framing::Length(length) if length > MAX_BODY_BYTES => Err(MalformedInput("a body too long")),
+        Framing::Length(length) if length > MAX_BODY_BYTES => Err(MalformedInput::BodyTooLong),
         Framing::Length(length) => Ok(rest.get(..length).map(|b| (b.to_vec(), length, true))),
-        Framing::ConnectionClose if rest.len() > MAX_BODY_BYTES => Err(MalformedInput("a body too long")),
+        Framing::ConnectionClose if rest.len() > MAX_BODY_BYTES => Err(MalformedInput::BodyTooLong),
         Framing::ConnectionClose => Ok(ended.then(|| (rest.to_vec(), rest.len(), false))),
     }
 }
@@ -118,16 +116,16 @@
     let mut lengths = all("content-length");
     let (length, coding) = (lengths.next(), all("transfer-encoding").next());
     if lengths.any(|other| Some(other) != length) || (length.is_some() && coding.is_some()) {
-        return Err(MalformedInput("lengths that contradict each other"));
+        return Err(MalformedInput::ConflictingLengths);
     }
     match (length, coding) {
         (_, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-        (_, Some(_)) => Err(MalformedInput("a transfer coding that is not known")),
+        (_, Some(_)) => Err(MalformedInput::UnknownTransferCoding),
         // Digits alone: parsing takes a sign as well.
         (Some(length), _) if length.bytes().all(|b| b.is_ascii_digit()) => {
-            length.parse().map(Framing::Length).map_err(|_| MalformedInput("a length that is no number"))
+            length.parse().map(Framing::Length).map_err(|_| MalformedInput::InvalidLength)
         }
-        (Some(_), _) => Err(MalformedInput("a length that is no number")),
+        (Some(_), _) => Err(MalformedInput::InvalidLength),
         (None, None) => Ok(Framing::ConnectionClose),
     }
 }
@@ -135,16 +133,15 @@
 fn parse_chunks(rest: &[u8]) -> Result<Option<Body>, MalformedInput> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
-        let parsed =
-            httparse::parse_chunk_size(&rest[at..]).map_err(|_| MalformedInput("a chunk without a size"))?;
+        let parsed = httparse::parse_chunk_size(&rest[at..]).map_err(|_| MalformedInput::InvalidChunkSize)?;
         let httparse::Status::Complete((head, size)) = parsed else { return Ok(None) };
         if size as usize > MAX_BODY_BYTES || body.len() + size as usize > MAX_BODY_BYTES {
-            return Err(MalformedInput("a body too long"));
+            return Err(MalformedInput::BodyTooLong);
         }
         let (from, to) = (at + head, at + head + size as usize);
         let Some(end) = rest.get(to..to + 2) else { return Ok(None) };
         if end != b"\r\n" {
-            return Err(MalformedInput("a chunk without an end"));
+            return Err(MalformedInput::UnterminatedChunk);
         }
         body.extend_from_slice(&rest[from..to]);
         at = to + 2;
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -122,7 +122,7 @@
 
 /// Reads one line: the notice, and its number if it has one.
 pub fn parse_notice(line: &[u8]) -> Result<(Notice, Option<u64>), MalformedInput> {
-    let line: Line = serde_json::from_slice(line).map_err(|_| MalformedInput("not a notice in JSON"))?;
+    let line: Line = serde_json::from_slice(line).map_err(|_| MalformedInput::InvalidNotice)?;
     let took = (line.ms.max(0.0) * 1e3) as Micros;
     let numbered = matches!(line.op.as_str(), "outcome" | "request" | "aside") && line.seq > 0;
     let seq = numbered.then_some(line.seq);
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -149,10 +149,10 @@
 
     fn begin_request(&mut self, slot: u16, content: &[u8]) -> Result<(), MalformedInput> {
         let [role_high, role_low, flags, ..] = *content else {
-            return Err(MalformedInput("the start of a request is too short"));
+            return Err(MalformedInput::ShortBeginRequest);
         };
         if self.slots.contains_key(&slot) {
-            return Err(MalformedInput("a request begins twice"));
+            return Err(MalformedInput::DuplicateRequest);
         }
         if u16::from_be_bytes([role_high, role_low]) != RESPONDER_ROLE {
             self.reject(slot, ProtocolStatus::UnknownRole);
