--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -97,7 +97,7 @@
         tenants: Rc::new(vec![]),
         load_hint: Rc::default(),
         shape: Shape { passes_deadline: true, marks_retry: false },
-        max_connections: places.table(),
+        max_connections: places.capacity(),
         last_serial: Rc::default(),
         budget: Budget::new(1 << 24),
         clock: Default::default(),
@@ -225,8 +225,13 @@
 #[test]
 fn the_mailbox_has_room_for_every_answer() {
     let (words, mail) = async_channel::bounded(connection::MAILBOX_CAPACITY);
-    let (activity, told) = (Rc::new(ConnectionActivity::default()), Cell::new(None));
-    let entry = ConnectionEntry { mailbox: words.clone(), activity, rejecting: false, told };
+    let activity = Rc::new(ConnectionActivity::default());
+    let entry = ConnectionEntry {
+        mailbox: words.clone(),
+        activity,
+        rejecting: false,
+        close_requested_at: Cell::new(None),
+    };
     // Its actor waits for the module, and takes nothing for a long while.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
     entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -106,7 +106,7 @@
         if self.failed_reports == 0 {
             self.unconfirmed_state = None;
         }
-        Duration::from_micros(self.pacer.next_try(TRIES, MAX_RETRY_INTERVAL))
+        Duration::from_micros(self.pacer.next_delay(TRIES, MAX_RETRY_INTERVAL))
     }
 
     fn handle_command(&mut self, word: RegistrationCommand) {
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -10,7 +10,7 @@
 use crate::wire::replicated_store::{self, StoreRequest};
 
 /// The longest content.
-pub const MAX_CONTENT_BYTES: usize = umberloom_membership::wire::LONGEST;
+pub const MAX_CONTENT_BYTES: usize = umberloom_membership::wire::MAX_MESSAGE_LEN;
 /// Bytes before the content.
 pub const HEADER_BYTES: usize = 5;
 
