--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -29,7 +29,7 @@
 };
 use crate::wire::replicated_store::StoreResponse as record_told;
 use link::Came;
-use replication::{Keeper, Word};
+use replication::{DiskEvent, ReplicationActor, RequestSource};
 
 /// Orders that may wait to be taken.
 pub const MAILBOX_CAPACITY: usize = 512;
@@ -85,7 +85,7 @@
     Datagram,
     Frame(u64, Came),
     Accepted(TcpStream),
-    Disk(Word),
+    Disk(DiskEvent),
     Time,
 }
 
@@ -112,7 +112,7 @@
     told: (Reachability, Micros),
     shares: Vec<QuotaReport>,
     mine: BuildInfo,
-    record: Option<Keeper>,
+    record: Option<ReplicationActor>,
     load: u8,
     log: Logger,
     _charge: Charge,
@@ -164,7 +164,7 @@
             told: (Reachability::default(), 0),
             shares: Vec::new(),
             mine: about,
-            record: kept.map(|settings| Keeper::new(0, settings, seed ^ boot, log.clone())),
+            record: kept.map(|settings| ReplicationActor::new(0, settings, seed ^ boot, log.clone())),
             load: 0,
             log,
             _charge: charge,
@@ -193,7 +193,7 @@
                 Next::Accepted(stream) => self.accepted(stream),
                 Next::Disk(done) => {
                     if let Some(keeper) = &mut self.record {
-                        keeper.done(now, done);
+                        keeper.handle_disk_event(now, done);
                     }
                 }
                 Next::Time => {}
@@ -231,13 +231,13 @@
                 }
             }
         };
-        let kept = self.record.as_ref().map_or(Micros::MAX, Keeper::next_at);
+        let kept = self.record.as_ref().map_or(Micros::MAX, ReplicationActor::next_timeout);
         let due = self.membership.next_timeout().min(kept).saturating_sub(self.now());
         let time = async {
             Timer::after(Duration::from_micros(due)).await;
             Next::Time
         };
-        let words = self.record.as_ref().map(Keeper::disk);
+        let words = self.record.as_ref().map(ReplicationActor::disk_events);
         let disk = async {
             match words {
                 Some(words) => match words.recv().await {
@@ -254,9 +254,9 @@
     /// The record's turn, and answers about it.
     fn keep(&mut self, now: Micros) {
         let Some(keeper) = &mut self.record else { return };
-        keeper.pass(now, &mut self.membership, self.load);
-        for ((id, number), told) in keeper.take_answers() {
-            self.reply(id, number, FleetReply::Store(told));
+        keeper.handle_timeout(now, &mut self.membership, self.load);
+        for (source, response) in keeper.take_responses() {
+            self.reply(source.stream_id, source.number, FleetReply::Store(response));
         }
     }
 
@@ -276,7 +276,7 @@
                     replicated_store: kept,
                 } = *config;
                 if let (Some(keeper), Some(settings)) = (&mut self.record, kept) {
-                    keeper.set(settings);
+                    keeper.reconfigure(settings);
                 }
                 self.peers = config.peers.len();
                 self.addresses = config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect();
@@ -354,7 +354,8 @@
                 };
                 let unix =
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-                return keeper.ask(now, unix, (id, question.number), asked);
+                let source = RequestSource { stream_id: id, number: question.number };
+                return keeper.handle_request(now, unix, source, asked);
             }
             FleetRequestKind::Members => FleetReply::Members(self.view(now)),
             FleetRequestKind::Explain(name) => match self.membership.explain(now, &name) {
@@ -421,7 +422,7 @@
         }
         for matter in self.membership.take_messages() {
             if let (REPLICATION_CHANNEL, Some(keeper)) = (matter.channel, &mut self.record) {
-                keeper.hear(now, &matter.from, matter.boot, &matter.payload);
+                keeper.handle_message(now, &matter.from, matter.boot, &matter.payload);
                 continue;
             }
             let news = FleetEvent::MessageReceived {
--- /dev/null
+++ b/crates/server/src/peers/fleet/replication/requests.rs
@@ -0,0 +1,224 @@
+//! Operators' requests about the replicated store: those that wait for a read or a write, and responses.
+
+use umberloom_replicated_store::{Entry, EntryId, Micros, ReadOutcome, Replica, RequestError};
+
+use crate::wire::replicated_store::{StoreRequest, StoreResponse, MAX_PART_BYTES};
+
+/// How long a request may wait.
+const REQUEST_TIMEOUT: Micros = 4_000_000;
+/// How often a write that no leader has accepted is proposed again, and how often one that was accepted and may have
+/// been lost since.
+const PROPOSE_INTERVAL: Micros = 100_000;
+const ACCEPTED_PROPOSE_INTERVAL: Micros = 10 * PROPOSE_INTERVAL;
+/// Requests that may wait at once.
+const MAX_PENDING_REQUESTS: usize = 256;
+/// Names of documents listed where the one asked for does not exist.
+const MAX_LISTED_DOCUMENTS: usize = 64;
+
+/// Where a request came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestSource {
+    /// The stream on which it arrived.
+    pub stream_id: u64,
+    /// Its number there, drawn by its sender.
+    pub number: u64,
+}
+
+struct PendingRequest {
+    source: RequestSource,
+    kind: PendingKind,
+    deadline: Micros,
+}
+
+enum PendingKind {
+    Write(PendingWrite),
+    /// A read of the latest state.
+    Read {
+        ticket: u64,
+        name: String,
+        from: u64,
+    },
+}
+
+struct PendingWrite {
+    id: EntryId,
+    /// When the operator asked, a Unix time in milliseconds.
+    at_ms: u64,
+    entry: Entry,
+    proposed_at: Micros,
+    /// What came of proposing it; once accepted it stays so.
+    proposal: Option<Result<(), RequestError>>,
+}
+
+impl PendingWrite {
+    fn is_accepted(&self) -> bool {
+        matches!(self.proposal, Some(Ok(())))
+    }
+
+    /// Proposes it if that is due. Lost on the way or with a leader it is proposed again under its number, and applied
+    /// once.
+    fn propose_if_due(&mut self, now: Micros, replica: &mut Replica) {
+        let accepted = self.is_accepted();
+        let interval = if accepted { ACCEPTED_PROPOSE_INTERVAL } else { PROPOSE_INTERVAL };
+        if self.proposal.is_some() && now < self.proposed_at + interval {
+            return;
+        }
+        let result = replica.propose(now, self.id, self.at_ms, &self.entry);
+        self.proposal = Some(if accepted { Ok(()) } else { result });
+        self.proposed_at = now;
+    }
+
+    /// The response once its time is over.
+    fn timeout_response(&self) -> StoreResponse {
+        match &self.proposal {
+            // It may be applied yet: its sender must not take it for rejected.
+            Some(Ok(())) => rejected(&RequestError::TimedOut),
+            Some(Err(e)) => rejected(e),
+            None => rejected(&RequestError::NoLeader),
+        }
+    }
+}
+
+/// Requests that wait, and responses that are ready.
+#[derive(Default)]
+pub(super) struct RequestQueue {
+    pending: Vec<PendingRequest>,
+    responses: Vec<(RequestSource, StoreResponse)>,
+}
+
+impl RequestQueue {
+    pub(super) fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    pub(super) fn reject_without_replica(&mut self, source: RequestSource, reason: &str) {
+        let text = format!("this server has no part in the record: {reason}");
+        self.responses.push((source, StoreResponse::Rejected(text)));
+    }
+
+    /// Answers a request, or lets it wait.
+    pub(super) fn handle_request(
+        &mut self,
+        now: Micros,
+        at_ms: u64,
+        source: RequestSource,
+        request: StoreRequest,
+        replica: &mut Replica,
+    ) {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
+            return self.responses.push((source, rejected(&RequestError::Busy)));
+        }
+        match begin_request(now, at_ms, request, replica) {
+            Disposition::Answered(response) => self.responses.push((source, response)),
+            Disposition::Waits(kind) => {
+                let deadline = now + REQUEST_TIMEOUT;
+                self.pending.push(PendingRequest { source, kind, deadline });
+            }
+        }
+    }
+
+    /// Answers requests whose read or write is done or whose time is over, and proposes writes again.
+    pub(super) fn answer_pending(&mut self, now: Micros, replica: Option<&mut Replica>) {
+        let Some(replica) = replica else {
+            let lost = self.pending.drain(..);
+            self.responses.extend(lost.map(|request| (request.source, rejected(&RequestError::Outside))));
+            return;
+        };
+        let finished_reads = replica.take_finished_reads();
+        let responses = &mut self.responses;
+        self.pending.retain_mut(|request| {
+            let timed_out = now >= request.deadline;
+            let response = match &mut request.kind {
+                PendingKind::Read { ticket, name, from } => {
+                    match finished_reads.iter().find(|(finished, _)| finished == ticket) {
+                        Some((_, ReadOutcome::Ready)) => Some(read_document(replica, now, name, *from)),
+                        Some((_, ReadOutcome::Failed(e))) => Some(rejected(e)),
+                        None => timed_out.then(|| rejected(&RequestError::TimedOut)),
+                    }
+                }
+                PendingKind::Write(write) => match replica.outcome(write.id) {
+                    Some(outcome) => Some(StoreResponse::WriteOutcome(outcome)),
+                    None if timed_out => Some(write.timeout_response()),
+                    None => {
+                        write.propose_if_due(now, replica);
+                        None
+                    }
+                },
+            };
+            let Some(response) = response else { return true };
+            responses.push((request.source, response));
+            false
+        });
+    }
+
+    pub(super) fn take_responses(&mut self) -> Vec<(RequestSource, StoreResponse)> {
+        std::mem::take(&mut self.responses)
+    }
+}
+
+/// What becomes of a request.
+enum Disposition {
+    Answered(StoreResponse),
+    /// It waits for other members.
+    Waits(PendingKind),
+}
+
+fn begin_request(now: Micros, at_ms: u64, request: StoreRequest, replica: &mut Replica) -> Disposition {
+    let response = match request {
+        StoreRequest::Status => StoreResponse::Status(Box::new(replica.status(now))),
+        StoreRequest::History(max_lines) => {
+            let newest_first = replica.state().history().rev();
+            StoreResponse::History(newest_first.take(max_lines as usize).cloned().collect())
+        }
+        StoreRequest::SetVoter(name, votes) => accepted(replica.set_voter(now, &name, votes)),
+        StoreRequest::Adopt => accepted(replica.adopt(now, at_ms)),
+        StoreRequest::ReadDocument { name, latest: false, from } => read_document(replica, now, &name, from),
+        StoreRequest::ReadDocument { name, latest: true, from } => match replica.request_read(now) {
+            Ok(ticket) => return Disposition::Waits(PendingKind::Read { ticket, name, from }),
+            Err(e) => rejected(&e),
+        },
+        StoreRequest::Write { id, entry } => {
+            let write = PendingWrite { id, at_ms, entry, proposed_at: 0, proposal: None };
+            return Disposition::Waits(PendingKind::Write(write));
+        }
+        StoreRequest::Export(from) => match replica.export().map(|export| export.to_bytes()) {
+            Some(bytes) => StoreResponse::ExportPart(part_from(&bytes, from), bytes.len() as u64),
+            None => rejected(&RequestError::Outside),
+        },
+    };
+    Disposition::Answered(response)
+}
+
+fn accepted<T>(result: Result<T, RequestError>) -> StoreResponse {
+    match result {
+        Ok(_) => StoreResponse::Accepted,
+        Err(e) => rejected(&e),
+    }
+}
+
+fn rejected(error: &RequestError) -> StoreResponse {
+    StoreResponse::Rejected(error.to_string())
+}
+
+/// At most [`MAX_PART_BYTES`] from this byte on.
+fn part_from(bytes: &[u8], from: u64) -> Vec<u8> {
+    let start = (from as usize).min(bytes.len());
+    let end = bytes.len().min(start + MAX_PART_BYTES);
+    bytes[start..end].to_vec()
+}
+
+fn read_document(replica: &Replica, now: Micros, name: &str, from: u64) -> StoreResponse {
+    let Some(document) = replica.state().get(name) else {
+        let names = replica.state().documents().map(|(name, _)| name.clone());
+        return StoreResponse::UnknownDocument(names.take(MAX_LISTED_DOCUMENTS).collect());
+    };
+    let bytes = document.bytes.as_deref().unwrap_or_default();
+    StoreResponse::Document {
+        version: document.version,
+        index: document.index,
+        by: document.author.clone(),
+        length: bytes.len() as u64,
+        part: part_from(bytes, from),
+        age_ms: replica.status(now).leader_heard_ms,
+    }
+}
--- a/crates/server/tests/fleet_replicated_store.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -302,7 +302,7 @@
     fleet.servers[n].start().expect("a process");
     fleet.until_kept(3).done();
     assert_ne!(fleet.kept(n, "copy"), copy, "it voted under its old number");
-    assert_eq!(said(&mut fleet, n, "record: this copy was set back").len(), 1);
+    assert_eq!(said(&mut fleet, n, "replica rollback detected").len(), 1);
     assert!(
         fleet.servers[n].record_folder().join("rows.redb.aside-1").exists(),
         "the old copy stays for the operator"
@@ -327,8 +327,8 @@
     // It serves at once, whatever its disk holds.
     fleet.servers[n].wait_until_well().done();
     fleet.until_kept(3).done();
-    let lines = said(&mut fleet, n, "record: what was on the disk is set aside");
-    let why = lines.first().map(|line| line["why"].to_string()).unwrap_or_default();
+    let lines = said(&mut fleet, n, "stored replica quarantined");
+    let why = lines.first().map(|line| line["reason"].to_string()).unwrap_or_default();
     assert!(why.contains("rows.redb: damaged at"), "{lines:?}");
     // And while it runs: found by reading all of it, without a restart.
     let m = voter(&fleet);
@@ -364,7 +364,7 @@
 }
 
 /// What a founder says.
-const NEW: &str = "a new record begins: what an earlier one held is not in it";
+const NEW: &str = "replicated store bootstrapped";
 
 #[test]
 fn a_voter_that_is_gone_for_long_is_replaced_and_learns_when_it_returns() {
@@ -450,7 +450,7 @@
     fleet.servers[n].start().expect("a process");
     fleet.until_kept(3).done();
     let large_ones = |line: &&Value| line["bytes"].as_u64() > Some(5_000_000);
-    assert_eq!(said(&mut fleet, n, "record caught up").iter().filter(large_ones).count(), 1);
+    assert_eq!(said(&mut fleet, n, "replica caught up").iter().filter(large_ones).count(), 1);
     assert_eq!(latest(&fleet, n, "large11").map(|content| content.len()), Ok(large.len()));
     sound(fleet);
 }
