--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -86,7 +86,7 @@
         fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
         let name = fleet.servers[last].name.clone();
         let count = |by: &str, of_last: bool, to: &str| {
-            let said = fleet.history.said(by, "member");
+            let said = fleet.history.said(by, "member state changed");
             let fits = |e: &&umberloom_fault_harness::history::Event| {
                 e.at >= from && (e.what["name"] == name.as_str()) == of_last && e.what["to"] == to
             };
@@ -140,7 +140,7 @@
             fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
             let name = fleet.servers[n].name.clone();
             let knew = others.iter().filter_map(|other| {
-                let said = fleet.history.said(&fleet.servers[*other].name, "member");
+                let said = fleet.history.said(&fleet.servers[*other].name, "member state changed");
                 let fits = |e: &&umberloom_fault_harness::history::Event| {
                     e.at >= at && e.what["name"] == name.as_str() && e.what["to"] == "failed"
                 };
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -1,170 +1,145 @@
-//! This server's part in its fleet: the sockets around [`Membership`], which decides what is believed.
+//! This server's part in its fleet: the sockets around [`Membership`], which decides who is reachable.
 //!
-//! Requests never wait for any of it. Every queue here has a bound and loses what does not fit, which the protocol
-//! takes for a network that loses; what others send is bounded in length before it is read.
+//! Requests for work never wait for any of it. Every queue here has a bound and drops what does not fit, which the
+//! protocol takes for a network that drops messages; what others send is bounded in length before it is read.
 
+mod event_log;
 mod link;
+mod operator_requests;
 mod replication;
+mod sockets;
+mod streams;
 
-use std::collections::{BTreeMap, VecDeque};
-use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-use async_channel::{bounded, Receiver, Sender};
-use async_executor::{LocalExecutor, Task};
-use async_io::{Async, Timer};
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Timer;
 use futures_lite::future;
-use slog::{debug, info, warn, Logger};
-use umberloom_membership::wire::{BuildInfo, Key, MAX_DATAGRAM_LEN};
-use umberloom_membership::{Action, Event, MemberName, Membership, Micros, ReturnPath};
+use slog::{debug, Logger};
+use umberloom_membership::wire::{BuildInfo, Key};
+use umberloom_membership::{Action, MemberName, Membership, Micros, ReturnPath};
 
 use crate::memory::budget::Charge;
 use crate::messages::fleet::{
     FleetCommand, FleetConfig, FleetEvent, QuotaReport, Reachability, REPLICATION_CHANNEL,
 };
 use crate::messages::AdmissionMessage;
-use crate::wire::fleet::{
-    encode_frame, FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView, FrameKind,
-};
-use crate::wire::replicated_store::StoreResponse as record_told;
-use link::Came;
-use replication::{DiskEvent, ReplicationActor, RequestSource};
+use crate::wire::fleet::{encode_frame, FleetReply, FrameKind, MAX_CONTENT_BYTES};
+use link::Received;
+use replication::{DiskEvent, ReplicationActor};
+pub use sockets::FleetSockets;
+use sockets::ReturnAddresses;
+use streams::{InboundFrame, InboundStreams, OutboundStreams};
 
-/// Orders that may wait to be taken.
+/// Commands that may wait in the mailbox.
 pub const MAILBOX_CAPACITY: usize = 512;
-/// Frames that may wait to be taken, from all streams.
-const FRAMES: usize = 64;
-/// Streams that others may have open beyond one for each peer: guests, operators, and those that a restart left.
-const MORE: usize = 8;
+/// Streams that others may have open beyond one for each peer: of guests, of operators, and those that a restart left.
+const EXTRA_STREAMS: usize = 8;
 /// Memory of one stream: its longest frame, read and waiting.
-const STREAM: usize = 2 * crate::wire::fleet::MAX_CONTENT_BYTES;
-/// Ways back that are remembered.
-const WAYS: usize = 256;
-/// Time between two words to the module about who is there, while nothing changes.
-const TELL_EVERY: Micros = 100_000;
-/// Datagrams taken in before others have their turn.
-const AT_ONCE: usize = 32;
+const STREAM_BYTES: usize = 2 * MAX_CONTENT_BYTES;
+/// One in so many peers' streams has its memory in use at a time, as streams are short.
+const PEERS_PER_STREAM_IN_USE: usize = 8;
+/// Least time between two reports to admission of who is reachable.
+const REACHABILITY_REPORT_INTERVAL: Micros = 100_000;
+/// Pause after an error of accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Descriptors that a fleet of so many peers takes: two sockets, a stream to and from each, and some more.
+/// Descriptors of a fleet of so many peers: two sockets, a stream to and from each peer, and some more streams.
 pub fn descriptor_count(peers: usize) -> usize {
-    2 + 2 * peers + MORE
-}
-
-/// Memory that it may take: streams are short, so a part of them is full at a time. With a record, what is long waits
-/// for each peer too.
-pub fn memory_bytes(peers: usize, record: bool) -> usize {
-    (peers / 8 + MORE) * STREAM
-        + if record { peers * link::BULK * crate::wire::fleet::MAX_CONTENT_BYTES / 2 } else { 0 }
+    2 + 2 * peers + EXTRA_STREAMS
 }
 
-/// The sockets, bound before anything is served.
-pub struct FleetSockets {
-    datagrams: Async<UdpSocket>,
-    listener: Async<TcpListener>,
+/// Memory of a fleet of so many peers, in bytes. With a replicated store, bulk frames wait for each peer too.
+pub fn memory_bytes(peers: usize, replicated_store: bool) -> usize {
+    let streams = (peers / PEERS_PER_STREAM_IN_USE + EXTRA_STREAMS) * STREAM_BYTES;
+    let bulk = peers * link::BULK_QUEUE_CAPACITY * MAX_CONTENT_BYTES / 2;
+    streams + if replicated_store { bulk } else { 0 }
 }
 
-impl FleetSockets {
-    /// Datagrams and streams at the same address.
-    pub fn bind(address: SocketAddr) -> Result<FleetSockets, String> {
-        let fail = |e: std::io::Error| format!("fleet: listen on {address}: {e}");
-        let datagrams = UdpSocket::bind(address).and_then(Async::new).map_err(fail)?;
-        let listener = TcpListener::bind(address).and_then(Async::new).map_err(fail)?;
-        Ok(FleetSockets { datagrams, listener })
-    }
-}
-
-/// A stream to a peer: what is urgent, what is long, and what writes them.
-type Out = (Sender<Vec<u8>>, Sender<Vec<u8>>, Task<()>);
-
-/// From which stream something came.
-type From = (u64, Came);
-
-enum Next {
-    Order(Option<FleetCommand>),
-    Datagram,
-    Frame(u64, Came),
+/// Why [`FleetActor::wait`] returned.
+enum Wakeup {
+    /// `None`: all senders are gone.
+    Command(Option<FleetCommand>),
+    DatagramsReady,
+    Inbound(InboundFrame),
     Accepted(TcpStream),
     Disk(DiskEvent),
-    Time,
+    Timeout,
 }
 
 /// The actor.
 pub struct FleetActor<'a> {
-    executor: Rc<LocalExecutor<'a>>,
     membership: Membership,
     key: Key,
     name: MemberName,
-    peers: usize,
-    sockets: Rc<FleetSockets>,
-    orders: Receiver<FleetCommand>,
-    module: Sender<AdmissionMessage>,
+    sockets: FleetSockets,
+    commands: Receiver<FleetCommand>,
+    admission: Sender<AdmissionMessage>,
     addresses: BTreeMap<MemberName, SocketAddr>,
-    /// Streams to peers.
-    outs: BTreeMap<MemberName, Out>,
-    /// Streams that others opened.
-    ins: BTreeMap<u64, (Sender<Vec<u8>>, Task<()>)>,
-    came: (Sender<From>, Receiver<From>),
-    next: u64,
-    /// Where datagrams came from, for answers: the newest at the end.
-    ways: VecDeque<(u64, SocketAddr)>,
-    start: Instant,
-    told: (Reachability, Micros),
-    shares: Vec<QuotaReport>,
-    mine: BuildInfo,
-    record: Option<ReplicationActor>,
+    outbound: OutboundStreams<'a>,
+    inbound: InboundStreams<'a>,
+    return_addresses: ReturnAddresses,
+    started_at: Instant,
+    reported: Reachability,
+    reported_at: Micros,
+    quotas: Vec<QuotaReport>,
+    build_info: BuildInfo,
+    replication: Option<ReplicationActor>,
+    /// How loaded this server is, in percent.
     load: u8,
     log: Logger,
+    /// Booked for as long as the actor lives.
     _charge: Charge,
 }
 
 impl<'a> FleetActor<'a> {
-    /// A server of this fleet, whose process started at `boot`, a Unix time in microseconds.
-    #[allow(clippy::too_many_arguments)]
+    /// A server of this fleet, whose process started at `boot_id`, a Unix time in microseconds.
+    ///
+    /// # Errors
+    /// If the configuration is not valid; all that is wrong with it is named.
+    #[expect(clippy::too_many_arguments, reason = "each is a part of its own, handed over once at the start")]
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         sockets: FleetSockets,
         config: FleetConfig,
-        (boot, seed): (u64, u64),
-        orders: Receiver<FleetCommand>,
-        module: Sender<AdmissionMessage>,
+        (boot_id, seed): (u64, u64),
+        commands: Receiver<FleetCommand>,
+        admission: Sender<AdmissionMessage>,
         charge: Charge,
         log: Logger,
     ) -> Result<FleetActor<'a>, String> {
-        let FleetConfig {
-            membership: config,
-            peer_addresses: addresses,
-            build_info: about,
-            replicated_store: kept,
-        } = config;
+        let FleetConfig { membership: config, peer_addresses, build_info, replicated_store } = config;
         let name = config.name.clone();
         let key = Key::new(&config.fleet, &config.secret);
-        let peers = config.peers.len();
-        let addresses = config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect();
-        let membership = Membership::new(0, config, boot, seed);
-        let mut membership = membership
-            .map_err(|all| all.into_iter().map(|mistake| mistake.what).collect::<Vec<_>>().join("; "))?;
-        membership.set_build_info(0, about.clone());
+        let max_inbound = config.peers.len() + EXTRA_STREAMS;
+        let addresses = addresses_by_name(&config, peer_addresses);
+        let membership = Membership::new(0, config, boot_id, seed);
+        let mut membership =
+            membership.map_err(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
+        membership.set_build_info(0, build_info.clone());
+        let replication =
+            replicated_store.map(|settings| ReplicationActor::new(0, settings, seed ^ boot_id, log.clone()));
         Ok(FleetActor {
-            executor,
             membership,
             key,
             name,
-            peers,
-            sockets: Rc::new(sockets),
-            orders,
-            module,
+            sockets,
+            commands,
+            admission,
             addresses,
-            outs: BTreeMap::new(),
-            ins: BTreeMap::new(),
-            came: bounded(FRAMES),
-            next: 0,
-            ways: VecDeque::new(),
-            start: Instant::now(),
-            told: (Reachability::default(), 0),
-            shares: Vec::new(),
-            mine: about,
-            record: kept.map(|settings| ReplicationActor::new(0, settings, seed ^ boot, log.clone())),
+            outbound: OutboundStreams::new(executor.clone()),
+            inbound: InboundStreams::new(executor, max_inbound),
+            return_addresses: ReturnAddresses::default(),
+            started_at: Instant::now(),
+            reported: Reachability::default(),
+            reported_at: 0,
+            quotas: Vec::new(),
+            build_info,
+            replication,
             load: 0,
             log,
             _charge: charge,
@@ -172,333 +147,226 @@
     }
 
     fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Goes on until the last word has been said.
+    /// Runs until this server's departure has been announced.
     pub async fn run(mut self) {
         loop {
-            let next = self.wait().await;
+            let wakeup = self.wait().await;
             let now = self.now();
-            match next {
-                Next::Order(None) => return,
-                Next::Order(Some(FleetCommand::AnnounceDeparture)) => {
+            match wakeup {
+                Wakeup::Command(None) => return,
+                Wakeup::Command(Some(FleetCommand::AnnounceDeparture)) => {
                     self.membership.announce_departure(now);
-                    self.carry_out(now);
+                    self.execute_actions(now);
                     return;
                 }
-                Next::Order(Some(order)) => self.obey(now, order),
-                Next::Datagram => self.datagrams(now),
-                Next::Frame(id, came) => self.frame(now, id, came),
-                Next::Accepted(stream) => self.accepted(stream),
-                Next::Disk(done) => {
-                    if let Some(keeper) = &mut self.record {
-                        keeper.handle_disk_event(now, done);
+                Wakeup::Command(Some(command)) => self.handle_command(now, command),
+                Wakeup::DatagramsReady => self.handle_datagrams(now),
+                Wakeup::Inbound(frame) => self.handle_inbound(now, frame),
+                Wakeup::Accepted(stream) => self.inbound.accept(stream),
+                Wakeup::Disk(event) => {
+                    if let Some(replication) = &mut self.replication {
+                        replication.handle_disk_event(now, event);
                     }
                 }
-                Next::Time => {}
+                Wakeup::Timeout => {}
             }
             self.membership.handle_timeout(now);
-            self.keep(now);
-            self.carry_out(now);
-            self.tell(now);
+            self.run_replication(now);
+            self.execute_actions(now);
+            self.report_reachability(now);
         }
     }
 
-    /// The next thing, without preference: a flood of one kind must not hide the others.
-    async fn wait(&self) -> Next {
-        let order = async { Next::Order(self.orders.recv().await.ok()) };
-        let datagram = async {
+    /// The next thing to do, without preference: a flood of one kind must not hide the others.
+    async fn wait(&self) -> Wakeup {
+        let command = async { Wakeup::Command(self.commands.recv().await.ok()) };
+        let datagrams = async {
             match self.sockets.datagrams.readable().await {
-                Ok(()) => Next::Datagram,
-                Err(_) => future::pending().await,
-            }
-        };
-        let frame = async {
-            match self.came.1.recv().await {
-                Ok((id, came)) => Next::Frame(id, came),
+                Ok(()) => Wakeup::DatagramsReady,
                 Err(_) => future::pending().await,
             }
         };
-        let accepted = async {
-            loop {
-                match self.sockets.listener.accept().await {
-                    Ok((stream, _)) => match stream.into_inner() {
-                        Ok(stream) => return Next::Accepted(stream),
-                        Err(e) => debug!(self.log, "fleet: accepted in vain"; "why" => %e),
-                    },
-                    Err(_) => drop(Timer::after(Duration::from_millis(20)).await),
-                }
-            }
-        };
-        let kept = self.record.as_ref().map_or(Micros::MAX, ReplicationActor::next_timeout);
-        let due = self.membership.next_timeout().min(kept).saturating_sub(self.now());
-        let time = async {
-            Timer::after(Duration::from_micros(due)).await;
-            Next::Time
+        let inbound = async { Wakeup::Inbound(self.inbound.receive().await) };
+        let timeout = async {
+            let replication = self.replication.as_ref().map_or(Micros::MAX, ReplicationActor::next_timeout);
+            let next = self.membership.next_timeout().min(replication);
+            Timer::after(Duration::from_micros(next.saturating_sub(self.now()))).await;
+            Wakeup::Timeout
         };
-        let words = self.record.as_ref().map(ReplicationActor::disk_events);
+        let disk_events = self.replication.as_ref().map(ReplicationActor::disk_events);
         let disk = async {
-            match words {
-                Some(words) => match words.recv().await {
-                    Ok(done) => Next::Disk(done),
-                    Err(_) => future::pending().await,
-                },
-                None => future::pending().await,
+            let Some(events) = disk_events else { return future::pending().await };
+            match events.recv().await {
+                Ok(event) => Wakeup::Disk(event),
+                Err(_) => future::pending().await,
             }
         };
-        let own = future::race(accepted, future::race(disk, time));
-        future::race(order, future::race(future::race(datagram, frame), own)).await
+        let own = future::race(self.accept(), future::race(disk, timeout));
+        future::race(command, future::race(future::race(datagrams, inbound), own)).await
     }
 
-    /// The record's turn, and answers about it.
-    fn keep(&mut self, now: Micros) {
-        let Some(keeper) = &mut self.record else { return };
-        keeper.handle_timeout(now, &mut self.membership, self.load);
-        for (source, response) in keeper.take_responses() {
-            self.reply(source.stream_id, source.number, FleetReply::Store(response));
+    async fn accept(&self) -> Wakeup {
+        loop {
+            match self.sockets.listener.accept().await {
+                Ok((stream, _)) => match stream.into_inner() {
+                    Ok(stream) => return Wakeup::Accepted(stream),
+                    Err(e) => debug!(self.log, "fleet: accepted connection lost"; "error" => %e),
+                },
+                Err(_) => drop(Timer::after(ACCEPT_BACKOFF).await),
+            }
         }
     }
 
-    fn obey(&mut self, now: Micros, order: FleetCommand) {
-        match order {
+    fn handle_command(&mut self, now: Micros, command: FleetCommand) {
+        match command {
             FleetCommand::Send { to, channel, payload } => self.membership.send(now, &to, channel, payload),
             FleetCommand::SetLoad(percent) => {
                 self.load = percent;
                 self.membership.set_load(percent);
             }
-            FleetCommand::PublishQuotas(shares) => self.shares = shares,
-            FleetCommand::Reconfigure(config) => {
-                let FleetConfig {
-                    membership: config,
-                    peer_addresses: addresses,
-                    build_info: about,
-                    replicated_store: kept,
-                } = *config;
-                if let (Some(keeper), Some(settings)) = (&mut self.record, kept) {
-                    keeper.reconfigure(settings);
-                }
-                self.peers = config.peers.len();
-                self.addresses = config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect();
-                // Streams to those who are gone, or elsewhere, end with what they carry.
-                self.outs.clear();
-                self.membership.reconfigure(now, config);
-                self.membership.set_build_info(now, about.clone());
-                self.mine = about;
-            }
+            FleetCommand::PublishQuotas(quotas) => self.quotas = quotas,
+            FleetCommand::Reconfigure(config) => self.reconfigure(now, *config),
             FleetCommand::Leave => {
                 self.membership.leave(now);
-                self.record.iter_mut().for_each(|keeper| keeper.leave(now));
+                if let Some(replication) = &mut self.replication {
+                    replication.leave(now);
+                }
             }
+            // Ends the actor: see `run`.
             FleetCommand::AnnounceDeparture => {}
         }
     }
 
-    fn datagrams(&mut self, now: Micros) {
-        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
-        for _ in 0..AT_ONCE {
-            let Ok((size, from)) = self.sockets.datagrams.get_ref().recv_from(&mut bytes) else { return };
-            let way = self.way(from);
-            self.membership.handle_message(now, &bytes[..size], ReturnPath::Datagram(way));
+    fn reconfigure(&mut self, now: Micros, config: FleetConfig) {
+        let FleetConfig { membership: config, peer_addresses, build_info, replicated_store } = config;
+        if let (Some(replication), Some(settings)) = (&mut self.replication, replicated_store) {
+            replication.reconfigure(settings);
         }
+        self.inbound.set_max_streams(config.peers.len() + EXTRA_STREAMS);
+        self.addresses = addresses_by_name(&config, peer_addresses);
+        // Streams to peers that are gone, or have another address, end with what they carry.
+        self.outbound.close_all();
+        self.membership.reconfigure(now, config);
+        self.membership.set_build_info(now, build_info.clone());
+        self.build_info = build_info;
     }
 
-    /// The number of a way back.
-    fn way(&mut self, from: SocketAddr) -> u64 {
-        if let Some((way, _)) = self.ways.iter().rev().find(|(_, address)| *address == from) {
-            return *way;
-        }
-        if self.ways.len() == WAYS {
-            self.ways.pop_front();
-        }
-        self.next += 1;
-        self.ways.push_back((self.next, from));
-        self.next
+    fn handle_datagrams(&mut self, now: Micros) {
+        self.sockets.receive_datagrams(|bytes, from| {
+            let return_path = self.return_addresses.id_of(from);
+            self.membership.handle_message(now, bytes, ReturnPath::Datagram(return_path));
+        });
     }
 
-    fn accepted(&mut self, stream: TcpStream) {
-        if self.ins.len() >= self.peers + MORE {
-            // The oldest are those that a restart or a cut has left behind.
-            self.ins.pop_first();
+    fn handle_inbound(&mut self, now: Micros, frame: InboundFrame) {
+        let InboundFrame { stream_id, received } = frame;
+        match received {
+            Received::Closed => self.inbound.remove(stream_id),
+            Received::Frame(FrameKind::Message, content) => {
+                self.membership.handle_message(now, &content, ReturnPath::Stream(stream_id));
+            }
+            Received::Frame(FrameKind::Request, content) => self.handle_request(now, stream_id, &content),
+            Received::Frame(FrameKind::Response, _) => {}
         }
-        let Ok(stream) = Async::new(stream) else { return };
-        let _ = stream.get_ref().set_nodelay(true);
-        self.next += 1;
-        let (answers, taken) = bounded(link::WAITING);
-        let served = link::serve(self.next, stream, self.came.0.clone(), taken);
-        self.ins.insert(self.next, (answers, self.executor.spawn(served)));
     }
 
-    fn frame(&mut self, now: Micros, id: u64, came: Came) {
-        match came {
-            Came::End => drop(self.ins.remove(&id)),
-            Came::Frame(FrameKind::Message, content) => {
-                self.membership.handle_message(now, &content, ReturnPath::Stream(id))
-            }
-            Came::Frame(FrameKind::Request, content) => {
-                match self.key.open::<FleetRequest>(&content, content.len()) {
-                    Ok(question) => self.answer(now, id, question),
-                    Err(why) => debug!(self.log, "fleet: a question that is not believed"; "why" => ?why),
-                }
-            }
-            Came::Frame(FrameKind::Response, _) => {}
+    /// Lets the replica act, and sends responses to requests about the replicated store.
+    fn run_replication(&mut self, now: Micros) {
+        let Some(replication) = &mut self.replication else { return };
+        replication.handle_timeout(now, &mut self.membership, self.load);
+        for (source, response) in replication.take_responses() {
+            self.respond(source.stream_id, source.number, FleetReply::Store(response));
         }
     }
 
-    fn answer(&mut self, now: Micros, id: u64, question: FleetRequest) {
-        let reply = match question.kind {
-            FleetRequestKind::Store(asked) => {
-                let Some(keeper) = &mut self.record else {
-                    let why = "this server's file has no `record` in its fleet".to_owned();
-                    return self.reply(id, question.number, FleetReply::Store(record_told::Rejected(why)));
-                };
-                let unix =
-                    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-                let source = RequestSource { stream_id: id, number: question.number };
-                return keeper.handle_request(now, unix, source, asked);
+    fn execute_actions(&mut self, now: Micros) {
+        for action in self.membership.take_actions() {
+            self.execute_action(action);
+        }
+        for message in self.membership.take_messages() {
+            if let (REPLICATION_CHANNEL, Some(replication)) = (message.channel, &mut self.replication) {
+                replication.handle_message(now, &message.from, message.boot, &message.payload);
+                continue;
             }
-            FleetRequestKind::Members => FleetReply::Members(self.view(now)),
-            FleetRequestKind::Explain(name) => match self.membership.explain(now, &name) {
-                Some(evidence) => FleetReply::Explain(evidence),
-                None => {
-                    let members = self.membership.members(now);
-                    FleetReply::UnknownMember(members.iter().map(|m| m.name.to_string()).collect())
-                }
-            },
-        };
-        self.reply(id, question.number, reply);
-    }
-
-    fn reply(&mut self, id: u64, number: u64, reply: FleetReply) {
-        let answer = self.key.seal(&FleetResponse { number, reply });
-        if let Some((answers, _)) = self.ins.get(&id) {
-            let _ = answers.try_send(encode_frame(FrameKind::Response, &answer));
+            let event = FleetEvent::MessageReceived {
+                from: message.from,
+                boot_id: message.boot,
+                channel: message.channel,
+                payload: message.payload,
+            };
+            // If admission has no time for it now, leases have to wait: they are asked for again.
+            let _ = self.admission.try_send(AdmissionMessage::Fleet(event));
         }
-    }
-
-    fn view(&self, now: Micros) -> FleetView {
-        let member = &self.membership;
-        FleetView {
-            name: self.name.to_string(),
-            boot: member.boot_id(),
-            standing: member.partition_status(),
-            sick: member.health_score(),
-            silenced: member.is_fenced(),
-            members: member.members(now),
-            allowances: self
-                .shares
-                .iter()
-                .map(|quota| (quota.dependency.to_string(), quota.status.clone()))
-                .collect(),
-            disagreements: member.view_divergences().map(|d| (d.peer.to_string(), d.differences())).collect(),
-            counts: member.counts().clone(),
+        for event in self.membership.take_events() {
+            event_log::log_event(&self.log, now, event);
         }
     }
 
-    fn carry_out(&mut self, now: Micros) {
-        for action in self.membership.take_actions() {
-            match action {
-                Action::Datagram(to, bytes) => {
-                    if let Some(address) = self.addresses.get(&to) {
-                        // A send queue that is full loses it, as the network might.
-                        let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
-                    }
+    fn execute_action(&mut self, action: Action) {
+        match action {
+            Action::Datagram { to, bytes } => {
+                if let Some(address) = self.addresses.get(&to) {
+                    self.sockets.send_datagram(&bytes, *address);
                 }
-                Action::Stream(to, bytes) => {
-                    self.stream(&to, encode_frame(FrameKind::Message, &bytes), false)
+            }
+            Action::Stream { to, bytes } => {
+                if let Some(address) = self.addresses.get(&to) {
+                    self.outbound.send(&to, *address, encode_frame(FrameKind::Message, &bytes));
                 }
-                Action::Bulk(to, bytes) => self.stream(&to, encode_frame(FrameKind::Message, &bytes), true),
-                Action::Reply(ReturnPath::Datagram(way), bytes) => {
-                    if let Some((_, address)) = self.ways.iter().find(|(number, _)| *number == way) {
-                        let _ = self.sockets.datagrams.get_ref().send_to(&bytes, address);
-                    }
+            }
+            Action::Bulk { to, bytes } => {
+                if let Some(address) = self.addresses.get(&to) {
+                    self.outbound.send_bulk(&to, *address, encode_frame(FrameKind::Message, &bytes));
                 }
-                Action::Reply(ReturnPath::Stream(id), bytes) => {
-                    if let Some((answers, _)) = self.ins.get(&id) {
-                        let _ = answers.try_send(encode_frame(FrameKind::Message, &bytes));
-                    }
+            }
+            Action::Reply { path: ReturnPath::Datagram(id), bytes } => {
+                if let Some(address) = self.return_addresses.get(id) {
+                    self.sockets.send_datagram(&bytes, address);
                 }
             }
-        }
-        for matter in self.membership.take_messages() {
-            if let (REPLICATION_CHANNEL, Some(keeper)) = (matter.channel, &mut self.record) {
-                keeper.handle_message(now, &matter.from, matter.boot, &matter.payload);
-                continue;
+            Action::Reply { path: ReturnPath::Stream(id), bytes } => {
+                self.inbound.send(id, encode_frame(FrameKind::Message, &bytes));
             }
-            let news = FleetEvent::MessageReceived {
-                from: matter.from,
-                boot_id: matter.boot,
-                channel: matter.channel,
-                payload: matter.payload,
-            };
-            // A module that has no time for it now is one whose loans have to wait.
-            let _ = self.module.try_send(AdmissionMessage::Fleet(news));
-        }
-        for told in self.membership.take_events() {
-            self.log(now, told);
         }
     }
 
-    fn stream(&mut self, to: &MemberName, frame: Vec<u8>, may_wait: bool) {
-        let Some(address) = self.addresses.get(to).copied() else { return };
-        let executor = &self.executor;
-        let (out, bulk, _) = self.outs.entry(to.clone()).or_insert_with(|| {
-            let ((out, taken), (bulk, long)) = (bounded(link::WAITING), bounded(link::BULK));
-            (out, bulk, executor.spawn(link::write_to(address, taken, long)))
-        });
-        let _ = if may_wait { bulk.try_send(frame) } else { out.try_send(frame) };
-    }
-
-    fn tell(&mut self, now: Micros) {
-        if now < self.told.1 + TELL_EVERY {
+    /// Tells admission who is reachable, if that has changed.
+    fn report_reachability(&mut self, now: Micros) {
+        if now < self.reported_at + REACHABILITY_REPORT_INTERVAL {
             return;
         }
-        let reached = self.membership.reachable(now);
-        let members = self.membership.members(now);
-        let named = || members.iter().filter(|m| m.named);
-        let same = |shares: u64| shares == self.mine.shares;
-        let present = Reachability {
-            quota_basis_differs: named().any(|m| m.reached && !same(m.about.shares)),
-            all_agree: named().all(|m| m.reached && same(m.about.shares)),
-            fenced: self.membership.is_fenced(),
-            reachable: reached,
-        };
-        self.told.1 = now;
-        if present != self.told.0
-            && self
-                .module
-                .try_send(AdmissionMessage::Fleet(FleetEvent::ReachabilityChanged(present.clone())))
-                .is_ok()
-        {
-            self.told.0 = present;
+        self.reported_at = now;
+        let reachability = self.reachability(now);
+        if reachability == self.reported {
+            return;
+        }
+        let event = FleetEvent::ReachabilityChanged(reachability.clone());
+        // A mailbox without room is tried again next time.
+        if self.admission.try_send(AdmissionMessage::Fleet(event)).is_ok() {
+            self.reported = reachability;
         }
     }
 
-    fn log(&self, now: Micros, told: Event) {
-        match told {
-            Event::PartitionStatusChanged { from, to, cause } => {
-                info!(self.log, "standing"; "from" => %from, "to" => %to, "cause" => cause, "ms" => now / 1_000);
-            }
-            Event::MemberStateChanged { name, from, to, cause } => {
-                info!(self.log, "member"; "name" => &*name, "from" => %from, "to" => %to, "cause" => cause);
-            }
-            Event::NameConflict(name, older, newer) => {
-                warn!(self.log, "two processes of one name"; "name" => &*name, "older" => older, "newer" => newer);
-            }
-            Event::Fenced(by) => {
-                warn!(self.log, "another process has this server's name"; "started" => by);
-            }
-            Event::Unfenced(boot) => {
-                warn!(self.log, "this server goes on under a new start"; "started" => boot)
-            }
-            Event::ViewsDiverged(with) => {
-                warn!(self.log, "views differ"; "with" => &*with, "for_long" => true)
-            }
-            Event::ViewsConverged(with) => info!(self.log, "views agree again"; "with" => &*with),
-            Event::MessagesRejected(why, count, from) => {
-                let from = from.map_or_else(String::new, |name| name.to_string());
-                warn!(self.log, "message not believed"; "why" => ?why, "count" => count, "said_to_be_from" => from);
-            }
+    fn reachability(&mut self, now: Micros) -> Reachability {
+        let reachable = self.membership.reachable(now);
+        let members = self.membership.members(now);
+        let named = || members.iter().filter(|member| member.named);
+        let same_basis = |shares: u64| shares == self.build_info.shares;
+        Reachability {
+            quota_basis_differs: named().any(|member| member.reached && !same_basis(member.about.shares)),
+            all_agree: named().all(|member| member.reached && same_basis(member.about.shares)),
+            fenced: self.membership.is_fenced(),
+            reachable,
         }
     }
 }
+
+fn addresses_by_name(
+    config: &umberloom_membership::Config,
+    addresses: Vec<SocketAddr>,
+) -> BTreeMap<MemberName, SocketAddr> {
+    config.peers.iter().map(|peer| peer.name.clone()).zip(addresses).collect()
+}
