--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -1,4 +1,4 @@
-//! The link to the render farm agent.
+//! The link to the render farm agent: commands out, notices in, and a new link where one breaks.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -17,16 +17,15 @@
 use crate::wire::jsonl::{self, Command, Notice};
 use crate::wire::MalformedInput;
 
-/// Orders that may wait to be taken.
+/// Messages that may wait in the mailbox.
 pub const MAILBOX_CAPACITY: usize = 4096;
 /// Bytes written at once.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
-/// Time between tries to connect.
+/// Time between attempts to connect.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// Time until the next try after bytes that made no sense.
+/// Time until the next attempt after malformed input.
 const MALFORMED_BACKOFF: Duration = Duration::from_millis(200);
-
-/// Time for one try to connect.
+/// Time for one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The actor.
@@ -40,7 +39,7 @@
     log: Logger,
 }
 
-/// One link.
+/// One connection to the agent.
 struct Link {
     stream: Async<TcpStream>,
     buffer: Buffer,
@@ -55,13 +54,13 @@
     Malformed(MalformedInput),
     /// The agent is at another address now.
     AddressChanged,
-    /// The module is gone: so is the program.
+    /// Admission is gone: so is the program.
     ShuttingDown,
 }
 
 impl LinkEnd {
-    /// Time until the next try. The same bytes may come again after nonsense: no need to meet them at full
-    /// speed. An agent that had greeted was there a moment ago, and what it has to say need not wait.
+    /// Time until the next attempt. After malformed input the same bytes may come again: they are read no faster than
+    /// this. An agent that had greeted was there a moment ago, and its notices need not wait.
     fn backoff(&self, greeted: bool) -> Duration {
         match self {
             LinkEnd::Malformed(_) => MALFORMED_BACKOFF,
@@ -82,39 +81,39 @@
         AgentActor { address, mailbox, admission, command_log: CommandLog::default(), last_notice: 0, log }
     }
 
-    /// Keeps a link up for as long as the module is there.
+    /// Keeps a link up for as long as admission is there.
     pub async fn run(mut self) {
         loop {
             // Without a link too the address may change.
             self.drain_mailbox();
             let connected =
                 stream::with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await;
-            let pause = match connected.unwrap_or_else(|| Err(ErrorKind::TimedOut.into())) {
+            let backoff = match connected.unwrap_or_else(|| Err(ErrorKind::TimedOut.into())) {
                 Ok(stream) => {
-                    let (why, greeted) = self.serve_link(stream).await;
-                    self.log_link_end(&why);
-                    let gone = matches!(why, LinkEnd::ShuttingDown);
-                    if gone || self.admission.send(AdmissionMessage::AgentLinkLost).await.is_err() {
+                    let (end, greeted) = self.serve_link(stream).await;
+                    self.log_link_end(&end);
+                    let shutting_down = matches!(end, LinkEnd::ShuttingDown);
+                    if shutting_down || self.admission.send(AdmissionMessage::AgentLinkLost).await.is_err() {
                         return;
                     }
-                    why.backoff(greeted)
+                    end.backoff(greeted)
                 }
                 Err(e) => {
-                    debug!(self.log, "agent not reached"; "why" => %e);
+                    debug!(self.log, "agent connect failed"; "error" => %e);
                     RECONNECT_BACKOFF
                 }
             };
-            Timer::after(pause).await;
+            Timer::after(backoff).await;
         }
     }
 
-    fn log_link_end(&self, why: &LinkEnd) {
-        match why {
+    fn log_link_end(&self, end: &LinkEnd) {
+        match end {
             LinkEnd::ShuttingDown => {}
-            LinkEnd::Lost(e) => warn!(self.log, "agent link lost"; "why" => %e),
-            LinkEnd::AddressChanged => info!(self.log, "agent moved"; "to" => %self.address),
-            LinkEnd::ClosedByAgent => warn!(self.log, "agent link ended by the agent"),
-            LinkEnd::Malformed(e) => warn!(self.log, "agent link closed"; "why" => %e),
+            LinkEnd::Lost(e) => warn!(self.log, "agent link lost"; "error" => %e),
+            LinkEnd::AddressChanged => info!(self.log, "agent address changed"; "address" => %self.address),
+            LinkEnd::ClosedByAgent => warn!(self.log, "agent link closed by agent"),
+            LinkEnd::Malformed(e) => warn!(self.log, "agent link closed: malformed input"; "error" => %e),
         }
     }
 
@@ -124,15 +123,15 @@
         let buffer = Buffer::new(jsonl::MAX_LINE_BYTES);
         let mut link = Link { stream, buffer, output: subscribe, greeted: false };
         loop {
-            if let Err(why) = self.step(&mut link).await {
-                return (why, link.greeted);
+            if let Err(end) = self.step(&mut link).await {
+                return (end, link.greeted);
             }
-            // An agent that never stops talking must not keep all others waiting.
+            // An agent that never stops sending must not keep all others waiting.
             future::yield_now().await;
         }
     }
 
-    /// Writes what is to be written, reads what has come, or waits for either.
+    /// Writes what is queued, reads what has arrived, or waits for either.
     async fn step(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
         if self.drain_mailbox() {
             return Err(LinkEnd::AddressChanged);
@@ -209,7 +208,7 @@
             }
             if let Some(n) = number {
                 if n > self.last_notice + 1 {
-                    warn!(self.log, "notices were missed"; "last" => self.last_notice, "next" => n);
+                    warn!(self.log, "agent notices missed"; "last" => self.last_notice, "next" => n);
                 }
                 self.last_notice = n;
             }
@@ -224,7 +223,7 @@
     async fn handle_notice(&mut self, notice: Notice) -> Result<(), LinkEnd> {
         let message = match notice {
             Notice::Greeting(starting, since) => {
-                info!(self.log, "agent is up"; "starting" => starting, "since_us" => since);
+                info!(self.log, "agent connected"; "starting" => starting, "uptime_us" => since);
                 AdmissionMessage::AgentUp { uptime: since }
             }
             Notice::RunEnded(id, end, took) => {
@@ -244,12 +243,12 @@
                 None => return Ok(()),
             },
             Notice::CommandRejected(command, id) => {
-                debug!(self.log, "agent refused"; "command" => &command, "request" => &id);
+                debug!(self.log, "agent rejected command"; "command" => &command, "request" => &id);
                 AdmissionMessage::AgentRejected { command, id }
             }
             // Were the link closed over it, the next one would bring it again.
             Notice::Invalid(id) => {
-                warn!(self.log, "a notice without sense"; "request" => &id);
+                warn!(self.log, "invalid notice from agent"; "request" => &id);
                 self.command_log.run_ended(&id);
                 AdmissionMessage::InvalidAgentNotice { id }
             }
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -1,5 +1,5 @@
-//! Orders to the agent that it is not known to have read: what makes a new link go on where the last
-//! one broke.
+//! Commands that the agent is not known to have read. They are replayed on a new link, so that it goes on where the
+//! last one broke.
 
 use std::collections::VecDeque;
 
@@ -15,9 +15,9 @@
     Pause,
     /// Answers a call.
     Reply,
-    /// Asked for on one link only.
+    /// Made on one link only.
     Query,
-    /// A sample that the journal itself asks for, to mark the end of what was missed.
+    /// A sample that the log itself asks for, to mark the end of the missed notices.
     Marker,
 }
 
@@ -26,12 +26,12 @@
     number: u64,
     kind: EntryKind,
     id: RequestId,
-    /// The tag under which a question was asked.
+    /// The tag under which admission made the query.
     tag: u64,
     line: Vec<u8>,
 }
 
-/// Orders in the order given, those written on the present link first.
+/// Commands in the order given, those written on the present link first.
 #[derive(Debug, Default)]
 pub struct CommandLog {
     entries: VecDeque<Entry>,
@@ -42,12 +42,12 @@
 }
 
 impl CommandLog {
-    /// Adds an order.
-    pub fn push(&mut self, order: &AgentCommand) {
+    /// Adds a command.
+    pub fn push(&mut self, command: &AgentCommand) {
         let number = self.last_number + 1;
         let name = number.to_string();
         let none: RequestId = "".into();
-        let (kind, id, tag, command) = match order {
+        let (kind, id, tag, encoded) = match command {
             AgentCommand::Launch { id, class, body } => {
                 (EntryKind::Run, id, 0, Command::Launch { id, class, body: encode_base64(body) })
             }
@@ -68,15 +68,15 @@
         };
         let unwritten = || self.entries.iter().skip(self.written);
         if kind == EntryKind::Pause && unwritten().any(|e| e.kind == kind && e.id == *id) {
-            // Stops are asked for again and again; without a link they must not pile up.
+            // Pauses are sent again and again; without a link they must not accumulate.
             return;
         }
-        if matches!(order, AgentCommand::SampleGauges(_)) && unwritten().any(|e| e.kind == kind) {
-            // Neither must samples: the module asks for one after the other, whether or not they are answered.
+        if matches!(command, AgentCommand::SampleGauges(_)) && unwritten().any(|e| e.kind == kind) {
+            // Neither must samples: admission asks for one after the other, whether or not they are answered.
             return;
         }
         self.last_number = number;
-        let entry = Entry { number, kind, id: id.clone(), tag, line: command.encode() };
+        let entry = Entry { number, kind, id: id.clone(), tag, line: encoded.encode() };
         self.entries.push_back(entry);
     }
 
@@ -108,8 +108,8 @@
         self.marker = Some(self.last_number);
     }
 
-    /// The answer to question `name` came: all written before it has been read. The tag it was asked
-    /// under, if the module asked.
+    /// The answer to sample `name` has arrived: all commands written before it have been read. Returns the tag of the
+    /// query, if admission made it.
     pub fn sample_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let written = self.entries.iter().take(self.written);
@@ -117,20 +117,21 @@
         if self.marker == Some(number) {
             self.marker = None;
         }
-        let asked = self.entries.get(at).filter(|e| e.kind == EntryKind::Query).map(|e| e.tag);
+        let tag = self.entries.get(at).filter(|e| e.kind == EntryKind::Query).map(|e| e.tag);
         self.entries.drain(..=at);
         self.written -= at + 1;
-        asked
+        tag
     }
 
-    /// The answer to question `name` came, which was carried out out of turn.
+    /// The answer to health check `name` has arrived. The agent answers these out of turn, so it acknowledges no other
+    /// command. Returns the tag of the query.
     pub fn health_check_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let at = self.entries.iter().take(self.written).position(|e| e.number == number)?;
         self.remove(at).map(|e| e.tag)
     }
 
-    /// The run of this request is over: no order about it matters any more.
+    /// The run of this request is over: no command about it matters any more.
     pub fn run_ended(&mut self, id: &str) {
         self.remove_matching(|e| &*e.id == id);
     }
@@ -140,7 +141,7 @@
         self.remove_matching(|e| e.kind == EntryKind::Reply && &*e.id == id);
     }
 
-    /// How many orders there are.
+    /// How many commands there are.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn orders_are_written_once_and_in_order() {
+fn commands_are_written_once_and_in_order() {
     let mut journal = linked();
     journal.push(&launch("a"));
     journal.push(&AgentCommand::SampleGauges(40));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_new_link_restates_what_may_not_have_been_read() {
+fn commands_that_may_not_have_been_read_are_replayed_on_a_new_link() {
     let mut journal = linked();
     journal.push(&launch("read"));
     journal.push(&AgentCommand::SampleGauges(1));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn questions_of_a_lost_link_are_not_asked_again() {
+fn queries_of_a_lost_link_are_not_replayed() {
     let mut journal = linked();
     journal.push(&AgentCommand::SampleGauges(5));
     journal.push(&AgentCommand::RunHealthCheck(6));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_exercise_does_not_vouch_for_what_was_written_before() {
+fn health_check_answer_does_not_acknowledge_earlier_commands() {
     let mut journal = linked();
     journal.push(&launch("a"));
     journal.push(&AgentCommand::RunHealthCheck(6));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn stops_and_samples_do_not_pile_up_without_a_link() {
+fn pauses_and_samples_do_not_accumulate_without_a_link() {
     let mut journal = linked();
     journal.restart_link();
     for _ in 0..100 {
--- /dev/null
+++ b/crates/server/src/peers/dependency/pool.rs
@@ -0,0 +1,113 @@
+//! Sockets of calls to dependencies: a budget that all dependencies share, and connections kept open for reuse.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Async;
+
+use crate::peers::stream;
+
+/// An idle connection is not used after this: the service closes it after 10 s.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Idle connections that are kept, over all dependencies.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+
+/// The descriptors that all dependencies share.
+#[derive(Clone, Debug)]
+pub struct SocketBudget {
+    /// Calls that may still start.
+    available: Rc<Cell<usize>>,
+    /// Idle connections, over all dependencies.
+    idle: Rc<Cell<usize>>,
+}
+
+impl SocketBudget {
+    /// For so many calls at once.
+    pub fn new(calls: usize) -> SocketBudget {
+        SocketBudget { available: Rc::new(Cell::new(calls)), idle: Rc::default() }
+    }
+
+    /// A descriptor for one call, if one is available.
+    pub(super) fn acquire(&self) -> Option<SocketPermit> {
+        let available = self.available.get().checked_sub(1)?;
+        self.available.set(available);
+        Some(SocketPermit { available: self.available.clone() })
+    }
+}
+
+/// A descriptor for one call, given back when dropped.
+pub(super) struct SocketPermit {
+    available: Rc<Cell<usize>>,
+}
+
+impl Drop for SocketPermit {
+    fn drop(&mut self) {
+        self.available.set(self.available.get() + 1);
+    }
+}
+
+/// The idle connections of one dependency, shared with its calls in flight.
+pub(super) type SharedIdlePool = Rc<RefCell<IdlePool>>;
+
+/// Idle connections by endpoint, each with the one used last at the end.
+#[derive(Debug)]
+pub(super) struct IdlePool {
+    by_address: BTreeMap<SocketAddr, VecDeque<IdleConnection>>,
+    /// Idle connections over all pools.
+    count: Rc<Cell<usize>>,
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    since: Instant,
+    stream: Async<TcpStream>,
+}
+
+impl IdlePool {
+    pub(super) fn new(sockets: &SocketBudget) -> SharedIdlePool {
+        let pool = IdlePool { by_address: BTreeMap::new(), count: sockets.idle.clone() };
+        Rc::new(RefCell::new(pool))
+    }
+
+    /// An idle connection that can still be used, and for how long it was idle.
+    pub(super) fn take(&mut self, address: SocketAddr) -> Option<(Async<TcpStream>, Duration)> {
+        let idle = self.by_address.get_mut(&address)?;
+        while let Some(IdleConnection { since, stream }) = idle.pop_back() {
+            self.count.set(self.count.get() - 1);
+            if since.elapsed() < IDLE_TIMEOUT && stream::is_silent(&stream) {
+                return Some((stream, since.elapsed()));
+            }
+        }
+        None
+    }
+
+    /// Keeps a connection for later calls, if there is room.
+    pub(super) fn put(&mut self, address: SocketAddr, stream: Async<TcpStream>) {
+        if self.count.get() < MAX_IDLE_CONNECTIONS {
+            self.count.set(self.count.get() + 1);
+            let connection = IdleConnection { since: Instant::now(), stream };
+            self.by_address.entry(address).or_default().push_back(connection);
+        }
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub(super) fn expire(&mut self) {
+        let count = self.count.clone();
+        self.by_address.retain(|_, idle| {
+            let before = idle.len();
+            idle.retain(|connection| connection.since.elapsed() < IDLE_TIMEOUT);
+            count.set(count.get() + idle.len() - before);
+            !idle.is_empty()
+        });
+    }
+}
+
+impl Drop for IdlePool {
+    fn drop(&mut self) {
+        let remaining: usize = self.by_address.values().map(VecDeque::len).sum();
+        self.count.set(self.count.get() - remaining);
+    }
+}
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -1,35 +1,42 @@
-use super::*;
+use std::net::TcpStream;
+
+use async_io::Async;
 use futures_lite::AsyncReadExt;
 use umberloom::interface::Micros;
 
+use super::call::classify_reply;
+use super::*;
+use crate::peers::stream;
+use crate::wire::http;
+
 /// Plays `script` with the actor's mailboxes against a service at this listener.
 fn with_dependency<F: std::future::Future<Output = ()>>(
-    most: usize,
+    max_calls: usize,
     script: impl FnOnce(Async<std::net::TcpListener>, Sender<DependencyCommand>, Receiver<AdmissionMessage>) -> F,
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
-    let (orders, taken) = async_channel::bounded(MAILBOX_CAPACITY);
+    let (commands, received) = async_channel::bounded(MAILBOX_CAPACITY);
     let (module, mail) = async_channel::bounded(8);
     let log = Logger::root(slog::Discard, slog::o!());
-    let to = (CallTarget::records_service(address), SocketBudget::new(most));
-    let records = DependencyClient::new(executor.clone(), to, taken, module, Clock::default(), log);
+    let to = (CallTarget::records_service(address), SocketBudget::new(max_calls));
+    let records = DependencyClient::new(executor.clone(), to, received, module, Clock::default(), log);
     executor.spawn(records.run()).detach();
-    async_io::block_on(executor.run(script(listener, orders, mail)));
+    async_io::block_on(executor.run(script(listener, commands, mail)));
 }
 
-fn call(id: &str, until: Micros) -> DependencyCommand {
+fn call(id: &str, deadline: Micros) -> DependencyCommand {
     let id = CallId::without_plan(id.into());
-    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), deadline: until })
+    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), deadline })
 }
 
-fn far() -> Micros {
+fn far_deadline() -> Micros {
     Clock::default().now() + 100_000_000
 }
 
 /// Reads one request without a body; `false` if the connection ends before.
-async fn heard(stream: &mut Async<TcpStream>) -> bool {
+async fn read_request(stream: &mut Async<TcpStream>) -> bool {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
         if !matches!(stream.read(&mut byte).await, Ok(1)) {
@@ -40,7 +47,7 @@
     true
 }
 
-async fn called(mail: &Receiver<AdmissionMessage>) -> (String, Outcome) {
+async fn next_outcome(mail: &Receiver<AdmissionMessage>) -> (String, Outcome) {
     match mail.recv().await {
         Ok(AdmissionMessage::CallEnded { id, outcome, .. }) => (id.request.to_string(), outcome),
         other => panic!("{other:?}"),
@@ -48,57 +55,57 @@
 }
 
 #[test]
-fn a_second_call_for_a_request_gives_up_the_first() {
-    with_dependency(4, |listener, orders, mail| async move {
-        orders.send(call("a", far())).await.expect("taken");
+fn second_call_with_the_same_id_cancels_the_first() {
+    with_dependency(4, |listener, commands, mail| async move {
+        commands.send(call("a", far_deadline())).await.expect("taken");
         let (mut first, _) = listener.accept().await.expect("a connection");
-        assert!(heard(&mut first).await);
-        orders.send(call("a", far())).await.expect("taken");
+        assert!(read_request(&mut first).await);
+        commands.send(call("a", far_deadline())).await.expect("taken");
         let (mut second, _) = listener.accept().await.expect("a connection");
-        assert!(heard(&mut second).await);
-        assert!(!heard(&mut first).await);
+        assert!(read_request(&mut second).await);
+        assert!(!read_request(&mut first).await);
         let reply = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         stream::write_all(&second, reply).await.expect("written");
-        assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::Ok));
+        assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::Ok));
         assert!(mail.is_empty());
     });
 }
 
 #[test]
-fn more_calls_than_descriptors_allow_never_begin() {
-    with_dependency(1, |listener, orders, mail| async move {
-        orders.send(call("a", far())).await.expect("taken");
+fn calls_beyond_the_socket_budget_are_rejected() {
+    with_dependency(1, |listener, commands, mail| async move {
+        commands.send(call("a", far_deadline())).await.expect("taken");
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        assert!(heard(&mut stream).await);
-        orders.send(call("b", far())).await.expect("taken");
-        assert_eq!(called(&mail).await, ("b".to_owned(), Outcome::Rejected));
+        assert!(read_request(&mut stream).await);
+        commands.send(call("b", far_deadline())).await.expect("taken");
+        assert_eq!(next_outcome(&mail).await, ("b".to_owned(), Outcome::Rejected));
         drop(stream);
-        assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::ConnectionLost));
+        assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::ConnectionLost));
     });
 }
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran_and_silence_does_not() {
-    with_dependency(4, |listener, orders, mail| async move {
+    with_dependency(4, |listener, commands, mail| async move {
         let soon = Clock::default().now() + 2_000_000;
-        orders.send(call("silent", soon)).await.expect("taken");
-        assert_eq!(called(&mail).await, ("silent".to_owned(), Outcome::TimedOut));
+        commands.send(call("silent", soon)).await.expect("taken");
+        assert_eq!(next_outcome(&mail).await, ("silent".to_owned(), Outcome::TimedOut));
         drop(listener);
-        orders.send(call("refused", far())).await.expect("taken");
-        assert_eq!(called(&mail).await, ("refused".to_owned(), Outcome::Unreachable));
+        commands.send(call("refused", far_deadline())).await.expect("taken");
+        assert_eq!(next_outcome(&mail).await, ("refused".to_owned(), Outcome::Unreachable));
     });
 }
 
 #[test]
-fn a_connection_that_was_closed_meanwhile_is_not_used_again() {
-    with_dependency(4, |listener, orders, mail| async move {
+fn connection_closed_while_idle_is_not_reused() {
+    with_dependency(4, |listener, commands, mail| async move {
         for _ in 0..3 {
-            orders.send(call("a", far())).await.expect("taken");
+            commands.send(call("a", far_deadline())).await.expect("taken");
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            assert!(heard(&mut stream).await);
+            assert!(read_request(&mut stream).await);
             let reply = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             stream::write_all(&stream, reply).await.expect("written");
-            assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::Ok));
+            assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::Ok));
             // Closed while it stands idle: the next call needs another.
             drop(stream);
         }
@@ -106,8 +113,8 @@
 }
 
 #[test]
-fn a_spoilt_reply_is_no_reply_and_its_connection_is_not_used_again() {
-    with_dependency(4, |listener, orders, mail| async move {
+fn malformed_reply_ends_the_call_and_its_connection_is_not_reused() {
+    with_dependency(4, |listener, commands, mail| async move {
         let spoilt = [
             "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nabcabcabc",
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
@@ -115,33 +122,33 @@
             "HTTP/1.1 OK 200\r\nContent-Length: 3\r\n\r\nabc",
         ];
         for text in spoilt {
-            orders.send(call("a", far())).await.expect("taken");
+            commands.send(call("a", far_deadline())).await.expect("taken");
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            assert!(heard(&mut stream).await);
+            assert!(read_request(&mut stream).await);
             stream::write_all(&stream, text.as_bytes()).await.expect("written");
             stream.get_ref().shutdown(std::net::Shutdown::Write).expect("shut");
-            assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::ConnectionLost), "{text}");
+            assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::ConnectionLost), "{text}");
         }
     });
 }
 
 #[test]
-fn more_than_the_reply_is_never_read_as_the_next_one() {
-    with_dependency(4, |listener, orders, mail| async move {
+fn bytes_after_a_reply_are_not_taken_for_the_next_reply() {
+    with_dependency(4, |listener, commands, mail| async move {
         for behind in ["HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", "noise", ""] {
-            orders.send(call("a", far())).await.expect("taken");
+            commands.send(call("a", far_deadline())).await.expect("taken");
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            assert!(heard(&mut stream).await);
+            assert!(read_request(&mut stream).await);
             let before = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n";
             let reply = format!("{before}HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na{behind}");
             stream::write_all(&stream, reply.as_bytes()).await.expect("written");
-            assert_eq!(called(&mail).await, ("a".to_owned(), Outcome::Ok));
+            assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::Ok));
         }
     });
 }
 
 #[test]
-fn only_a_mark_proves_that_a_call_never_ran() {
+fn only_the_not_begun_header_proves_that_a_call_never_ran() {
     let read = |text: &str| {
         let bytes = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n");
         classify_reply(&http::parse_reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn idle_connections_are_found_while_others_come_and_go() {
+fn idle_connection_is_closed_during_steady_traffic() {
     let places = ConnectionTable::new(68, &[1]);
     with_front(places, 150_000, |bench| async move {
         let mut idle = bench.idle().await;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_full_table_turns_requests_away_at_once_and_delays_none() {
+fn full_table_rejects_new_requests_at_once_and_serves_the_open_ones() {
     with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let mut served = [bench.busy().await, bench.busy().await];
         let mut more = bench.connect().await;
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn who_never_asked_gives_its_place_to_who_does() {
+fn connection_without_requests_is_evicted_for_a_new_one() {
     with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let _busy = bench.busy().await;
         let mut silent = bench.connect().await;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_place_that_is_coming_is_waited_for() {
+fn accept_waits_for_a_connection_that_was_asked_to_close() {
     with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let mut first = bench.idle().await;
         Timer::after(Duration::from_micros(
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn the_mailbox_has_room_for_every_answer() {
+fn mailbox_has_room_for_a_response_to_every_open_request() {
     let (words, mail) = async_channel::bounded(connection::MAILBOX_CAPACITY);
     let activity = Rc::new(ConnectionActivity::default());
     let entry = ConnectionEntry {
@@ -259,7 +259,7 @@
 /// Guards against a request that was written whole, waits unread, and is dropped as its connection never asked before: the
 /// word that its place is needed comes between its last byte and the reading.
 #[test]
-fn a_whole_request_that_lies_unread_is_answered_though_its_place_is_needed() {
+fn unread_complete_request_is_answered_before_eviction() {
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, _, words) = bench.alone().await;
         put(&client, &check());
@@ -271,7 +271,7 @@
 
 /// And one that never comes whole gets an orderly end, not a reset over its unread bytes.
 #[test]
-fn half_a_request_whose_place_is_needed_ends_without_a_reset() {
+fn evicted_connection_with_partial_request_closes_without_reset() {
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let bytes = check();
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
@@ -285,7 +285,7 @@
 
 /// Guards against a connection that is never told to finish, as its mailbox had no room for the word.
 #[test]
-fn the_end_reaches_a_connection_whose_mailbox_is_full() {
+fn draining_reaches_a_connection_whose_mailbox_is_full() {
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, words) = bench.alone().await;
         // Who has asked may be silent for as long as the front lets it.
@@ -305,7 +305,7 @@
 /// Guards against a request that is read after the word to finish and passed on, so that its answer waits for others and
 /// may not be written any more.
 #[test]
-fn what_is_read_after_the_word_to_finish_is_turned_away_at_once() {
+fn request_read_while_draining_is_rejected_at_once() {
     with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, words) = bench.alone().await;
         put(&client, &check());
@@ -350,7 +350,7 @@
 
 /// The same while the server serves: who finds neither a place nor one at the door is told so, if it has asked.
 #[test]
-fn who_finds_no_place_at_all_is_answered_if_it_has_asked() {
+fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
     with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let _busy = [bench.busy().await, bench.busy().await];
         let _at_door = bench.connect().await;
--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -1,4 +1,5 @@
-//! Reports to the announce service, which keeps the list of servers for the balancers.
+//! This server's entry at the announce service, from which load balancers learn the list of servers: the actor reports
+//! steadily whether this server accepts work, as an entry lapses without reports.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -14,17 +15,18 @@
 use crate::messages::registration::RegistrationCommand;
 use crate::wire::http;
 
-/// Words that may wait to be taken.
+/// Commands that may wait in the mailbox.
 pub const MAILBOX_CAPACITY: usize = 16;
 /// Time between reports; an entry lapses 3 s after the last.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 /// Time for one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// While the service is down all servers together try it so often in so long: it is met by no more when it returns, and
-/// no entry lapses until then. Each server's own tries are drawn, at least one in a second and a half.
-const TRIES: (Micros, f64) = (100_000, 10.0);
+/// While the service is down all servers together make so many attempts in a window of so many microseconds: no more
+/// than these meet it when it returns, and no entry lapses until then. Each server's own attempts are drawn at random.
+const FLEET_RETRY_RATE: (Micros, f64) = (100_000, 10.0);
+/// No server waits longer than this between two attempts.
 const MAX_RETRY_INTERVAL: Micros = 1_050_000;
-/// Reports in a row without an answer after which the service counts as not reached.
+/// After so many reports in a row without an answer the service counts as unreachable.
 const UNREACHABLE_AFTER: u32 = 4;
 
 /// The actor.
@@ -36,11 +38,11 @@
     accepting: Option<bool>,
     /// Reports in a row that got no answer.
     failed_reports: u32,
-    /// The word of the last one of these: the service may read it yet, after a newer word.
+    /// The state in the last of these: the service may read it yet, after a newer one.
     unconfirmed_state: Option<bool>,
-    /// Of the tries of all servers, those of this one.
+    /// Draws the times of attempts while the service is down.
     pacer: ProbePacer,
-    link: Option<Async<TcpStream>>,
+    connection: Option<Async<TcpStream>>,
     log: Logger,
 }
 
@@ -63,27 +65,29 @@
             failed_reports: 0,
             unconfirmed_state: None,
             pacer,
-            link: None,
+            connection: None,
             log,
         }
     }
 
-    /// Reports steadily from the first word on, and at once when it changes.
+    /// Reports steadily from the first command on, and at once when the state changes.
     pub async fn run(mut self) {
-        while let Some(word) = self.next_command().await {
-            word.into_iter().for_each(|word| self.handle_command(word));
+        while let Some(command) = self.next_command().await {
+            if let Some(command) = command {
+                self.handle_command(command);
+            }
             while let Ok(newer) = self.commands.try_recv() {
                 self.handle_command(newer);
             }
             if let Some(accepting) = self.accepting {
-                let good =
+                let confirmed =
                     stream::with_timeout(REPORT_TIMEOUT, self.send_report(accepting)).await.unwrap_or(false);
-                self.handle_report_result(accepting, good);
+                self.handle_report_result(accepting, confirmed);
             }
         }
     }
 
-    /// Waits until it is time to report, for a word that comes before that; `None` at the end.
+    /// Waits until it is time to report, or for a command that comes before that; `None` at the end.
     async fn next_command(&mut self) -> Option<Option<RegistrationCommand>> {
         let span = self.report_delay();
         let pause = async {
@@ -96,58 +100,59 @@
         future::or(async { self.commands.recv().await.ok().map(Some) }, pause).await
     }
 
-    /// Time until the next report. One that was given up may still be read, and takes the place of a newer word then: that
-    /// is said again soon.
+    /// Time until the next report. One that timed out may still be read, and replaces a newer state then: that is
+    /// reported again soon.
     fn report_delay(&mut self) -> Duration {
-        let overtaken = self.unconfirmed_state.is_some_and(|word| self.accepting != Some(word));
+        let overtaken = self.unconfirmed_state.is_some_and(|state| self.accepting != Some(state));
         if self.failed_reports == 0 && !overtaken {
             return REPORT_INTERVAL;
         }
         if self.failed_reports == 0 {
             self.unconfirmed_state = None;
         }
-        Duration::from_micros(self.pacer.next_delay(TRIES, MAX_RETRY_INTERVAL))
+        Duration::from_micros(self.pacer.next_delay(FLEET_RETRY_RATE, MAX_RETRY_INTERVAL))
     }
 
-    fn handle_command(&mut self, word: RegistrationCommand) {
-        match word {
+    fn handle_command(&mut self, command: RegistrationCommand) {
+        match command {
             RegistrationCommand::SetAccepting(accepting) => self.accepting = Some(accepting),
-            RegistrationCommand::SetAddress(address) => (self.address, self.link) = (address, None),
+            RegistrationCommand::SetAddress(address) => (self.address, self.connection) = (address, None),
         }
     }
 
-    /// A report without an answer may have counted all the same; it is repeated soon, on a connection of its
-    /// own, as its reply would be taken for that of the next. Only several in a row are worth a line.
-    fn handle_report_result(&mut self, word: bool, good: bool) {
-        if !good {
-            self.link = None;
-            self.unconfirmed_state = Some(word);
+    /// A report without an answer may have counted all the same; it is repeated soon, on a connection of its own, as its
+    /// reply would be taken for that of the next. Only several in a row are logged.
+    fn handle_report_result(&mut self, reported: bool, confirmed: bool) {
+        if !confirmed {
+            self.connection = None;
+            self.unconfirmed_state = Some(reported);
         }
-        let before = self.failed_reports;
-        self.failed_reports = if good { 0 } else { before.saturating_add(1) };
-        if self.failed_reports == UNREACHABLE_AFTER || (good && before >= UNREACHABLE_AFTER) {
-            info!(self.log, "announce service"; "reached" => good);
+        let failed_before = self.failed_reports;
+        self.failed_reports = if confirmed { 0 } else { failed_before.saturating_add(1) };
+        if self.failed_reports == UNREACHABLE_AFTER {
+            info!(self.log, "announce service unreachable"; "failed_reports" => self.failed_reports);
+        } else if confirmed && failed_before >= UNREACHABLE_AFTER {
+            info!(self.log, "announce service reachable"; "failed_reports" => failed_before);
         }
     }
 
-    async fn send_report(&mut self, word: bool) -> bool {
-        let body = format!("{{\"accepting\":\"{word}\"}}");
+    /// Sends one report; whether the service has confirmed it.
+    async fn send_report(&mut self, accepting: bool) -> bool {
+        let body = format!("{{\"accepting\":\"{accepting}\"}}");
         let host = self.address.to_string();
         let request = http::encode_request("PUT", &self.path, &host, &[], body.as_bytes());
-        let kept = self.link.take().filter(stream::is_silent);
-        let link = match kept {
-            Some(link) => Ok(link),
+        let connection = match self.connection.take().filter(stream::is_silent) {
+            Some(connection) => Ok(connection),
             None => Async::<TcpStream>::connect(self.address).await,
         };
-        let Ok(link) = link else { return false };
-        let reply = dependency::exchange(&link, &request).await;
-        match reply {
+        let Ok(connection) = connection else { return false };
+        match dependency::exchange(&connection, &request).await {
             Ok(reply) => {
-                self.link = reply.keep_alive.then_some(link);
+                self.connection = reply.keep_alive.then_some(connection);
                 (200..300).contains(&reply.status)
             }
             Err(e) => {
-                debug!(self.log, "report failed"; "why" => %e);
+                debug!(self.log, "report to announce service failed"; "error" => %e);
                 false
             }
         }
--- a/crates/server/src/peers/registration/tests.rs
+++ b/crates/server/src/peers/registration/tests.rs
@@ -11,7 +11,7 @@
 /// Guards against servers that all try a list that is down every 100 ms in step, and all at once when it returns: with the
 /// same seed in all their settings each has draws of its own.
 #[test]
-fn servers_that_lost_the_list_at_one_moment_do_not_try_it_in_step() {
+fn reconnect_attempts_of_all_servers_are_spread_over_time() {
     for servers in [1, 6, 20, 30] {
         let mut tries: Vec<Duration> = Vec::new();
         for n in 0..servers {
@@ -23,11 +23,11 @@
                 tries.push(at);
             }
         }
-        let window = Duration::from_micros(TRIES.0);
+        let window = Duration::from_micros(FLEET_RETRY_RATE.0);
         let within =
             |from: &Duration| tries.iter().filter(|at| (*from..*from + window).contains(*at)).count();
         let most = tries.iter().map(within).max().unwrap_or(0) as f64;
-        assert!(most <= TRIES.1 + 2.0 * TRIES.1.sqrt() + 2.0, "{servers}: {most}");
+        assert!(most <= FLEET_RETRY_RATE.1 + 2.0 * FLEET_RETRY_RATE.1.sqrt() + 2.0, "{servers}: {most}");
     }
     // At any size an entry is renewed well before it would lapse.
     let mut large = list("n0", 300);
@@ -38,7 +38,7 @@
 /// Guards against a list on which a server that leaves takes work: the report of before was given up, and is read after the
 /// newer one.
 #[test]
-fn a_word_that_may_be_overtaken_is_said_again_soon() {
+fn state_that_an_unconfirmed_report_may_overwrite_is_reported_again_soon() {
     let mut list = list("n0", 1);
     list.handle_report_result(true, true);
     assert_eq!(list.report_delay(), REPORT_INTERVAL);
--- a/crates/server/src/wire/buffer.rs
+++ b/crates/server/src/wire/buffer.rs
@@ -86,7 +86,7 @@
     use super::*;
 
     #[test]
-    fn grows_as_needed_up_to_its_bound() {
+    fn buffer_grows_as_needed_up_to_its_limit() {
         let mut buffer = Buffer::new(5_000);
         assert_eq!(buffer.allocated_bytes(), 0);
         assert!(buffer.append(&[1; 1_500]));
@@ -99,7 +99,7 @@
     }
 
     #[test]
-    fn what_is_left_moves_to_the_front_before_anything_grows() {
+    fn unread_bytes_move_to_the_front_before_the_buffer_grows() {
         let mut buffer = Buffer::new(1 << 20);
         for round in 0..1_000u32 {
             assert!(buffer.append(&round.to_be_bytes()));
@@ -112,7 +112,7 @@
     }
 
     #[test]
-    fn an_emptied_buffer_gives_its_memory_back() {
+    fn emptied_buffer_releases_its_memory() {
         let mut buffer = Buffer::new(1 << 20);
         assert!(buffer.append(&[0; 100_000]));
         buffer.consume(10);
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn every_field_is_read() {
+fn every_parameter_is_parsed() {
     let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
     assert_eq!((work.id.as_str(), work.class.as_str()), ("9b1f03aa5c7e2d41", "desk-search"));
     assert_eq!((work.received_at, work.timeout, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
@@ -42,7 +42,7 @@
 /// Guards against a keyed class of which nothing is served, and tenants that nobody tells apart: callers name these
 /// fields as the platform does.
 #[test]
-fn what_other_customers_send_is_read() {
+fn optional_parameters_are_parsed() {
     let read = |more: &[(&str, &str)]| match parse_request(&params_and(more)) {
         Ok(CgiRequest::Work(work)) => work,
         other => panic!("{more:?}: {other:?}"),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_missing_or_senseless_field_is_named() {
+fn missing_or_invalid_parameter_is_named_in_the_error() {
     let bad = [
         ("HTTP_REQUEST_ID", "", InvalidParams::InvalidId),
         ("HTTP_RECEIVED_AT", "soon", InvalidParams::InvalidArrivalTime),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn times_far_off_make_no_sense() {
+fn times_far_from_now_are_not_timely() {
     let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
     assert!(work.is_timely(work.received_at) && work.is_timely(work.received_at + MAX_TIME_OFFSET));
     assert!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn damaged_parameters_are_refused_or_make_sense() {
+fn damaged_parameters_are_rejected_or_valid() {
     let (mut refused, mut read) = (0, 0);
     for bytes in test_bytes::damaged_copies(&params(|_| None)) {
         match parse_request(&bytes) {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn health_checks_may_ask_for_work() {
+fn health_check_is_deep_if_the_query_says_full() {
     let check = |query: &str| {
         let mut bytes = Vec::new();
         fastcgi::write_pair(&mut bytes, b"SCRIPT_NAME", HEALTH_CHECK_PATH.as_bytes());
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn answers_have_their_status_and_fields() {
+fn responses_have_their_status_and_headers() {
     let text = |answer: Response| String::from_utf8(encode_response(&answer, None)).expect("text");
     let refused = text(Response::Rejected { retry_after: 250_001, terminal: true });
     assert!(refused.starts_with("Status: 503 "), "{refused}");
--- a/crates/server/src/wire/fastcgi.rs
+++ b/crates/server/src/wire/fastcgi.rs
@@ -147,7 +147,7 @@
     use super::*;
 
     #[test]
-    fn a_record_is_read_only_when_whole() {
+    fn incomplete_record_is_not_parsed() {
         let mut bytes = Vec::new();
         write_record(&mut bytes, kind::STDIN, 300, b"abc");
         assert_eq!(bytes.len() % 8, 0);
@@ -160,13 +160,13 @@
     }
 
     #[test]
-    fn another_version_is_no_record() {
+    fn other_protocol_version_is_malformed() {
         assert!(parse_record(&[2]).is_err());
         assert!(parse_record(b"GET / HTTP/1.1\r\n").is_err());
     }
 
     #[test]
-    fn long_content_becomes_several_records() {
+    fn long_content_is_split_into_records() {
         let mut bytes = Vec::new();
         write_record(&mut bytes, kind::STDOUT, 1, &[7; 100_000]);
         let (mut at, mut total) = (0, 0);
@@ -189,7 +189,7 @@
     }
 
     #[test]
-    fn cut_or_lying_lengths_are_refused() {
+    fn truncated_or_wrong_lengths_are_malformed() {
         let mut bytes = Vec::new();
         write_pair(&mut bytes, b"NAME", b"value");
         for cut in 1..bytes.len() {
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -124,7 +124,7 @@
     use super::*;
 
     #[test]
-    fn a_frame_is_read_as_it_was_written_and_lengths_are_bounded() {
+    fn frame_header_round_trips_and_lengths_are_bounded() {
         let written = encode_frame(FrameKind::Request, b"abc");
         let start: [u8; HEADER_BYTES] = written[..HEADER_BYTES].try_into().expect("a head");
         assert_eq!(
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -157,14 +157,14 @@
     use super::*;
 
     #[test]
-    fn a_request_has_its_head_and_body() {
+    fn request_has_its_head_and_body() {
         let bytes = encode_request("POST", "/records/op", "127.0.0.1:8900", &[("Op-Of", "9b")], &[0, 255]);
         let wanted = b"POST /records/op HTTP/1.1\r\nHost: 127.0.0.1:8900\r\nOp-Of: 9b\r\nContent-Length: 2\r\n\r\n\x00\xff";
         assert_eq!(bytes, wanted);
     }
 
     #[test]
-    fn a_reply_is_read_only_when_whole() {
+    fn incomplete_reply_is_not_parsed() {
         let bytes = b"HTTP/1.1 503 No\r\nOp-Not-Begun: 1\r\nContent-Length: 3\r\n\r\nabcHTTP";
         for cut in 0..bytes.len() - 4 {
             assert_eq!(parse_reply(&bytes[..cut], false), Ok(None), "{cut}");
@@ -175,7 +175,7 @@
     }
 
     #[test]
-    fn bodies_come_in_every_framing() {
+    fn bodies_of_every_framing_are_parsed() {
         let chunked =
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
         for cut in 0..chunked.len() {
@@ -192,7 +192,7 @@
     }
 
     #[test]
-    fn damaged_replies_end_in_some_way_and_within_bounds() {
+    fn damaged_replies_stay_within_bounds() {
         let length = b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\nOp-Not-Begun: 1\r\n\r\nabcdefghijkl";
         let chunked =
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
@@ -213,13 +213,13 @@
     }
 
     #[test]
-    fn one_length_said_twice_is_one_length() {
+    fn repeated_equal_content_length_is_accepted() {
         let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc";
         assert_eq!(parse_reply(twice, false).expect("sound").expect("whole").body, b"abc");
     }
 
     #[test]
-    fn hostile_replies_are_refused() {
+    fn hostile_replies_are_malformed() {
         let bad: [&[u8]; 10] = [
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 3\r\n\r\nabcde",
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn every_command_is_one_line() {
+    fn every_command_is_encoded_as_one_line() {
         let id = "9b1f";
         let cases = [
             (Command::Subscribe { seq: 4 }, r#"{"op":"subscribe","seq":4}"#),
@@ -184,7 +184,7 @@
     }
 
     #[test]
-    fn every_notice_is_read() {
+    fn every_notice_is_parsed() {
         let is =
             |line: &str, wanted: Notice, seq| assert_eq!(parse_notice(line.as_bytes()), Ok((wanted, seq)));
         is(r#"{"op":"greeting","end":"running","ms":3}"#, Notice::Greeting(false, 3_000), None);
@@ -227,7 +227,7 @@
     }
 
     #[test]
-    fn what_can_t_be_true_is_told_from_what_can_t_be_read() {
+    fn invalid_notice_differs_from_malformed_line() {
         for line in [
             &br#"{"op":"outcome","seq":1,"id":"a","end":"odd"}"#[..],
             br#"{"op":"outcome","seq":1,"id":"a","end":"fine","body":"%%"}"#,
@@ -238,14 +238,14 @@
     }
 
     #[test]
-    fn damaged_lines_are_refused_or_still_a_notice() {
+    fn damaged_lines_are_malformed_or_still_a_notice() {
         let line = br#"{"op":"request","seq":4,"id":"9b1f03aa5c7e2d41","body":"AP8AP8AP8AP8"}"#;
         let refused = test_bytes::damaged_copies(line).filter(|bytes| parse_notice(bytes).is_err()).count();
         assert!((100..500).contains(&refused), "{refused}");
     }
 
     #[test]
-    fn bad_lines_are_refused_at_every_cut() {
+    fn truncated_lines_are_malformed() {
         let line = br#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#;
         for cut in 0..line.len() {
             assert!(parse_notice(&line[..cut]).is_err(), "{cut}");
--- a/crates/server/src/wire/responder/tests.rs
+++ b/crates/server/src/wire/responder/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn requests_are_read_whatever_the_records_are_cut_into() {
+fn requests_are_read_however_their_streams_are_split_into_records() {
     let mut split = begin(7, 1, 1);
     for byte in b"params" {
         fastcgi::write_record(&mut split, kind::PARAMS, 7, &[*byte]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_answer_is_one_stream_and_an_end_and_is_given_once() {
+fn response_is_one_stream_and_an_end_and_is_written_once() {
     let mut responder = Responder::default();
     feed(&mut responder, &request(300, b"p", b"b")).expect("sound");
     responder.respond(300, b"Status: 200\r\n\r\n");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn without_keep_conn_the_answer_is_the_last() {
+fn connection_closes_after_a_response_without_keep_conn() {
     let mut responder = Responder::default();
     let mut bytes = begin(1, 1, 0);
     fastcgi::write_record(&mut bytes, kind::STDIN, 1, &[]);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn more_requests_than_allowed_are_overloaded() {
+fn requests_beyond_the_limit_are_rejected_as_overloaded() {
     let mut responder = Responder::default();
     for slot in 1..=33 {
         feed(&mut responder, &begin(slot, 1, 1)).expect("sound");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn other_roles_and_unknown_types_are_told_so() {
+fn other_roles_and_unknown_record_types_are_answered() {
     let mut responder = Responder::default();
     let mut bytes = begin(5, 2, 1);
     fastcgi::write_record(&mut bytes, 77, 0, b"what");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn values_are_told() {
+fn get_values_is_answered() {
     let mut asked = Vec::new();
     for name in ["FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS", "FCGI_ELSE"] {
         fastcgi::write_pair(&mut asked, name.as_bytes(), b"");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn an_abort_ends_the_request_and_frees_its_number_once_others_have_let_go() {
+fn aborted_request_keeps_its_number_until_it_is_released() {
     let mut responder = Responder::default();
     let mut abort = Vec::new();
     fastcgi::write_record(&mut abort, kind::ABORT_REQUEST, 9, &[]);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_thrown_away_and_said_at_once() {
+fn request_that_is_too_long_is_reported_at_once_and_its_data_discarded() {
     let mut responder = Responder::default();
     let whole = request(1, b"p", &[0; MAX_BODY_BYTES + 1]);
     // Without the record that ends the body; that one and all others of this number are read past.
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_request_that_begins_twice_or_short_is_malformed() {
+fn request_that_begins_twice_or_with_too_few_bytes_is_malformed() {
     let mut responder = Responder::default();
     assert!(feed(&mut responder, &[begin(1, 1, 1), begin(1, 1, 1)].concat()).is_err());
     let mut short = Vec::new();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn no_bytes_whatever_do_harm() {
+fn damaged_input_stays_within_limits() {
     let sound = [request(1, b"params", b"body"), request(2, b"params", b"body")].concat();
     for bytes in test_bytes::damaged_copies(&sound) {
         let mut responder = Responder::default();
--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn who_never_comes_to_an_end_is_closed() {
+fn connection_without_a_complete_request_is_closed() {
     let world = World::up(patient);
     let whole = Request::new(1, "half").bytes();
     let starts = [
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_second_request_that_stays_half_sent_is_closed_too() {
+fn connection_with_a_partial_second_request_is_closed() {
     let mut world = World::up(patient);
     let mut balancer = world.running("a");
     let half = Request::new(2, "half").bytes();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_balancer_may_be_silent_between_its_requests() {
+fn connection_may_be_idle_between_requests() {
     let mut world = World::up(patient);
     let mut balancer = world.balancer();
     for id in ["a", "b"] {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_run_may_take_longer_than_a_request_may_take_to_come() {
+fn run_may_take_longer_than_the_request_timeout() {
     let mut world = World::up(patient);
     let mut balancer = world.running("a");
     std::thread::sleep(Duration::from_millis(2_300));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn endless_records_of_no_use_are_not_read_for_ever() {
+fn endless_useless_records_end_the_connection() {
     let world = World::up(patient);
     for flood in [record(9, 0, &[]), record(5, 7, &[0; 4096]), record(11, 0, &[0; 8])] {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_huge_body_is_refused_before_its_end() {
+fn oversized_body_is_rejected_before_its_end() {
     let mut world = World::up(patient);
     let before = world.memory_kb();
     let mut balancer = world.balancer();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn peers_that_connect_and_say_nothing_keep_no_balancer_out() {
+fn silent_connections_do_not_keep_load_balancers_out() {
     let mut world = World::up(|config| {
         patient(config);
         config["limits"]["sockets"] = 64.into();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn requests_that_the_agent_does_not_know_leave_no_trace_on_health() {
+fn requests_rejected_by_the_agent_do_not_affect_health() {
     let mut world = World::up(|_| ());
     let mut stranger = world.balancer();
     for n in 0..40 {
--- a/crates/server/tests/reload.rs
+++ b/crates/server/tests/reload.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn a_new_configuration_moves_every_peer_and_loses_nothing() {
+fn new_addresses_of_all_peers_lose_no_request() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("before");
     world.agent.wait_samples(3);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_call_under_way_may_end_where_it_began() {
+fn call_in_flight_ends_on_its_old_connection() {
     let mut world = World::up(|_| ());
     let _balancer = world.running("a");
     world.agent.needs_call("a", b"x");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_broken_or_changes_too_much_changes_nothing() {
+fn invalid_or_unsupported_reload_changes_nothing() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     let sound = world.config().clone();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn several_notices_in_a_row_and_one_without_a_link_end_at_the_last_address() {
+fn consecutive_reloads_end_at_the_last_address() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     // Nobody is there: the server tries in vain until it is told of the next.
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_leaving_server_still_moves() {
+fn draining_server_still_reloads() {
     let mut world = World::up(|_| ());
     let mut balancer = world.running("a");
     world.terminate();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_notice_before_the_agent_is_up_is_heeded_too() {
+fn reload_before_the_agent_is_connected_takes_effect() {
     let mut world = World::start(|_| ());
     world.agent.linked();
     let agent = Agent::start();
