--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use slog::{debug, info, Logger};
 use umberloom::interface::Micros;
-use umberloom_dependencies::probe_pacing::ProbePacer;
+use umberloom_dependencies::probe_pacing::{ProbePacer, ProbeRate};
 
 use super::{dependency, stream};
 use crate::messages::registration::RegistrationCommand;
@@ -21,9 +21,9 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 /// Time for one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// While the service is down all servers together make so many attempts in a window of so many microseconds: no more
+/// While the service is down all servers together make no more attempts than this: no more
 /// than these meet it when it returns, and no entry lapses until then. Each server's own attempts are drawn at random.
-const FLEET_RETRY_RATE: (Micros, f64) = (100_000, 10.0);
+const FLEET_RETRY_RATE: ProbeRate = ProbeRate { window: 100_000, max_probes: 10.0 };
 /// No server waits longer than this between two attempts.
 const MAX_RETRY_INTERVAL: Micros = 1_050_000;
 /// After so many reports in a row without an answer the service counts as unreachable.
--- a/crates/server/src/peers/registration/tests.rs
+++ b/crates/server/src/peers/registration/tests.rs
@@ -23,11 +23,14 @@
                 tries.push(at);
             }
         }
-        let window = Duration::from_micros(FLEET_RETRY_RATE.0);
+        let window = Duration::from_micros(FLEET_RETRY_RATE.window);
         let within =
             |from: &Duration| tries.iter().filter(|at| (*from..*from + window).contains(*at)).count();
         let most = tries.iter().map(within).max().unwrap_or(0) as f64;
-        assert!(most <= FLEET_RETRY_RATE.1 + 2.0 * FLEET_RETRY_RATE.1.sqrt() + 2.0, "{servers}: {most}");
+        assert!(
+            most <= FLEET_RETRY_RATE.max_probes + 2.0 * FLEET_RETRY_RATE.max_probes.sqrt() + 2.0,
+            "{servers}: {most}"
+        );
     }
     // At any size an entry is renewed well before it would lapse.
     let mut large = list("n0", 300);
