--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -199,7 +199,7 @@
             let read = jsonl::parse_notice(&link.buffer.unread()[..end]);
             link.buffer.consume(end + 1);
             let (notice, number) = read.map_err(LinkEnd::Malformed)?;
-            if matches!(notice, Notice::Greeting(..)) && !link.greeted {
+            if matches!(notice, Notice::Greeting { .. }) && !link.greeted {
                 link.greeted = true;
                 self.command_log.restart_link();
             }
@@ -222,32 +222,32 @@
 
     async fn handle_notice(&mut self, notice: Notice) -> Result<(), LinkEnd> {
         let message = match notice {
-            Notice::Greeting(starting, since) => {
-                info!(self.log, "agent connected"; "starting" => starting, "uptime_us" => since);
-                AdmissionMessage::AgentUp { uptime: since }
+            Notice::Greeting { starting, uptime } => {
+                info!(self.log, "agent connected"; "starting" => starting, "uptime_us" => uptime);
+                AdmissionMessage::AgentUp { uptime }
             }
-            Notice::RunEnded(id, end, took) => {
+            Notice::RunEnded { id, outcome, duration } => {
                 self.command_log.run_ended(&id);
-                AdmissionMessage::RunEnded { id, outcome: end, duration: took }
+                AdmissionMessage::RunEnded { id, outcome, duration }
             }
-            Notice::NeedsCall(id, seq, body) => {
+            Notice::NeedsCall { id, notice_seq, body } => {
                 self.command_log.run_waits_for_call(&id);
-                AdmissionMessage::NeedsCall { id, notice_seq: seq, body }
+                AdmissionMessage::NeedsCall { id, notice_seq, body }
             }
-            Notice::GaugesSampled(name, values) => match self.command_log.sample_answered(&name) {
+            Notice::GaugesSampled { tag, values } => match self.command_log.sample_answered(&tag) {
                 Some(tag) => AdmissionMessage::GaugesSampled { tag, values },
                 None => return Ok(()),
             },
-            Notice::HealthCheckEnded(name, fine) => match self.command_log.health_check_answered(&name) {
-                Some(tag) => AdmissionMessage::HealthCheckEnded { tag, healthy: fine },
+            Notice::HealthCheckEnded { tag, healthy } => match self.command_log.health_check_answered(&tag) {
+                Some(tag) => AdmissionMessage::HealthCheckEnded { tag, healthy },
                 None => return Ok(()),
             },
-            Notice::CommandRejected(command, id) => {
+            Notice::CommandRejected { command, id } => {
                 debug!(self.log, "agent rejected command"; "command" => &command, "request" => &id);
                 AdmissionMessage::AgentRejected { command, id }
             }
             // Were the link closed over it, the next one would bring it again.
-            Notice::Invalid(id) => {
+            Notice::Invalid { id } => {
                 warn!(self.log, "invalid notice from agent"; "request" => &id);
                 self.command_log.run_ended(&id);
                 AdmissionMessage::InvalidAgentNotice { id }
--- a/crates/server/src/wire/buffer.rs
+++ b/crates/server/src/wire/buffer.rs
@@ -1,9 +1,9 @@
-//! The one buffer of a connection: it grows as it needs and is compacted in place.
+//! A connection's read buffer: it grows as needed and is compacted in place.
 
-/// Smallest size to which a buffer grows, and back to which an empty one shrinks.
+/// The least size of a buffer in use, to which one that was emptied shrinks.
 const MIN_CAPACITY: usize = 2 * 1024;
 
-/// Bytes that were read and not yet used up.
+/// Bytes that were read and not yet consumed.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -18,7 +18,7 @@
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
-    /// What is there.
+    /// The bytes that are there.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Room to read into: what is there moves to the front first, and only a buffer that is full to its
-    /// last byte grows. Empty when it may not grow any more.
+    /// Room to read into, empty if the buffer may not grow any more. Unread bytes move to the front first, and only a
+    /// buffer that is full to its last byte grows.
     pub fn spare_capacity(&mut self) -> &mut [u8] {
         if self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -59,7 +59,7 @@
         self.end - self.start >= self.max_bytes
     }
 
-    /// Memory that it takes.
+    /// Memory that it takes, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.len()
     }
@@ -82,41 +82,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn buffer_grows_as_needed_up_to_its_limit() {
-        let mut buffer = Buffer::new(5_000);
-        assert_eq!(buffer.allocated_bytes(), 0);
-        assert!(buffer.append(&[1; 1_500]));
-        assert_eq!(buffer.allocated_bytes(), MIN_CAPACITY);
-        assert!(buffer.append(&[2; 3_500]));
-        assert_eq!(buffer.allocated_bytes(), 5_000);
-        assert!(buffer.is_full() && buffer.spare_capacity().is_empty());
-        assert!(!buffer.append(&[3]));
-        assert_eq!(buffer.unread().iter().map(|&b| usize::from(b)).sum::<usize>(), 1_500 + 7_000);
-    }
-
-    #[test]
-    fn unread_bytes_move_to_the_front_before_the_buffer_grows() {
-        let mut buffer = Buffer::new(1 << 20);
-        for round in 0..1_000u32 {
-            assert!(buffer.append(&round.to_be_bytes()));
-            if round > 0 {
-                assert_eq!(buffer.unread()[..4], (round - 1).to_be_bytes());
-                buffer.consume(4);
-            }
-        }
-        assert_eq!((buffer.allocated_bytes(), buffer.unread().len()), (MIN_CAPACITY, 4));
-    }
-
-    #[test]
-    fn emptied_buffer_releases_its_memory() {
-        let mut buffer = Buffer::new(1 << 20);
-        assert!(buffer.append(&[0; 100_000]));
-        buffer.consume(10);
-        buffer.consume(usize::MAX);
-        assert_eq!((buffer.unread().len(), buffer.allocated_bytes()), (0, MIN_CAPACITY));
-    }
-}
+mod tests;
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -1,4 +1,4 @@
-//! CGI: the parameters of a request, and the answer to it.
+//! CGI: the parameters of a request, and the response to it.
 
 use super::{fastcgi, MalformedInput};
 use umberloom::interface::Micros;
@@ -10,12 +10,12 @@
 /// Path of health checks.
 const HEALTH_CHECK_PATH: &str = "/status/live";
 
-/// What a balancer asks for.
+/// What a load balancer asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CgiRequest {
     /// Work.
     Work(WorkRequest),
-    /// Whether this server is well; `true`: whether work gets done.
+    /// Whether this server is healthy; `true`: a deep check, which wants work to be done.
     HealthCheck(bool),
 }
 
@@ -65,10 +65,13 @@
 
 /// The longest idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// A hint of more work than this makes no sense: an hour.
+/// An estimate of more work than this is ignored: an hour.
 const MAX_WORK_ESTIMATE_MS: f64 = 3_600_000.0;
 
-/// Reads the parameters of a request; on failure, what was wrong.
+/// Parses the parameters of a request.
+///
+/// # Errors
+/// If they name no valid request.
 pub fn parse_request(params: &[u8]) -> Result<CgiRequest, InvalidParams> {
     let pairs = fastcgi::parse_pairs(params)?;
     let get = |name: &str| {
@@ -88,25 +91,25 @@
     let number = |name| get(name).and_then(|v| v.trim().parse::<f64>().ok()).filter(|n| n.is_finite());
     let id =
         get("HTTP_REQUEST_ID").filter(|id| (1..=64).contains(&id.len())).ok_or(InvalidParams::InvalidId)?;
-    let mark = match get("HTTP_ATTEMPT_AGAIN").map(str::trim) {
+    let marked_as_retry = match get("HTTP_ATTEMPT_AGAIN").map(str::trim) {
         None | Some("0") => false,
         Some("1") => true,
         Some(_) => return Err(InvalidParams::InvalidRetryMark),
     };
-    // Callers of our own older pages number their tries.
-    let number_of_try = match get("HTTP_ATTEMPT") {
+    // Older callers number their attempts.
+    let attempt = match get("HTTP_ATTEMPT") {
         Some(n) => n.trim().parse::<u32>().ok().filter(|n| *n > 0).ok_or(InvalidParams::InvalidAttempt)?,
         None => 1,
     };
-    // The key has two names, of which the second is that of our own older pages. Two keys would name two requests.
+    // The key has two names, of which the second is that of older callers. Two keys would name two requests.
     let keys = [get("HTTP_ONCE_KEY"), get("HTTP_IDEMPOTENCY_KEY")];
     if matches!(keys, [Some(one), Some(other)] if one != other) {
         return Err(InvalidParams::ConflictingKeys);
     }
     let idempotency_key =
         keys.into_iter().flatten().next().filter(|k| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&k.len()));
-    // A hint that makes no sense is none: the decisions do without where it is absent.
-    let hint = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MAX_WORK_ESTIMATE_MS);
+    // An estimate out of range is ignored: admission does without where there is none.
+    let estimate = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MAX_WORK_ESTIMATE_MS);
     Ok(CgiRequest::Work(WorkRequest {
         id: id.to_owned(),
         class: class.to_owned(),
@@ -115,9 +118,9 @@
             Some(_) => Some(millis("HTTP_BUDGET_MS").ok_or(InvalidParams::InvalidTimeout)?),
             None => None,
         },
-        is_retry: mark || number_of_try > 1,
+        is_retry: marked_as_retry || attempt > 1,
         tenant: get("HTTP_ACCOUNT").filter(|name| !name.is_empty()).map(String::from),
-        cost: hint.map(|ms| (ms * 1_000.0) as Micros).filter(|cost| *cost > 0),
+        cost: estimate.map(|ms| (ms * 1_000.0) as Micros).filter(|cost| *cost > 0),
         sender: get("HTTP_SENT_BY")
             .and_then(|v| v.trim().parse().ok())
             .ok_or(InvalidParams::InvalidSender)?,
@@ -132,7 +135,7 @@
     }))
 }
 
-/// The answer as CGI: headers, among them the free value where there is one, an empty line, the body.
+/// The response as CGI: headers, among them the load hint where there is one, an empty line, and the body.
 pub fn encode_response(answer: &Response, hint: Option<f64>) -> Vec<u8> {
     let (status, more, body): (&str, String, &[u8]) = match answer {
         Response::Served(result) => ("200 OK", String::new(), result),
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -1,4 +1,4 @@
-//! The agent's lines: one JSON object each, bodies in base64.
+//! The agent's protocol: lines of one JSON object each, bodies in base64.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -80,24 +80,61 @@
     STANDARD.encode(bytes)
 }
 
-/// What the agent says.
+/// What the agent reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The agent is up, since so long; `true`: it was starting then, `false`: it ran already.
-    Greeting(bool, Micros),
-    /// A run is over after this time.
-    RunEnded(String, RunOutcome, Micros),
-    /// A run waits for a call with this body; the number is that of the notice.
-    NeedsCall(String, u64, Vec<u8>),
-    /// Gauges.
-    GaugesSampled(String, Vec<f64>),
-    /// End of the work of a deep health check.
-    HealthCheckEnded(String, bool),
+    /// The first notice on a link.
+    Greeting {
+        /// Whether the agent was just starting, or ran already.
+        starting: bool,
+        /// For how long it has been up.
+        uptime: Micros,
+    },
+    /// A run is over.
+    RunEnded {
+        /// Its request.
+        id: String,
+        /// How it ended.
+        outcome: RunOutcome,
+        /// How long it took.
+        duration: Micros,
+    },
+    /// A run waits for a downstream call.
+    NeedsCall {
+        /// Its request.
+        id: String,
+        /// Number of this notice.
+        notice_seq: u64,
+        /// Body of the call.
+        body: Vec<u8>,
+    },
+    /// The answer to [`Command::Sample`].
+    GaugesSampled {
+        /// The command's tag.
+        tag: String,
+        /// The gauges; NaN where the agent has no value.
+        values: Vec<f64>,
+    },
+    /// The answer to [`Command::Exercise`].
+    HealthCheckEnded {
+        /// The command's tag.
+        tag: String,
+        /// Whether the work was done.
+        healthy: bool,
+    },
     /// A command about a request was not carried out.
-    CommandRejected(String, String),
-    /// A sound line about this request that says nothing that could be true.
-    Invalid(String),
-    /// Nothing of meaning.
+    CommandRejected {
+        /// The command's name.
+        command: String,
+        /// The request.
+        id: String,
+    },
+    /// A well-formed line with content that can't be true.
+    Invalid {
+        /// The request that it is about.
+        id: String,
+    },
+    /// A kind of notice that means nothing here.
     Ignored,
 }
 
@@ -123,14 +160,14 @@
 /// Reads one line: the notice, and its number if it has one.
 pub fn parse_notice(line: &[u8]) -> Result<(Notice, Option<u64>), MalformedInput> {
     let line: Line = serde_json::from_slice(line).map_err(|_| MalformedInput::InvalidNotice)?;
-    let took = (line.ms.max(0.0) * 1e3) as Micros;
-    let numbered = matches!(line.op.as_str(), "outcome" | "request" | "aside") && line.seq > 0;
-    let seq = numbered.then_some(line.seq);
+    let duration = (line.ms.max(0.0) * 1e3) as Micros;
+    let is_numbered = matches!(line.op.as_str(), "outcome" | "request" | "aside") && line.seq > 0;
+    let seq = is_numbered.then_some(line.seq);
     let body = STANDARD.decode(&line.body).ok();
     let notice = match (line.op.as_str(), body) {
-        ("greeting", _) => Notice::Greeting(line.end == "starting", took),
+        ("greeting", _) => Notice::Greeting { starting: line.end == "starting", uptime: duration },
         ("outcome", body) => {
-            let end = match (line.end.as_str(), body) {
+            let outcome = match (line.end.as_str(), body) {
                 ("fine", Some(result)) => Some(RunOutcome::Success(result)),
                 ("fault", _) => Some(RunOutcome::Failed),
                 ("broken_off", _) => Some(RunOutcome::Aborted),
@@ -138,122 +175,23 @@
                 _ => None,
             };
             let id = line.id;
-            end.map_or(Notice::Invalid(id.clone()), |end| Notice::RunEnded(id, end, took))
+            match outcome {
+                Some(outcome) => Notice::RunEnded { id, outcome, duration },
+                None => Notice::Invalid { id },
+            }
         }
-        ("request", Some(body)) => Notice::NeedsCall(line.id, line.seq, body),
-        ("request", None) => Notice::Invalid(line.id),
+        ("request", Some(body)) => Notice::NeedsCall { id: line.id, notice_seq: line.seq, body },
+        ("request", None) => Notice::Invalid { id: line.id },
         ("sampled", _) => {
-            Notice::GaugesSampled(line.tag, line.values.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect())
+            let values = line.values.into_iter().map(|value| value.unwrap_or(f64::NAN)).collect();
+            Notice::GaugesSampled { tag: line.tag, values }
         }
-        ("exercised", _) => Notice::HealthCheckEnded(line.tag, line.end == "fine"),
-        ("refusal", _) => Notice::CommandRejected(line.end, line.id),
+        ("exercised", _) => Notice::HealthCheckEnded { tag: line.tag, healthy: line.end == "fine" },
+        ("refusal", _) => Notice::CommandRejected { command: line.end, id: line.id },
         _ => Notice::Ignored,
     };
     Ok((notice, seq))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::super::test_bytes;
-    use super::*;
-
-    fn text(command: Command) -> String {
-        String::from_utf8(command.encode()).expect("text")
-    }
-
-    #[test]
-    fn every_command_is_encoded_as_one_line() {
-        let id = "9b1f";
-        let cases = [
-            (Command::Subscribe { seq: 4 }, r#"{"op":"subscribe","seq":4}"#),
-            (
-                Command::Launch { id, class: "a", body: encode_base64(&[0, 255]) },
-                r#"{"op":"launch","id":"9b1f","class":"a","body":"AP8="}"#,
-            ),
-            (Command::Freeze { id }, r#"{"op":"freeze","id":"9b1f"}"#),
-            (Command::Thaw { id }, r#"{"op":"thaw","id":"9b1f"}"#),
-            (Command::Deliver { id, body: encode_base64(b"") }, r#"{"op":"deliver","id":"9b1f","body":""}"#),
-            (Command::Forgo { id, seq: 8 }, r#"{"op":"forgo","id":"9b1f","seq":8}"#),
-            (Command::Sample { tag: "7" }, r#"{"op":"sample","tag":"7"}"#),
-            (Command::Exercise { tag: "7" }, r#"{"op":"exercise","tag":"7"}"#),
-        ];
-        for (command, line) in cases {
-            assert_eq!(text(command), format!("{line}\n"));
-        }
-        assert_eq!(text(Command::Thaw { id: "a\n\"b" }).lines().count(), 1);
-    }
-
-    #[test]
-    fn every_notice_is_parsed() {
-        let is =
-            |line: &str, wanted: Notice, seq| assert_eq!(parse_notice(line.as_bytes()), Ok((wanted, seq)));
-        is(r#"{"op":"greeting","end":"running","ms":3}"#, Notice::Greeting(false, 3_000), None);
-        is(r#"{"op":"greeting","end":"starting"}"#, Notice::Greeting(true, 0), None);
-        is(
-            r#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#,
-            Notice::RunEnded("a".into(), RunOutcome::Success(vec![0, 255]), 18_500),
-            Some(3),
-        );
-        for (word, end) in [
-            ("fault", RunOutcome::Failed),
-            ("broken_off", RunOutcome::Aborted),
-            ("late", RunOutcome::NotStarted),
-        ] {
-            let line = format!(r#"{{"op":"outcome","seq":3,"id":"a","end":"{word}","ms":1}}"#);
-            is(&line, Notice::RunEnded("a".into(), end, 1_000), Some(3));
-        }
-        is(
-            r#"{"op":"request","seq":4,"id":"a","body":"eA=="}"#,
-            Notice::NeedsCall("a".into(), 4, b"x".to_vec()),
-            Some(4),
-        );
-        is(
-            r#"{"op":"sampled","tag":"7","values":[0.5,3,0.25,9]}"#,
-            Notice::GaugesSampled("7".into(), vec![0.5, 3.0, 0.25, 9.0]),
-            None,
-        );
-        is(
-            r#"{"op":"exercised","tag":"7","end":"fault"}"#,
-            Notice::HealthCheckEnded("7".into(), false),
-            None,
-        );
-        is(
-            r#"{"op":"refusal","end":"launch","id":"a"}"#,
-            Notice::CommandRejected("launch".into(), "a".into()),
-            None,
-        );
-        is(r#"{"op":"aside","seq":5,"end":"tea"}"#, Notice::Ignored, Some(5));
-        is(r#"{"op":"something-new"}"#, Notice::Ignored, None);
-    }
-
-    #[test]
-    fn invalid_notice_differs_from_malformed_line() {
-        for line in [
-            &br#"{"op":"outcome","seq":1,"id":"a","end":"odd"}"#[..],
-            br#"{"op":"outcome","seq":1,"id":"a","end":"fine","body":"%%"}"#,
-            br#"{"op":"request","seq":1,"id":"a","body":"%%"}"#,
-        ] {
-            assert_eq!(parse_notice(line), Ok((Notice::Invalid("a".into()), Some(1))));
-        }
-    }
-
-    #[test]
-    fn damaged_lines_are_malformed_or_still_a_notice() {
-        let line = br#"{"op":"request","seq":4,"id":"9b1f03aa5c7e2d41","body":"AP8AP8AP8AP8"}"#;
-        let refused = test_bytes::damaged_copies(line).filter(|bytes| parse_notice(bytes).is_err()).count();
-        assert!((100..500).contains(&refused), "{refused}");
-    }
-
-    #[test]
-    fn truncated_lines_are_malformed() {
-        let line = br#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#;
-        for cut in 0..line.len() {
-            assert!(parse_notice(&line[..cut]).is_err(), "{cut}");
-        }
-        for bad in
-            [&b"[]"[..], b"\xff\xfe", br#"{"op":"outcome","seq":-1,"id":"a","end":"fine"}"#, br#"{"op":7}"#]
-        {
-            assert!(parse_notice(bad).is_err(), "{}", String::from_utf8_lossy(bad));
-        }
-    }
-}
+mod tests;
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -1,4 +1,4 @@
-//! The Responder's side of a FastCGI connection: records in, whole requests out.
+//! The Responder role of a FastCGI connection: records in, complete requests out.
 
 use std::collections::BTreeMap;
 
@@ -76,8 +76,8 @@
         Responder { max_connections, ..Responder::default() }
     }
 
-    /// Takes the first record off `bytes`: how many bytes it took (0: it is not yet whole) and what came
-    /// of it.
+    /// Handles the first record of `bytes`: how many bytes it took (0 if it is not complete yet), and what it
+    /// completed.
     pub fn handle_record(&mut self, bytes: &[u8]) -> Result<(usize, Option<Incoming>), MalformedInput> {
         let Some(record) = fastcgi::parse_record(bytes)? else { return Ok((0, None)) };
         let content = &bytes[record.content.clone()];
@@ -111,7 +111,7 @@
         self.slots.values().map(|s| s.params.len() + s.body.len()).sum()
     }
 
-    /// Requests that have come whole and are not answered.
+    /// Requests that are complete and not answered.
     pub fn complete_requests(&self) -> usize {
         self.slots.values().filter(|slot| slot.complete).count()
     }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Turns a request away by protocol status.
+    /// Rejects a request by protocol status.
     pub fn reject(&mut self, slot: u16, status: ProtocolStatus) {
         self.remove_request(slot);
         fastcgi::write_end_request(&mut self.output, slot, 0, status);
@@ -170,14 +170,14 @@
         Ok(())
     }
 
-    /// Ends a request that the balancer has given up, without a word of an answer.
+    /// Ends a request that the load balancer has aborted, without a response.
     pub fn end_aborted(&mut self, slot: u16) {
         if self.remove_request(slot) {
             fastcgi::write_end_request(&mut self.output, slot, 1, ProtocolStatus::Complete);
         }
     }
 
-    /// One that has not come whole ends here; of the others somebody else knows, and has to let go first.
+    /// A request that is not complete ends here; the others are known elsewhere, and have to be released there first.
     fn handle_abort(&mut self, slot: u16) -> Option<Incoming> {
         if self.slots.get(&slot)?.complete {
             return Some(Incoming::Abort(slot));
--- a/crates/server/src/wire/responder/tests.rs
+++ b/crates/server/src/wire/responder/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_bytes;
 use super::*;
+use crate::wire::test_bytes;
 
 fn begin(slot: u16, role: u8, flags: u8) -> Vec<u8> {
     let mut out = Vec::new();
