--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -12,21 +12,21 @@
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{self, Reply};
 
-/// A connection that was idle for longer is asked first whether anybody is there.
+/// A connection that was idle for longer is pinged before it is used.
 pub const PING_AFTER_IDLE: Duration = Duration::from_secs(1);
-/// How long that may take. What does not answer by then is closed, and nothing ran on it.
+/// How long the answer may take. A connection without one by then is closed, and nothing ran on it.
 pub const PING_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How a dependency is spoken to over AJP.
+/// How a dependency is called over AJP.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AjpConfig {
-    /// The secret that it asks for.
+    /// The secret that it requires.
     pub secret: Option<String>,
-    /// The size of a packet that both ends agreed on.
+    /// Size of a packet in bytes, configured alike at both ends.
     pub packet_bytes: usize,
 }
 
-/// Whether anybody is there.
+/// Whether the other end answers a ping.
 pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
     let mut caller = Caller::new(ajp.packet_bytes);
     let asked = async {
@@ -64,7 +64,7 @@
             }
             Event::Body(_) => return Err(ErrorKind::InvalidData.into()),
             Event::End(reuse) => {
-                // What stands behind the end belongs to no call: such a connection is not kept.
+                // Bytes after the end belong to no call: such a connection is not reused.
                 reply.keep_alive = reuse && buffer.unread().is_empty();
                 return Ok(reply);
             }
@@ -73,7 +73,7 @@
     }
 }
 
-/// The next thing that is said, while what is to be written is written.
+/// Writes what is queued and reads until the next event.
 async fn next_event(
     stream: &Async<TcpStream>,
     caller: &mut Caller,
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -1,4 +1,4 @@
-//! Connections on loopback against a front whose module answers only what a test says.
+//! Connections on loopback against a listener; the test itself takes the place of admission.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -22,10 +22,10 @@
 
 struct Bench {
     address: std::net::SocketAddr,
-    mail: Receiver<AdmissionMessage>,
-    log: Rc<RefCell<Vec<AdmissionMessage>>>,
-    orders: Sender<ListenerCommand>,
-    shared: ConnectionContext,
+    messages: Receiver<AdmissionMessage>,
+    unanswered: Rc<RefCell<Vec<AdmissionMessage>>>,
+    commands: Sender<ListenerCommand>,
+    context: ConnectionContext,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -35,64 +35,64 @@
     }
 
     /// Answers the next health check.
-    async fn answer_check(&self) {
-        match within(self.mail.recv()).await {
+    async fn answer_health_check(&self) {
+        match within(self.messages.recv()).await {
             Ok(AdmissionMessage::HealthCheck(check)) => check.reply_to.respond(Response::Health(true)),
             other => panic!("{other:?}"),
         }
     }
 
     /// Asks for a health check and leaves it unanswered.
-    async fn busy(&self) -> Client {
+    async fn busy_client(&self) -> Client {
         let mut client = self.connect().await;
-        ask(&mut client).await;
-        let message = within(self.mail.recv()).await.expect("a message");
-        self.log.borrow_mut().push(message);
+        send_health_check(&mut client).await;
+        let message = within(self.messages.recv()).await.expect("a message");
+        self.unanswered.borrow_mut().push(message);
         client
     }
 
-    /// A connection without a front, whose actor has looked at it once and waits, with the other end of it.
-    async fn alone(&self) -> (Client, Rc<ConnectionActivity>, Sender<ConnectionCommand>) {
+    /// A connection without a listener, whose actor has looked at it once and waits, with the other end of it.
+    async fn single_connection(&self) -> (Client, Rc<ConnectionActivity>, Sender<ConnectionCommand>) {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
         let client = Async::<TcpStream>::connect(address).await.expect("connected");
         let (stream, _) = listener.accept().await.expect("accepted");
         let activity = Rc::new(ConnectionActivity::default());
-        let (connection, words) =
-            Connection::new(stream, self.shared.clone(), activity.clone()).expect("memory for it");
+        let (connection, mailbox) =
+            Connection::new(stream, self.context.clone(), activity.clone()).expect("memory for it");
         self.executor.spawn(connection.run()).detach();
         for _ in 0..8 {
             future::yield_now().await;
         }
-        (client, activity, words)
+        (client, activity, mailbox)
     }
 
     /// A connection that has asked, was answered and stays.
-    async fn idle(&self) -> Client {
+    async fn idle_client(&self) -> Client {
         let mut client = self.connect().await;
-        ask(&mut client).await;
-        self.answer_check().await;
-        assert_eq!(status(&mut client).await, Some(0));
+        send_health_check(&mut client).await;
+        self.answer_health_check().await;
+        assert_eq!(next_status(&mut client).await, Some(0));
         client
     }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
-    stream::with_timeout(PATIENCE, work).await.expect("waited in vain")
+    stream::with_timeout(PATIENCE, work).await.expect("nothing within the time limit")
 }
 
-fn with_front<F: Future<Output = ()>>(
+fn with_listener<F: Future<Output = ()>>(
     places: ConnectionTable,
     idle: Micros,
     script: impl FnOnce(Bench) -> F,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
-    let address = listener.get_ref().local_addr().expect("an address");
-    let (module, mail) = async_channel::bounded(64);
-    let (orders, taken) = async_channel::bounded(MAILBOX_CAPACITY);
-    let shared = ConnectionContext {
-        admission: module,
+    let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
+    let address = socket.get_ref().local_addr().expect("an address");
+    let (admission, messages) = async_channel::bounded(64);
+    let (commands, received) = async_channel::bounded(MAILBOX_CAPACITY);
+    let context = ConnectionContext {
+        admission,
         classes: Rc::new(vec![]),
         tenants: Rc::new(vec![]),
         load_hint: Rc::default(),
@@ -103,14 +103,15 @@
         clock: Default::default(),
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let front = Listener::new(executor.clone(), (listener, places), shared.clone(), taken, idle);
-    executor.spawn(front.run()).detach();
-    let bench = Bench { address, mail, log: Rc::default(), orders, shared, executor: executor.clone() };
+    let listener = Listener::new(executor.clone(), (socket, places), context.clone(), received, idle);
+    executor.spawn(listener.run()).detach();
+    let bench =
+        Bench { address, messages, unanswered: Rc::default(), commands, context, executor: executor.clone() };
     async_io::block_on(executor.run(script(bench)));
 }
 
 /// What a health check is in bytes.
-fn check() -> Vec<u8> {
+fn health_check_bytes() -> Vec<u8> {
     let mut params = Vec::new();
     for (name, value) in [("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")] {
         params.extend_from_slice(&[name.len() as u8, value.len() as u8]);
@@ -125,12 +126,12 @@
     bytes
 }
 
-async fn ask(client: &mut Client) {
-    client.write_all(&check()).await.expect("written");
+async fn send_health_check(client: &mut Client) {
+    client.write_all(&health_check_bytes()).await.expect("written");
 }
 
 /// The protocol status of the next answer, or `None` where the connection ends before one.
-async fn status(client: &mut Client) -> Option<u8> {
+async fn next_status(client: &mut Client) -> Option<u8> {
     let mut bytes = Vec::new();
     loop {
         while let Ok(Some(record)) = fastcgi::parse_record(&bytes) {
@@ -150,10 +151,10 @@
 #[test]
 fn idle_connection_is_closed_during_steady_traffic() {
     let places = ConnectionTable::new(68, &[1]);
-    with_front(places, 150_000, |bench| async move {
-        let mut idle = bench.idle().await;
+    with_listener(places, 150_000, |bench| async move {
+        let mut idle = bench.idle_client().await;
         let closed = async {
-            assert_eq!(status(&mut idle).await, None);
+            assert_eq!(next_status(&mut idle).await, None);
             true
         };
         // Each comes well within the time between two looks.
@@ -170,87 +171,87 @@
 
 #[test]
 fn full_table_rejects_new_requests_at_once_and_serves_the_open_ones() {
-    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut served = [bench.busy().await, bench.busy().await];
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
+        let mut served = [bench.busy_client().await, bench.busy_client().await];
         let mut more = bench.connect().await;
-        ask(&mut more).await;
+        send_health_check(&mut more).await;
         // Overloaded, and then the end: its caller goes elsewhere.
-        assert_eq!(status(&mut more).await, Some(2));
-        assert_eq!(status(&mut more).await, None);
+        assert_eq!(next_status(&mut more).await, Some(2));
+        assert_eq!(next_status(&mut more).await, None);
         // With somebody silent at the door as well there is only a close.
         let _silent = bench.connect().await;
         let mut closed = bench.connect().await;
-        assert_eq!(status(&mut closed).await, None);
-        for message in bench.log.borrow_mut().drain(..) {
+        assert_eq!(next_status(&mut closed).await, None);
+        for message in bench.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
         for client in &mut served {
-            assert_eq!(status(client).await, Some(0));
+            assert_eq!(next_status(client).await, Some(0));
         }
     });
 }
 
 #[test]
 fn connection_without_requests_is_evicted_for_a_new_one() {
-    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = bench.busy().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
+        let _busy = bench.busy_client().await;
         let mut silent = bench.connect().await;
         let mut next = bench.connect().await;
-        ask(&mut next).await;
-        bench.answer_check().await;
-        assert_eq!(status(&mut next).await, Some(0));
-        assert_eq!(status(&mut silent).await, None);
+        send_health_check(&mut next).await;
+        bench.answer_health_check().await;
+        assert_eq!(next_status(&mut next).await, Some(0));
+        assert_eq!(next_status(&mut silent).await, None);
     });
 }
 
 #[test]
 fn accept_waits_for_a_connection_that_was_asked_to_close() {
-    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut first = bench.idle().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
+        let mut first = bench.idle_client().await;
         Timer::after(Duration::from_micros(
             2 * umberloom_connection_admission::connection_table::SETTLE_TIME,
         ))
         .await;
-        let _second = bench.idle().await;
+        let _second = bench.idle_client().await;
         // The table is full; the first is told to go, and this one comes into its place.
         let mut third = bench.connect().await;
-        ask(&mut third).await;
-        bench.answer_check().await;
-        assert_eq!(status(&mut third).await, Some(0));
-        assert_eq!(status(&mut first).await, None);
+        send_health_check(&mut third).await;
+        bench.answer_health_check().await;
+        assert_eq!(next_status(&mut third).await, Some(0));
+        assert_eq!(next_status(&mut first).await, None);
     });
 }
 
 #[test]
 fn mailbox_has_room_for_a_response_to_every_open_request() {
-    let (words, mail) = async_channel::bounded(connection::MAILBOX_CAPACITY);
+    let (mailbox, commands) = async_channel::bounded(connection::MAILBOX_CAPACITY);
     let activity = Rc::new(ConnectionActivity::default());
     let entry = ConnectionEntry {
-        mailbox: words.clone(),
+        mailbox: mailbox.clone(),
         activity,
         rejecting: false,
         close_requested_at: Cell::new(None),
     };
-    // Its actor waits for the module, and takes nothing for a long while.
+    // Its actor waits for admission, and takes nothing for a long while.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
     entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
     for slot in 0..MAX_OPEN_REQUESTS {
-        ReplyTo::new(words.clone(), slot as u16, 7).respond(Response::Failed);
+        ReplyTo::new(mailbox.clone(), slot as u16, 7).respond(Response::Failed);
     }
-    let answers = std::iter::from_fn(|| mail.try_recv().ok())
-        .filter(|w| matches!(w, ConnectionCommand::Respond { .. }));
+    let answers = std::iter::from_fn(|| commands.try_recv().ok())
+        .filter(|command| matches!(command, ConnectionCommand::Respond { .. }));
     assert_eq!(answers.count(), MAX_OPEN_REQUESTS);
 }
 
 /// Written at once: nothing of the server runs between this and what the test does next.
-fn put(client: &Client, bytes: &[u8]) {
+fn write_now(client: &Client, bytes: &[u8]) {
     use std::io::Write;
     assert_eq!(client.get_ref().write(bytes).expect("written"), bytes.len());
 }
 
 /// What comes until the connection ends, and whether it ends in order, without a reset.
-async fn rest(client: &mut Client) -> (Vec<u8>, bool) {
+async fn read_to_end(client: &mut Client) -> (Vec<u8>, bool) {
     let mut bytes = Vec::new();
     let ended = within(client.read_to_end(&mut bytes)).await;
     (bytes, ended.is_ok())
@@ -260,60 +261,60 @@
 /// word that its place is needed comes between its last byte and the reading.
 #[test]
 fn unread_complete_request_is_answered_before_eviction() {
-    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, _, words) = bench.alone().await;
-        put(&client, &check());
-        words.try_send(ConnectionCommand::CloseIfIdle).expect("room");
-        bench.answer_check().await;
-        assert_eq!(status(&mut client).await, Some(0));
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+        let (mut client, _, mailbox) = bench.single_connection().await;
+        write_now(&client, &health_check_bytes());
+        mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
+        bench.answer_health_check().await;
+        assert_eq!(next_status(&mut client).await, Some(0));
     });
 }
 
 /// And one that never comes whole gets an orderly end, not a reset over its unread bytes.
 #[test]
 fn evicted_connection_with_partial_request_closes_without_reset() {
-    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let bytes = check();
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+        let bytes = health_check_bytes();
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
-            let (mut client, _, words) = bench.alone().await;
-            put(&client, &bytes[..cut]);
-            words.try_send(ConnectionCommand::CloseIfIdle).expect("room");
-            assert_eq!(rest(&mut client).await, (Vec::new(), true), "{cut}");
+            let (mut client, _, mailbox) = bench.single_connection().await;
+            write_now(&client, &bytes[..cut]);
+            mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
+            assert_eq!(read_to_end(&mut client).await, (Vec::new(), true), "{cut}");
         }
     });
 }
 
-/// Guards against a connection that is never told to finish, as its mailbox had no room for the word.
+/// Guards against a connection that is never told to close, as its mailbox had no room for the command.
 #[test]
 fn draining_reaches_a_connection_whose_mailbox_is_full() {
-    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, words) = bench.alone().await;
-        // Who has asked may be silent for as long as the front lets it.
-        ask(&mut client).await;
-        bench.answer_check().await;
-        assert_eq!(status(&mut client).await, Some(0));
-        while words
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+        let (mut client, activity, mailbox) = bench.single_connection().await;
+        // Who has asked may be silent for as long as the listener lets it.
+        send_health_check(&mut client).await;
+        bench.answer_health_check().await;
+        assert_eq!(next_status(&mut client).await, Some(0));
+        while mailbox
             .try_send(ConnectionCommand::Respond { slot: 9, serial: 0, response: Response::Failed })
             .is_ok()
         {}
         activity.closing.set(true);
-        words.try_send(ConnectionCommand::Close).expect_err("no room");
-        assert_eq!(rest(&mut client).await, (Vec::new(), true));
+        mailbox.try_send(ConnectionCommand::Close).expect_err("no room");
+        assert_eq!(read_to_end(&mut client).await, (Vec::new(), true));
     });
 }
 
-/// Guards against a request that is read after the word to finish and passed on, so that its answer waits for others and
+/// Guards against a request that is read while draining and passed on, so that its answer waits for others and
 /// may not be written any more.
 #[test]
 fn request_read_while_draining_is_rejected_at_once() {
-    with_front(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, words) = bench.alone().await;
-        put(&client, &check());
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+        let (mut client, activity, mailbox) = bench.single_connection().await;
+        write_now(&client, &health_check_bytes());
         activity.closing.set(true);
-        words.try_send(ConnectionCommand::Close).expect("room");
-        assert_eq!(status(&mut client).await, Some(2));
-        assert_eq!(status(&mut client).await, None);
-        assert!(bench.mail.is_empty());
+        mailbox.try_send(ConnectionCommand::Close).expect("room");
+        assert_eq!(next_status(&mut client).await, Some(2));
+        assert_eq!(next_status(&mut client).await, None);
+        assert!(bench.messages.is_empty());
     });
 }
 
@@ -321,29 +322,29 @@
 /// is no place at all: each gets an answer.
 #[test]
 fn requests_in_the_backlog_are_answered_at_the_end() {
-    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let busy = [bench.busy().await, bench.busy().await];
-        // In one go, so that the front finds them all in the backlog with the word to finish before them.
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
+        let busy = [bench.busy_client().await, bench.busy_client().await];
+        // In one go, so that the listener finds them all in the backlog with the command to drain before them.
         let mut waiting = Vec::new();
-        bench.orders.try_send(ListenerCommand::Drain).expect("room");
+        bench.commands.try_send(ListenerCommand::Drain).expect("room");
         for _ in 0..20 {
             let client = std::net::TcpStream::connect(bench.address).expect("connected");
             let client = Async::new(client).expect("registered");
-            put(&client, &check());
+            write_now(&client, &health_check_bytes());
             waiting.push(client);
         }
         for client in &mut waiting {
-            assert_eq!(status(client).await, Some(2));
-            assert_eq!(status(client).await, None);
+            assert_eq!(next_status(client).await, Some(2));
+            assert_eq!(next_status(client).await, None);
         }
         // The socket is closed, and what was open before is still answered.
         Async::<TcpStream>::connect(bench.address).await.expect_err("refused");
-        for message in bench.log.borrow_mut().drain(..) {
+        for message in bench.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
         for mut client in busy {
-            assert_eq!(status(&mut client).await, Some(0));
+            assert_eq!(next_status(&mut client).await, Some(0));
         }
     });
 }
@@ -351,15 +352,15 @@
 /// The same while the server serves: who finds neither a place nor one at the door is told so, if it has asked.
 #[test]
 fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
-    with_front(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = [bench.busy().await, bench.busy().await];
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
+        let _busy = [bench.busy_client().await, bench.busy_client().await];
         let _at_door = bench.connect().await;
         for _ in 0..5 {
             let client = std::net::TcpStream::connect(bench.address).expect("connected");
             let mut client = Async::new(client).expect("registered");
-            put(&client, &check());
-            assert_eq!(status(&mut client).await, Some(2));
-            assert_eq!(status(&mut client).await, None);
+            write_now(&client, &health_check_bytes());
+            assert_eq!(next_status(&mut client).await, Some(2));
+            assert_eq!(next_status(&mut client).await, None);
         }
     });
 }
--- a/crates/server/src/peers/mod.rs
+++ b/crates/server/src/peers/mod.rs
@@ -1,4 +1,6 @@
-//! Those outside: one actor with a mailbox for each.
+//! The actors of everything outside the process, each with a mailbox: load balancers ([`listener`], [`connection`]), the
+//! render farm agent ([`agent`]), dependencies ([`dependency`], [`ajp`]), the announce service ([`registration`]) and
+//! the other servers ([`fleet`]). They alone do I/O; the bytes are those of [`crate::wire`].
 
 pub mod agent;
 pub mod ajp;
--- a/crates/server/src/peers/stream.rs
+++ b/crates/server/src/peers/stream.rs
@@ -10,12 +10,12 @@
 
 use crate::wire::buffer::Buffer;
 
-/// What a read came to.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// So many bytes.
+    /// So many bytes were read.
     Bytes(usize),
-    /// Nothing for now.
+    /// Nothing has arrived.
     WouldBlock,
     /// The peer will send no more.
     Closed,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes as much as goes without waiting; how many bytes that were.
+/// Writes as much as the socket takes without waiting; returns the number of bytes.
 pub fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     let mut done = 0;
     while done < bytes.len() {
@@ -63,7 +63,7 @@
     }
 }
 
-/// What `work` comes to, unless it takes longer. After a standstill work that has ended meanwhile counts.
+/// The result of `work`, or `None` if it takes longer. After a stall, work that has ended meanwhile counts.
 pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(span).await;
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -1,4 +1,4 @@
-//! Frames on the streams between servers, and the questions that operators ask there.
+//! Frames on the streams between servers, and operators' requests on the same port.
 //!
 //! A frame is its length (4 bytes, big endian, the kind included), its kind (1 byte) and its content. A longer one
 //! than [`LONGEST`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
@@ -11,7 +11,7 @@
 
 /// The longest content.
 pub const MAX_CONTENT_BYTES: usize = umberloom_membership::wire::MAX_MESSAGE_LEN;
-/// Bytes before the content.
+/// Bytes of a frame before its content.
 pub const HEADER_BYTES: usize = 5;
 
 /// What a frame carries.
@@ -19,9 +19,9 @@
 pub enum FrameKind {
     /// A message between members.
     Message,
-    /// A question of an operator.
+    /// A request of an operator.
     Request,
-    /// The answer to one.
+    /// The response to one.
     Response,
 }
 
@@ -47,75 +47,75 @@
     [&length.to_be_bytes()[..], &[kind.code()], content].concat()
 }
 
-/// Kind and length of what follows a head; `None` if it makes no sense.
+/// Kind and length of the content after this header; `None` if it is not valid.
 pub fn parse_header(bytes: [u8; HEADER_BYTES]) -> Option<(FrameKind, usize)> {
     let [a, b, c, d, code] = bytes;
     let length = (u32::from_be_bytes([a, b, c, d]) as usize).checked_sub(1)?;
     Some((FrameKind::from_code(code)?, length)).filter(|_| length <= MAX_CONTENT_BYTES)
 }
 
-/// What an operator wants to know.
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetRequestKind {
-    /// Who is there.
+    /// The members as this server sees them.
     Members,
-    /// Why this member is held for what it is.
+    /// The evidence for the state of this member.
     Explain(String),
-    /// Something about the record.
+    /// Something about the replicated store.
     Store(StoreRequest),
 }
 
-/// A question; its number comes back with the answer.
+/// A request; its number comes back with the response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRequest {
-    /// Drawn by who asks.
+    /// Drawn at random by its sender.
     pub number: u64,
-    /// What is asked.
+    /// What is requested.
     pub kind: FleetRequestKind,
 }
 
 /// One server's view of its fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// The server that says so, and the start of its process.
+    /// The server whose view it is.
     pub name: String,
-    /// See `name`.
+    /// Its boot id: the start of its process, in Unix microseconds.
     pub boot: u64,
-    /// How it stands.
+    /// Its partition status.
     pub standing: PartitionStatus,
-    /// How sick it is, from 0 to 8.
+    /// Its health score, from 0 (healthy) to 8.
     pub sick: u32,
-    /// Another process has its name.
+    /// Whether it is fenced: a newer process has its name.
     pub silenced: bool,
-    /// The others.
+    /// The other members.
     pub members: Vec<MemberView>,
-    /// What is shared, by dependency.
+    /// The status of distributed quotas, by dependency.
     pub allowances: Vec<(String, QuotaStatus)>,
-    /// Living members that have held another view for long, and where the views part.
+    /// Reachable members whose view has differed for long, and in what.
     pub disagreements: Vec<(String, Vec<String>)>,
     /// Messages so far.
     pub counts: MessageCounts,
 }
 
-/// What comes back.
+/// What a response carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetReply {
     /// Who is there.
     Members(FleetView),
-    /// Why; the evidence, newest reasons first.
+    /// The evidence, newest first.
     Explain(Vec<Evidence>),
-    /// There is no member of that name: these are known.
+    /// There is no member of that name; these are known.
     UnknownMember(Vec<String>),
-    /// About the record.
+    /// About the replicated store.
     Store(replicated_store::StoreResponse),
 }
 
-/// An answer to the question of this number.
+/// The response to the request of this number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetResponse {
     /// The number.
     pub number: u64,
-    /// What was found.
+    /// Its content.
     pub reply: FleetReply,
 }
 
--- a/crates/server/src/wire/replicated_store.rs
+++ b/crates/server/src/wire/replicated_store.rs
@@ -1,47 +1,48 @@
-//! What operators ask of the record, and what comes back, over the fleet's own port.
+//! Operators' requests about the replicated store and the responses, over the fleet's port. They are encoded by position:
+//! the order of variants and fields is that of the wire.
 
 use serde::{Deserialize, Serialize};
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Entry, EntryId, Outcome, ReplicaStatus};
 
-/// The longest part of a document or an export in one answer.
+/// The longest part of a document or an export in one response.
 pub const MAX_PART_BYTES: usize = 32 << 10;
 
-/// What is asked.
+/// A request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// How this server's part stands.
+    /// The status of this server's replica.
     Status,
-    /// A document, from this byte on; the latest by the word of a majority, or as it is here.
+    /// Read a document: the latest, confirmed by a majority, or as it is at this server.
     ReadDocument {
         /// Its name.
         name: String,
-        /// See the variant.
+        /// Whether a majority has to confirm it.
         latest: bool,
-        /// See the variant.
+        /// The first byte wanted.
         from: u64,
     },
-    /// The last lines of the history, so many.
+    /// The newest lines of the history, at most so many.
     History(u32),
-    /// Write an entry under this number; asked twice it is written once.
+    /// Write an entry under this number. Sent twice it is applied once.
     Write {
         /// The number.
         id: EntryId,
         /// The entry.
         entry: Entry,
     },
-    /// Let a member vote, or not.
+    /// Make a member a voter, or a learner.
     SetVoter(String, bool),
-    /// A copy to keep, from this byte on.
+    /// An export of all documents, from this byte on.
     Export(u64),
-    /// This server's copy is the record from now on.
+    /// Make this server's replica the whole store, where a majority of the voters is lost.
     Adopt,
 }
 
-/// What comes back.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreResponse {
-    /// How it stands.
+    /// The status.
     Status(Box<ReplicaStatus>),
     /// A document, or a part of it.
     Document {
@@ -53,22 +54,22 @@
         by: String,
         /// Bytes in all.
         length: u64,
-        /// The bytes from where it was asked.
+        /// The bytes from the first one wanted.
         part: Vec<u8>,
-        /// How long ago this server heard the leader, in milliseconds: as old may what it shows be, if the latest was not
-        /// asked for.
+        /// How long ago this server heard from the leader, in milliseconds: a document that was not confirmed may be as
+        /// old.
         age_ms: Option<u64>,
     },
-    /// There is no such document; these are there.
+    /// There is no such document; these exist.
     UnknownDocument(Vec<String>),
     /// The history, newest first.
     History(Vec<HistoryLine>),
-    /// What became of a write.
+    /// The outcome of a write.
     WriteOutcome(Outcome),
-    /// The leader sees to it.
+    /// The leader has accepted it.
     Accepted,
     /// A part of an export, and how long that is in all.
     ExportPart(Vec<u8>, u64),
-    /// It can't be done: who says so is the server that was asked.
+    /// It can't be done, for this reason.
     Rejected(String),
 }
