--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -7,7 +7,7 @@
 
 use super::server::Server;
 use super::startup::FallbackCacheMemoryError;
-use crate::messages::calls::{DependencyCommand, DependencySettings};
+use crate::messages::calls::{DependencyCommand, DependencySettings, SharedQuotaConfig};
 use crate::peers::ajp::Ajp;
 use crate::peers::dependency::{self, Dependency, Target};
 
@@ -39,7 +39,10 @@
             .map(|(name, dependency)| (name.clone(), dependency.mailbox.clone()))
             .collect();
         let shared_quotas = operator.fleet.iter().flat_map(|fleet| {
-            fleet.shared.iter().map(|(name, calls)| (Rc::from(name.as_str()), fleet.quota_config(*calls)))
+            fleet.shared.iter().map(|(name, calls)| SharedQuotaConfig {
+                dependency: Rc::from(name.as_str()),
+                config: fleet.quota_config(*calls),
+            })
         });
         let shared_quotas = shared_quotas.collect();
         Ok(DependencySettings { config: operator.dependencies, mailboxes, shared_quotas, charge })
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -15,7 +15,7 @@
 use super::startup::StartupError;
 use super::PEER_MEMORY_DIVISOR;
 use crate::memory::budget::Budget;
-use crate::messages::fleet::FleetCommand;
+use crate::messages::fleet::{FleetCommand, FleetConfig as FleetActorConfig};
 use crate::messages::AdmissionMessage;
 use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
 
@@ -129,11 +129,11 @@
     let bytes = memory(config.membership.peers.len(), config.record.is_some());
     let charge = budget.take(bytes).ok_or(StartupError::FleetMemory { bytes })?;
     let boot_id = boot_id();
-    let settings = (config.membership.clone(), config.addresses.clone(), build_info, config.record.clone());
+    let actor_config = actor_config(&config, build_info);
     let fleet = Fleet::new(
         executor.clone(),
         sockets,
-        settings,
+        actor_config,
         (boot_id, seed),
         inbox,
         admission.clone(),
@@ -145,6 +145,16 @@
     Ok(FleetHandle { mailbox, config })
 }
 
+/// What the fleet actor is told of a configuration.
+pub fn actor_config(fleet: &FleetConfig, build_info: BuildInfo) -> FleetActorConfig {
+    FleetActorConfig {
+        membership: fleet.membership.clone(),
+        peer_addresses: fleet.addresses.clone(),
+        build_info,
+        replicated_store: fleet.record.clone(),
+    }
+}
+
 /// The time of the start by the system's clock: a later process under this name has a later one, even where
 /// [`Clock`](super::clock::Clock) runs ahead.
 fn boot_id() -> u64 {
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -86,9 +86,9 @@
         let (Some(handle), Some(new)) = (&mut self.fleet, &operator.fleet) else { return };
         handle.config = new.clone();
         let build_info = fleet::build_info(&self.config, operator);
-        let settings = (new.membership.clone(), new.addresses.clone(), build_info, new.record.clone());
+        let config = fleet::actor_config(new, build_info);
         // Fails only if the fleet actor has ended, which it does not before the process.
-        let _ = handle.mailbox.send(FleetCommand::Reconfigure(Box::new(settings))).await;
+        let _ = handle.mailbox.send(FleetCommand::Reconfigure(Box::new(config))).await;
     }
 
     async fn reconfigure_dependencies(&mut self, operator: Operator) {
