--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -4,7 +4,7 @@
 mod plan;
 
 use kdl::{KdlDocument, KdlNode};
-use umberloom_dependencies::config::{At, Config, FallbackCacheLimits};
+use umberloom_dependencies::config::{Config, ConfigLocation, FallbackCacheLimits};
 
 use crate::reader::Reader;
 use crate::Service;
@@ -36,15 +36,15 @@
 
 impl Offsets {
     /// The byte of the node that a mistake is about; 0 if there is none.
-    fn find(&self, at: At) -> usize {
+    fn find(&self, location: ConfigLocation) -> usize {
         let plan = |p: usize| self.plans.get(p);
         let stage = |p: usize, s: usize| plan(p).and_then(|plan| plan.stages.get(s));
-        let offset = match at {
-            At::Kept => Some(self.kept),
-            At::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
-            At::Plan(p) => plan(p).map(|plan| plan.node),
-            At::Stage(p, s) => stage(p, s).map(|stage| stage.node),
-            At::Call(p, s, c) => stage(p, s).and_then(|stage| stage.calls.get(c).copied()),
+        let offset = match location {
+            ConfigLocation::FallbackCache => Some(self.kept),
+            ConfigLocation::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
+            ConfigLocation::Plan(p) => plan(p).map(|plan| plan.node),
+            ConfigLocation::Stage(p, s) => stage(p, s).map(|stage| stage.node),
+            ConfigLocation::Call(p, s, c) => stage(p, s).and_then(|stage| stage.calls.get(c).copied()),
         };
         offset.unwrap_or(0)
     }
@@ -57,7 +57,7 @@
     let mut services = Vec::new();
     if let Some(node) = reader.single(Some(document), "kept") {
         offsets.kept = node.span().offset();
-        config.kept = fallback_cache_limits(reader, node);
+        config.fallback_cache = fallback_cache_limits(reader, node);
     }
     for node in document.nodes() {
         let offset = node.span().offset();
@@ -77,7 +77,7 @@
         }
     }
     for mistake in config.validate() {
-        reader.report(offsets.find(mistake.at), mistake.what);
+        reader.report(offsets.find(mistake.location), mistake.reason);
     }
     Dependencies { config, services }
 }
@@ -86,8 +86,8 @@
     let defaults = FallbackCacheLimits::default();
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
-    let entries = properties.integer("entries", defaults.entries as u64, 0..=1 << 20) as usize;
-    let bytes = properties.integer("kb", defaults.bytes as u64 / 1_024, 0..=1 << 20) as usize * 1_024;
+    let max_entries = properties.integer("entries", defaults.max_entries as u64, 0..=1 << 20) as usize;
+    let max_bytes = properties.integer("kb", defaults.max_bytes as u64 / 1_024, 0..=1 << 20) as usize * 1_024;
     properties.finish();
-    FallbackCacheLimits { entries, bytes }
+    FallbackCacheLimits { max_entries, max_bytes }
 }
--- a/crates/operator-config/src/dependencies/dependency.rs
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use kdl::{KdlDocument, KdlNode};
-use umberloom_dependencies::config::{Bounds, Breaker, Dependency, Fallback, Hedge, Retry, Route};
+use umberloom_dependencies::config::{
+    BreakerConfig, DependencyConfig, Fallback, HedgePolicy, LimitBounds, LoadBalancerConfig, RetryPolicy,
+};
 
 use super::MAX_NAMES;
 use crate::reader::{show, Reader};
@@ -39,14 +41,14 @@
 ];
 
 /// Reads the node.
-pub fn read(reader: &mut Reader, node: &KdlNode) -> (Dependency, Service) {
+pub fn read(reader: &mut Reader, node: &KdlNode) -> (DependencyConfig, Service) {
     let name = reader.string(node, "a name").unwrap_or_default();
     reader.expect_no_properties(node);
     let children = node.children();
     if let Some(children) = children {
         reader.allow_only(children, &CHILDREN);
     }
-    let mut dependency = Dependency::new(&name, &[]);
+    let mut dependency = DependencyConfig::new(&name, &[]);
     let (endpoints, path) = endpoints_and_path(reader, node, children);
     dependency.endpoints = endpoints.iter().map(SocketAddr::to_string).collect();
     if reader.single(children, "platform").is_some() {
@@ -56,7 +58,7 @@
     limits(reader, children, &mut dependency);
     circuit_breaker(reader, children, &mut dependency);
     if let Some(node) = reader.single(children, "route") {
-        dependency.route = route(reader, node);
+        dependency.load_balancing = load_balancing(reader, node);
     }
     if let Some(node) = reader.single(children, "fallback") {
         dependency.fallbacks = fallbacks(reader, node);
@@ -144,9 +146,9 @@
 }
 
 /// Repeated and hedged attempts.
-fn attempts(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+fn attempts(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut DependencyConfig) {
     if let Some(node) = reader.single(children, "safe-to-repeat") {
-        dependency.repeatable = true;
+        dependency.idempotent = true;
         reader.expect_no_children(node);
         reader.strings(node, 0);
         reader.properties(node).finish();
@@ -157,94 +159,95 @@
     if let Some(node) = reader.single(children, "hedge") {
         let mut properties = reader.properties(node);
         let quantile = properties.number("quantile", 0.95);
-        let least = properties.millis("least-ms", 1_000);
+        let min_delay = properties.millis("least-ms", 1_000);
         properties.finish();
-        dependency.hedge = Some(Hedge { quantile, least });
+        dependency.hedge = Some(HedgePolicy { quantile, min_delay });
     }
 }
 
-fn retry(reader: &mut Reader, node: &KdlNode) -> Retry {
-    let defaults = Retry::default();
+fn retry(reader: &mut Reader, node: &KdlNode) -> RetryPolicy {
+    let defaults = RetryPolicy::default();
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
-    let retry = Retry {
-        most: properties.integer("most", defaults.most.into(), 0..=10) as u32,
-        share: properties.number("share", defaults.share),
-        burst: properties.number("burst", defaults.burst),
-        back_off: properties.millis("back-off-ms", defaults.back_off),
+    let retry = RetryPolicy {
+        max_retries: properties.integer("most", defaults.max_retries.into(), 0..=10) as u32,
+        budget_ratio: properties.number("share", defaults.budget_ratio),
+        budget_burst: properties.number("burst", defaults.budget_burst),
+        base_backoff: properties.millis("back-off-ms", defaults.base_backoff),
     };
     properties.finish();
     retry
 }
 
 /// Limits on concurrent calls.
-fn limits(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+fn limits(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut DependencyConfig) {
     if let Some(node) = reader.single(children, "limit") {
-        dependency.limit = bounds(reader, node, dependency.limit);
+        dependency.concurrency_limit = bounds(reader, node, dependency.concurrency_limit);
     }
     if let Some(node) = reader.single(children, "endpoint-limit") {
-        dependency.endpoint_limit = bounds(reader, node, dependency.endpoint_limit);
+        dependency.endpoint_concurrency_limit = bounds(reader, node, dependency.endpoint_concurrency_limit);
     }
     if let Some(node) = reader.single(children, "survives") {
         let mut properties = reader.properties(node);
         let calls = properties.required_number("calls");
         let servers = properties.integer("servers", 1, 1..=1_000_000) as u32;
-        dependency.survives = Some((calls, servers));
+        dependency.capacity = Some((calls, servers));
         properties.finish();
     }
 }
 
-fn bounds(reader: &mut Reader, node: &KdlNode, defaults: Bounds) -> Bounds {
+fn bounds(reader: &mut Reader, node: &KdlNode, defaults: LimitBounds) -> LimitBounds {
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
     let mut calls = |name, default: usize| properties.integer(name, default as u64, 1..=65_536) as usize;
-    let least = calls("least", defaults.least);
-    let most = calls("most", defaults.most);
-    let start = calls("start", defaults.start.clamp(least, most.max(least)));
+    let min = calls("least", defaults.min);
+    let max = calls("most", defaults.max);
+    let initial = calls("start", defaults.initial.clamp(min, max.max(min)));
     properties.finish();
-    Bounds { start, least, most }
+    LimitBounds { initial, min, max }
 }
 
-fn circuit_breaker(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+fn circuit_breaker(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut DependencyConfig) {
     if let Some(node) = reader.single(children, "breaker") {
         dependency.breaker = Some(breaker(reader, node));
     }
     if let Some(node) = reader.single(children, "no-breaker") {
         reader.expect_no_children(node);
-        if dependency.breaker != Dependency::new("", &[]).breaker {
+        if dependency.breaker != DependencyConfig::new("", &[]).breaker {
             reader.report_node(node, "found \"no-breaker\" with a breaker, expected one or the other");
         }
         dependency.breaker = None;
     }
 }
 
-fn breaker(reader: &mut Reader, node: &KdlNode) -> Breaker {
-    let defaults = Breaker::default();
+fn breaker(reader: &mut Reader, node: &KdlNode) -> BreakerConfig {
+    let defaults = BreakerConfig::default();
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
-    let breaker = Breaker {
-        share: properties.number("share", defaults.share),
-        calls: properties.integer("calls", defaults.calls.into(), 1..=1_000) as u32,
-        open: properties.millis("open-ms", defaults.open),
+    let breaker = BreakerConfig {
+        failure_ratio: properties.number("share", defaults.failure_ratio),
+        window_calls: properties.integer("calls", defaults.window_calls.into(), 1..=1_000) as u32,
+        open_time: properties.millis("open-ms", defaults.open_time),
     };
     properties.finish();
     breaker
 }
 
-fn route(reader: &mut Reader, node: &KdlNode) -> Route {
-    let defaults = Route::default();
+fn load_balancing(reader: &mut Reader, node: &KdlNode) -> LoadBalancerConfig {
+    let defaults = LoadBalancerConfig::default();
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
-    let route = Route {
-        failures: properties.integer("failures", defaults.failures.into(), 1..=1_000) as u32,
-        lag: properties.number("lag", defaults.lag),
-        out: properties.millis("out-ms", defaults.out),
-        out_most: properties.number("out-most", defaults.out_most),
-        ramp: properties.millis("ramp-ms", defaults.ramp),
+    let load_balancing = LoadBalancerConfig {
+        consecutive_failures: properties.integer("failures", defaults.consecutive_failures.into(), 1..=1_000)
+            as u32,
+        latency_factor: properties.number("lag", defaults.latency_factor),
+        base_ejection_time: properties.millis("out-ms", defaults.base_ejection_time),
+        max_ejected_share: properties.number("out-most", defaults.max_ejected_share),
+        recovery_ramp: properties.millis("ramp-ms", defaults.recovery_ramp),
         servers: defaults.servers,
     };
     properties.finish();
-    route
+    load_balancing
 }
 
 fn fallbacks(reader: &mut Reader, node: &KdlNode) -> Vec<Fallback> {
@@ -259,7 +262,7 @@
                 properties.required_number("max-age-ms");
                 let max_age_ms = properties.integer("max-age-ms", 0, 0..=MAX_CACHE_AGE_MS);
                 properties.finish();
-                fallbacks.push(Fallback::Kept(max_age_ms * 1_000));
+                fallbacks.push(Fallback::Cached(max_age_ms * 1_000));
             }
             "constant" => {
                 let text = reader.string(node, "a text").unwrap_or_default();
@@ -268,7 +271,7 @@
             }
             "left-out" => {
                 reader.strings(node, 0);
-                fallbacks.push(Fallback::LeftOut);
+                fallbacks.push(Fallback::Omit);
             }
             _ => {}
         }
--- a/crates/operator-config/src/dependencies/plan.rs
+++ b/crates/operator-config/src/dependencies/plan.rs
@@ -2,7 +2,7 @@
 
 use kdl::KdlNode;
 use umberloom::interface::Micros;
-use umberloom_dependencies::config::{Call, Plan, Stage};
+use umberloom_dependencies::config::{CallConfig, PlanConfig, StageConfig};
 
 use super::MAX_NAMES;
 use crate::reader::{alternatives, Reader};
@@ -19,7 +19,11 @@
 }
 
 /// Reads the node. `classes` are the names that it may be for, where they are known.
-pub fn read(reader: &mut Reader, node: &KdlNode, classes: Option<&[String]>) -> (Plan, Vec<StageOffsets>) {
+pub fn read(
+    reader: &mut Reader,
+    node: &KdlNode,
+    classes: Option<&[String]>,
+) -> (PlanConfig, Vec<StageOffsets>) {
     let class = reader.string(node, "a class").unwrap_or_default();
     reader.expect_no_properties(node);
     if let Some(known) = classes.filter(|known| !known.contains(&class)) {
@@ -37,22 +41,22 @@
             offsets.push(StageOffsets { node: node.span().offset(), calls });
         }
     }
-    (Plan { class, stages }, offsets)
+    (PlanConfig { class, stages }, offsets)
 }
 
 /// A stage, and where each of its calls stands.
-fn stage(reader: &mut Reader, node: &KdlNode) -> (Stage, Vec<usize>) {
+fn stage(reader: &mut Reader, node: &KdlNode) -> (StageConfig, Vec<usize>) {
     reader.strings(node, 0);
     let mut properties = reader.properties(node);
-    let share = properties.number("share", 1.0);
-    let least = properties.millis("least-ms", 0);
-    let most = properties.millis("most-ms", DEFAULT_MAX_STAGE_TIME);
+    let weight = properties.number("share", 1.0);
+    let min_time = properties.millis("least-ms", 0);
+    let max_time = properties.millis("most-ms", DEFAULT_MAX_STAGE_TIME);
     properties.finish();
     let (mut calls, mut offsets) = (Vec::new(), Vec::new());
     if let Some(children) = node.children() {
         reader.allow_only(children, &["needs", "wants"]);
         for node in children.nodes() {
-            let needed = match node.name().value() {
+            let required = match node.name().value() {
                 "needs" => true,
                 "wants" => false,
                 _ => continue,
@@ -60,10 +64,10 @@
             reader.expect_no_children(node);
             reader.expect_no_properties(node);
             for dependency in reader.strings(node, MAX_NAMES) {
-                calls.push(Call { dependency, needed });
+                calls.push(CallConfig { dependency, required });
                 offsets.push(node.span().offset());
             }
         }
     }
-    (Stage { share, least, most, calls }, offsets)
+    (StageConfig { weight, min_time, max_time, calls }, offsets)
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::Config as DependencyConfig;
-use umberloom_membership::config::{Config, Peer, Timing, MOST_PEERS};
+use umberloom_membership::config::{Config, Peer, Timing, MAX_PEERS};
 use umberloom_quota as quota;
 
 use crate::error::Position;
@@ -39,30 +39,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
     /// How long a lease lasts.
-    pub loan: u64,
+    pub lease: u64,
     /// The longest time that a call to a shared dependency may state.
-    pub call: u64,
+    pub max_call: u64,
     /// How long a call may be on its way.
-    pub delivery: u64,
+    pub max_delivery: u64,
     /// How far the rate of a clock may be off, as a share.
-    pub drift: f64,
+    pub clock_drift: f64,
 }
 
 impl Default for LeaseTimes {
     fn default() -> LeaseTimes {
-        let quota::Config { loan, call, delivery, drift, .. } = quota::Config::new(1, &["a"], "a");
-        LeaseTimes { loan, call, delivery, drift }
+        let quota::Config { lease, max_call, max_delivery, clock_drift, .. } =
+            quota::Config::new(1, &["a"], "a");
+        LeaseTimes { lease, max_call, max_delivery, clock_drift }
     }
 }
 
 impl Fleet {
     /// The distributed quota of a shared dependency that survives `calls` concurrent calls.
     pub fn quota_config(&self, calls: u32) -> quota::Config {
-        let LeaseTimes { loan, call, delivery, drift } = self.leases;
-        let me = self.membership.name.clone();
+        let LeaseTimes { lease, max_call, max_delivery, clock_drift } = self.leases;
+        let own_name = self.membership.name.clone();
         let peers = self.membership.peers.iter().map(|peer| peer.name.clone());
-        let roster = peers.chain([me.clone()]).collect();
-        quota::Config { whole: calls, roster, me, loan, call, delivery, drift }
+        let roster = peers.chain([own_name.clone()]).collect();
+        quota::Config { total: calls, roster, own_name, lease, max_call, max_delivery, clock_drift }
     }
 
     /// What two servers must have in common to assume the same quota shares. It is hashed and compared between servers.
@@ -102,7 +103,7 @@
         timing,
     };
     for mistake in membership.validate() {
-        let peer = mistake.peer.and_then(|peer| peers.offsets.get(peer.min(MOST_PEERS)));
+        let peer = mistake.peer.and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
         reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.what);
     }
     let record = reader.single(children, "record").map(|node| {
@@ -200,13 +201,13 @@
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
     let timing = Timing {
-        probe: properties.millis("probe-ms", defaults.probe),
-        suspect: properties.millis("suspect-ms", defaults.suspect),
-        beat: properties.millis("beat-ms", defaults.beat),
-        rise: properties.millis("rise-ms", defaults.rise),
-        damp: properties.millis("damp-ms", defaults.damp),
-        calm: properties.millis("calm-ms", defaults.calm),
-        disagree: properties.millis("disagree-ms", defaults.disagree),
+        probe_interval: properties.millis("probe-ms", defaults.probe_interval),
+        suspicion_timeout: properties.millis("suspect-ms", defaults.suspicion_timeout),
+        heartbeat_interval: properties.millis("beat-ms", defaults.heartbeat_interval),
+        upgrade_delay: properties.millis("rise-ms", defaults.upgrade_delay),
+        min_status_duration: properties.millis("damp-ms", defaults.min_status_duration),
+        stable_after: properties.millis("calm-ms", defaults.stable_after),
+        divergence_timeout: properties.millis("disagree-ms", defaults.divergence_timeout),
     };
     properties.finish();
     timing
@@ -217,10 +218,10 @@
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
     let leases = LeaseTimes {
-        loan: properties.millis("loan-ms", defaults.loan),
-        call: properties.millis("call-ms", defaults.call),
-        delivery: properties.millis("delivery-ms", defaults.delivery),
-        drift: properties.number("drift", defaults.drift),
+        lease: properties.millis("loan-ms", defaults.lease),
+        max_call: properties.millis("call-ms", defaults.max_call),
+        max_delivery: properties.millis("delivery-ms", defaults.max_delivery),
+        clock_drift: properties.number("drift", defaults.clock_drift),
     };
     properties.finish();
     leases
@@ -242,8 +243,8 @@
     for name in dependencies.dependencies.iter().map(|dependency| &dependency.name) {
         let is_shared = survives_node(document, name).is_some_and(|node| node.entry("servers").is_none());
         let first = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
-        let survives = first.and_then(|dependency| dependency.survives);
-        if let Some((calls, _)) = survives.filter(|_| is_shared) {
+        let capacity = first.and_then(|dependency| dependency.capacity);
+        if let Some((calls, _)) = capacity.filter(|_| is_shared) {
             shared.push((name.clone(), calls as u32));
         }
     }
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -47,11 +47,12 @@
     let Storage { folder, most, scrub } = storage(reader, node.children());
     let mut properties = reader.properties(node);
     let replace_after_s = defaults.replace_after / SECOND;
+    let catch_up_kb = defaults.catch_up_bytes_per_second >> 10;
     let config = Config {
         voters: properties.integer("voters", default_voters, VOTERS) as usize,
-        election: properties.millis("election-ms", defaults.election),
+        election_timeout: properties.millis("election-ms", defaults.election_timeout),
         replace_after: properties.integer("replace-after-s", replace_after_s, 1..=DAY_S) * SECOND,
-        catch_up: properties.integer("catch-up-kb", defaults.catch_up >> 10, 64..=1 << 20) << 10,
+        catch_up_bytes_per_second: properties.integer("catch-up-kb", catch_up_kb, 64..=1 << 20) << 10,
         ..defaults
     };
     properties.finish();
--- a/crates/server/src/admin_client/client.rs
+++ b/crates/server/src/admin_client/client.rs
@@ -1,4 +1,4 @@
-//! Asks one question over a connection of its own.
+//! Sends one request over a connection of its own.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,10 @@
 use umberloom_operator_config::Fleet;
 
 use super::error::AdminError;
-use crate::wire::fleet::{frame, head, Answer, FrameKind, Question, QuestionKind, Reply, HEAD};
+use crate::wire::fleet::{
+    encode_frame, parse_header, FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FrameKind,
+    HEADER_BYTES,
+};
 
 /// How long an answer may take.
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -36,12 +39,12 @@
         AdminError::UnexpectedAnswer { server: self.server }
     }
 
-    /// Asks, and waits for the answer.
-    pub fn ask(&self, question: QuestionKind) -> Result<Reply, AdminError> {
+    /// Sends a request, and waits for the answer.
+    pub fn ask(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
         let mut stream = self.connect().map_err(|e| self.connection_error(e))?;
-        let number = question_number();
-        let sealed = self.key.seal(&Question { number, what: question });
-        stream.write_all(&frame(FrameKind::Question, &sealed)).map_err(|e| self.connection_error(e))?;
+        let number = request_number();
+        let sealed = self.key.seal(&FleetRequest { number, kind });
+        stream.write_all(&encode_frame(FrameKind::Request, &sealed)).map_err(|e| self.connection_error(e))?;
         self.read_answer(&mut stream, number)
     }
 
@@ -52,19 +55,19 @@
         Ok(stream)
     }
 
-    /// Reads frames up to the answer to the question of this number.
-    fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<Reply, AdminError> {
+    /// Reads frames up to the answer to the request of this number.
+    fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
         let server = self.server;
         let deadline = Instant::now() + TIMEOUT;
         while Instant::now() < deadline {
-            let mut start = [0; HEAD];
-            stream.read_exact(&mut start).map_err(|source| AdminError::NoAnswer { server, source })?;
-            let (kind, length) = head(start).ok_or(AdminError::InvalidFrame { server })?;
+            let mut header = [0; HEADER_BYTES];
+            stream.read_exact(&mut header).map_err(|source| AdminError::NoAnswer { server, source })?;
+            let (kind, length) = parse_header(header).ok_or(AdminError::InvalidFrame { server })?;
             let mut content = vec![0; length];
             stream.read_exact(&mut content).map_err(|e| self.connection_error(e))?;
-            match self.key.open::<Answer>(&content, content.len()) {
-                Ok(answer) if kind == FrameKind::Answer && answer.number == number => {
-                    return Ok(answer.reply);
+            match self.key.open::<FleetResponse>(&content, content.len()) {
+                Ok(response) if kind == FrameKind::Response && response.number == number => {
+                    return Ok(response.reply);
                 }
                 Ok(_) => {}
                 Err(reason) => {
@@ -81,6 +84,6 @@
 }
 
 /// Taken from the time: it only has to differ from that of an answer to someone else.
-fn question_number() -> u64 {
+fn request_number() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
 }
--- a/crates/server/src/admin_client/members.rs
+++ b/crates/server/src/admin_client/members.rs
@@ -8,17 +8,17 @@
 use super::client::AdminClient;
 use super::error::AdminError;
 use super::table::{age, Table};
-use crate::wire::fleet::{FleetView, QuestionKind, Reply};
+use crate::wire::fleet::{FleetReply, FleetRequestKind, FleetView};
 
 /// Asks about members, and returns what is to be printed.
-pub fn show(client: &AdminClient, question: QuestionKind, as_json: bool) -> Result<String, AdminError> {
-    match client.ask(question)? {
-        Reply::Members(view) if as_json => Ok(serde_json::to_string_pretty(&view)?),
-        Reply::Explain(evidence) if as_json => Ok(serde_json::to_string_pretty(&evidence)?),
-        Reply::Members(view) => Ok(fleet_text(&view)),
-        Reply::Explain(evidence) => Ok(evidence_text(&evidence)),
-        Reply::Record(_) => Err(client.unexpected_answer()),
-        Reply::Unknown(known) => Err(AdminError::UnknownMember { server: client.server(), known }),
+pub fn show(client: &AdminClient, request: FleetRequestKind, as_json: bool) -> Result<String, AdminError> {
+    match client.ask(request)? {
+        FleetReply::Members(view) if as_json => Ok(serde_json::to_string_pretty(&view)?),
+        FleetReply::Explain(evidence) if as_json => Ok(serde_json::to_string_pretty(&evidence)?),
+        FleetReply::Members(view) => Ok(fleet_text(&view)),
+        FleetReply::Explain(evidence) => Ok(evidence_text(&evidence)),
+        FleetReply::Store(_) => Err(client.unexpected_answer()),
+        FleetReply::UnknownMember(known) => Err(AdminError::UnknownMember { server: client.server(), known }),
     }
 }
 
--- a/crates/server/src/admin_client/mod.rs
+++ b/crates/server/src/admin_client/mod.rs
@@ -1,6 +1,6 @@
 //! `umberloom fleet …`: questions to a server about its fleet, over the fleet's own port.
 //!
-//! [`client`] exchanges a question for its answer; [`members`] prints what comes back about the fleet, and [`store`]
+//! [`client`] exchanges a request for its response; [`members`] prints what comes back about the fleet, and [`store`]
 //! has the commands about the replicated store.
 
 mod client;
@@ -16,7 +16,7 @@
 use bpaf::{construct, long, positional, Parser};
 
 use crate::lifecycle::config_files::load_operator;
-use crate::wire::fleet::QuestionKind;
+use crate::wire::fleet::FleetRequestKind;
 use client::AdminClient;
 pub use error::AdminError;
 use store::StoreCommand;
@@ -110,9 +110,9 @@
     };
     let client = AdminClient::new(&fleet, options.at.unwrap_or(fleet.listen));
     match &options.command {
-        FleetCommand::Members => members::show(&client, QuestionKind::Members, options.json),
+        FleetCommand::Members => members::show(&client, FleetRequestKind::Members, options.json),
         FleetCommand::Explain(name) => {
-            members::show(&client, QuestionKind::Explain(name.clone()), options.json)
+            members::show(&client, FleetRequestKind::Explain(name.clone()), options.json)
         }
         FleetCommand::Store(command) => store::run(&client, command, options.json),
     }
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -4,14 +4,14 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde_json::json;
-use umberloom_replicated_store::entry::{Content, Document, Entry, LONGEST_DOCUMENT};
+use umberloom_replicated_store::entry::{Content, DocumentUpdate, Entry, MAX_DOCUMENT_BYTES};
 use umberloom_replicated_store::Outcome;
 
 use super::ask;
 use crate::admin_client::client::AdminClient;
 use crate::admin_client::error::AdminError;
 use crate::admin_client::table::age;
-use crate::wire::record::{StoreAnswer, StoreQuestion};
+use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 
 /// How often a document that changes meanwhile is read from its start.
 const MAX_READS: usize = 8;
@@ -74,9 +74,9 @@
         let from = content.len() as u64;
         // Only the first part has to be the latest: the others have to be of its version.
         let latest = latest && from == 0;
-        let question = StoreQuestion::Show { name: name.to_owned(), latest, from };
-        match ask(client, question)? {
-            StoreAnswer::Document { version, index, by, length, part, age_ms } => {
+        let request = StoreRequest::ReadDocument { name: name.to_owned(), latest, from };
+        match ask(client, request)? {
+            StoreResponse::Document { version, index, by, length, part, age_ms } => {
                 let revision = first.get_or_insert_with(|| Revision { version, by, index, age_ms });
                 if revision.version != version {
                     return Ok(None);
@@ -86,7 +86,7 @@
                     return Ok(Some((revision.clone(), content)));
                 }
             }
-            StoreAnswer::Nothing(known) => {
+            StoreResponse::UnknownDocument(known) => {
                 let (server, name) = (client.server(), name.to_owned());
                 return Err(AdminError::UnknownDocument { server, name, known });
             }
@@ -97,15 +97,19 @@
 
 /// The entry that removes a document.
 pub fn removal(name: &str, expect: Option<u64>) -> Vec<Entry> {
-    vec![Entry::Document(Document { name: name.to_owned(), expect, content: Content::None })]
+    vec![Entry::Document(DocumentUpdate {
+        name: name.to_owned(),
+        expected_version: expect,
+        content: Content::Removed,
+    })]
 }
 
 /// The entries that give a document the content of a file.
 pub fn content(name: &str, file: &Path, expect: Option<u64>) -> Result<Vec<Entry>, AdminError> {
     let file_name = || file.display().to_string();
     let bytes = std::fs::read(file).map_err(|source| AdminError::File { file: file_name(), source })?;
-    if bytes.len() > LONGEST_DOCUMENT {
-        let (length, max) = (bytes.len(), LONGEST_DOCUMENT);
+    if bytes.len() > MAX_DOCUMENT_BYTES {
+        let (length, max) = (bytes.len(), MAX_DOCUMENT_BYTES);
         return Err(AdminError::DocumentTooLong { file: file_name(), length, max });
     }
     Ok(Entry::document(name, bytes, expect))
@@ -116,19 +120,21 @@
     let id = entry_id();
     let mut last = None;
     for (n, entry) in (0u128..).zip(entries) {
-        match ask(client, StoreQuestion::Write { id: id + (n << 96), entry })? {
-            StoreAnswer::Done(outcome) => last = Some(outcome),
+        match ask(client, StoreRequest::Write { id: id + (n << 96), entry })? {
+            StoreResponse::WriteOutcome(outcome) => last = Some(outcome),
             _ => return Err(client.unexpected_answer()),
         }
     }
     let server = client.server();
     match last {
-        Some(Outcome::Done(version)) if as_json => Ok(json!({"done": true, "version": version}).to_string()),
-        Some(Outcome::Done(0)) => Ok("written".to_owned()),
-        Some(Outcome::Done(version)) => Ok(format!("written, version {version}")),
+        Some(Outcome::Applied(version)) if as_json => {
+            Ok(json!({"done": true, "version": version}).to_string())
+        }
+        Some(Outcome::Applied(0)) => Ok("written".to_owned()),
+        Some(Outcome::Applied(version)) => Ok(format!("written, version {version}")),
         Some(Outcome::Conflict(version)) => Err(AdminError::VersionConflict { server, version }),
-        Some(Outcome::Refused(reason)) => Err(AdminError::Rejected { server, reason }),
-        Some(Outcome::Kept) => Err(AdminError::UnsupportedEntry { server }),
+        Some(Outcome::Rejected(reason)) => Err(AdminError::Rejected { server, reason }),
+        Some(Outcome::Unsupported) => Err(AdminError::UnsupportedEntry { server }),
         None => Err(AdminError::NothingToWrite),
     }
 }
--- a/crates/server/src/admin_client/store/mod.rs
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -12,8 +12,8 @@
 
 use super::client::AdminClient;
 use super::error::AdminError;
-use crate::wire::fleet::{QuestionKind, Reply};
-use crate::wire::record::{StoreAnswer, StoreQuestion};
+use crate::wire::fleet::{FleetReply, FleetRequestKind};
+use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 pub use export::verify;
 
 /// A command about the replicated store.
@@ -126,14 +126,14 @@
 /// Runs a command, and returns what is to be printed.
 pub fn run(client: &AdminClient, command: &StoreCommand, as_json: bool) -> Result<String, AdminError> {
     match command {
-        StoreCommand::Status => match ask(client, StoreQuestion::Status)? {
-            StoreAnswer::Status(status) if as_json => Ok(serde_json::to_string_pretty(&json!(status))?),
-            StoreAnswer::Status(status) => Ok(status::status_text(&status)),
+        StoreCommand::Status => match ask(client, StoreRequest::Status)? {
+            StoreResponse::Status(status) if as_json => Ok(serde_json::to_string_pretty(&json!(status))?),
+            StoreResponse::Status(status) => Ok(status::status_text(&status)),
             _ => Err(client.unexpected_answer()),
         },
-        StoreCommand::History(max) => match ask(client, StoreQuestion::History(*max))? {
-            StoreAnswer::History(lines) if as_json => Ok(serde_json::to_string_pretty(&json!(lines))?),
-            StoreAnswer::History(lines) => Ok(status::history_text(&lines)),
+        StoreCommand::History(max) => match ask(client, StoreRequest::History(*max))? {
+            StoreResponse::History(lines) if as_json => Ok(serde_json::to_string_pretty(&json!(lines))?),
+            StoreResponse::History(lines) => Ok(status::history_text(&lines)),
             _ => Err(client.unexpected_answer()),
         },
         StoreCommand::Show { name, local, out } => {
@@ -148,12 +148,12 @@
         }
         StoreCommand::Note(note) => documents::write(client, vec![Entry::Note(note.clone())], as_json),
         StoreCommand::SetVoter { name, votes } => {
-            ask(client, StoreQuestion::Hand(name.clone(), *votes))?;
+            ask(client, StoreRequest::SetVoter(name.clone(), *votes))?;
             let role = if *votes { "vote" } else { "learn" };
             Ok(format!("the leader was asked to let {name} {role}"))
         }
         StoreCommand::Adopt => {
-            ask(client, StoreQuestion::Adopt)?;
+            ask(client, StoreRequest::Adopt)?;
             let server = client.server();
             Ok(format!(
                 "the copy of {server} is the record from now on, under a new number; the others join it"
@@ -164,13 +164,13 @@
     }
 }
 
-/// Asks about the store; a rejected question is an error.
-fn ask(client: &AdminClient, question: StoreQuestion) -> Result<StoreAnswer, AdminError> {
-    match client.ask(QuestionKind::Record(question))? {
-        Reply::Record(StoreAnswer::Refused(reason)) => {
+/// Asks about the store; a rejected request is an error.
+fn ask(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
+    match client.ask(FleetRequestKind::Store(request))? {
+        FleetReply::Store(StoreResponse::Rejected(reason)) => {
             Err(AdminError::Rejected { server: client.server(), reason })
         }
-        Reply::Record(answer) => Ok(answer),
+        FleetReply::Store(answer) => Ok(answer),
         _ => Err(client.unexpected_answer()),
     }
 }
--- a/crates/server/src/admin_client/store/status.rs
+++ b/crates/server/src/admin_client/store/status.rs
@@ -10,22 +10,22 @@
 /// A replica's own state, then a table of all replicas.
 pub fn status_text(status: &ReplicaStatus) -> String {
     let ReplicaStatus {
-        record,
-        copy,
+        store_id,
+        replica_id,
         role,
         term,
         leader,
         applied,
         commit,
-        last,
+        last_index,
         leader_heard_ms,
-        unknown,
+        unsupported_entries,
         ..
     } = status;
     let leader = leader.as_deref().unwrap_or("nobody");
     let mut text = format!(
-        "{role} of record {record:016x} with copy {copy:016x}, term {term}, leader {leader} (heard {} ago)\n\
-         applied {applied} of {commit} agreed on, last entry {last}, {unknown} of newer programs\n",
+        "{role} of record {store_id:016x} with copy {replica_id:016x}, term {term}, leader {leader} (heard {} ago)\n\
+         applied {applied} of {commit} agreed on, last entry {last_index}, {unsupported_entries} of newer programs\n",
         age(*leader_heard_ms)
     );
     if let Some((there, all)) = status.catching_up {
@@ -36,12 +36,12 @@
         text.push_str("frozen: copies differ and nobody can tell which is right; nothing is written\n");
     }
     let mut table = Table::with_headings(["copy", "server", "zone", "votes", "applied", "heard"]);
-    table.extend(status.copies.iter().map(|replica| {
+    table.extend(status.replicas.iter().map(|replica| {
         let applied = replica.applied.map_or_else(|| "-".to_owned(), |index| index.to_string());
-        let votes = if replica.votes { "yes" } else { "no" };
+        let votes = if replica.is_voter { "yes" } else { "no" };
         vec![
-            format!("{:016x}", replica.copy),
-            replica.name.clone(),
+            format!("{:016x}", replica.replica_id),
+            replica.server.clone(),
             replica.zone.clone(),
             votes.to_owned(),
             applied,
@@ -56,17 +56,17 @@
     let mut table = Table::with_headings(["entry", "by", "what", "outcome"]);
     table.extend(lines.iter().map(|line| {
         let outcome = outcome_text(&line.outcome);
-        vec![line.index.to_string(), line.by.0.clone(), line.what.clone(), outcome]
+        vec![line.index.to_string(), line.author.0.clone(), line.description.clone(), outcome]
     }));
     table.render()
 }
 
 fn outcome_text(outcome: &Outcome) -> String {
     match outcome {
-        Outcome::Done(0) => "done".to_owned(),
-        Outcome::Done(version) => format!("version {version}"),
+        Outcome::Applied(0) => "done".to_owned(),
+        Outcome::Applied(version) => format!("version {version}"),
         Outcome::Conflict(version) => format!("refused: version {version} was there"),
-        Outcome::Refused(reason) => format!("refused: {reason}"),
-        Outcome::Kept => "kept for a newer program".to_owned(),
+        Outcome::Rejected(reason) => format!("refused: {reason}"),
+        Outcome::Unsupported => "kept for a newer program".to_owned(),
     }
 }
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -23,7 +23,7 @@
         let dependencies = operator.services.len();
         let plans = operator.dependencies.plans.len();
         let fleet = operator.fleet.as_ref().map_or_else(String::new, |fleet| {
-            format!(", a fleet of {} that shares {}", fleet.membership.roster(), fleet.shared.len())
+            format!(", a fleet of {} that shares {}", fleet.membership.roster_size(), fleet.shared.len())
         });
         println!("{}: sound, {dependencies} dependencies and {plans} plans{fleet}", path.display());
     }
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use umberloom::interface::{Downstream, Settings};
-use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object};
+use umberloom_settings::fields::{integer, integer_or, number_or, object, text, Object};
 use umberloom_settings::shape::Shape;
 use umberloom_settings::{class_names, locate, settings, tenant_names, GaugeNames};
 
@@ -86,7 +86,7 @@
         let json = String::from_utf8_lossy(&bytes);
         let location_of = |field: &str| Location { file: file.clone(), line: locate::line_of(&json, field) };
         let mut config = Config::parse(&bytes).map_err(|source| {
-            let location = match locate::named(&source.to_string()) {
+            let location = match locate::quoted_field(&source.to_string()) {
                 Some(field) => location_of(field),
                 None => Location { file: file.clone(), line: None },
             };
@@ -113,7 +113,7 @@
             agent: address(&top, "agent")?,
             announce: address(&top, "announce")?,
             records: if top.contains_key("records") { Some(address(&top, "records")?) } else { None },
-            stop: whole(&top, "stop_ms")?.saturating_mul(1_000),
+            stop: integer(&top, "stop_ms")?.saturating_mul(1_000),
             limits: limits(&top)?,
             shape: Shape::read(options)?,
             settings,
@@ -128,7 +128,7 @@
 
     /// Rejects values that contradict each other or that the protocols can't express.
     fn validate(&self) -> Result<(), InvalidConfig> {
-        self.settings.check().map_err(|e| InvalidConfig::Settings(e.to_string()))?;
+        self.settings.validate().map_err(|e| InvalidConfig::Settings(e.to_string()))?;
         let is_path_segment = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
             (self.tenants.iter().all(|name| !name.is_empty()), "a tenant has no name"),
@@ -194,8 +194,8 @@
 fn limits(top: &Object) -> Result<Limits, InvalidConfig> {
     let limits = object(top, "limits")?;
     Ok(Limits {
-        memory: whole(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
+        memory: integer(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
         cores: number_or(limits, "cores", 1.0)?,
-        sockets: whole_or(limits, "sockets", 1024)? as usize,
+        sockets: integer_or(limits, "sockets", 1024)? as usize,
     })
 }
--- a/crates/server/src/lifecycle/config/error.rs
+++ b/crates/server/src/lifecycle/config/error.rs
@@ -3,6 +3,7 @@
 use std::fmt;
 
 use thiserror::Error;
+use umberloom_settings::SettingsError;
 
 /// A file, and the line in it if that is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,8 +50,8 @@
     #[error("field `seed`: expected hex digits")]
     Seed,
     /// A field is missing or has the wrong type; the text names it.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] SettingsError),
     /// Settings of the admission controller contradict each other.
     #[error("{0}")]
     Settings(String),
@@ -59,13 +60,6 @@
     Rule(&'static str),
 }
 
-/// The settings package reports fields by text.
-impl From<String> for InvalidConfig {
-    fn from(reason: String) -> InvalidConfig {
-        InvalidConfig::Field(reason)
-    }
-}
-
 /// A field has changed that can't change while the server runs.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("`{field}` cannot change while running")]
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -8,13 +8,13 @@
 use super::server::Server;
 use super::startup::FallbackCacheMemoryError;
 use crate::messages::calls::{DependencyCommand, DependencySettings, SharedQuotaConfig};
-use crate::peers::ajp::Ajp;
-use crate::peers::dependency::{self, Dependency, Target};
+use crate::peers::ajp::AjpConfig;
+use crate::peers::dependency::{self, CallTarget, DependencyClient};
 
 /// The running actor of one dependency.
 pub struct DependencyHandle {
     /// How it is reached.
-    pub target: Target,
+    pub target: CallTarget,
     /// Its mailbox.
     pub mailbox: Sender<DependencyCommand>,
 }
@@ -28,9 +28,9 @@
     ) -> Result<DependencySettings, FallbackCacheMemoryError> {
         for dependency in &mut operator.dependencies.dependencies {
             // The others route to the same endpoints and see them fail and come back when this one does.
-            dependency.route.servers = self.config.settings.servers;
+            dependency.load_balancing.servers = self.config.settings.servers;
         }
-        let bytes = operator.dependencies.kept.bytes;
+        let bytes = operator.dependencies.fallback_cache.max_bytes;
         let charge = self.budget.take(bytes).ok_or(FallbackCacheMemoryError { bytes })?;
         self.replace_dependencies(&operator.services);
         let mailboxes = self
@@ -59,19 +59,21 @@
         }
     }
 
-    fn target(&self, service: &Service) -> Target {
-        let ajp =
-            service.ajp.as_ref().map(|ajp| Rc::new(Ajp { secret: ajp.secret.clone(), packet: ajp.packet }));
-        Target {
+    fn target(&self, service: &Service) -> CallTarget {
+        let ajp = service
+            .ajp
+            .as_ref()
+            .map(|ajp| Rc::new(AjpConfig { secret: ajp.secret.clone(), packet_bytes: ajp.packet }));
+        CallTarget {
             path: service.path.as_str().into(),
             platform: self.config.records.filter(|_| service.is_platform()),
             ajp,
         }
     }
 
-    fn start_dependency(&self, target: Target) -> DependencyHandle {
-        let (mailbox, inbox) = bounded(dependency::MAILBOX);
-        let actor = Dependency::new(
+    fn start_dependency(&self, target: CallTarget) -> DependencyHandle {
+        let (mailbox, inbox) = bounded(dependency::MAILBOX_CAPACITY);
+        let actor = DependencyClient::new(
             self.executor.clone(),
             (target.clone(), self.call_sockets.clone()),
             inbox,
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -17,7 +17,7 @@
 use crate::memory::budget::Budget;
 use crate::messages::fleet::{FleetCommand, FleetConfig as FleetActorConfig};
 use crate::messages::AdmissionMessage;
-use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
+use crate::peers::fleet::{descriptor_count, memory_bytes, FleetActor, FleetSockets, MAILBOX_CAPACITY};
 
 /// The part of the descriptors, and of the memory for peers, that a fleet may have at most: one in so many.
 const FLEET_DIVISOR: usize = 4;
@@ -68,13 +68,13 @@
     let peers = fleet.membership.peers.len();
     let position = fleet.position;
 
-    let descriptors = descriptors(peers);
+    let descriptors = descriptor_count(peers);
     let max = server.limits.sockets / FLEET_DIVISOR;
     if descriptors > max {
         return Err(FleetLimitError::Descriptors { position, peers, descriptors, max });
     }
 
-    let memory_kb = memory(peers, fleet.record.is_some()) >> 10;
+    let memory_kb = memory_bytes(peers, fleet.record.is_some()) >> 10;
     let max_kb = (server.limits.memory / PEER_MEMORY_DIVISOR / FLEET_DIVISOR) >> 10;
     if memory_kb > max_kb {
         return Err(FleetLimitError::Memory { position, peers, memory_kb, max_kb });
@@ -104,7 +104,7 @@
 /// What the fleet actor is started with.
 pub struct FleetStart<'s> {
     /// Its sockets.
-    pub sockets: Sockets,
+    pub sockets: FleetSockets,
     /// Its configuration.
     pub config: FleetConfig,
     /// What this server runs.
@@ -125,12 +125,12 @@
     start: FleetStart<'_>,
 ) -> Result<FleetHandle, StartupError> {
     let FleetStart { sockets, config, build_info, seed, admission, budget, log } = start;
-    let (mailbox, inbox) = bounded(MAILBOX);
-    let bytes = memory(config.membership.peers.len(), config.record.is_some());
+    let (mailbox, inbox) = bounded(MAILBOX_CAPACITY);
+    let bytes = memory_bytes(config.membership.peers.len(), config.record.is_some());
     let charge = budget.take(bytes).ok_or(StartupError::FleetMemory { bytes })?;
     let boot_id = boot_id();
     let actor_config = actor_config(&config, build_info);
-    let fleet = Fleet::new(
+    let fleet = FleetActor::new(
         executor.clone(),
         sockets,
         actor_config,
@@ -192,12 +192,12 @@
 
 /// The other members of a replicated store may change; all else is fixed at the start.
 fn same_record(old: Option<&Record>, new: Option<&Record>) -> bool {
-    let without_others = |record: &Record| {
+    let without_peers = |record: &Record| {
         let mut record = record.clone();
-        record.config.others.clear();
+        record.config.peers.clear();
         record
     };
-    old.map(without_others) == new.map(without_others)
+    old.map(without_peers) == new.map(without_peers)
 }
 
 #[cfg(test)]
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -23,7 +23,7 @@
 use crate::messages::fleet::FleetCommand;
 use crate::messages::listener::ListenerCommand;
 use crate::messages::AdmissionMessage;
-use crate::peers::dependency::Sockets;
+use crate::peers::dependency::SocketBudget;
 
 /// What may change the phase.
 enum ServerEvent {
@@ -46,7 +46,7 @@
     /// Memory that peers can make this process take.
     pub(super) budget: Budget,
     /// Sockets for calls to dependencies.
-    pub(super) call_sockets: Sockets,
+    pub(super) call_sockets: SocketBudget,
     /// Dependencies of the operator's file, by name.
     pub(super) dependencies: BTreeMap<Rc<str>, DependencyHandle>,
     pub(super) senders: Senders,
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -28,12 +28,12 @@
 use crate::messages::listener::ListenerCommand;
 use crate::messages::registration::RegistrationCommand;
 use crate::messages::AdmissionMessage;
-use crate::peers::agent::{self, Agent};
-use crate::peers::connection::Shared;
-use crate::peers::dependency::{self, Dependency, Sockets, Target};
-use crate::peers::fleet::{descriptors, Sockets as FleetSockets};
-use crate::peers::listener::{self, Front};
-use crate::peers::registration::{self, List};
+use crate::peers::agent::{self, AgentActor};
+use crate::peers::connection::ConnectionContext;
+use crate::peers::dependency::{self, CallTarget, DependencyClient, SocketBudget};
+use crate::peers::fleet::{descriptor_count, FleetSockets};
+use crate::peers::listener::{self, Listener};
+use crate::peers::registration::{self, Registration};
 use crate::quota_leases::QuotaLeases;
 
 /// Why the server can't start.
@@ -104,10 +104,10 @@
 
 fn open_mailboxes() -> (Senders, Inboxes) {
     let (admission, admission_inbox) = bounded(admission::MAILBOX);
-    let (agent, agent_inbox) = bounded(agent::MAILBOX);
-    let (records, records_inbox) = bounded(dependency::MAILBOX);
-    let (registration, registration_inbox) = bounded(registration::MAILBOX);
-    let (listener, listener_inbox) = bounded(listener::MAILBOX);
+    let (agent, agent_inbox) = bounded(agent::MAILBOX_CAPACITY);
+    let (records, records_inbox) = bounded(dependency::MAILBOX_CAPACITY);
+    let (registration, registration_inbox) = bounded(registration::MAILBOX_CAPACITY);
+    let (listener, listener_inbox) = bounded(listener::MAILBOX_CAPACITY);
     let senders = Senders { admission, agent, records, registration, listener };
     let inboxes = Inboxes {
         admission: admission_inbox,
@@ -134,7 +134,7 @@
         let (senders, inboxes) = open_mailboxes();
         let (agent_up_sender, agent_up) = bounded(1);
         let budget = Budget::new(config.limits.memory / PEER_MEMORY_DIVISOR);
-        let call_sockets = Sockets::new(descriptors.calls);
+        let call_sockets = SocketBudget::new(descriptors.calls);
         let starter = ActorStarter { executor, config: &config, senders: &senders, clock, log };
         let fleet = starter.fleet(operator.as_ref(), sockets.fleet, &budget)?;
         let mailboxes = Mailboxes {
@@ -149,8 +149,8 @@
         starter.agent(inboxes.agent);
         starter.registration(inboxes.registration);
         starter.records_service(inboxes.records, &call_sockets);
-        let shared = starter.connection_context(&mailboxes.hint, descriptors.connections, &budget);
-        let connections = starter.listener(sockets.balancers, shared, inboxes.listener);
+        let context = starter.connection_context(&mailboxes.hint, descriptors.connections, &budget);
+        let connections = starter.listener(sockets.balancers, context, inboxes.listener);
         let mut server = Server {
             executor: executor.clone(),
             config,
@@ -202,7 +202,7 @@
         warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
     }
     let fleet = operator.and_then(|operator| operator.fleet.as_ref());
-    let for_fleet = fleet.map_or(0, |fleet| descriptors(fleet.membership.peers.len()));
+    let for_fleet = fleet.map_or(0, |fleet| descriptor_count(fleet.membership.peers.len()));
     DescriptorBudget::divide(allowed, for_fleet)
 }
 
@@ -237,21 +237,23 @@
     }
 
     fn agent(&self, inbox: Receiver<AgentActorMessage>) {
-        let actor = Agent::new(self.config.agent, inbox, self.senders.admission.clone(), self.log.clone());
+        let actor =
+            AgentActor::new(self.config.agent, inbox, self.senders.admission.clone(), self.log.clone());
         self.executor.spawn(actor.run()).detach();
     }
 
     fn registration(&self, inbox: Receiver<RegistrationCommand>) {
         let among = (self.config.settings.servers, self.config.settings.seed);
-        let actor = List::new(self.config.announce, &self.config.name, among, inbox, self.log.clone());
+        let actor =
+            Registration::new(self.config.announce, &self.config.name, among, inbox, self.log.clone());
         self.executor.spawn(actor.run()).detach();
     }
 
-    fn records_service(&self, inbox: Receiver<DependencyCommand>, sockets: &Sockets) {
+    fn records_service(&self, inbox: Receiver<DependencyCommand>, sockets: &SocketBudget) {
         let Some(address) = self.config.records else { return };
-        let actor = Dependency::new(
+        let actor = DependencyClient::new(
             self.executor.clone(),
-            (Target::records(address), sockets.clone()),
+            (CallTarget::records_service(address), sockets.clone()),
             inbox,
             self.senders.admission.clone(),
             self.clock.clone(),
@@ -261,15 +263,15 @@
     }
 
     /// What all connections of balancers have in common.
-    fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> Shared {
-        Shared {
-            module: self.senders.admission.clone(),
+    fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> ConnectionContext {
+        ConnectionContext {
+            admission: self.senders.admission.clone(),
             classes: Rc::new(self.config.classes.clone()),
             tenants: Rc::new(self.config.tenants.clone()),
-            hint: hint.clone(),
+            load_hint: hint.clone(),
             shape: self.config.shape,
-            connections,
-            serial: Rc::default(),
+            max_connections: connections,
+            last_serial: Rc::default(),
             budget: budget.clone(),
             clock: self.clock.clone(),
             log: self.log.clone(),
@@ -280,12 +282,12 @@
     fn listener(
         &self,
         socket: Async<TcpListener>,
-        shared: Shared,
+        context: ConnectionContext,
         inbox: Receiver<ListenerCommand>,
     ) -> Task<()> {
-        let from = (socket, ConnectionTable::new(shared.connections, &[1]));
+        let from = (socket, ConnectionTable::new(context.max_connections, &[1]));
         let idle_timeout = self.config.settings.idle_timeout_max;
-        let actor = Front::new(self.executor.clone(), from, shared, inbox, idle_timeout);
+        let actor = Listener::new(self.executor.clone(), from, context, inbox, idle_timeout);
         self.executor.spawn(actor.run())
     }
 }
