--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -41,10 +41,14 @@
         let stage = |p: usize, s: usize| plan(p).and_then(|plan| plan.stages.get(s));
         let offset = match location {
             ConfigLocation::FallbackCache => Some(self.kept),
-            ConfigLocation::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
-            ConfigLocation::Plan(p) => plan(p).map(|plan| plan.node),
-            ConfigLocation::Stage(p, s) => stage(p, s).map(|stage| stage.node),
-            ConfigLocation::Call(p, s, c) => stage(p, s).and_then(|stage| stage.calls.get(c).copied()),
+            ConfigLocation::Dependency { dependency: d } => {
+                self.dependencies.get(d).or(self.dependencies.last()).copied()
+            }
+            ConfigLocation::Plan { plan: p } => plan(p).map(|plan| plan.node),
+            ConfigLocation::Stage { plan: p, stage: s } => stage(p, s).map(|stage| stage.node),
+            ConfigLocation::Call { plan: p, stage: s, call: c } => {
+                stage(p, s).and_then(|stage| stage.calls.get(c).copied())
+            }
         };
         offset.unwrap_or(0)
     }
--- a/crates/operator-config/src/dependencies/dependency.rs
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -5,6 +5,7 @@
 use kdl::{KdlDocument, KdlNode};
 use umberloom_dependencies::config::{
     BreakerConfig, DependencyConfig, Fallback, HedgePolicy, LimitBounds, LoadBalancerConfig, RetryPolicy,
+    SharedCapacity,
 };
 
 use super::MAX_NAMES;
@@ -191,7 +192,7 @@
         let mut properties = reader.properties(node);
         let calls = properties.required_number("calls");
         let servers = properties.integer("servers", 1, 1..=1_000_000) as u32;
-        dependency.capacity = Some((calls, servers));
+        dependency.capacity = Some(SharedCapacity { calls, servers });
         properties.finish();
     }
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -103,8 +103,8 @@
         timing,
     };
     for mistake in membership.validate() {
-        let peer = mistake.peer.and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
-        reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.what);
+        let peer = mistake.peer_index().and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
+        reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.to_string());
     }
     let record = reader.single(children, "record").map(|node| {
         let others: Vec<&str> = membership.peers.iter().map(|peer| &*peer.name).collect();
@@ -244,8 +244,8 @@
         let is_shared = survives_node(document, name).is_some_and(|node| node.entry("servers").is_none());
         let first = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
         let capacity = first.and_then(|dependency| dependency.capacity);
-        if let Some((calls, _)) = capacity.filter(|_| is_shared) {
-            shared.push((name.clone(), calls as u32));
+        if let Some(capacity) = capacity.filter(|_| is_shared) {
+            shared.push((name.clone(), capacity.calls as u32));
         }
     }
     shared
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -57,7 +57,7 @@
     };
     properties.finish();
     for reason in config.validate() {
-        reader.report_node(node, reason);
+        reader.report_node(node, reason.to_string());
     }
     Record { config, folder, most, scrub }
 }
--- a/crates/server/src/admin_client/store/status.rs
+++ b/crates/server/src/admin_client/store/status.rs
@@ -56,7 +56,7 @@
     let mut table = Table::with_headings(["entry", "by", "what", "outcome"]);
     table.extend(lines.iter().map(|line| {
         let outcome = outcome_text(&line.outcome);
-        vec![line.index.to_string(), line.author.0.clone(), line.description.clone(), outcome]
+        vec![line.index.to_string(), line.author.server.clone(), line.description.clone(), outcome]
     }));
     table.render()
 }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -19,7 +19,7 @@
 use super::fleet::{self, FleetHandle, FleetStart};
 use super::server::Server;
 use super::PEER_MEMORY_DIVISOR;
-use crate::admission::{self, AdmissionActor, Mailboxes};
+use crate::admission::{self, AdmissionActor, AdmissionParts, Mailboxes};
 use crate::dependency_calls::DependencyCalls;
 use crate::memory::budget::Budget;
 use crate::messages::agent::AgentActorMessage;
@@ -141,15 +141,15 @@
             fleet: fleet.as_ref().map(|handle| handle.mailbox.clone()),
             agent: senders.agent.clone(),
             records: senders.records.clone(),
-            list: senders.registration.clone(),
-            front: senders.listener.clone(),
-            up: agent_up_sender,
-            hint: LoadHint::default(),
+            registration: senders.registration.clone(),
+            listener: senders.listener.clone(),
+            agent_up: agent_up_sender,
+            load_hint: LoadHint::default(),
         };
         starter.agent(inboxes.agent);
         starter.registration(inboxes.registration);
         starter.records_service(inboxes.records, &call_sockets);
-        let context = starter.connection_context(&mailboxes.hint, descriptors.connections, &budget);
+        let context = starter.connection_context(&mailboxes.load_hint, descriptors.connections, &budget);
         let connections = starter.listener(sockets.balancers, context, inboxes.listener);
         let mut server = Server {
             executor: executor.clone(),
@@ -181,15 +181,16 @@
         let dependency_calls = dependencies.and_then(|settings| {
             DependencyCalls::new(self.clock.now(), settings, quota_leases, seed, self.log.clone())
         });
-        let settings = (self.config.settings.clone(), self.config.shape, self.config.gauges.clone());
-        let actor = AdmissionActor::new(
-            settings,
+        let actor = AdmissionActor::new(AdmissionParts {
+            settings: self.config.settings.clone(),
+            shape: self.config.shape,
+            gauge_names: self.config.gauges.clone(),
             dependency_calls,
             inbox,
             mailboxes,
-            self.clock.clone(),
-            self.log.clone(),
-        );
+            clock: self.clock.clone(),
+            log: self.log.clone(),
+        });
         self.executor.spawn(actor.run()).detach();
     }
 }
