--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the program says of its command line and its configuration, before anything is served.
+//! Commands and their errors, and the checks of the configuration before anything is served.
 
 mod common;
 
@@ -13,31 +13,31 @@
     })
 }
 
-/// The one line of complaint about a configuration.
-fn complaint(command: &str, text: &str) -> String {
+/// The error lines of a command that rejects this configuration, just one of which is the program's own.
+fn rejection(command: &str, text: &str) -> String {
     let output = run(&[command], Some(text));
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert_eq!(said.lines().filter(|line| line.starts_with("umberloom: ")).count(), 1, "{said}");
-    said
+    let stderr = String::from_utf8(output.stderr).expect("text");
+    assert_eq!(stderr.lines().filter(|line| line.starts_with("umberloom: ")).count(), 1, "{stderr}");
+    stderr
 }
 
 #[test]
-fn a_sound_configuration_is_said_to_be_so() {
+fn check_accepts_a_valid_configuration() {
     let output = run(&["check"], Some(&config().to_string()));
     assert!(output.status.success());
     assert_eq!(output.stdout, b"n3: sound\n");
 }
 
 #[test]
-fn the_version_is_told() {
+fn version_is_printed() {
     let output = run(&["version"], None);
     assert!(output.status.success());
     assert!(String::from_utf8(output.stdout).expect("text").starts_with("umberloom "));
 }
 
 #[test]
-fn what_makes_no_sense_is_named() {
+fn invalid_values_are_rejected_by_the_name_of_their_field() {
     let cases: [(&str, Value, &str); 15] = [
         ("/listen", json!("nowhere"), "`listen`"),
         ("/agent", json!(7), "`agent`"),
@@ -59,86 +59,88 @@
         ("/settings/realms", json!([{"quota_rps": 3.0}]), "`name`"),
         ("/settings/realms", json!([{"name": "", "quota_rps": 3.0}]), "tenant has no name"),
     ];
-    for (place, value, wanted) in cases {
+    for (path, value, expected) in cases {
         let mut config = config();
-        let (parent, key) = place.rsplit_once('/').expect("a place");
+        let (parent, key) = path.rsplit_once('/').expect("a path");
         let parent = config.pointer_mut(parent).expect("a parent");
         match parent.as_object_mut() {
             Some(fields) => drop(fields.insert(key.to_owned(), value)),
-            None => parent[key.parse::<usize>().expect("a place in a list")] = value,
+            None => parent[key.parse::<usize>().expect("an index")] = value,
         }
-        let said = complaint("check", &config.to_string());
-        assert!(said.contains(wanted), "{place}: {said}");
+        let stderr = rejection("check", &config.to_string());
+        assert!(stderr.contains(expected), "{path}: {stderr}");
     }
 }
 
-/// A complaint about a field names the file and the line where the field stands, and the reason.
+/// An error about a field names the file and the line where the field stands, and the reason.
 #[test]
-fn a_wrong_field_is_named_with_its_line() {
+fn errors_name_the_line_of_the_field() {
     let mut config = config();
     *config.pointer_mut("/settings/classes/0").expect("a class") = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0, "effect": "idempotency_key",
                "repeat_window_us": 0});
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"repeat_window_us\"")).expect("the field");
     for command in ["check", "serve"] {
-        let said = complaint(command, &text);
-        let wanted = format!(":{line}: field `classes[0].repeat_window_us`: a keyed class needs");
-        assert!(said.contains(&wanted), "{said}");
+        let stderr = rejection(command, &text);
+        let expected = format!(":{line}: field `classes[0].repeat_window_us`: a keyed class needs");
+        assert!(stderr.contains(&expected), "{stderr}");
     }
 }
 
 /// Guards against a server of a first tier that does not start: the next tier is reached at `records`, as what all servers
-/// share is. Without that address its calls would go nowhere, which is said at the start.
+/// share is. Without that address its calls would go nowhere, which is reported at the start.
 #[test]
-fn what_lies_below_is_reached_at_records_whatever_it_is() {
-    for below in ["common", "next_hop"] {
+fn any_downstream_needs_an_address_for_records() {
+    for downstream in ["common", "next_hop"] {
         let mut config = config();
-        config["settings"]["family_info"]["downstream"] = json!(below);
-        let sound = run(&["check"], Some(&config.to_string()));
-        assert!(sound.status.success(), "{below}: {sound:?}");
+        config["settings"]["family_info"]["downstream"] = json!(downstream);
+        let output = run(&["check"], Some(&config.to_string()));
+        assert!(output.status.success(), "{downstream}: {output:?}");
         config.as_object_mut().expect("an object").remove("records");
-        assert!(complaint("check", &config.to_string()).contains("`records` is absent"), "{below}");
+        assert!(rejection("check", &config.to_string()).contains("`records` is absent"), "{downstream}");
     }
 }
 
 /// Guards against a server that does not start at another customer's: each of these settings stands by itself, and any
 /// mix of them is sound.
 #[test]
-fn settings_of_other_customers_are_sound_in_any_mix() {
-    let set = |config: &mut Value, place: &str, value: Value| {
-        let (parent, key) = place.rsplit_once('/').expect("a place");
+fn settings_are_valid_in_any_combination() {
+    let set = |config: &mut Value, path: &str, value: Value| {
+        let (parent, key) = path.rsplit_once('/').expect("a path");
         config.pointer_mut(parent).expect("a parent")[key] = value;
     };
-    let mixes = ["silent", "pull", "piggyback"]
+    let combinations = ["silent", "pull", "piggyback"]
         .into_iter()
-        .flat_map(|how| ["silent", "drop", "pause"].map(|halt| (how, halt)))
-        .flat_map(|(how, halt)| ["silent", "min_rank", "tokens", "bias"].map(|say| (how, halt, say)))
+        .flat_map(|report| ["silent", "drop", "pause"].map(|preemption| (report, preemption)))
+        .flat_map(|(report, preemption)| {
+            ["silent", "min_rank", "tokens", "bias"].map(|hint| (report, preemption, hint))
+        })
         .zip(["read_like", "idempotency_key", "non_idempotent"].into_iter().cycle())
         .zip([true, false, false, true].into_iter().cycle());
-    for (((how, halt, say), effect), mark) in mixes {
+    for (((report, preemption, hint), effect), marks_retry) in combinations {
         let mut config = config();
-        set(&mut config, "/settings/load_report", json!({"how": how}));
-        set(&mut config, "/settings/client_habits", json!({"marks_retry": mark}));
+        set(&mut config, "/settings/load_report", json!({"how": report}));
+        set(&mut config, "/settings/client_habits", json!({"marks_retry": marks_retry}));
         set(
             &mut config,
             "/settings/realms",
             json!([{"name": "a", "quota_rps": 3.5}, {"name": "b", "quota_rps": 1}]),
         );
-        set(&mut config, "/settings/family_info/passes_deadline", json!(!mark));
-        set(&mut config, "/settings/family_info/preemption", json!(halt));
-        set(&mut config, "/settings/family_info/say", json!(say));
+        set(&mut config, "/settings/family_info/passes_deadline", json!(!marks_retry));
+        set(&mut config, "/settings/family_info/preemption", json!(preemption));
+        set(&mut config, "/settings/family_info/say", json!(hint));
         set(&mut config, "/settings/classes/0/effect", json!(effect));
         set(&mut config, "/settings/classes/0/write", json!(true));
         set(&mut config, "/settings/classes/0/repeat_window_us", json!(3_000_000));
         let output = run(&["check"], Some(&config.to_string()));
-        assert!(output.status.success(), "{how} {halt} {say} {effect} {mark}: {output:?}");
+        assert!(output.status.success(), "{report} {preemption} {hint} {effect} {marks_retry}: {output:?}");
     }
 }
 
-/// Guards against a slip of the pen that leaves a setting at its default unseen (`wirte` for `write`): it is
-/// told with its line. It is not refused, as files may carry keys of their own (the fleet's `admin`).
+/// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a warning names its
+/// line. It is not rejected, as files may carry keys of their own (the fleet's `admin`).
 #[test]
-fn a_key_that_is_none_is_told_with_its_line() {
+fn unknown_keys_are_warned_about_with_their_line() {
     let mut config = config();
     let class = config.pointer_mut("/settings/classes/0").expect("a class");
     class.as_object_mut().expect("an object").insert("wirte".to_owned(), json!(true));
@@ -146,34 +148,34 @@
     let line = 1 + text.lines().position(|l| l.contains("\"wirte\"")).expect("the field");
     let output = run(&["check"], Some(&text));
     assert!(output.status.success(), "{output:?}");
-    let said = String::from_utf8(output.stderr).expect("text");
+    let stderr = String::from_utf8(output.stderr).expect("text");
     assert!(
-        said.contains(&format!(":{line}: field `settings.classes[0].wirte` is no key known here")),
-        "{said}"
+        stderr.contains(&format!(":{line}: field `settings.classes[0].wirte` is no key known here")),
+        "{stderr}"
     );
-    assert_eq!(said.lines().count(), 1, "{said}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
-/// Guards against a server that does not start at a customer whose keys weigh little: a full table turns first tries away
-/// and drops no key that lives (`memory/keys/tests.rs`, `module/tests.rs`).
+/// Guards against a server that does not start at a customer whose keys weigh little: a full table rejects first attempts
+/// and drops no live key (`memory/idempotency_cache/tests.rs`, `admission/tests`).
 #[test]
-fn a_keyed_class_may_have_keys_of_any_weight() {
-    let keyed = json!({"name": "book", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
+fn idempotency_keys_may_have_any_size() {
+    let class = json!({"name": "book", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
                        "effect": "idempotency_key", "repeat_window_us": 12_309_000});
     let mut config = config();
-    *config.pointer_mut("/settings/classes/1").expect("a class") = keyed;
-    for weight in [170.0, 1.0, 0.0] {
-        *config.pointer_mut("/settings/family_info/key_kb").expect("a field") = json!(weight);
-        let sound = run(&["check"], Some(&config.to_string()));
-        assert!(sound.status.success(), "{weight}: {sound:?}");
+    *config.pointer_mut("/settings/classes/1").expect("a class") = class;
+    for size_kb in [170.0, 1.0, 0.0] {
+        *config.pointer_mut("/settings/family_info/key_kb").expect("a field") = json!(size_kb);
+        let output = run(&["check"], Some(&config.to_string()));
+        assert!(output.status.success(), "{size_kb}: {output:?}");
     }
 }
 
 #[test]
-fn a_broken_or_missing_configuration_serves_nothing() {
-    assert!(complaint("serve", "{").contains("not JSON"));
-    assert!(complaint("serve", "[]").contains("expected an object"));
-    assert!(complaint("serve", "{}").contains("`settings`"));
+fn serve_rejects_a_broken_or_missing_configuration() {
+    assert!(rejection("serve", "{").contains("not JSON"));
+    assert!(rejection("serve", "[]").contains("expected an object"));
+    assert!(rejection("serve", "{}").contains("`settings`"));
     let missing = run(&["serve", "--config", "/nonexistent/config.json"], None);
     assert!(!missing.status.success());
     assert!(String::from_utf8(missing.stderr).expect("text").contains("/nonexistent/config.json"));
@@ -182,15 +184,15 @@
 }
 
 #[test]
-fn an_address_in_use_is_named() {
-    let holder = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+fn serve_names_an_address_in_use() {
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut config = config();
-    config["listen"] = json!(holder.local_addr().expect("an address"));
-    assert!(complaint("serve", &config.to_string()).contains("listen on 127.0.0.1:"));
+    config["listen"] = json!(occupied.local_addr().expect("an address"));
+    assert!(rejection("serve", &config.to_string()).contains("listen on 127.0.0.1:"));
 }
 
 #[test]
-fn an_unknown_sub_command_is_refused() {
+fn unknown_commands_and_options_are_rejected() {
     for arguments in [&["unheard-of"][..], &[], &["serve", "--unheard-of"]] {
         let output = run(arguments, None);
         assert!(!output.status.success(), "{arguments:?}");
