--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -265,7 +265,7 @@
     });
     world.agent.linked();
     world.terminate();
-    eventually("the notice", || world.log().contains("to: Leaving").then_some(()));
+    eventually("the notice", || world.log().contains("to: Draining").then_some(()));
     std::thread::sleep(Duration::from_millis(150));
     world.agent.greet_again();
     assert_eq!(world.announce.report(), "false");
@@ -392,7 +392,7 @@
     let mut idle = world.balancer();
     assert_eq!(idle.ask(&Request::check(1, "")).status, 200);
     world.terminate();
-    eventually("the notice", || world.log().contains("to: Leaving").then_some(()));
+    eventually("the notice", || world.log().contains("to: Draining").then_some(()));
     world.signal("STOP");
     idle.send(&Request::new(2, "unread"));
     let mut waiting = world.balancer();
