--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -1,123 +1,135 @@
-//! A limit on calls in flight that climbs and falls with what latency shows.
+//! An adaptive limit on calls in flight: it rises while latency is low, and falls when latency or losses show overload
+//! (additive increase, multiplicative decrease, as in Netflix's concurrency-limits).
 
 use umberloom::interface::Micros;
 
-use crate::config::Bounds;
+use crate::config::LimitBounds;
 
-/// Calls are slow when they typically take so many times their best, as the decision module has it.
-const SLOW: f64 = 3.0;
-/// The best time is forgotten at this rate a call, so that a dependency that has become slower for good is no
-/// longer held against what it once was.
-const FORGET_BEST: f64 = 1.001;
-/// Weight of the newest call in the typical time.
-const NEWEST: f64 = 0.1;
-/// What is left of the limit after one step down.
-const DOWN: f64 = 0.9;
+/// Calls are slow when they typically take this many times their best latency; the admission controller has the same.
+const SLOW_FACTOR: f64 = 3.0;
+/// The best latency is forgotten at this rate a call, so that a dependency that has become slower for good is no
+/// longer compared with what it once was.
+const BEST_LATENCY_GROWTH: f64 = 1.001;
+/// Weight of the newest call in the typical latency.
+const LATENCY_GAIN: f64 = 0.1;
+/// What one decrease leaves of the limit.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// How a call bears on the limit.
+/// What a call that is over shows about load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sample {
-    /// It was answered after this time.
+pub enum CallSample {
+    /// It was answered after this time, in microseconds.
     Answered(Micros),
-    /// It was turned away, or never came back: there was too much.
+    /// It was rejected or timed out: there was too much load.
     Dropped,
-    /// It says nothing about load: a connection that broke, a call that nobody waits for any more.
-    Silent,
+    /// Nothing: a connection that was lost, a call that nobody waits for any more.
+    Ignored,
 }
 
-/// What moved a limit last.
+/// Why a limit changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// Nothing yet, or new settings.
-    Set,
+pub enum LimitChangeCause {
+    /// It is new, or has new bounds.
+    Configured,
     /// Calls were quick and the limit was made use of.
-    Quick,
-    /// Calls took over three times their best.
-    Slow,
-    /// A call was turned away or never came back.
+    LowLatency,
+    /// Calls took many times their best latency.
+    HighLatency,
+    /// A call was rejected or timed out.
     Dropped,
 }
 
-/// A limit and why it stands where it does.
+/// A change of a limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LimitChange {
+    /// Why it changed.
+    pub cause: LimitChangeCause,
+    /// When.
+    pub at: Micros,
+}
+
+/// A limit and why it has its value, for reports to people.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitView {
+pub struct LimitStatus {
     /// Calls that may be in flight.
     pub value: usize,
     /// Calls that are.
     pub in_flight: usize,
-    /// Least and most that the operator allows.
-    pub bounds: (usize, usize),
-    /// What moved it last, and when.
-    pub moved: (Cause, Micros),
-    /// The typical time of a call and the best, in microseconds; 0 while unknown.
-    pub typical: f64,
-    /// The best time, slowly forgotten.
-    pub best: f64,
+    /// The least value that is configured.
+    pub min: usize,
+    /// The highest value that is allowed.
+    pub max: usize,
+    /// Its last change.
+    pub last_change: LimitChange,
+    /// The typical latency of a call, in microseconds; 0 while unknown.
+    pub typical_latency: f64,
+    /// The best latency, slowly forgotten, in microseconds; 0 while unknown.
+    pub best_latency: f64,
 }
 
-/// The limit.
+/// The limit, with the number of calls in flight.
 #[derive(Clone, Debug)]
-pub struct Limit {
-    bounds: Bounds,
-    /// What is allowed from outside, whatever was learned: a part of an allowance that several servers share.
+pub struct ConcurrencyLimit {
+    bounds: LimitBounds,
+    /// What is allowed from outside, whatever was learned: this server's share of a distributed quota.
     cap: usize,
     value: f64,
     in_flight: usize,
-    typical: Option<f64>,
-    best: f64,
-    moved: (Cause, Micros),
-    /// No second step down before the first can have shown.
-    down_from: Micros,
+    typical_latency: Option<f64>,
+    best_latency: f64,
+    last_change: LimitChange,
+    /// No second decrease before the first can have had an effect.
+    next_decrease_at: Micros,
 }
 
-impl Limit {
-    /// Starts where the bounds say.
-    pub fn new(bounds: Bounds) -> Limit {
-        Limit {
+impl ConcurrencyLimit {
+    /// A limit at the initial value of its bounds.
+    pub fn new(bounds: LimitBounds) -> ConcurrencyLimit {
+        ConcurrencyLimit {
             bounds,
             cap: usize::MAX,
-            value: bounds.start.clamp(bounds.least, bounds.most) as f64,
+            value: bounds.initial.clamp(bounds.min, bounds.max) as f64,
             in_flight: 0,
-            typical: None,
-            best: 0.0,
-            moved: (Cause::Set, 0),
-            down_from: 0,
+            typical_latency: None,
+            best_latency: 0.0,
+            last_change: LimitChange { cause: LimitChangeCause::Configured, at: 0 },
+            next_decrease_at: 0,
         }
     }
 
-    /// New bounds; what was learned stays.
-    pub fn set_bounds(&mut self, now: Micros, bounds: Bounds) {
+    /// Applies new bounds; what was learned stays.
+    pub fn set_bounds(&mut self, now: Micros, bounds: LimitBounds) {
         if self.bounds != bounds {
             self.bounds = bounds;
-            self.value = self.value.clamp(bounds.least as f64, bounds.most as f64);
-            self.moved = (Cause::Set, now);
+            self.value = self.value.clamp(bounds.min as f64, bounds.max as f64);
+            self.last_change = LimitChange { cause: LimitChangeCause::Configured, at: now };
         }
     }
 
-    /// Calls that may be in flight.
-    pub fn value(&self) -> usize {
-        self.value as usize
-    }
-
-    /// No more calls than this may be in flight from now on; whether that is more than before.
+    /// Lets no more calls than `cap` be in flight; returns whether that is more than before.
     pub fn set_cap(&mut self, cap: usize) -> bool {
         let before = std::mem::replace(&mut self.cap, cap);
         cap > before
     }
 
-    /// Calls that are.
+    /// Calls that may be in flight as far as was learned, without the cap.
+    pub fn value(&self) -> usize {
+        self.value as usize
+    }
+
+    /// Calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Whether one more may start.
-    pub fn has_place(&self) -> bool {
+    /// Whether one more call may start.
+    pub fn has_capacity(&self) -> bool {
         self.in_flight < self.value().min(self.cap)
     }
 
-    /// Its typical time, 0 while unknown.
-    pub fn typical(&self) -> f64 {
-        self.typical.unwrap_or(0.0)
+    /// The typical latency of a call in microseconds, 0 while unknown.
+    pub fn typical_latency(&self) -> f64 {
+        self.typical_latency.unwrap_or(0.0)
     }
 
     /// A call starts.
@@ -126,154 +138,77 @@
     }
 
     /// A call that was started is over.
-    pub fn end(&mut self, now: Micros, sample: Sample) {
-        let used = 2 * self.in_flight >= self.value();
+    pub fn end(&mut self, now: Micros, sample: CallSample) {
+        let was_used = 2 * self.in_flight >= self.value();
         self.in_flight = self.in_flight.saturating_sub(1);
         match sample {
-            Sample::Silent => {}
-            Sample::Dropped => self.fall(now, Cause::Dropped),
-            Sample::Answered(took) => {
-                let took = took.max(1) as f64;
-                let typical = self.typical.map_or(took, |t| t + NEWEST * (took - t));
-                self.best = if self.typical.is_none() { took } else { typical.min(self.best * FORGET_BEST) };
-                self.typical = Some(typical);
-                if typical > SLOW * self.best {
-                    self.fall(now, Cause::Slow);
-                } else if used {
-                    self.climb(now);
+            CallSample::Ignored => {}
+            CallSample::Dropped => self.decrease(now, LimitChangeCause::Dropped),
+            CallSample::Answered(latency) => {
+                let typical = self.record_latency(latency);
+                if typical > SLOW_FACTOR * self.best_latency {
+                    self.decrease(now, LimitChangeCause::HighLatency);
+                } else if was_used {
+                    self.increase(now);
                 }
             }
         }
     }
 
+    /// Returns the typical latency.
+    fn record_latency(&mut self, latency: Micros) -> f64 {
+        let latency = latency.max(1) as f64;
+        let Some(before) = self.typical_latency else {
+            self.typical_latency = Some(latency);
+            self.best_latency = latency;
+            return latency;
+        };
+        let typical = before + LATENCY_GAIN * (latency - before);
+        self.typical_latency = Some(typical);
+        self.best_latency = typical.min(self.best_latency * BEST_LATENCY_GROWTH);
+        typical
+    }
+
     /// By one for as many calls as the limit lets be in flight.
-    fn climb(&mut self, now: Micros) {
-        let next = (self.value + 1.0 / self.value).min(self.bounds.most as f64);
-        if next as usize != self.value() {
-            self.moved = (Cause::Quick, now);
-        }
-        self.value = next;
+    fn increase(&mut self, now: Micros) {
+        let value = (self.value + 1.0 / self.value).min(self.bounds.max as f64);
+        self.set_value(now, value, LimitChangeCause::LowLatency);
     }
 
-    fn fall(&mut self, now: Micros, why: Cause) {
-        if now < self.down_from {
+    fn decrease(&mut self, now: Micros, cause: LimitChangeCause) {
+        if now < self.next_decrease_at {
             return;
         }
-        self.down_from = now + self.typical() as Micros;
-        let next = (self.value * DOWN).max(self.bounds.least as f64);
-        if next as usize != self.value() {
-            self.moved = (why, now);
+        self.next_decrease_at = now + self.typical_latency() as Micros;
+        let value = (self.value * DECREASE_FACTOR).max(self.bounds.min as f64);
+        self.set_value(now, value, cause);
+    }
+
+    fn set_value(&mut self, now: Micros, value: f64, cause: LimitChangeCause) {
+        if value as usize != self.value() {
+            self.last_change = LimitChange { cause, at: now };
         }
-        self.value = next;
+        self.value = value;
     }
 
-    /// Where it stands and why.
-    pub fn explain(&self) -> LimitView {
-        LimitView {
+    /// Its value and why it has it.
+    pub fn status(&self) -> LimitStatus {
+        LimitStatus {
             value: self.value(),
             in_flight: self.in_flight,
-            bounds: (self.bounds.least, self.bounds.most),
-            moved: self.moved,
-            typical: self.typical(),
-            best: self.best,
+            min: self.bounds.min,
+            max: self.bounds.max,
+            last_change: self.last_change,
+            typical_latency: self.typical_latency(),
+            best_latency: self.best_latency,
         }
     }
 
-    /// Whether it stands within its bounds.
-    pub fn is_sound(&self) -> bool {
-        (self.bounds.least..=self.bounds.most).contains(&self.value())
+    /// Whether its value is within its bounds.
+    pub fn is_within_bounds(&self) -> bool {
+        (self.bounds.min..=self.bounds.max).contains(&self.value())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const BOUNDS: Bounds = Bounds { start: 4, least: 2, most: 20 };
-
-    /// As many calls as fit, each taking `took(in flight)`; returns the limit at the end.
-    fn play(limit: &mut Limit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
-        for round in 0..rounds {
-            while limit.has_place() {
-                limit.start();
-            }
-            let crowd = limit.in_flight();
-            (0..crowd).for_each(|_| limit.end(round * 100_000, Sample::Answered(took(crowd))));
-        }
-        limit.value()
-    }
-
-    #[test]
-    fn it_climbs_while_calls_are_quick_and_used() {
-        let mut limit = Limit::new(BOUNDS);
-        assert_eq!(play(&mut limit, 100, |_| 1_000), 20);
-        assert_eq!(limit.explain().moved.0, Cause::Quick);
-    }
-
-    #[test]
-    fn it_stays_where_it_is_not_made_use_of() {
-        let mut limit = Limit::new(BOUNDS);
-        for now in 0..1_000 {
-            limit.start();
-            limit.end(now, Sample::Answered(1_000));
-        }
-        assert_eq!((limit.value(), limit.explain().moved.0), (4, Cause::Set));
-    }
-
-    #[test]
-    fn it_settles_where_a_crowded_dependency_is_not_yet_slow() {
-        let mut limit = Limit::new(BOUNDS);
-        // Over 8 at once each takes longer in step with the square of the crowd.
-        let took = |crowd: usize| if crowd <= 8 { 1_000 } else { 1_000 * (crowd * crowd) as u64 / 16 };
-        let end = play(&mut limit, 400, took);
-        assert!((6..=11).contains(&end), "{end}");
-    }
-
-    #[test]
-    fn what_is_turned_away_brings_it_down_once_a_call_time() {
-        let mut limit = Limit::new(Bounds { start: 20, ..BOUNDS });
-        limit.start();
-        limit.end(0, Sample::Answered(1_000));
-        for _ in 0..10 {
-            limit.start();
-            limit.end(10_000, Sample::Dropped);
-        }
-        assert_eq!((limit.value(), limit.explain().moved), (18, (Cause::Dropped, 10_000)));
-        for round in 2..100 {
-            limit.start();
-            limit.end(round * 10_000, Sample::Dropped);
-        }
-        assert_eq!(limit.value(), 2);
-    }
-
-    #[test]
-    fn new_bounds_hold_at_once() {
-        let mut limit = Limit::new(BOUNDS);
-        limit.set_bounds(7, Bounds { start: 1, least: 1, most: 3 });
-        assert_eq!((limit.value(), limit.explain().moved), (3, (Cause::Set, 7)));
-    }
-
-    proptest! {
-        #[test]
-        fn it_never_leaves_its_bounds(
-            least in 1usize..10, start in 0usize..10, most in 0usize..40,
-            steps in prop::collection::vec((0u64..100_000, 0u8..4, 1u64..10_000_000), 0..400),
-        ) {
-            let bounds = Bounds { least, start: least + start, most: least + start + most };
-            let (mut limit, mut now, mut flying) = (Limit::new(bounds), 0, 0usize);
-            for (after, what, took) in steps {
-                now += after;
-                if limit.has_place() && what != 3 {
-                    limit.start();
-                    flying += 1;
-                } else if flying > 0 {
-                    flying -= 1;
-                    let sample = match took % 3 { 0 => Sample::Dropped, 1 => Sample::Silent, _ => Sample::Answered(took) };
-                    limit.end(now, sample);
-                }
-                prop_assert!(limit.is_sound() && limit.in_flight() == flying && flying <= bounds.most);
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -1,340 +1,238 @@
-//! Which endpoint a call goes to, and which endpoints are left out.
+//! Load balancing over the endpoints of a dependency, with outlier ejection as in Envoy.
+
+mod ejection;
+mod endpoint;
 
 use std::rc::Rc;
 
 use rand::Rng;
 use umberloom::interface::Micros;
 
-use crate::config::{Bounds, Route};
-use crate::latency::Peak;
-use crate::limit::{Limit, LimitView, Sample};
-use crate::probe_pacing;
-
-/// An endpoint that comes back starts with this part of its full share.
-const RAMP_FROM: f64 = 0.1;
-/// Of the part of its full share that an endpoint has while it comes back so much is used; the rest is for chance, as many
-/// servers draw by themselves.
-const RAMP_USED: f64 = 0.5;
-/// Left out again, it stays out twice as long, up to so many times as long as at first.
-const LONGEST: u32 = 4;
-/// A failed call counts as so many times the usual time: an endpoint that fails fast must not draw calls by it.
-const FAILED_AS: f64 = 10.0;
-/// The usual time while none is known: a tenth of a second.
-const UNKNOWN: f64 = 100_000.0;
-/// Calls that an endpoint must have answered before its time is held against it.
-const ENOUGH: u32 = 10;
-
-/// Whether an endpoint is in use.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It is, with its full share from this time on.
-    In(Micros),
-    /// It is left out until this time.
-    Out(Micros),
-    /// One call goes to it, to see.
-    Probing,
-}
-
-/// Why an endpoint was left out last.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
-    /// It failed too often in a row.
-    Failed,
-    /// It took many times what the others take.
-    Lagged,
-}
+use self::endpoint::Endpoint;
+use crate::config::{LimitBounds, LoadBalancerConfig};
+use crate::limit::CallSample;
 
-/// What an endpoint looks like from here.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EndpointView {
-    /// Its address.
-    pub address: Rc<str>,
-    /// Whether it is in use.
-    pub state: State,
-    /// Why it was left out last, and how often in a row.
-    pub out: Option<(Reason, u32)>,
-    /// It would be left out, but too many are.
-    pub held_in: bool,
-    /// Its limit.
-    pub limit: LimitView,
-}
+pub use ejection::{Ejection, EjectionReason};
+pub use endpoint::{EndpointState, EndpointStatus};
 
-#[derive(Clone, Debug)]
-struct Endpoint {
-    address: Rc<str>,
-    state: State,
-    limit: Limit,
-    /// Times of calls that were answered, and what failed ones count as.
-    peak: Peak,
-    trouble: Peak,
-    answered: u32,
-    failures: u32,
-    out: Option<(Reason, u32)>,
-    held_in: bool,
-    /// No longer in the settings: it takes no new call and goes with its last one.
-    retired: bool,
-}
+/// An endpoint that comes back starts with this part of its full weight.
+const INITIAL_WEIGHT: f64 = 0.1;
+/// Of the weight that an endpoint has while it comes back this part is used; the rest is left for chance, as many
+/// servers draw independently.
+const RAMP_USED_SHARE: f64 = 0.5;
+/// A failed call counts as this many times the median latency: an endpoint that fails fast must not attract calls.
+const FAILURE_LATENCY_FACTOR: f64 = 10.0;
+/// The median latency while none is known, in microseconds: a tenth of a second.
+const DEFAULT_LATENCY: f64 = 100_000.0;
 
-/// All endpoints of one dependency. They are known by their places, which never change.
+/// All endpoints of one dependency. They are named by their indices, which never change.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    settings: Route,
-    all: Vec<Endpoint>,
-    /// How many were out when the settings changed last: they may leave fewer out than that.
-    were_out: usize,
+pub struct LoadBalancer {
+    config: LoadBalancerConfig,
+    endpoints: Vec<Endpoint>,
+    /// How many were ejected at the last reconfiguration, which may allow fewer than that.
+    ejected_at_reconfigure: usize,
 }
 
-impl Pool {
-    /// Endpoints at these addresses.
-    pub fn new(settings: Route, addresses: &[String], bounds: Bounds) -> Pool {
-        let mut pool = Pool { settings, all: Vec::new(), were_out: 0 };
-        pool.set(0, settings, addresses, bounds);
-        pool
+impl LoadBalancer {
+    /// All of the endpoints at these addresses are active.
+    pub fn new(config: LoadBalancerConfig, addresses: &[String], bounds: LimitBounds) -> LoadBalancer {
+        let mut balancer = LoadBalancer { config, endpoints: Vec::new(), ejected_at_reconfigure: 0 };
+        balancer.reconfigure(0, config, addresses, bounds);
+        balancer
     }
 
-    /// New settings: what is known of addresses that stay is kept, and those that are gone take no new calls.
-    pub fn set(&mut self, now: Micros, settings: Route, addresses: &[String], bounds: Bounds) {
-        self.settings = settings;
-        for endpoint in &mut self.all {
-            endpoint.retired = !addresses.iter().any(|a| **a == *endpoint.address);
+    /// Applies a new configuration: what is known of addresses that stay is kept, and those that are gone get no new
+    /// calls.
+    pub fn reconfigure(
+        &mut self,
+        now: Micros,
+        config: LoadBalancerConfig,
+        addresses: &[String],
+        bounds: LimitBounds,
+    ) {
+        self.config = config;
+        for endpoint in &mut self.endpoints {
+            endpoint.retired = !addresses.iter().any(|address| **address == *endpoint.address);
             endpoint.limit.set_bounds(now, bounds);
         }
         for address in addresses {
-            if self.all.iter().any(|e| *e.address == **address) {
-                continue;
-            }
-            let fresh = Endpoint {
-                address: address.as_str().into(),
-                state: State::In(0),
-                limit: Limit::new(bounds),
-                peak: Peak::default(),
-                trouble: Peak::default(),
-                answered: 0,
-                failures: 0,
-                out: None,
-                held_in: false,
-                retired: false,
-            };
-            // The place of one that is gone, so that changes of the file never make the list grow for ever.
-            match self.all.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
-                Some(gone) => *gone = fresh,
-                None => self.all.push(fresh),
+            if !self.endpoints.iter().any(|endpoint| *endpoint.address == **address) {
+                self.add_endpoint(Endpoint::new(address, bounds));
             }
         }
-        self.were_out = self.out();
+        self.ejected_at_reconfigure = self.ejected_count();
+    }
+
+    /// Reuses the index of an endpoint that is gone, so that reconfigurations never make the list grow for ever.
+    fn add_endpoint(&mut self, endpoint: Endpoint) {
+        match self.endpoints.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
+            Some(gone) => *gone = endpoint,
+            None => self.endpoints.push(endpoint),
+        }
     }
 
     /// The address of an endpoint.
-    pub fn address(&self, place: usize) -> Rc<str> {
-        self.all[place].address.clone()
+    pub fn address(&self, index: usize) -> Rc<str> {
+        self.endpoints[index].address.clone()
     }
 
-    /// The endpoint for a call, other than those in `avoid` as long as there is another. `None`: no place now.
+    /// The endpoint for a call, other than those in `avoid` as long as there is another; `None` if none has capacity.
     ///
-    /// One whose time out has passed is probed first. Otherwise two are drawn, and the better of them by calls in
-    /// flight and time taken of late gets the call. One that comes back is drawn for its part of its share only: a server
-    /// with few calls has no smaller step than one, and thirty of them with one call each would be all that it is to get
-    /// later. Where none is in use, all are again: calls that may fail tell more than calls that are not made.
+    /// An endpoint whose ejection is over is probed first. Otherwise two are drawn, and the better of them by calls in
+    /// flight and recent latency gets the call (power of two choices). An endpoint that comes back is drawn for its part
+    /// of its full weight only: a server with few calls has no smaller step than one, and thirty of them with one call
+    /// each would be all that it is to get later. Where no endpoint is active, all are used: calls that may fail show
+    /// more than calls that are not made.
     pub fn pick(&self, now: Micros, avoid: &[usize], random: &mut impl Rng) -> Option<usize> {
-        let usable = |p: &usize| !self.all[*p].retired && self.all[*p].limit.has_place();
-        let due = |p: &usize| matches!(self.all[*p].state, State::Out(until) if now >= until);
-        let fresh = |p: &usize| !avoid.contains(p);
-        let is_in = |p: &usize| matches!(self.all[*p].state, State::In(_));
-        let all = 0..self.all.len();
-        if let Some(probe) = all.clone().find(|p| due(p) && usable(p) && fresh(p)) {
+        if let Some(probe) = self.due_probe(now, avoid) {
             return Some(probe);
         }
-        let none_in = !all.clone().any(|p| !self.all[p].retired && is_in(&p));
-        let from = |p: &usize| usable(p) && (none_in || is_in(p));
-        let another = all.clone().any(|p| from(&p) && fresh(&p));
-        let from = |p: &usize| from(p) && (!another || fresh(p));
-        let count = all.clone().filter(from).count();
-        let nth = |n: usize| all.clone().filter(from).nth(n);
-        if count < 2 {
-            return nth(0);
+        let candidates = self.candidates(avoid);
+        if candidates.len() < 2 {
+            return candidates.first().copied();
         }
-        let first = nth(random.random_range(0..count))?;
-        let comes_back = |p: &usize| self.weight(now, &self.all[*p]) < 1.0;
-        let settled = |p: &usize| from(p) && !comes_back(p) && *p != first;
-        let others = all.clone().filter(settled).count();
-        if others == 0 {
+        let first = candidates[random.random_range(0..candidates.len())];
+        let first_weight = self.weight(now, first);
+        let others: Vec<usize> =
+            candidates.into_iter().filter(|&c| c != first && self.weight(now, c) >= 1.0).collect();
+        if others.is_empty() {
             return Some(first);
         }
-        let second = all.clone().filter(settled).nth(random.random_range(0..others))?;
-        if comes_back(&first) {
-            let part = self.weight(now, &self.all[first]) * RAMP_USED;
-            return Some(if random.random_bool(part) { first } else { second });
+        let second = others[random.random_range(0..others.len())];
+        let takes_first = if first_weight < 1.0 {
+            random.random_bool(first_weight * RAMP_USED_SHARE)
+        } else {
+            self.cost(second) >= self.cost(first)
+        };
+        Some(if takes_first { first } else { second })
+    }
+
+    /// An endpoint whose ejection is over, for a probe.
+    fn due_probe(&self, now: Micros, avoid: &[usize]) -> Option<usize> {
+        let is_due = |endpoint: &Endpoint| match endpoint.state {
+            EndpointState::Ejected { until } => now >= until && endpoint.is_usable(),
+            _ => false,
+        };
+        (0..self.endpoints.len()).find(|index| is_due(&self.endpoints[*index]) && !avoid.contains(index))
+    }
+
+    /// Endpoints that may get a call: active ones, or all where none is active; without those to avoid as long as there
+    /// are others.
+    fn candidates(&self, avoid: &[usize]) -> Vec<usize> {
+        let none_active = !self.endpoints.iter().any(|e| !e.retired && e.is_active());
+        let is_candidate = |index: &usize| {
+            let endpoint = &self.endpoints[*index];
+            endpoint.is_usable() && (none_active || endpoint.is_active())
+        };
+        let mut candidates: Vec<usize> = (0..self.endpoints.len()).filter(is_candidate).collect();
+        if candidates.iter().any(|index| !avoid.contains(index)) {
+            candidates.retain(|index| !avoid.contains(index));
         }
-        Some(if self.cost(second) < self.cost(first) { second } else { first })
+        candidates
     }
 
-    /// Whether `pick` could give an endpoint that is none of these.
-    pub fn has_another(&self, avoid: &[usize]) -> bool {
-        let usable = |(p, e): (usize, &Endpoint)| !e.retired && !avoid.contains(&p) && e.limit.has_place();
-        self.all.iter().enumerate().any(usable)
+    /// Whether an endpoint that is none of these has capacity.
+    pub fn has_alternative(&self, avoid: &[usize]) -> bool {
+        let is_alternative =
+            |(index, endpoint): (usize, &Endpoint)| endpoint.is_usable() && !avoid.contains(&index);
+        self.endpoints.iter().enumerate().any(is_alternative)
     }
 
-    fn cost(&self, place: usize) -> f64 {
-        let endpoint = &self.all[place];
-        let known = endpoint.peak.value().max(endpoint.trouble.value());
-        let time = if known > 0.0 { known } else { self.usual(None) };
-        (endpoint.limit.in_flight() + 1) as f64 * time
+    /// What one more call is expected to cost: calls in flight times latency.
+    fn cost(&self, index: usize) -> f64 {
+        let endpoint = &self.endpoints[index];
+        let known = endpoint.answer_latency.value().max(endpoint.penalized_latency.value());
+        let latency = if known > 0.0 { known } else { self.median_latency(None) };
+        (endpoint.limit.in_flight() + 1) as f64 * latency
     }
 
-    /// The part of its full share that an endpoint gets: it grows while it comes back.
-    fn weight(&self, now: Micros, endpoint: &Endpoint) -> f64 {
-        let State::In(full) = endpoint.state else { return RAMP_FROM };
-        let left = full.saturating_sub(now) as f64 / self.settings.ramp.max(1) as f64;
-        1.0 - (1.0 - RAMP_FROM) * left.min(1.0)
+    /// The part of its full weight that an endpoint has: it grows while it comes back.
+    fn weight(&self, now: Micros, index: usize) -> f64 {
+        let EndpointState::Active { full_weight_at } = self.endpoints[index].state else {
+            return INITIAL_WEIGHT;
+        };
+        let left = full_weight_at.saturating_sub(now) as f64 / self.config.recovery_ramp.max(1) as f64;
+        1.0 - (1.0 - INITIAL_WEIGHT) * left.min(1.0)
     }
 
-    /// The middle one of the times that endpoints take, without the one at `but`.
-    fn usual(&self, but: Option<usize>) -> f64 {
-        let known = |(p, e): &(usize, &Endpoint)| Some(*p) != but && !e.retired && e.answered > 0;
-        let known = self.all.iter().enumerate().filter(known);
-        let mut times: Vec<f64> = known.map(|(_, e)| e.peak.value()).collect();
-        times.sort_by(f64::total_cmp);
-        times.get(times.len().saturating_sub(1) / 2).copied().unwrap_or(UNKNOWN)
+    /// The median of the latencies of all endpoints but `excluded`.
+    fn median_latency(&self, excluded: Option<usize>) -> f64 {
+        let is_known =
+            |(index, e): &(usize, &Endpoint)| Some(*index) != excluded && !e.retired && e.answered > 0;
+        let known = self.endpoints.iter().enumerate().filter(is_known);
+        let mut latencies: Vec<f64> = known.map(|(_, e)| e.answer_latency.value()).collect();
+        latencies.sort_by(f64::total_cmp);
+        let middle = latencies.len().saturating_sub(1) / 2;
+        latencies.get(middle).copied().unwrap_or(DEFAULT_LATENCY)
     }
 
     /// A call to this endpoint starts.
-    pub fn start(&mut self, place: usize) {
-        let endpoint = &mut self.all[place];
+    pub fn start(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
         endpoint.limit.start();
-        if matches!(endpoint.state, State::Out(_)) {
-            endpoint.state = State::Probing;
+        if matches!(endpoint.state, EndpointState::Ejected { .. }) {
+            endpoint.state = EndpointState::Probing;
         }
     }
 
-    /// It is over. `failed` is `None` where it says nothing of the endpoint's health.
+    /// A call to this endpoint is over. `failed` is `None` where that shows nothing of the endpoint's health.
     pub fn end(
         &mut self,
         now: Micros,
-        place: usize,
-        sample: Sample,
+        index: usize,
+        sample: CallSample,
         failed: Option<bool>,
         random: &mut impl Rng,
     ) {
-        let usual = self.usual(Some(place));
-        let endpoint = &mut self.all[place];
+        let median = self.median_latency(Some(index));
+        let endpoint = &mut self.endpoints[index];
         endpoint.limit.end(now, sample);
         match (failed, sample) {
-            (Some(true), _) => {
-                endpoint.failures = endpoint.failures.saturating_add(1);
-                let counts_as = usual.max(endpoint.peak.value()).min(usual * FAILED_AS) * FAILED_AS;
-                endpoint.trouble.add(now, counts_as as Micros);
-            }
-            (Some(false), Sample::Answered(took)) => {
-                endpoint.failures = 0;
-                endpoint.answered = endpoint.answered.saturating_add(1);
-                endpoint.peak.add(now, took);
-                endpoint.trouble.add(now, took);
-            }
+            (Some(true), _) => endpoint.record_failure(now, median),
+            (Some(false), CallSample::Answered(took)) => endpoint.record_answer(now, took),
             _ => {}
         }
-        if endpoint.state == State::Probing {
-            match failed {
-                Some(false) => self.bring_back(now, place),
-                Some(true) => self.leave_out(now, place, Reason::Failed, random),
-                // It proved nothing: the next call may try.
-                None => endpoint.state = State::Out(now),
-            }
-        } else {
-            self.judge(now, place, random);
+        if endpoint.state != EndpointState::Probing {
+            return self.eject_if_outlier(now, index, random);
         }
-    }
-
-    fn bring_back(&mut self, now: Micros, place: usize) {
-        let endpoint = &mut self.all[place];
-        endpoint.state = State::In(now + self.settings.ramp);
-        endpoint.failures = 0;
-        endpoint.answered = 0;
-        (endpoint.peak, endpoint.trouble) = (Peak::default(), Peak::default());
-    }
-
-    fn judge(&mut self, now: Micros, place: usize, random: &mut impl Rng) {
-        let endpoint = &self.all[place];
-        let State::In(full) = endpoint.state else { return };
-        let lags = endpoint.answered >= ENOUGH
-            && endpoint.peak.value() > self.settings.lag * self.usual(Some(place))
-            && self.all.iter().enumerate().any(|(p, e)| p != place && !e.retired && e.answered >= ENOUGH);
-        let reason = match endpoint.failures >= self.settings.failures {
-            true => Some(Reason::Failed),
-            false => lags.then_some(Reason::Lagged),
-        };
-        match reason {
-            Some(reason) if self.may_leave_out() => self.leave_out(now, place, reason, random),
-            Some(_) => self.all[place].held_in = true,
-            None => {
-                let endpoint = &mut self.all[place];
-                endpoint.held_in = false;
-                // Well for as long again as it took to come back: its past is forgotten.
-                if endpoint.out.is_some() && now > full + self.settings.ramp {
-                    endpoint.out = None;
-                }
-            }
+        match failed {
+            Some(false) => self.readmit(now, index),
+            Some(true) => self.eject(now, index, EjectionReason::ConsecutiveFailures, random),
+            // It proved nothing: the next call may try.
+            None => endpoint.state = EndpointState::Ejected { until: now },
         }
     }
 
-    fn may_leave_out(&self) -> bool {
-        let there = self.all.iter().filter(|e| !e.retired).count();
-        (self.out() + 1) as f64 <= self.settings.out_most * there as f64
-    }
-
-    /// How many are out.
-    fn out(&self) -> usize {
-        self.all.iter().filter(|e| !e.retired && !matches!(e.state, State::In(_))).count()
-    }
-
-    fn leave_out(&mut self, now: Micros, place: usize, reason: Reason, random: &mut impl Rng) {
-        let endpoint = &mut self.all[place];
-        let times = endpoint.out.map_or(0, |(_, times)| times);
-        let span = self.settings.out * Micros::from((1 << times.min(16)).min(LONGEST));
-        endpoint.out = Some((reason, times + 1));
-        // Servers that saw it fail at one moment must not all look again at one moment.
-        endpoint.state = State::Out(now + probe_pacing::spread(self.settings.servers, span, random));
-        endpoint.held_in = false;
-    }
-
-    /// When the next endpoint that is out may be probed.
-    pub fn next_probe(&self) -> Option<Micros> {
-        let until = |e: &Endpoint| match e.state {
-            State::Out(until) if !e.retired => Some(until),
-            _ => None,
-        };
-        self.all.iter().filter_map(until).min()
-    }
-
-    /// Calls in flight, and whether nothing is left of a pool whose dependency is gone.
+    /// Calls in flight at all endpoints.
     pub fn in_flight(&self) -> usize {
-        self.all.iter().map(|e| e.limit.in_flight()).sum()
+        self.endpoints.iter().map(|endpoint| endpoint.limit.in_flight()).sum()
     }
 
-    /// How each endpoint stands.
-    pub fn explain(&self) -> Vec<EndpointView> {
-        let there = self.all.iter().filter(|e| !e.retired);
-        let view = |e: &Endpoint| EndpointView {
-            address: e.address.clone(),
-            state: e.state,
-            out: e.out,
-            held_in: e.held_in,
-            limit: e.limit.explain(),
-        };
-        there.map(view).collect()
+    /// What is known of each configured endpoint.
+    pub fn status(&self) -> Vec<EndpointStatus> {
+        self.endpoints.iter().filter(|e| !e.retired).map(Endpoint::status).collect()
     }
 
-    /// What must always hold.
-    pub fn check(&self) -> Result<(), String> {
-        let there = self.all.iter().filter(|e| !e.retired).count();
-        let (out, most) = (self.out(), (self.settings.out_most * there as f64) as usize);
-        if out > most.max(self.were_out) {
-            return Err(format!("{out} endpoints are out, at most {most} may be"));
+    /// Checks what must always hold.
+    ///
+    /// # Errors
+    /// The first thing that does not hold.
+    pub fn check_invariants(&self) -> Result<(), String> {
+        let ejected = self.ejected_count();
+        let max_ejected = (self.config.max_ejected_share * self.configured_count() as f64) as usize;
+        if ejected > max_ejected.max(self.ejected_at_reconfigure) {
+            return Err(format!("{ejected} endpoints are ejected, at most {max_ejected} may be"));
         }
-        match self.all.iter().find(|e| !e.limit.is_sound()) {
-            Some(e) => Err(format!("the limit of {} left its bounds", e.address)),
+        match self.endpoints.iter().find(|endpoint| !endpoint.limit.is_within_bounds()) {
+            Some(endpoint) => Err(format!("the limit of {} left its bounds", endpoint.address)),
             None => Ok(()),
         }
     }
+
+    fn configured_count(&self) -> usize {
+        self.endpoints.iter().filter(|endpoint| !endpoint.retired).count()
+    }
 }
 
 #[cfg(test)]
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -1,27 +1,33 @@
-//! What the entries of the log come to, the same at every member that has applied as many of them.
+//! The state that the log's entries lead to: the same at every replica that has applied as many of them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{
-    digest, Content, Digest, Document, Entry, EntryId, Envelope, LONGEST_DOCUMENT, LONGEST_NAME,
+    digest, Content, Digest, DocumentPart, DocumentUpdate, Entry, EntryId, Envelope, MAX_DOCUMENT_BYTES,
+    MAX_NAME_BYTES, PART_BYTES,
 };
 
-/// Ids that are remembered, so that an entry written twice is applied once.
-const SEEN: usize = 4_096;
+#[cfg(test)]
+mod tests;
+
+/// Outcomes that are remembered, so that an entry proposed twice is applied once.
+const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
 /// Lines of history that are kept.
-const HISTORY: usize = 512;
-/// Documents.
-const DOCUMENTS: usize = 256;
+const MAX_HISTORY_LINES: usize = 512;
+/// Characters of a note that its line of history shows.
+const MAX_NOTE_CHARS: usize = 200;
+/// Documents, removed ones included.
+const MAX_DOCUMENTS: usize = 256;
 /// Bytes of all documents together.
-const BYTES: usize = 32 << 20;
-/// Documents whose pieces are there and whose last entry is not; the oldest goes first.
-const UNFINISHED: usize = 8;
+const MAX_TOTAL_BYTES: usize = 32 << 20;
+/// Documents whose parts are there and whose last entry is not; the oldest goes first.
+const MAX_UNFINISHED_DOCUMENTS: usize = 8;
 /// The last digests that are kept, to be compared with those of others.
-const DIGESTS: usize = 1_024;
+const MAX_REMEMBERED_DIGESTS: usize = 1_024;
 
-/// A copy of the record: one server's, under a number that it drew. A server that has lost its disk has another.
+/// A replica's server. A server that has lost its disk has another replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The server's name.
@@ -33,293 +39,295 @@
 /// A document as it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// How often it has been written since it was first there; goes on over taking out.
+    /// How often it has been written since it was first there; a removal counts and does not reset it.
     pub version: u64,
-    /// The content; `None` if it was taken out.
+    /// The content; `None` if it was removed.
     pub bytes: Option<Vec<u8>>,
-    /// The entry that wrote it.
+    /// Index of the entry that wrote it.
     pub index: u64,
-    /// Who wrote it.
-    pub by: String,
+    /// The server that wrote it.
+    pub author: String,
 }
 
-/// What became of an entry.
+/// What became of an entry. The serialized names are those of `--json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was applied; the version of the document, where it was about one.
-    Done(u64),
-    /// Another version is there: this one.
+    /// It was applied; the version of the document, or 0 where it was about none.
+    #[serde(rename = "Done")]
+    Applied(u64),
+    /// The document has another version than the one expected: this one.
     Conflict(u64),
-    /// It can't be applied: too large, too many, or pieces missing.
-    Refused(String),
-    /// Kept for a newer program.
-    Kept,
+    /// It cannot be applied, for this reason.
+    #[serde(rename = "Refused")]
+    Rejected(String),
+    /// It is of a newer program: kept and not applied.
+    #[serde(rename = "Kept")]
+    Unsupported,
 }
 
-/// A line of the history.
+/// A line of the history. The serialized names are those of `--json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryLine {
-    /// Its place in the log.
+    /// Index of the entry.
     pub index: u64,
-    /// Who wrote it, and when by that server's clock (Unix milliseconds).
-    pub by: (String, u64),
+    /// Who wrote it, and when.
+    #[serde(rename = "by")]
+    pub author: Author,
     /// What it was, for people.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// What became of it.
     pub outcome: Outcome,
 }
 
-/// The state after some entry.
+/// Who wrote an entry, and when; `--json` prints it as an array of both.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, u64)", into = "(String, u64)")]
+pub struct Author {
+    /// The server's name.
+    pub server: String,
+    /// The time by that server's clock, in Unix milliseconds.
+    pub at_ms: u64,
+}
+
+impl From<(String, u64)> for Author {
+    fn from((server, at_ms): (String, u64)) -> Author {
+        Author { server, at_ms }
+    }
+}
+
+impl From<Author> for (String, u64) {
+    fn from(author: Author) -> (String, u64) {
+        (author.server, author.at_ms)
+    }
+}
+
+/// The state after some entry. `postcard` encodes it by position, on disk, in snapshots and exports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The number of this record, drawn when it was founded, and of the one that it went on from by an operator's word.
-    pub record: u64,
-    /// See `record`; 0 is none.
-    pub from: u64,
-    /// The last entry applied.
-    pub index: u64,
-    /// Rolling digest of all entries and what became of them.
-    pub chain: Digest,
-    /// Copies, by their numbers.
+    /// Id of the store, drawn when it was bootstrapped.
+    pub store_id: u64,
+    /// Id of the store from which this one was adopted; 0 is none.
+    pub adopted_from: u64,
+    /// Index of the last applied entry.
+    pub applied: u64,
+    /// Rolling digest of all entries and their outcomes.
+    pub rolling_digest: Digest,
+    /// The store's replicas, by their ids.
     pub members: BTreeMap<u64, Member>,
     documents: BTreeMap<String, StoredDocument>,
-    parts: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
-    seen: VecDeque<(EntryId, Outcome)>,
+    /// Parts of documents that are being written, by the digest of the whole document.
+    unfinished_documents: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
+    recent_outcomes: VecDeque<(EntryId, Outcome)>,
     history: VecDeque<HistoryLine>,
-    /// Entries kept for a newer program.
-    pub unknown: u64,
+    /// Entries of newer programs, which are kept and not applied.
+    pub unsupported_entries: u64,
     #[serde(skip)]
-    digests: VecDeque<(u64, Digest)>,
+    recent_digests: VecDeque<(u64, Digest)>,
 }
 
 impl State {
-    /// The first state of a new record, as its founder makes it.
-    pub fn bootstrap(record: u64, founder: u64, member: Member) -> State {
-        let chain = digest(&[b"record", &record.to_le_bytes()]);
-        let members = BTreeMap::from([(founder, member)]);
-        State { record, index: 1, chain, members, ..State::default() }
+    /// The first state of a new store, made by the replica that bootstraps it.
+    pub fn bootstrap(store_id: u64, replica_id: u64, member: Member) -> State {
+        State {
+            store_id,
+            applied: 1,
+            rolling_digest: digest(&[b"record", &store_id.to_le_bytes()]),
+            members: BTreeMap::from([(replica_id, member)]),
+            ..State::default()
+        }
     }
 
-    /// The first state of a new record that goes on from this one, with one member: a line of the history says so.
-    pub fn adopt(&self, record: u64, founder: u64, member: Member, at_ms: u64) -> State {
+    /// The first state of a new store that goes on from this one with one member; a line of the history says so.
+    pub fn adopt(&self, store_id: u64, replica_id: u64, member: Member, at_ms: u64) -> State {
         let mut state = self.clone();
-        let what = format!("adopted from record {:016x}", self.record);
-        let by = (member.name.clone(), at_ms);
-        (state.from, state.record) = (self.record, record);
-        state.members = BTreeMap::from([(founder, member)]);
-        state.digests.clear();
-        let index = state.index + 1;
-        state.history.push_back(HistoryLine { index, by, what, outcome: Outcome::Done(0) });
-        state.roll(index, &[b"adopted", &record.to_le_bytes()]);
+        let index = state.applied + 1;
+        state.history.push_back(HistoryLine {
+            index,
+            author: Author { server: member.name.clone(), at_ms },
+            description: format!("adopted from record {:016x}", self.store_id),
+            outcome: Outcome::Applied(0),
+        });
+        state.adopted_from = self.store_id;
+        state.store_id = store_id;
+        state.members = BTreeMap::from([(replica_id, member)]);
+        state.recent_digests.clear();
+        state.advance_digest(index, &[b"adopted", &store_id.to_le_bytes()]);
         state
     }
 
-    /// Applies the entry at this index; the same at every member, so no clock and no chance here.
+    /// Applies the entry at this index. The result must be the same at every replica: no clock and no chance here. `None`
+    /// for data without an envelope, such as the Raft library's own empty entries.
     pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<(EntryId, Outcome)> {
-        let envelope = Envelope::read(bytes);
-        // Without one: the library's own empty entries, and what nobody of this fleet can have written.
-        let outcome = envelope.as_ref().map(|envelope| (envelope.id, self.enter(index, envelope)));
-        let told = postcard::to_allocvec(&outcome).unwrap_or_default();
-        self.roll(index, &[bytes, &told]);
+        let envelope = Envelope::from_bytes(bytes);
+        let outcome = envelope.map(|envelope| (envelope.id, self.apply_envelope(index, &envelope)));
+        let encoded_outcome = postcard::to_allocvec(&outcome).unwrap_or_default();
+        self.advance_digest(index, &[bytes, &encoded_outcome]);
         outcome
     }
 
-    /// Notes a change of who holds copies.
+    /// Applies a change of members; `change` is its encoded form.
     pub fn apply_members(&mut self, index: u64, change: &[u8], act: impl FnOnce(&mut BTreeMap<u64, Member>)) {
         act(&mut self.members);
-        self.roll(index, &[b"members", change]);
+        self.advance_digest(index, &[b"members", change]);
     }
 
-    fn roll(&mut self, index: u64, parts: &[&[u8]]) {
-        let inner = digest(parts);
-        self.index = index;
-        self.chain = digest(&[&self.chain, &index.to_le_bytes(), &inner]);
-        if self.digests.len() == DIGESTS {
-            self.digests.pop_front();
-        }
-        self.digests.push_back((index, self.chain));
+    fn advance_digest(&mut self, index: u64, parts: &[&[u8]]) {
+        let entry_digest = digest(parts);
+        self.applied = index;
+        self.rolling_digest = digest(&[&self.rolling_digest, &index.to_le_bytes(), &entry_digest]);
+        push_bounded(&mut self.recent_digests, MAX_REMEMBERED_DIGESTS, (index, self.rolling_digest));
     }
 
     /// The rolling digest after this entry, if that is among the last ones.
     pub fn digest_at(&self, index: u64) -> Option<Digest> {
-        if index == self.index {
-            return Some(self.chain);
+        if index == self.applied {
+            return Some(self.rolling_digest);
         }
-        self.digests.iter().rev().find(|(at, _)| *at == index).map(|(_, digest)| *digest)
+        self.recent_digests.iter().rev().find(|(at, _)| *at == index).map(|(_, digest)| *digest)
     }
 
-    fn enter(&mut self, index: u64, envelope: &Envelope) -> Outcome {
-        if let Some((_, outcome)) = self.seen.iter().find(|(id, _)| *id == envelope.id) {
+    fn apply_envelope(&mut self, index: u64, envelope: &Envelope) -> Outcome {
+        if let Some((_, outcome)) = self.recent_outcomes.iter().find(|(id, _)| *id == envelope.id) {
             return outcome.clone();
         }
-        let entry = envelope.open();
-        let what = match &entry {
-            Some(Entry::Note(text)) => text.chars().take(200).collect(),
-            Some(Entry::Document(document)) => format!("document {}", document.name),
-            _ => envelope.kind_name().to_owned(),
-        };
+        let entry = envelope.decode();
+        let description = describe(entry.as_ref(), envelope);
         let is_part = matches!(entry, Some(Entry::Part(_)));
         let outcome = match entry {
-            Some(Entry::Note(_)) => Outcome::Done(0),
-            Some(Entry::Part(part)) => self.part(part.whole, part.number, part.bytes),
-            Some(Entry::Document(document)) => self.document(index, &envelope.by, document),
+            Some(Entry::Note(_)) => Outcome::Applied(0),
+            Some(Entry::Part(part)) => self.store_part(part),
+            Some(Entry::Document(update)) => self.update_document(index, &envelope.author, update),
             None => {
-                self.unknown += 1;
-                Outcome::Kept
+                self.unsupported_entries += 1;
+                Outcome::Unsupported
             }
         };
-        if self.seen.len() == SEEN {
-            self.seen.pop_front();
-        }
-        self.seen.push_back((envelope.id, outcome.clone()));
+        let remembered = (envelope.id, outcome.clone());
+        push_bounded(&mut self.recent_outcomes, MAX_REMEMBERED_OUTCOMES, remembered);
         if !is_part {
-            if self.history.len() == HISTORY {
-                self.history.pop_front();
-            }
-            let by = (envelope.by.clone(), envelope.at_ms);
-            self.history.push_back(HistoryLine { index, by, what, outcome: outcome.clone() });
+            let author = Author { server: envelope.author.clone(), at_ms: envelope.written_at_ms };
+            let line = HistoryLine { index, author, description, outcome: outcome.clone() };
+            push_bounded(&mut self.history, MAX_HISTORY_LINES, line);
         }
         outcome
     }
 
-    fn part(&mut self, whole: Digest, number: u16, bytes: Vec<u8>) -> Outcome {
-        let most = (LONGEST_DOCUMENT / (crate::entry::LONGEST / 2)) as u16;
-        if number > most {
-            return Outcome::Refused(format!("piece {number}, {most} at most"));
+    fn store_part(&mut self, part: DocumentPart) -> Outcome {
+        let DocumentPart { document_digest, index, bytes } = part;
+        let max_index = (MAX_DOCUMENT_BYTES / PART_BYTES) as u16;
+        if index > max_index {
+            return Outcome::Rejected(format!("piece {index}, {max_index} at most"));
         }
-        if !self.parts.iter().any(|(digest, _)| *digest == whole) {
-            if self.parts.len() == UNFINISHED {
-                self.parts.pop_front();
-            }
-            self.parts.push_back((whole, BTreeMap::new()));
+        let unfinished = &mut self.unfinished_documents;
+        if !unfinished.iter().any(|(digest, _)| *digest == document_digest) {
+            push_bounded(unfinished, MAX_UNFINISHED_DOCUMENTS, (document_digest, BTreeMap::new()));
         }
-        if let Some((_, pieces)) = self.parts.iter_mut().find(|(digest, _)| *digest == whole) {
-            pieces.insert(number, bytes);
+        if let Some((_, parts)) = unfinished.iter_mut().find(|(digest, _)| *digest == document_digest) {
+            parts.insert(index, bytes);
         }
-        Outcome::Done(0)
+        Outcome::Applied(0)
     }
 
-    fn document(&mut self, index: u64, by: &str, document: Document) -> Outcome {
-        let Document { name, expect, content } = document;
-        let now = self.documents.get(&name);
-        let present = now.filter(|held| held.bytes.is_some());
-        let version = present.map_or(0, |held| held.version);
-        if expect.is_some_and(|wanted| wanted != version) {
+    fn update_document(&mut self, index: u64, author: &str, update: DocumentUpdate) -> Outcome {
+        let DocumentUpdate { name, expected_version, content } = update;
+        let version = self.get(&name).map_or(0, |document| document.version);
+        if expected_version.is_some_and(|expected| expected != version) {
             return Outcome::Conflict(version);
         }
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return Outcome::Refused(format!("a name has 1 to {LONGEST_NAME} bytes"));
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Outcome::Rejected(format!("a name has 1 to {MAX_NAME_BYTES} bytes"));
         }
-        let bytes = match content {
-            Content::None => None,
-            Content::Here(bytes) => Some(bytes),
-            Content::Parts(whole, count) => {
-                let place = self.parts.iter().position(|(digest, _)| *digest == whole);
-                let pieces = place.and_then(|place| self.parts.remove(place)).map(|(_, pieces)| pieces);
-                let bytes = pieces.unwrap_or_default().into_values().collect::<Vec<_>>().concat();
-                if digest(&[&bytes]) != whole {
-                    return Outcome::Refused(format!("not all of its {count} pieces are there"));
-                }
-                Some(bytes)
-            }
+        let bytes = match self.resolve_content(content) {
+            Ok(bytes) => bytes,
+            Err(reason) => return Outcome::Rejected(reason),
         };
-        let old = present.and_then(|held| held.bytes.as_ref()).map_or(0, Vec::len);
-        let new = bytes.as_ref().map_or(0, Vec::len);
-        let held: usize = self.documents.values().filter_map(|h| h.bytes.as_ref()).map(Vec::len).sum();
-        if new > LONGEST_DOCUMENT || held - old + new > BYTES {
-            return Outcome::Refused(format!("{new} bytes: {LONGEST_DOCUMENT} a document, {BYTES} in all"));
+        if let Err(reason) = self.check_limits(&name, bytes.as_deref()) {
+            return Outcome::Rejected(reason);
+        }
+        // Also of a document that was removed: its versions go on.
+        let last_version = self.documents.get(&name).map_or(0, |document| document.version);
+        let version = last_version + 1;
+        self.documents.insert(name, StoredDocument { version, bytes, index, author: author.to_owned() });
+        Outcome::Applied(version)
+    }
+
+    /// The bytes of a document's new content, `None` for a removal; an error says which parts are missing.
+    fn resolve_content(&mut self, content: Content) -> Result<Option<Vec<u8>>, String> {
+        let (document_digest, count) = match content {
+            Content::Removed => return Ok(None),
+            Content::Inline(bytes) => return Ok(Some(bytes)),
+            Content::Parts(document_digest, count) => (document_digest, count),
+        };
+        let unfinished = &mut self.unfinished_documents;
+        let position = unfinished.iter().position(|(digest, _)| *digest == document_digest);
+        let parts = position.and_then(|position| unfinished.remove(position)).map(|(_, parts)| parts);
+        let bytes = parts.unwrap_or_default().into_values().collect::<Vec<_>>().concat();
+        if digest(&[&bytes]) != document_digest {
+            return Err(format!("not all of its {count} pieces are there"));
+        }
+        Ok(Some(bytes))
+    }
+
+    /// Whether a document may take on this content; an error says which limit it would exceed.
+    fn check_limits(&self, name: &str, bytes: Option<&[u8]>) -> Result<(), String> {
+        let stored_bytes = |document: &StoredDocument| document.bytes.as_ref().map_or(0, Vec::len);
+        let old = self.get(name).map_or(0, stored_bytes);
+        let new = bytes.map_or(0, <[u8]>::len);
+        let total: usize = self.documents.values().map(stored_bytes).sum();
+        if new > MAX_DOCUMENT_BYTES || total - old + new > MAX_TOTAL_BYTES {
+            return Err(format!("{new} bytes: {MAX_DOCUMENT_BYTES} a document, {MAX_TOTAL_BYTES} in all"));
         }
-        if now.is_none() && self.documents.len() == DOCUMENTS {
-            return Outcome::Refused(format!("{DOCUMENTS} documents are there, more are not kept"));
+        if !self.documents.contains_key(name) && self.documents.len() == MAX_DOCUMENTS {
+            return Err(format!("{MAX_DOCUMENTS} documents are there, more are not kept"));
         }
-        let version = now.map_or(0, |held| held.version) + 1;
-        self.documents.insert(name, StoredDocument { version, bytes, index, by: by.to_owned() });
-        Outcome::Done(version)
+        Ok(())
     }
 
-    /// A document that is there.
+    /// A document, unless it was removed.
     pub fn get(&self, name: &str) -> Option<&StoredDocument> {
-        self.documents.get(name).filter(|held| held.bytes.is_some())
+        self.documents.get(name).filter(|document| document.bytes.is_some())
     }
 
-    /// All documents that are there.
+    /// All documents by name, without those that were removed.
     pub fn documents(&self) -> impl Iterator<Item = (&String, &StoredDocument)> {
-        self.documents.iter().filter(|(_, held)| held.bytes.is_some())
+        self.documents.iter().filter(|(_, document)| document.bytes.is_some())
     }
 
     /// What became of an entry, if it is among the last ones.
     pub fn outcome(&self, id: EntryId) -> Option<&Outcome> {
-        self.seen.iter().rev().find(|(seen, _)| *seen == id).map(|(_, outcome)| outcome)
+        self.recent_outcomes.iter().rev().find(|(recent, _)| *recent == id).map(|(_, outcome)| outcome)
     }
 
-    /// The last lines, oldest first.
+    /// The last lines of history, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &HistoryLine> {
         self.history.iter()
     }
 
-    /// As it goes to disk and to other members.
-    pub fn bytes(&self) -> Vec<u8> {
+    /// Encodes the state, as it goes to disk and to other members.
+    pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// One that was read.
-    pub fn read(bytes: &[u8]) -> Option<State> {
+    /// Decodes a state.
+    pub fn from_bytes(bytes: &[u8]) -> Option<State> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn apply(state: &mut State, id: u128, entry: &Entry) -> Outcome {
-        let bytes = entry.seal(id, "a", 0).bytes();
-        state.apply(state.index + 1, &bytes).expect("an entry").1
-    }
-
-    fn write(state: &mut State, id: u128, name: &str, bytes: Vec<u8>, expect: Option<u64>) -> Outcome {
-        let all = Entry::document(name, bytes, expect);
-        (0..).zip(&all).map(|(n, entry)| apply(state, id * 1_000 + n, entry)).last().expect("entries")
-    }
-
-    #[test]
-    fn documents_have_versions_and_are_compared_and_set() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        assert_eq!(write(&mut state, 1, "x", b"one".to_vec(), Some(0)), Outcome::Done(1));
-        assert_eq!(write(&mut state, 2, "x", b"two".to_vec(), Some(0)), Outcome::Conflict(1));
-        assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Done(2));
-        // The same entry once more: its first outcome, and nothing changes.
-        assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Done(2));
-        let gone = Entry::Document(Document { name: "x".into(), expect: None, content: Content::None });
-        assert_eq!((apply(&mut state, 9, &gone), state.get("x")), (Outcome::Done(3), None));
-        // Versions go on, so that one who saw version 2 does not take the new one for it.
-        assert_eq!(write(&mut state, 10, "x", b"again".to_vec(), Some(0)), Outcome::Done(4));
-    }
-
-    #[test]
-    fn a_large_document_goes_in_pieces_and_a_missing_one_is_seen() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        let large: Vec<u8> = (0..200_000u32).map(|n| (n % 251) as u8).collect();
-        assert_eq!(write(&mut state, 1, "big", large.clone(), None), Outcome::Done(1));
-        assert_eq!(state.get("big").and_then(|h| h.bytes.clone()), Some(large.clone()));
-        let mut all = Entry::document("big", [large, vec![1]].concat(), None);
-        all.remove(2);
-        let last = all.iter().zip(50..).map(|(e, id)| apply(&mut state, id, e)).last();
-        assert!(matches!(last, Some(Outcome::Refused(_))), "{last:?}");
-        assert!(matches!(
-            write(&mut state, 3, "big", vec![0; LONGEST_DOCUMENT + 1], None),
-            Outcome::Refused(_)
-        ));
+/// What an entry is, for the history.
+fn describe(entry: Option<&Entry>, envelope: &Envelope) -> String {
+    match entry {
+        Some(Entry::Note(text)) => text.chars().take(MAX_NOTE_CHARS).collect(),
+        Some(Entry::Document(update)) => format!("document {}", update.name),
+        _ => envelope.kind_name().to_owned(),
     }
+}
 
-    #[test]
-    fn what_a_newer_program_wrote_is_kept_and_rolls_the_digest() {
-        let mut state = State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() });
-        let before = state.chain;
-        let newer = Envelope { id: 5, by: "b".into(), at_ms: 1, kind: 900, form: 7, content: vec![1, 2] };
-        assert_eq!(state.apply(2, &newer.bytes()), Some((5, Outcome::Kept)));
-        assert_eq!((state.unknown, state.chain == before, state.digest_at(2)), (1, false, Some(state.chain)));
-        let read = State::read(&state.bytes()).expect("readable");
-        assert_eq!((read.chain, read.unknown, read.outcome(5)), (state.chain, 1, Some(&Outcome::Kept)));
+/// Appends to a queue of bounded length; the oldest item goes first.
+fn push_bounded<T>(queue: &mut VecDeque<T>, max_length: usize, item: T) {
+    if queue.len() == max_length {
+        queue.pop_front();
     }
+    queue.push_back(item);
 }
--- /dev/null
+++ b/crates/server/src/dependency_calls.rs
@@ -0,0 +1,295 @@
+//! Downstream calls of runs whose class has a call plan.
+//!
+//! [`Engine`] decides which calls are made, and when; this module hands them to the actors of the dependencies and keeps
+//! track of plans and attempts in flight. Each attempt needs a permit from the dependency's distributed quota, where it
+//! has one (see [`QuotaLeases`]).
+
+mod status_log;
+
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+use async_channel::Sender;
+use slog::{warn, Logger};
+use umberloom::interface::{Micros, Outcome, RequestId};
+use umberloom_dependencies::{Action, AttemptId, Engine, PlanId, PlanRequest};
+
+use crate::memory::budget::Charge;
+use crate::memory::request_table::OpenRequest;
+use crate::messages::calls::{Call, CallId, DependencyCommand, DependencySettings};
+use crate::messages::fleet::FleetEvent;
+use crate::quota_leases::QuotaLeases;
+use status_log::StatusLog;
+
+/// A call plan that has ended.
+pub struct FinishedPlan {
+    /// The request that it was for.
+    pub id: RequestId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// How long it took.
+    pub duration: Micros,
+    /// The encoded response of all its calls, for the run.
+    pub reply: Vec<u8>,
+}
+
+/// A call plan in flight.
+struct PlanInFlight {
+    id: RequestId,
+    started_at: Micros,
+    /// Body of each of its calls.
+    body: Rc<[u8]>,
+}
+
+/// An attempt in flight.
+struct AttemptInFlight {
+    call: CallId,
+    /// The mailbox that it was sent to. A dependency that is no longer configured ends with its last attempt.
+    mailbox: Sender<DependencyCommand>,
+}
+
+/// All call plans in flight.
+pub struct DependencyCalls {
+    engine: Engine,
+    quota_leases: QuotaLeases,
+    mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
+    /// The memory of the fallback cache.
+    charge: Charge,
+    plans: BTreeMap<PlanId, PlanInFlight>,
+    plan_of_request: BTreeMap<RequestId, PlanId>,
+    attempts: BTreeMap<AttemptId, AttemptInFlight>,
+    /// Plans that have ended since they were last taken.
+    finished: Vec<FinishedPlan>,
+    last_plan: PlanId,
+    status_log: StatusLog,
+    log: Logger,
+}
+
+impl DependencyCalls {
+    /// No calls yet. `None` for settings with mistakes, which are rejected when the file is read.
+    pub fn new(
+        now: Micros,
+        settings: DependencySettings,
+        mut quota_leases: QuotaLeases,
+        seed: u64,
+        log: Logger,
+    ) -> Option<DependencyCalls> {
+        let engine = match Engine::new(now, settings.config, seed) {
+            Ok(engine) => engine,
+            Err(errors) => {
+                warn!(log, "call plans rejected"; "errors" => ?errors);
+                return None;
+            }
+        };
+        quota_leases.reconfigure(settings.shared_quotas);
+        let mut calls = DependencyCalls {
+            engine,
+            quota_leases,
+            mailboxes: settings.mailboxes,
+            charge: settings.charge,
+            plans: BTreeMap::new(),
+            plan_of_request: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            finished: Vec::new(),
+            last_plan: 0,
+            status_log: StatusLog::new(now),
+            log,
+        };
+        calls.update_concurrency_caps(now);
+        Some(calls)
+    }
+
+    /// Changes the settings. Plans in flight end under the old ones.
+    pub fn reconfigure(&mut self, now: Micros, settings: DependencySettings) {
+        if let Err(errors) = self.engine.reconfigure(now, settings.config) {
+            warn!(self.log, "call plans rejected, the old ones stay"; "errors" => ?errors);
+            return;
+        }
+        self.mailboxes = settings.mailboxes;
+        self.charge = settings.charge;
+        let mut actions = Vec::new();
+        for dependency in self.quota_leases.reconfigure(settings.shared_quotas) {
+            self.engine.set_concurrency_cap(now, &dependency, usize::MAX, &mut actions);
+        }
+        self.execute_all(now, actions);
+    }
+
+    /// Whether runs of this class have a call plan.
+    pub fn has_plan(&self, class: &str) -> bool {
+        self.engine.has_plan(class)
+    }
+
+    /// Starts the call plan of a request. `levels` is the number of levels that the ranks of requests are divided into.
+    pub fn start_plan(
+        &mut self,
+        now: Micros,
+        request: &OpenRequest,
+        body: Rc<[u8]>,
+        deadline: Micros,
+        levels: usize,
+    ) {
+        // A run that waits for another call no longer waits for the one before.
+        self.cancel_plan(now, &request.id);
+        self.last_plan += 1;
+        let plan = self.last_plan;
+        self.plans.insert(plan, PlanInFlight { id: request.id.clone(), started_at: now, body });
+        self.plan_of_request.insert(request.id.clone(), plan);
+        let plan_request = PlanRequest {
+            plan,
+            class: &request.work.class,
+            priority_level: (request.work.rank * levels as f64) as u16,
+            resource_key: request.work.subject_key.as_deref(),
+            call_deadline: deadline,
+            request_deadline: request.deadline,
+            is_retry: request.had_call_plan,
+        };
+        let mut actions = Vec::new();
+        self.engine.start_plan(now, &plan_request, &mut actions);
+        self.execute_all(now, actions);
+    }
+
+    /// Handles the end of an attempt.
+    pub fn handle_attempt_end(&mut self, now: Micros, call: &CallId, outcome: Outcome, reply: Vec<u8>) {
+        // A complete reply says that the call has ended at the dependency, and so does one that never got there.
+        let ended_there = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
+        self.quota_leases.release(call.attempt, ended_there);
+        if self.attempts.remove(&call.attempt).is_some() {
+            let mut actions = Vec::new();
+            self.engine.handle_attempt_end(now, call.attempt, outcome, reply, &mut actions);
+            self.execute_all(now, actions);
+        }
+    }
+
+    /// Cancels the call plan of a request; `false` if it has none in flight.
+    pub fn cancel_plan(&mut self, now: Micros, id: &str) -> bool {
+        let Some(plan) = self.plan_of_request.remove(id) else { return false };
+        let mut actions = Vec::new();
+        self.engine.cancel_plan(now, plan, &mut actions);
+        self.plans.remove(&plan);
+        self.execute_all(now, actions);
+        true
+    }
+
+    /// Handles an event of the fleet, which may change how many calls this server may have in flight.
+    pub fn handle_fleet_event(&mut self, now: Micros, event: FleetEvent) {
+        self.quota_leases.handle_fleet_event(event);
+        self.update_concurrency_caps(now);
+    }
+
+    /// When something is due next.
+    pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
+        let quota_timeout = self.quota_leases.time_to_next_timeout().map(|duration| now + duration);
+        self.engine.next_timeout().into_iter().chain(quota_timeout).min()
+    }
+
+    /// Does what is due by now.
+    pub fn handle_timeout(&mut self, now: Micros) {
+        if self.engine.next_timeout().is_some_and(|at| now >= at) {
+            let mut actions = Vec::new();
+            self.engine.handle_timeout(now, &mut actions);
+            self.execute_all(now, actions);
+        } else {
+            self.update_concurrency_caps(now);
+        }
+        self.status_log.handle_timeout(now, &self.engine, &self.log);
+    }
+
+    /// A run of this class went on for this long after its last call.
+    pub fn learn_local_work(&mut self, class: &str, duration: Micros) {
+        self.engine.learn_local_work(class, duration);
+    }
+
+    /// Takes the plans that have ended.
+    pub fn take_finished(&mut self) -> Vec<FinishedPlan> {
+        std::mem::take(&mut self.finished)
+    }
+
+    /// Executes the engine's actions, and updates the caps that they may change.
+    fn execute_all(&mut self, now: Micros, actions: Vec<Action>) {
+        self.execute(now, actions);
+        self.update_concurrency_caps(now);
+    }
+
+    /// Lets as many calls be in flight as this server has permits for, which may let more calls start.
+    fn update_concurrency_caps(&mut self, now: Micros) {
+        for dependency in self.quota_leases.dependencies() {
+            let demand = self.engine.demand(&dependency);
+            let cap = self.quota_leases.update(&dependency, demand);
+            let mut actions = Vec::new();
+            self.engine.set_concurrency_cap(now, &dependency, cap, &mut actions);
+            self.execute(now, actions);
+        }
+        self.quota_leases.report();
+    }
+
+    fn execute(&mut self, now: Micros, actions: Vec<Action>) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            match action {
+                Action::StartAttempt { attempt, plan, dependency, address, deadline } => {
+                    if !self.start_attempt(now, attempt, plan, &dependency, &address, deadline) {
+                        let more = self.reject_attempt(now, attempt);
+                        actions.extend(more);
+                    }
+                }
+                Action::CancelAttempt(attempt) => self.cancel_attempt(attempt),
+                Action::FinishPlan { plan, outcome, response } => {
+                    let reply = response.map(|response| response.encode()).unwrap_or_default();
+                    self.finish_plan(now, plan, outcome, reply);
+                }
+            }
+        }
+    }
+
+    /// Acquires a permit for an attempt and sends it to its dependency's actor; `false` if either has no room for it.
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        plan: PlanId,
+        dependency: &str,
+        address: &str,
+        deadline: Micros,
+    ) -> bool {
+        let timeout = deadline.saturating_sub(now);
+        let Some(timeout) = self.quota_leases.acquire(dependency, attempt, timeout) else { return false };
+        let Some(plan) = self.plans.get(&plan) else { return false };
+        let Some(mailbox) = self.mailboxes.get(dependency) else { return false };
+        let id = CallId { request: plan.id.clone(), attempt };
+        let call = Call {
+            id: id.clone(),
+            // The address of the platform's records service is in its configuration, and is no address here.
+            address: address.parse().ok(),
+            body: plan.body.clone(),
+            deadline: now + timeout,
+        };
+        let is_sent = mailbox.try_send(DependencyCommand::Call(call)).is_ok();
+        if is_sent {
+            self.attempts.insert(attempt, AttemptInFlight { call: id, mailbox: mailbox.clone() });
+        }
+        is_sent
+    }
+
+    /// Ends an attempt that did not start; what the engine does then.
+    fn reject_attempt(&mut self, now: Micros, attempt: AttemptId) -> Vec<Action> {
+        self.quota_leases.release(attempt, true);
+        let mut actions = Vec::new();
+        self.engine.handle_attempt_end(now, attempt, Outcome::Rejected, Vec::new(), &mut actions);
+        actions
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        // It may go on at the dependency until its deadline.
+        self.quota_leases.release(attempt, false);
+        if let Some(AttemptInFlight { call, mailbox }) = self.attempts.remove(&attempt) {
+            // Where the mailbox has no room the call ends at its deadline, and its end is ignored.
+            let _ = mailbox.try_send(DependencyCommand::Cancel(call));
+        }
+    }
+
+    fn finish_plan(&mut self, now: Micros, plan: PlanId, outcome: Outcome, reply: Vec<u8>) {
+        let Some(PlanInFlight { id, started_at, .. }) = self.plans.remove(&plan) else { return };
+        self.plan_of_request.remove(&id);
+        self.finished.push(FinishedPlan { id, outcome, duration: now - started_at, reply });
+    }
+}
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -12,10 +12,10 @@
 
 use super::config::Config;
 use super::PEERS_SHARE;
-use crate::exchange::fleet::Order;
-use crate::exchange::Message;
 use crate::memory::budget::Budget;
-use crate::peers::fleet::{descriptors, memory, Fleet, Sockets, MAILBOX};
+use crate::messages::fleet::{FleetCommand, FleetConfig};
+use crate::messages::AdmissionMessage;
+use crate::peers::fleet::{descriptor_count, memory_bytes, FleetActor, FleetSockets, MAILBOX_CAPACITY};
 
 /// Part of the descriptors, and of the memory that peers may take, that a fleet may have at most: one in so many.
 const PART: usize = 4;
@@ -23,7 +23,7 @@
 /// A fleet's actor, and what it was told.
 pub struct Running {
     /// Its mailbox.
-    pub orders: Sender<Order>,
+    pub orders: Sender<FleetCommand>,
     /// What the file said.
     pub told: Told,
 }
@@ -32,7 +32,7 @@
 pub fn misfit(told: &Told, config: &Config) -> Option<String> {
     let peers = told.membership.peers.len();
     let (line, column) = told.place;
-    let (asked, most) = (descriptors(peers), config.limits.sockets / PART);
+    let (asked, most) = (descriptor_count(peers), config.limits.sockets / PART);
     if asked > most {
         return Some(format!(
             "{line}:{column}: found {peers} peers, which take {asked} descriptors, expected {most} at most under \
@@ -40,7 +40,7 @@
         ));
     }
     let (asked, most) =
-        (memory(peers, told.record.is_some()) >> 10, (config.limits.memory / PEERS_SHARE / PART) >> 10);
+        (memory_bytes(peers, told.record.is_some()) >> 10, (config.limits.memory / PEERS_SHARE / PART) >> 10);
     if asked > most {
         return Some(format!(
             "{line}:{column}: found {peers} peers, which take {asked} kb, expected {most} at most under this \
@@ -69,23 +69,28 @@
 #[allow(clippy::too_many_arguments)]
 pub fn start<'a>(
     executor: &Rc<LocalExecutor<'a>>,
-    sockets: Sockets,
+    sockets: FleetSockets,
     told: Told,
     about: BuildInfo,
     seed: u64,
-    module: &Sender<Message>,
+    module: &Sender<AdmissionMessage>,
     budget: &Budget,
     log: &Logger,
 ) -> Result<Running, String> {
-    let (orders, taken) = bounded(MAILBOX);
-    let bytes = memory(told.membership.peers.len(), told.record.is_some());
+    let (orders, taken) = bounded(MAILBOX_CAPACITY);
+    let bytes = memory_bytes(told.membership.peers.len(), told.record.is_some());
     let charge =
         budget.take(bytes).ok_or_else(|| format!("no memory for {bytes} bytes of the fleet's streams"))?;
     // The start by the system's own clock: a later process under this name has a later one, whatever ours does.
     let boot = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64);
-    let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
+    let config = FleetConfig {
+        membership: told.membership.clone(),
+        peer_addresses: told.addresses.clone(),
+        build_info: about,
+        replicated_store: told.record.clone(),
+    };
     let (own, log) = (executor.clone(), log.clone());
-    let fleet = Fleet::new(own, sockets, set, (boot, seed), taken, module.clone(), charge, log)?;
+    let fleet = FleetActor::new(own, sockets, config, (boot, seed), taken, module.clone(), charge, log)?;
     executor.spawn(fleet.run()).detach();
     Ok(Running { orders, told })
 }
@@ -126,7 +131,7 @@
 fn same_record(old: Option<&Record>, new: Option<&Record>) -> bool {
     let alike = |record: &Record| {
         let mut record = record.clone();
-        record.config.others.clear();
+        record.config.peers.clear();
         record
     };
     old.map(alike) == new.map(alike)
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,15 +1,15 @@
 //! From start to exit.
 
-mod allowed;
 pub mod clock;
 pub mod config;
+mod descriptor_limit;
 mod fleet;
-mod keys_known;
+mod known_config_keys;
 pub mod log;
+pub mod log_throttle;
 pub mod phase;
-pub mod rare;
 pub mod signals;
-pub mod standstill;
+pub mod stall_detector;
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -26,23 +26,24 @@
 use umberloom_connection_admission::connection_table::ConnectionTable;
 use umberloom_operator_config::{Known, Operator};
 
-use crate::exchange::caller::Hint;
-use crate::exchange::calls::Wanted;
-use crate::exchange::{
-    agent as to_agent, calls as to_calls, fleet as to_fleet, front as to_front, list as to_list, Message,
-};
+use crate::admission::{self, AdmissionActor, AdmissionParts, Mailboxes};
+use crate::dependency_calls::DependencyCalls;
 use crate::memory::budget::Budget;
-use crate::module::{self, Module, Others};
-use crate::peers::agent::{self, Agent};
-use crate::peers::ajp::Ajp;
-use crate::peers::balancer::Shared;
-use crate::peers::dependency::{self, Dependency, Sockets, Target};
-use crate::peers::fleet::descriptors;
-use crate::peers::fleet::Sockets as FleetSockets;
-use crate::peers::front::{self, Front};
-use crate::peers::list::{self, List};
-use crate::plans::Plans;
-use crate::shares::Shares;
+use crate::messages::caller::LoadHint;
+use crate::messages::calls::DependencySettings;
+use crate::messages::{
+    agent as to_agent, calls as to_calls, fleet as to_fleet, listener as to_front, registration as to_list,
+    AdmissionMessage,
+};
+use crate::peers::agent::{self, AgentActor};
+use crate::peers::ajp::AjpConfig;
+use crate::peers::connection::ConnectionContext;
+use crate::peers::dependency::{self, CallTarget, DependencyClient, SocketBudget};
+use crate::peers::fleet::descriptor_count;
+use crate::peers::fleet::FleetSockets;
+use crate::peers::listener::{self, Listener};
+use crate::peers::registration::{self, Registration};
+use crate::quota_leases::QuotaLeases;
 use clock::Clock;
 use config::Config;
 use phase::{Life, Phase};
@@ -100,7 +101,8 @@
 pub fn load_operator(path: &Path, config: Option<&Config>) -> Result<Operator, String> {
     let operator = umberloom_operator_config::load(path, known(config)).map_err(|e| e.to_string())?;
     let Some(config) = config else { return Ok(operator) };
-    let (asked, most) = (operator.dependencies.kept.bytes, config.limits.memory / PEERS_SHARE / KEPT_PART);
+    let (asked, most) =
+        (operator.dependencies.fallback_cache.max_bytes, config.limits.memory / PEERS_SHARE / KEPT_PART);
     let name = path.display();
     if asked > most {
         let (asked, most) = (asked >> 10, most >> 10);
@@ -134,7 +136,7 @@
     let clock = Clock::default();
     let executor = Rc::new(LocalExecutor::new());
     life.enter(Phase::Waiting);
-    executor.spawn(standstill::watch(log.clone())).detach();
+    executor.spawn(stall_detector::watch(log.clone())).detach();
     let sockets =
         told.1.as_ref().and_then(|o| o.fleet.as_ref()).map(|f| FleetSockets::bind(f.listen)).transpose()?;
     let program = Program::start(&executor, told, files, (listener, sockets), clock, &log)?;
@@ -160,14 +162,14 @@
     config: Config,
     files: Files,
     budget: Budget,
-    sockets: Sockets,
+    sockets: SocketBudget,
     /// Dependencies of the operator's file, as they are reached now.
-    dependencies: BTreeMap<Rc<str>, (Target, Sender<to_calls::Order>)>,
-    module: Sender<Message>,
-    agent: Sender<to_agent::Word>,
-    records: Sender<to_calls::Order>,
-    list: Sender<to_list::Word>,
-    front: Sender<to_front::Order>,
+    dependencies: BTreeMap<Rc<str>, (CallTarget, Sender<to_calls::DependencyCommand>)>,
+    module: Sender<AdmissionMessage>,
+    agent: Sender<to_agent::AgentActorMessage>,
+    records: Sender<to_calls::DependencyCommand>,
+    list: Sender<to_list::RegistrationCommand>,
+    front: Sender<to_front::ListenerCommand>,
     fleet: Option<fleet::Running>,
     up: Receiver<()>,
     connections: Task<()>,
@@ -185,18 +187,18 @@
         log: &Logger,
     ) -> Result<Program<'a>, String> {
         let told_fleet = operator.as_ref().and_then(|o| o.fleet.clone());
-        let taken = told_fleet.as_ref().map_or(0, |told| descriptors(told.membership.peers.len()));
-        let sockets = allowed::descriptors(config.limits.sockets);
+        let taken = told_fleet.as_ref().map_or(0, |told| descriptor_count(told.membership.peers.len()));
+        let sockets = descriptor_limit::descriptors(config.limits.sockets);
         if sockets < config.limits.sockets {
             let (configured, allowed) = (config.limits.sockets, sockets);
             warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
         }
         let parts = Parts::of(sockets, taken);
-        let (module, mail) = bounded(module::MAILBOX);
-        let (agent, agent_orders) = bounded(agent::MAILBOX);
-        let (records, records_orders) = bounded(dependency::MAILBOX);
-        let (list, list_words) = bounded(list::MAILBOX);
-        let (front, front_orders) = bounded(front::MAILBOX);
+        let (module, mail) = bounded(admission::MAILBOX);
+        let (agent, agent_orders) = bounded(agent::MAILBOX_CAPACITY);
+        let (records, records_orders) = bounded(dependency::MAILBOX_CAPACITY);
+        let (list, list_words) = bounded(registration::MAILBOX_CAPACITY);
+        let (front, front_orders) = bounded(listener::MAILBOX_CAPACITY);
         let (up_told, up) = bounded(1);
         let budget = Budget::new(config.limits.memory / PEERS_SHARE);
         let fleet = match (told_fleet, fleet_sockets, &operator) {
@@ -207,35 +209,37 @@
             }
             _ => None,
         };
-        let others = Others {
+        let mailboxes = Mailboxes {
             fleet: fleet.as_ref().map(|running| running.orders.clone()),
             agent: agent.clone(),
             records: records.clone(),
-            list: list.clone(),
-            front: front.clone(),
-            up: up_told,
-            hint: Hint::default(),
+            registration: list.clone(),
+            listener: front.clone(),
+            agent_up: up_told,
+            load_hint: LoadHint::default(),
         };
         let among = (config.settings.servers, config.settings.seed);
-        executor.spawn(Agent::new(config.agent, agent_orders, module.clone(), log.clone()).run()).detach();
         executor
-            .spawn(List::new(config.announce, &config.name, among, list_words, log.clone()).run())
+            .spawn(AgentActor::new(config.agent, agent_orders, module.clone(), log.clone()).run())
+            .detach();
+        executor
+            .spawn(Registration::new(config.announce, &config.name, among, list_words, log.clone()).run())
             .detach();
-        let sockets = Sockets::new(parts.calls);
+        let sockets = SocketBudget::new(parts.calls);
         if let Some(address) = config.records {
-            let to = (Target::records(address), sockets.clone());
+            let to = (CallTarget::records_service(address), sockets.clone());
             let (own, clock) = (executor.clone(), clock.clone());
-            let calls = Dependency::new(own, to, records_orders, module.clone(), clock, log.clone());
+            let calls = DependencyClient::new(own, to, records_orders, module.clone(), clock, log.clone());
             executor.spawn(calls.run()).detach();
         }
-        let shared = Shared {
-            module: module.clone(),
+        let shared = ConnectionContext {
+            admission: module.clone(),
             classes: Rc::new(config.classes.clone()),
             tenants: Rc::new(config.tenants.clone()),
-            hint: others.hint.clone(),
+            load_hint: mailboxes.load_hint.clone(),
             shape: config.shape,
-            connections: parts.connections,
-            serial: Rc::default(),
+            max_connections: parts.connections,
+            last_serial: Rc::default(),
             budget: budget.clone(),
             clock: clock.clone(),
             log: log.clone(),
@@ -243,8 +247,8 @@
         let from = (listener, ConnectionTable::new(parts.connections, &[1]));
         let idle = config.settings.idle_timeout_max;
         let connections =
-            executor.spawn(Front::new(executor.clone(), from, shared, front_orders, idle).run());
-        let told = (config.settings.clone(), config.shape, config.gauges.clone());
+            executor.spawn(Listener::new(executor.clone(), from, shared, front_orders, idle).run());
+        let (settings, shape, gauge_names) = (config.settings.clone(), config.shape, config.gauges.clone());
         let seed = config.settings.seed;
         let mut program = Program {
             executor: executor.clone(),
@@ -266,28 +270,40 @@
         };
         let wanted = operator.map(|operator| program.wanted(operator)).transpose()?;
         let to_fleet = program.fleet.as_ref().map(|running| running.orders.clone());
-        let shares = Shares::new(to_fleet, seed, log.clone());
-        let plans = wanted.and_then(|wanted| Plans::new(clock.now(), wanted, shares, seed, log.clone()));
-        executor.spawn(Module::new(told, plans, mail, others, clock, log.clone()).run()).detach();
+        let shares = QuotaLeases::new(to_fleet, seed, log.clone());
+        let plans =
+            wanted.and_then(|wanted| DependencyCalls::new(clock.now(), wanted, shares, seed, log.clone()));
+        let admission = AdmissionActor::new(AdmissionParts {
+            settings,
+            shape,
+            gauge_names,
+            dependency_calls: plans,
+            inbox: mail,
+            mailboxes,
+            clock,
+            log: log.clone(),
+        });
+        executor.spawn(admission.run()).detach();
         Ok(program)
     }
 
     /// Makes ready what the operator's file asks for: an actor for each dependency. One that is reached as before keeps
     /// its own; those that the file no longer names end with their last call.
-    fn wanted(&mut self, operator: Operator) -> Result<Wanted, String> {
+    fn wanted(&mut self, operator: Operator) -> Result<DependencySettings, String> {
         let mut operator = operator;
         for dependency in &mut operator.dependencies.dependencies {
             // The others route to the same endpoints and see them fail and come back when this one does.
-            dependency.route.servers = self.config.settings.servers;
+            dependency.load_balancing.servers = self.config.settings.servers;
         }
-        let bytes = operator.dependencies.kept.bytes;
+        let bytes = operator.dependencies.fallback_cache.max_bytes;
         let charge =
             self.budget.take(bytes).ok_or_else(|| format!("no memory for {bytes} bytes of kept results"))?;
         let mut before = std::mem::take(&mut self.dependencies);
         for service in operator.services {
             let platform = self.config.records.filter(|_| service.is_platform());
-            let ajp = service.ajp.map(|ajp| Rc::new(Ajp { secret: ajp.secret, packet: ajp.packet }));
-            let target = Target { path: service.path.as_str().into(), platform, ajp };
+            let ajp =
+                service.ajp.map(|ajp| Rc::new(AjpConfig { secret: ajp.secret, packet_bytes: ajp.packet }));
+            let target = CallTarget { path: service.path.as_str().into(), platform, ajp };
             let name: Rc<str> = service.name.as_str().into();
             let kept = before.remove(&name).filter(|(old, _)| *old == target);
             let orders = kept.map_or_else(|| self.reach(target.clone()), |(_, orders)| orders);
@@ -296,18 +312,21 @@
         let mailboxes =
             self.dependencies.iter().map(|(name, (_, orders))| (name.clone(), orders.clone())).collect();
         let shares = operator.fleet.iter().flat_map(|fleet| {
-            fleet.shared.iter().map(|(name, whole)| (Rc::from(name.as_str()), fleet.allowance(*whole)))
+            fleet.shared.iter().map(|(name, whole)| to_calls::SharedQuotaConfig {
+                dependency: Rc::from(name.as_str()),
+                config: fleet.allowance(*whole),
+            })
         });
         let shares = shares.collect();
-        Ok(Wanted { config: operator.dependencies, mailboxes, shares, charge })
+        Ok(DependencySettings { config: operator.dependencies, mailboxes, shared_quotas: shares, charge })
     }
 
     /// Starts an actor for a dependency.
-    fn reach(&self, target: Target) -> Sender<to_calls::Order> {
-        let (orders, taken) = bounded(dependency::MAILBOX);
+    fn reach(&self, target: CallTarget) -> Sender<to_calls::DependencyCommand> {
+        let (orders, taken) = bounded(dependency::MAILBOX_CAPACITY);
         let to = (target, self.sockets.clone());
         let (executor, module) = (self.executor.clone(), self.module.clone());
-        let actor = Dependency::new(executor, to, taken, module, self.clock.clone(), self.log.clone());
+        let actor = DependencyClient::new(executor, to, taken, module, self.clock.clone(), self.log.clone());
         self.executor.spawn(actor.run()).detach();
         orders
     }
@@ -322,17 +341,20 @@
                     let (noticed_at, stop) = (self.clock.now(), self.config.stop);
                     if life.leave(noticed_at, stop) {
                         // Before the drain begins, and without waiting for it: the others hear that this one leaves.
-                        self.tell_fleet(to_fleet::Order::Leave);
+                        self.tell_fleet(to_fleet::FleetCommand::Leave);
                         let _ = self
                             .module
-                            .send(Message::Leave { noticed_at, stop_at: noticed_at.saturating_add(stop) })
+                            .send(AdmissionMessage::Drain {
+                                noticed_at,
+                                stop_at: noticed_at.saturating_add(stop),
+                            })
                             .await;
                     }
                 }
                 Next::Time => {
                     if life.pass(self.clock.now()) && life.phase() == Phase::Closing {
-                        self.tell_fleet(to_fleet::Order::Part);
-                        let _ = self.front.send(to_front::Order::Finish).await;
+                        self.tell_fleet(to_fleet::FleetCommand::AnnounceDeparture);
+                        let _ = self.front.send(to_front::ListenerCommand::Drain).await;
                     }
                 }
                 Next::Empty => life.enter(Phase::Ended),
@@ -340,7 +362,7 @@
         }
     }
 
-    fn tell_fleet(&self, order: to_fleet::Order) {
+    fn tell_fleet(&self, order: to_fleet::FleetCommand) {
         if let Some(running) = &self.fleet {
             let _ = running.orders.try_send(order);
         }
@@ -369,31 +391,36 @@
     async fn change_over(&mut self, new: Config, operator: Option<Operator>) {
         info!(self.log, "new configuration"; "agent" => %new.agent, "announce" => %new.announce);
         if new.agent != self.config.agent {
-            let _ = self.agent.send(to_agent::Word::Address(new.agent)).await;
+            let _ = self.agent.send(to_agent::AgentActorMessage::SetAddress(new.agent)).await;
         }
         if let Some(address) = new.records.filter(|_| new.records != self.config.records) {
-            let _ = self.records.send(to_calls::Order::Address(address)).await;
+            let _ = self.records.send(to_calls::DependencyCommand::SetAddress(address)).await;
             for (target, orders) in self.dependencies.values_mut().filter(|(t, _)| t.platform.is_some()) {
                 target.platform = Some(address);
-                let _ = orders.send(to_calls::Order::Address(address)).await;
+                let _ = orders.send(to_calls::DependencyCommand::SetAddress(address)).await;
             }
         }
         if new.announce != self.config.announce {
-            let _ = self.list.send(to_list::Word::Address(new.announce)).await;
+            let _ = self.list.send(to_list::RegistrationCommand::SetAddress(new.announce)).await;
         }
         self.config = new;
         let Some(operator) = operator else { return };
         if let (Some(running), Some(told)) = (&mut self.fleet, &operator.fleet) {
             running.told = told.clone();
             let about = fleet::about(&self.config, &operator);
-            let set = (told.membership.clone(), told.addresses.clone(), about, told.record.clone());
-            let _ = running.orders.send(to_fleet::Order::Set(Box::new(set))).await;
+            let set = to_fleet::FleetConfig {
+                membership: told.membership.clone(),
+                peer_addresses: told.addresses.clone(),
+                build_info: about,
+                replicated_store: told.record.clone(),
+            };
+            let _ = running.orders.send(to_fleet::FleetCommand::Reconfigure(Box::new(set))).await;
         }
         let plans = operator.dependencies.plans.len();
         match self.wanted(operator) {
             Ok(wanted) => {
                 info!(self.log, "new plans"; "plans" => plans, "dependencies" => self.dependencies.len());
-                let _ = self.module.send(Message::Operator(Box::new(wanted))).await;
+                let _ = self.module.send(AdmissionMessage::DependenciesReconfigured(Box::new(wanted))).await;
             }
             Err(why) => error!(self.log, "the old plans stay"; "why" => why),
         }
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -5,23 +5,23 @@
 /// Plays `script` with the actor's mailboxes against a service at this listener.
 fn with_dependency<F: std::future::Future<Output = ()>>(
     most: usize,
-    script: impl FnOnce(Async<std::net::TcpListener>, Sender<Order>, Receiver<Message>) -> F,
+    script: impl FnOnce(Async<std::net::TcpListener>, Sender<DependencyCommand>, Receiver<AdmissionMessage>) -> F,
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
-    let (orders, taken) = async_channel::bounded(MAILBOX);
+    let (orders, taken) = async_channel::bounded(MAILBOX_CAPACITY);
     let (module, mail) = async_channel::bounded(8);
     let log = Logger::root(slog::Discard, slog::o!());
-    let to = (Target::records(address), Sockets::new(most));
-    let records = Dependency::new(executor.clone(), to, taken, module, Clock::default(), log);
+    let to = (CallTarget::records_service(address), SocketBudget::new(most));
+    let records = DependencyClient::new(executor.clone(), to, taken, module, Clock::default(), log);
     executor.spawn(records.run()).detach();
     async_io::block_on(executor.run(script(listener, orders, mail)));
 }
 
-fn call(id: &str, until: Micros) -> Order {
-    let id = CallId::plain(id.into());
-    Order::Call(Call { id, address: None, body: Rc::from(&[][..]), until })
+fn call(id: &str, until: Micros) -> DependencyCommand {
+    let id = CallId::without_plan(id.into());
+    DependencyCommand::Call(Call { id, address: None, body: Rc::from(&[][..]), deadline: until })
 }
 
 fn far() -> Micros {
@@ -40,9 +40,9 @@
     true
 }
 
-async fn called(mail: &Receiver<Message>) -> (String, Outcome) {
+async fn called(mail: &Receiver<AdmissionMessage>) -> (String, Outcome) {
     match mail.recv().await {
-        Ok(Message::Called(id, outcome, ..)) => (id.request.to_string(), outcome),
+        Ok(AdmissionMessage::CallEnded { id, outcome, .. }) => (id.request.to_string(), outcome),
         other => panic!("{other:?}"),
     }
 }
@@ -144,7 +144,7 @@
 fn only_a_mark_proves_that_a_call_never_ran() {
     let read = |text: &str| {
         let bytes = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n");
-        outcome(&http::reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
+        classify_reply(&http::parse_reply(bytes.as_bytes(), false).expect("sound").expect("whole"))
     };
     assert_eq!(read("200 OK"), Outcome::Ok);
     assert_eq!(read("503 No\r\nOp-Not-Begun: 1"), Outcome::Rejected);
