--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_record.rs
@@ -9,7 +9,7 @@
 use umberloom_replicated_store::entry::{Content, DocumentUpdate};
 use umberloom_replicated_store::log::KEYSPACES;
 use umberloom_replicated_store::{
-    Action, Config, Entry, Event, Micros, Outcome, ReadOutcome, Replica, Role, StoredReplica,
+    Action, Config, Entry, Event, Micros, Outcome, ReadOutcome, Replica, Role, StoreId, StoredReplica,
 };
 use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
 use umberloom_store::{Config as StoreConfig, Store, WriteBatch};
@@ -73,7 +73,7 @@
     pub bytes: u64,
     /// How often a copy was set aside, and why.
     pub aside: Vec<(usize, String)>,
-    leaders: BTreeMap<(u64, u64), usize>,
+    leaders: BTreeMap<(StoreId, u64), usize>,
 }
 
 impl VirtualRecord {
@@ -186,7 +186,7 @@
     }
 
     /// An operator decides for this copy.
-    pub fn adopt(&mut self, n: usize) -> Result<u64, String> {
+    pub fn adopt(&mut self, n: usize) -> Result<StoreId, String> {
         let now = self.now;
         let adopted = self.places[n].record.as_mut().map(|record| record.adopt(now, 0));
         self.carry_out(n);
@@ -314,7 +314,7 @@
 
     fn persist(&mut self, n: usize, number: u64, batch: WriteBatch) {
         let place = &mut self.places[n];
-        let wrote = place.store.as_mut().map(|store| store.commit(batch));
+        let wrote = place.store.as_mut().map(|store| store.commit(&batch));
         if matches!(wrote, Some(Ok(_))) {
             let (boot, sync) = (place.boot, place.sync);
             let at = self.now + self.random.random_range(0..=sync);
@@ -433,7 +433,7 @@
             let copies: Vec<String> = copies.collect();
             format!(
                 "m{n} {} of {:04x} term {} leader {:?} applied {} commit {} last {} frozen {} fetching {:?}: {}",
-                s.role, s.store_id as u16, s.term, s.leader, s.applied, s.commit, s.last_index, s.frozen, s.catching_up,
+                s.role, s.store_id.0 as u16, s.term, s.leader, s.applied, s.commit, s.last_index, s.frozen, s.catching_up,
                 copies.join(" ")
             )
         };
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -188,7 +188,7 @@
         for n in 0..count {
             let at = Instant::now();
             let batch = WriteBatch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
-            store.commit(batch).map_err(|e| e.to_string())?;
+            store.commit(&batch).map_err(|e| e.to_string())?;
             took.push(at.elapsed().as_micros() as u64);
         }
         let rate = count as f64 / began.elapsed().as_secs_f64();
@@ -198,7 +198,7 @@
         let before = (disk.bytes_written(), disk.syncs());
         for n in 0..count {
             let batch = WriteBatch::new().put(2, &n.to_be_bytes(), &vec![n as u8; bytes]);
-            simulated.commit(batch).map_err(|e| e.to_string())?;
+            simulated.commit(&batch).map_err(|e| e.to_string())?;
         }
         let written = (disk.bytes_written() - before.0) as f64 / (count as f64 * bytes as f64);
         let p99 = quantile(&mut took, 0.99).parse::<f64>().unwrap_or(0.0) / 1_000.0;
@@ -218,7 +218,7 @@
         for from in (0..rows).step_by(500) {
             let batch =
                 (from..from + 500).fold(WriteBatch::new(), |b, n| b.put(2, &n.to_be_bytes(), &[7; 1_000]));
-            store.commit(batch).map_err(|e| e.to_string())?;
+            store.commit(&batch).map_err(|e| e.to_string())?;
         }
         let file = config.file();
         // As a kill leaves it: no clean end was written.
--- a/crates/replicated-store/src/export.rs
+++ b/crates/replicated-store/src/export.rs
@@ -7,6 +7,7 @@
 use thiserror::Error;
 
 use crate::entry::{digest, Digest, Envelope};
+use crate::ids::StoreId;
 use crate::state::State;
 
 #[cfg(test)]
@@ -47,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verified {
     /// The store's id.
-    pub store_id: u64,
+    pub store_id: StoreId,
     /// Index of the snapshot.
     pub snapshot_index: u64,
     /// Index of the last entry.
--- a/crates/replicated-store/src/export/tests.rs
+++ b/crates/replicated-store/src/export/tests.rs
@@ -4,7 +4,7 @@
 
 /// An export with four versions of the document "x" since its snapshot.
 fn export_of_four_entries() -> Export {
-    let mut state = State::bootstrap(7, 1, Member { name: "a".into(), zone: String::new() });
+    let mut state = State::bootstrap(StoreId(7), 1, Member { name: "a".into(), zone: String::new() });
     let snapshot = state.to_bytes();
     let entry = |index: u64| ExportedEntry {
         index,
@@ -24,7 +24,7 @@
     let decoded = Export::from_bytes(&file).expect("readable");
     let verified = decoded.verify().expect("sound");
 
-    assert_eq!((verified.store_id, verified.snapshot_index, verified.last_index), (7, 1, 5));
+    assert_eq!((verified.store_id, verified.snapshot_index, verified.last_index), (StoreId(7), 1, 5));
     assert_eq!(verified.documents, [("x".to_owned(), 4, 1)]);
     for byte in (0..file.len()).step_by(3) {
         let mut changed = file.clone();
--- a/crates/replicated-store/src/lib.rs
+++ b/crates/replicated-store/src/lib.rs
@@ -48,6 +48,7 @@
 pub mod divergence;
 pub mod entry;
 pub mod export;
+mod ids;
 pub mod log;
 pub mod message;
 mod replica;
@@ -58,6 +59,7 @@
 
 pub use entry::{Entry, EntryId};
 pub use export::Export;
+pub use ids::StoreId;
 pub use log::{StoredReplica, StoredReplicaError};
 pub use replica::{
     Action, Config, ConfigError, Event, InvalidConfig, InvariantViolation, Priority, ReadOutcome, Replica,
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -13,6 +13,7 @@
 
 use crate::entry::{digest, Digest};
 use crate::export::ExportedEntry;
+use crate::ids::StoreId;
 use crate::transfer::SnapshotChunk;
 
 mod stored;
@@ -39,7 +40,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
     /// Id of its store; 0 while it has joined none.
-    pub store_id: u64,
+    pub store_id: StoreId,
     /// Its own id, drawn when it was created; 0 is none.
     pub replica_id: u64,
     /// The server that it belongs to, so that a directory that was copied to another is detected.
@@ -106,6 +107,12 @@
     batch.remove_range(ENTRIES, &first.to_be_bytes(), &end.to_be_bytes())
 }
 
+fn snapshot_metadata(index: u64, term: u64, conf_state: ConfState) -> SnapshotMetadata {
+    let mut metadata = SnapshotMetadata { index, term, ..SnapshotMetadata::default() };
+    metadata.set_conf_state(conf_state);
+    metadata
+}
+
 fn remove_incoming_chunks(batch: WriteBatch) -> WriteBatch {
     batch.remove_range(INCOMING_CHUNKS, &[0], &[255; 21])
 }
@@ -131,10 +138,7 @@
     pub fn bootstrap(replica_id: u64, index: u64, state: Vec<u8>) -> (Log, WriteBatch) {
         let mut conf_state = ConfState::default();
         conf_state.voters.push(replica_id);
-        let mut metadata = SnapshotMetadata::default();
-        metadata.index = index;
-        metadata.term = 1;
-        metadata.set_conf_state(conf_state);
+        let metadata = snapshot_metadata(index, 1, conf_state);
         let mut log = Log::default();
         log.hard_state.term = 1;
         log.hard_state.commit = index;
@@ -237,10 +241,7 @@
         let Ok(term) = self.term(applied) else { return WriteBatch::new() };
         let first = self.snapshot_metadata.index + 1;
         self.entries.drain(..(applied - self.snapshot_metadata.index) as usize);
-        let mut metadata = SnapshotMetadata::default();
-        metadata.index = applied;
-        metadata.term = term;
-        metadata.set_conf_state(self.conf_state.clone());
+        let metadata = snapshot_metadata(applied, term, self.conf_state.clone());
         let removed = remove_entries(WriteBatch::new(), first, applied + 1);
         removed.then(self.put_snapshot(metadata, Rc::new(state)))
     }
--- a/crates/replicated-store/src/message.rs
+++ b/crates/replicated-store/src/message.rs
@@ -5,6 +5,7 @@
 use umberloom_membership::MemberName;
 
 use crate::entry::Digest;
+use crate::ids::StoreId;
 use crate::log::Manifest;
 use crate::rollback::DurableProgress;
 use crate::transfer::SnapshotChunk;
@@ -66,11 +67,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusMessage {
     /// Id of its store; 0 is none.
-    pub store_id: u64,
+    pub store_id: StoreId,
     /// Id of its replica; 0 is none.
     pub replica_id: u64,
     /// Id of the store from which its own was adopted; 0 is none.
-    pub adopted_from: u64,
+    pub adopted_from: StoreId,
     /// What it has made durable.
     pub durable: DurableProgress,
     /// Whether it votes.
--- a/crates/replicated-store/src/replica/comparison.rs
+++ b/crates/replicated-store/src/replica/comparison.rs
@@ -57,7 +57,7 @@
         if let Some(rollback_check) = &mut self.rollback_check {
             rollback_check.handle_answer(from, status.receiver_progress);
         }
-        if status.store_id == self.identity.store_id && self.identity.store_id != 0 {
+        if status.store_id == self.identity.store_id && !self.identity.store_id.is_none() {
             self.compare_digest(&status);
             self.restart_stalled_snapshot(&status);
         }
--- a/crates/replicated-store/src/replica/events.rs
+++ b/crates/replicated-store/src/replica/events.rs
@@ -5,6 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+use crate::ids::StoreId;
 use crate::rollback::DurableProgress;
 use crate::voter_selection::MembershipChange;
 use crate::Micros;
@@ -42,7 +43,7 @@
     /// A new store has started; it has nothing of an earlier one, except after an adoption.
     Bootstrapped {
         /// The new store's id.
-        store_id: u64,
+        store_id: StoreId,
     },
     /// This server's role has changed.
     RoleChanged {
@@ -81,16 +82,16 @@
     /// This replica belongs to a store that another one has replaced.
     Obsolete {
         /// Id of this replica's store.
-        own_store: u64,
+        own_store: StoreId,
         /// Id of the store that has a leader.
-        led_store: u64,
+        led_store: StoreId,
     },
     /// Another store has a leader besides this one, which goes on: an operator adopted a replica that was only cut off.
     CompetingStore {
         /// Id of this replica's store.
-        own_store: u64,
+        own_store: StoreId,
         /// Id of the other store.
-        led_store: u64,
+        led_store: StoreId,
     },
     /// The Raft library failed on this replica's log.
     LogFailed {
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -8,6 +8,7 @@
 use umberloom_membership::MemberName;
 
 use super::{Event, Peer, Priority, Replica, RequestError, Role, CAUGHT_UP_LAG};
+use crate::ids::StoreId;
 use crate::log::{identity_batch, Log, LogPosition, ReplicaIdentity};
 use crate::message::{OfferedSnapshot, PeerMessage, StatusMessage};
 use crate::rollback::DurableProgress;
@@ -38,7 +39,7 @@
     pub(super) fn run_periodic_checks(&mut self, now: Micros) {
         let fresh_for = 4 * self.status_interval();
         self.join_requests.retain(|_, request| now < request.received_at + fresh_for);
-        if self.identity.replica_id == 0 || self.identity.store_id == 0 {
+        if self.identity.replica_id == 0 || self.identity.store_id.is_none() {
             self.join_or_bootstrap(now, fresh_for);
         } else {
             self.request_admission(now, fresh_for);
@@ -83,7 +84,7 @@
     }
 
     /// A new replica of this server, with an id that is drawn for it.
-    fn new_identity(&self, store_id: u64, replica_id: u64) -> ReplicaIdentity {
+    fn new_identity(&self, store_id: StoreId, replica_id: u64) -> ReplicaIdentity {
         ReplicaIdentity { store_id, replica_id, server: self.config.me.to_string(), starts: 1 }
     }
 
@@ -100,8 +101,8 @@
     fn join_or_bootstrap(&mut self, now: Micros, fresh_for: Micros) {
         let is_live = |peer: &Peer| now < peer.heard_at + fresh_for;
         // Two stores have leaders only where an operator adopted twice: the one that more servers have is joined.
-        let mut servers_by_store: BTreeMap<u64, usize> = BTreeMap::new();
-        for peer in self.peers.values().filter(|peer| is_live(peer) && peer.status.store_id != 0) {
+        let mut servers_by_store: BTreeMap<StoreId, usize> = BTreeMap::new();
+        for peer in self.peers.values().filter(|peer| is_live(peer) && !peer.status.store_id.is_none()) {
             *servers_by_store.entry(peer.status.store_id).or_default() += 1;
         }
         if let Some((store_id, _)) = servers_by_store.into_iter().max_by_key(|(_, servers)| *servers) {
@@ -115,7 +116,7 @@
         }
     }
 
-    fn join(&mut self, store_id: u64) {
+    fn join(&mut self, store_id: StoreId) {
         let replica_id = self.draw_id();
         self.identity = self.new_identity(store_id, replica_id);
         self.persist(identity_batch(&self.identity));
@@ -123,7 +124,7 @@
     }
 
     fn bootstrap(&mut self) {
-        let store_id = self.draw_id();
+        let store_id = StoreId(self.draw_id());
         let replica_id = self.draw_id();
         self.identity = self.new_identity(store_id, replica_id);
         self.state = State::bootstrap(store_id, replica_id, self.own_member());
@@ -156,7 +157,7 @@
         let own_store = self.identity.store_id;
         let is_led = |peer: &&Peer| {
             let status = &peer.status;
-            let is_other_store = status.store_id != 0 && status.store_id != own_store;
+            let is_other_store = !status.store_id.is_none() && status.store_id != own_store;
             now < peer.heard_at + fresh_for && is_other_store && status.leader.is_some()
         };
         let election_timeout = self.config.election_timeout;
@@ -165,7 +166,7 @@
         let frozen = self.comparison.frozen;
         let has_adopted = |peer: &Peer| frozen && peer.status.adopted_from == own_store;
         let Some(peer) = self.peers.values().filter(is_led).max_by_key(|peer| has_adopted(peer)) else {
-            self.competing_store = 0;
+            self.competing_store = StoreId::NONE;
             return;
         };
         let led_store = peer.status.store_id;
@@ -183,12 +184,12 @@
 
     /// An operator adopts this replica: a new store starts from its state. For the day on which no majority of the old one
     /// will ever come back, or all its replicas differ. `at_ms` is Unix time in milliseconds, for the history.
-    pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<u64, RequestError> {
-        if self.node.is_none() || self.state.store_id == 0 {
+    pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<StoreId, RequestError> {
+        if self.node.is_none() || self.state.store_id.is_none() {
             return Err(RequestError::Outside);
         }
         self.check_adoption(now)?;
-        let store_id = self.draw_id();
+        let store_id = StoreId(self.draw_id());
         let replica_id = self.draw_id();
         self.state = self.state.adopt(store_id, replica_id, self.own_member(), at_ms);
         self.identity = self.new_identity(store_id, replica_id);
--- a/crates/replicated-store/src/replica/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -33,6 +33,7 @@
 use self::snapshots::Snapshots;
 pub use self::status::{InvariantViolation, ReplicaStatus, ReplicaView};
 use crate::entry::EntryId;
+use crate::ids::StoreId;
 use crate::log::{identity_batch, Log, ReplicaIdentity, StoredReplica};
 use crate::message::{self, PeerMessage, StatusMessage};
 use crate::rollback::{DurableProgress, PeerProgress, RollbackCheck};
@@ -87,8 +88,8 @@
     join_requests: BTreeMap<String, JoinRequest>,
     reads: Reads,
     comparison: Comparison,
-    /// The other store that was last reported; 0 is none.
-    competing_store: u64,
+    /// The other store that was last reported.
+    competing_store: StoreId,
     role: Role,
     leader: KnownLeader,
     /// When this server began to lead.
@@ -153,7 +154,7 @@
             join_requests: BTreeMap::new(),
             reads,
             comparison: Comparison::new(now),
-            competing_store: 0,
+            competing_store: StoreId::NONE,
             role: Role::Outside,
             leader: KnownLeader { name: None, heard_at: now },
             leads_since: now,
@@ -252,7 +253,7 @@
                 let _ = self.set_voter(now, &member, is_voter);
             }
             PeerMessage::ChunkRequest { digest, index } => self.handle_chunk_request(from, digest, index),
-            PeerMessage::Chunk(chunk) => self.handle_chunk(now, chunk),
+            PeerMessage::Chunk(chunk) => self.handle_chunk(now, &chunk),
             PeerMessage::Relay { .. } | PeerMessage::Relayed { .. } => {}
         }
     }
--- a/crates/replicated-store/src/replica/snapshots.rs
+++ b/crates/replicated-store/src/replica/snapshots.rs
@@ -100,14 +100,14 @@
     }
 
     /// A chunk has come.
-    pub(super) fn handle_chunk(&mut self, now: Micros, chunk: SnapshotChunk) {
+    pub(super) fn handle_chunk(&mut self, now: Micros, chunk: &SnapshotChunk) {
         let Some((transfer, _)) = &mut self.snapshots.transfer else { return };
         if !transfer.handle_chunk(chunk.clone()) {
             return;
         }
         // Durable, so that a process that is killed in the middle does not start from nothing.
         if self.snapshots.stores_chunks {
-            self.persist(chunk_batch(&chunk));
+            self.persist(chunk_batch(chunk));
         }
         self.continue_transfer(now);
     }
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -7,6 +7,7 @@
 use super::{Replica, Role, MAX_PENDING_READS};
 use crate::entry::Digest;
 use crate::export::Export;
+use crate::ids::StoreId;
 use crate::state::{Member, State};
 use crate::Micros;
 
@@ -15,7 +16,7 @@
 pub struct ReplicaStatus {
     /// The store's id; 0 is none.
     #[serde(rename = "record")]
-    pub store_id: u64,
+    pub store_id: StoreId,
     /// This replica's id; 0 is none.
     #[serde(rename = "copy")]
     pub replica_id: u64,
@@ -104,9 +105,14 @@
         self.role
     }
 
-    /// The replica's id, and its store's.
-    pub fn ids(&self) -> (u64, u64) {
-        (self.identity.replica_id, self.identity.store_id)
+    /// The replica's id; 0 is none.
+    pub fn replica_id(&self) -> u64 {
+        self.identity.replica_id
+    }
+
+    /// The id of its store.
+    pub fn store_id(&self) -> StoreId {
+        self.identity.store_id
     }
 
     /// A report for operators.
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -8,6 +8,7 @@
     digest, Content, Digest, DocumentPart, DocumentUpdate, Entry, EntryId, Envelope, MAX_DOCUMENT_BYTES,
     MAX_NAME_BYTES, PART_BYTES,
 };
+use crate::ids::StoreId;
 
 #[cfg(test)]
 mod tests;
@@ -106,9 +107,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// Id of the store, drawn when it was bootstrapped.
-    pub store_id: u64,
+    pub store_id: StoreId,
     /// Id of the store from which this one was adopted; 0 is none.
-    pub adopted_from: u64,
+    pub adopted_from: StoreId,
     /// Index of the last applied entry.
     pub applied: u64,
     /// Rolling digest of all entries and their outcomes.
@@ -128,18 +129,18 @@
 
 impl State {
     /// The first state of a new store, made by the replica that bootstraps it.
-    pub fn bootstrap(store_id: u64, replica_id: u64, member: Member) -> State {
+    pub fn bootstrap(store_id: StoreId, replica_id: u64, member: Member) -> State {
         State {
             store_id,
             applied: 1,
-            rolling_digest: digest(&[b"record", &store_id.to_le_bytes()]),
+            rolling_digest: digest(&[b"record", &store_id.0.to_le_bytes()]),
             members: BTreeMap::from([(replica_id, member)]),
             ..State::default()
         }
     }
 
     /// The first state of a new store that goes on from this one with one member; a line of the history says so.
-    pub fn adopt(&self, store_id: u64, replica_id: u64, member: Member, at_ms: u64) -> State {
+    pub fn adopt(&self, store_id: StoreId, replica_id: u64, member: Member, at_ms: u64) -> State {
         let mut state = self.clone();
         let index = state.applied + 1;
         state.history.push_back(HistoryLine {
@@ -152,7 +153,7 @@
         state.store_id = store_id;
         state.members = BTreeMap::from([(replica_id, member)]);
         state.recent_digests.clear();
-        state.advance_digest(index, &[b"adopted", &store_id.to_le_bytes()]);
+        state.advance_digest(index, &[b"adopted", &store_id.0.to_le_bytes()]);
         state
     }
 
--- a/crates/replicated-store/src/state/tests.rs
+++ b/crates/replicated-store/src/state/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn bootstrapped() -> State {
-    State::bootstrap(1, 1, Member { name: "a".into(), zone: "z".into() })
+    State::bootstrap(StoreId(1), 1, Member { name: "a".into(), zone: "z".into() })
 }
 
 fn apply(state: &mut State, id: u128, entry: &Entry) -> Outcome {
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -11,7 +11,7 @@
 use umberloom_replicated_store::rollback::DurableProgress;
 use umberloom_replicated_store::state::{HistoryLine, Outcome};
 use umberloom_replicated_store::transfer::SnapshotChunk;
-use umberloom_replicated_store::State;
+use umberloom_replicated_store::{State, StoreId};
 use umberloom_store::disk::RealDisk;
 use umberloom_store::{Config as StoreConfig, Store};
 
@@ -31,9 +31,9 @@
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let seen = DurableProgress { starts: 3, term: 500, last_index: 70_000 };
     let status = StatusMessage {
-        store_id: u64::MAX - 2,
+        store_id: StoreId(u64::MAX - 2),
         replica_id: 77,
-        adopted_from: 5,
+        adopted_from: StoreId(5),
         durable: seen,
         is_voter: true,
         applied: 69_999,
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -1,5 +1,5 @@
-//! Records on virtual time, network and disks from a seed: whatever goes wrong, nothing that was told to be done is lost,
-//! nobody reads what is old as the latest, and once the faults are over everyone holds the same.
+//! Replicated stores on virtual time, network and disks from a seed: whatever goes wrong, no acknowledged write is lost, no
+//! read is stale, and once the faults are over all replicas are the same.
 
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
@@ -10,25 +10,30 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Short times, so that a run has many elections.
-fn quick(config: &mut Config) {
+/// Short timeouts, so that a run has many elections.
+fn short_timeouts(config: &mut Config) {
     (config.election_timeout, config.replace_after) = (200_000, 2 * SECOND);
 }
 
-fn five(config: &mut Config) {
-    quick(config);
+fn five_voters(config: &mut Config) {
+    short_timeouts(config);
     config.voters = 5;
 }
 
-/// All are in, and so many vote.
+/// A fleet in which all servers have joined and so many vote.
 fn settled(count: usize, voters: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
     let mut fleet = VirtualRecord::new(count, seed, adjust);
     fleet.until(20 * SECOND, |f| f.settled(voters)).expect("settled");
     fleet
 }
 
-/// Goes on for so long with clients at every server.
-fn busy(fleet: &mut VirtualRecord, random: &mut ChaCha8Rng, count: usize, span: u64) -> Result<(), String> {
+/// Runs for so long with clients that write and read at random servers.
+fn run_clients(
+    fleet: &mut VirtualRecord,
+    random: &mut ChaCha8Rng,
+    count: usize,
+    span: u64,
+) -> Result<(), String> {
     let end = fleet.now + span;
     while fleet.now < end {
         let n = random.random_range(0..count);
@@ -48,14 +53,14 @@
 }
 
 #[test]
-fn a_record_is_founded_once_and_everyone_joins() {
+fn a_store_is_bootstrapped_once_and_all_servers_join() {
     for (count, voters) in [(1, 1), (3, 3), (5, 3), (7, 5)] {
         let adjust = if voters == 5 {
-            five
+            five_voters
         } else if voters == 1 {
             |c: &mut Config| c.voters = 1
         } else {
-            quick
+            short_timeouts
         };
         let fleet = settled(count, voters, 7, adjust);
         let founded =
@@ -65,16 +70,16 @@
 }
 
 #[test]
-fn a_killed_leader_is_followed_within_two_elections_and_nothing_done_is_lost() {
-    let mut fleet = settled(5, 3, 3, quick);
+fn a_killed_leader_is_replaced_within_two_elections_without_loss() {
+    let mut fleet = settled(5, 3, 3, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..6 {
-        busy(&mut fleet, &mut random, 5, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, SECOND).expect("sound");
         let leader = fleet.leader().expect("a leader");
         fleet.kill(leader, true);
         let took = fleet.until(5 * SECOND, |f| f.leader().is_some_and(|n| n != leader)).expect("a leader");
         assert!(took <= 2 * 400_000 + 100_000, "{took}");
-        busy(&mut fleet, &mut random, 5, SECOND / 2).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, SECOND / 2).expect("sound");
         fleet.start(leader);
         fleet.until(10 * SECOND, |f| f.settled(3)).expect("settled");
     }
@@ -82,12 +87,12 @@
     assert!(fleet.operations.iter().filter(|o| o.told.is_some()).count() > 200);
 }
 
-/// Proposed, sent to one, agreed on and not told, applied and not answered: whatever the moment is, it is among these.
+/// Proposed, sent to one, committed and not reported, applied and not answered: whatever the moment is, it is among these.
 #[test]
-fn a_leader_killed_at_any_event_of_a_write_loses_nothing_that_was_told() {
-    let (mut done, mut lost) = (0, 0);
+fn a_leader_killed_at_any_event_of_a_write_loses_no_acknowledged_write() {
+    let (mut acknowledged, mut lost) = (0, 0);
     for events in 0..60 {
-        let mut fleet = settled(3, 3, 100 + events as u64 % 3, quick);
+        let mut fleet = settled(3, 3, 100 + events as u64 % 3, short_timeouts);
         fleet.write(1, "x", None);
         fleet.run(fleet.now + SECOND).expect("sound");
         let leader = fleet.leader().expect("a leader");
@@ -106,36 +111,36 @@
         fleet.run(fleet.now + SECOND).expect("sound");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "killed after {events} events");
         let told = fleet.operations[1].told.is_some();
-        (done, lost) = (done + usize::from(told), lost + usize::from(!told));
+        (acknowledged, lost) = (acknowledged + usize::from(told), lost + usize::from(!told));
     }
     // Both ends of the range were met.
-    assert!(done > 3 && lost > 3, "{done} were told to be done, {lost} were not");
+    assert!(acknowledged > 3 && lost > 3, "{acknowledged} were acknowledged, {lost} were not");
 }
 
 #[test]
-fn a_disk_that_lies_about_syncs_costs_its_copy_and_nothing_that_was_told() {
+fn a_disk_that_ignores_syncs_costs_its_replica_and_no_acknowledged_write() {
     let mut found = 0;
     for seed in 0..8 {
-        let mut fleet = settled(3, 3, 40 + seed, quick);
+        let mut fleet = settled(3, 3, 40 + seed, short_timeouts);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         let liar = fleet.leader().expect("a leader");
-        let copy = fleet.record(liar).map(|r| r.ids().0);
+        let copy = fleet.record(liar).map(|r| r.replica_id());
         fleet.lie(liar);
-        busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         fleet.kill(liar, true);
         fleet.start(liar);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        found += usize::from(fleet.record(liar).map(|r| r.ids().0) != copy);
-        busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
+        found += usize::from(fleet.record(liar).map(|r| r.replica_id()) != copy);
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "seed {seed}");
     }
     assert!(found > 4, "{found} of 8 copies were set aside");
 }
 
 #[test]
-fn a_leader_that_wakes_writes_and_reads_nothing_old() {
-    let mut fleet = settled(3, 3, 5, quick);
+fn a_leader_that_resumes_after_a_stall_serves_no_stale_read_or_write() {
+    let mut fleet = settled(3, 3, 5, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let old = fleet.leader().expect("a leader");
     let other = (old + 1) % 3;
@@ -154,12 +159,12 @@
         fleet.write(old, "x", None);
         fleet.run(fleet.now + 2_000).expect("sound");
     }
-    busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
+    run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
     assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
 }
 
 #[test]
-fn wherever_some_server_reaches_a_quorum_there_is_a_leader_and_few_elections() {
+fn a_leader_is_elected_in_any_partition_that_leaves_a_server_with_a_quorum() {
     // What is cut, given the leader and the others.
     type Cut = fn(usize, &[usize]) -> Vec<(usize, usize)>;
     let cases: [(&str, Cut); 5] = [
@@ -184,7 +189,7 @@
         }),
     ];
     for (name, cut) in cases {
-        let mut fleet = settled(5, 5, 9, five);
+        let mut fleet = settled(5, 5, 9, five_voters);
         let leader = fleet.leader().expect("a leader");
         let others: Vec<usize> = (0..5).filter(|n| *n != leader).collect();
         fleet.cut = cut(leader, &others).into_iter().collect();
@@ -192,7 +197,7 @@
         let (from, hub) = (fleet.told.len(), others[0]);
         let before = fleet.record(hub).map_or(0, |r| r.state().applied);
         let mut random = ChaCha8Rng::seed_from_u64(1);
-        busy(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
         let after = fleet.record(hub).map_or(0, |r| r.state().applied);
         assert!(after > before + 30, "{name}: {before} to {after}");
         let led = fleet.told[from..]
@@ -207,34 +212,34 @@
 }
 
 #[test]
-fn one_whose_disk_is_gone_or_was_set_back_comes_back_under_a_new_number() {
+fn a_server_with_a_lost_or_rolled_back_disk_returns_with_a_new_replica() {
     for set_back in [false, true] {
-        let mut fleet = settled(5, 3, 4, quick);
+        let mut fleet = settled(5, 3, 4, short_timeouts);
         let mut random = ChaCha8Rng::seed_from_u64(4);
         let voter =
             (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
         let image = fleet.image(voter);
-        let number = fleet.record(voter).map(|r| r.ids().0);
-        busy(&mut fleet, &mut random, 5, 2 * SECOND).expect("sound");
+        let number = fleet.record(voter).map(|r| r.replica_id());
+        run_clients(&mut fleet, &mut random, 5, 2 * SECOND).expect("sound");
         match set_back {
             true => fleet.put_back(voter, image),
             false => fleet.lose_disk(voter),
         }
         fleet.start(voter);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        let now = fleet.record(voter).map(|r| r.ids().0);
+        let now = fleet.record(voter).map(|r| r.replica_id());
         assert_ne!(number, now, "set back: {set_back}");
         assert_eq!(fleet.aside.len(), usize::from(set_back), "{:?}", fleet.aside);
         let state = fleet.record(voter).expect("runs").state();
         assert_eq!(state.members.values().filter(|m| m.name == format!("m{voter}")).count(), 1);
-        busy(&mut fleet, &mut random, 5, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, SECOND).expect("sound");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_voter_that_is_gone_for_long_is_replaced_and_learns_when_it_returns() {
-    let mut fleet = settled(5, 3, 6, quick);
+fn a_voter_that_is_gone_for_long_is_replaced_and_returns_as_a_learner() {
+    let mut fleet = settled(5, 3, 6, short_timeouts);
     let voter = (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
     fleet.kill(voter, false);
     let replaced = |f: &VirtualRecord| {
@@ -251,41 +256,41 @@
 }
 
 #[test]
-fn a_whole_fleet_without_disks_begins_a_new_record_and_says_so() {
-    let mut fleet = settled(3, 3, 8, quick);
-    let first = fleet.record(0).map(|r| r.ids().1);
+fn a_fleet_that_lost_all_disks_bootstraps_a_new_store() {
+    let mut fleet = settled(3, 3, 8, short_timeouts);
+    let first = fleet.record(0).map(|r| r.store_id());
     (0..3).for_each(|n| fleet.lose_disk(n));
     (0..3).for_each(|n| fleet.start(n));
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_ne!(fleet.record(0).map(|r| r.ids().1), first);
+    assert_ne!(fleet.record(0).map(|r| r.store_id()), first);
     assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped { .. })).count(), 2);
     // With disks it is the old one, whatever the order.
-    let second = fleet.record(0).map(|r| r.ids().1);
+    let second = fleet.record(0).map(|r| r.store_id());
     (0..3).for_each(|n| fleet.kill(n, true));
     for n in [2, 0, 1] {
         fleet.start(n);
         fleet.run(fleet.now + SECOND).expect("sound");
     }
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(0).map(|r| r.ids().1), second);
+    assert_eq!(fleet.record(0).map(|r| r.store_id()), second);
 }
 
 #[test]
-fn a_copy_that_differs_is_set_aside_and_put_right() {
-    let mut fleet = settled(3, 3, 2, quick);
+fn a_diverged_replica_is_quarantined_and_rebuilt() {
+    let mut fleet = settled(3, 3, 2, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(2);
     let voter = (0..3).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
     fleet.spoil(voter, 1);
     fleet.until(10 * SECOND, |f| !f.aside.is_empty()).expect("found");
     assert_eq!(fleet.aside[0].0, voter);
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    busy(&mut fleet, &mut random, 3, SECOND).expect("sound");
+    run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
     assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
 }
 
 #[test]
-fn copies_that_all_differ_freeze_and_an_operator_decides() {
-    let mut fleet = settled(3, 3, 2, quick);
+fn replicas_that_all_diverge_freeze_until_an_operator_adopts_one() {
+    let mut fleet = settled(3, 3, 2, short_timeouts);
     fleet.write(0, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
     assert!(fleet.adopt(0).is_err_and(|why| why.contains("nothing is to be decided")));
@@ -312,11 +317,11 @@
 }
 
 #[test]
-fn a_decision_at_a_server_that_was_only_cut_off_undoes_nothing() {
-    let mut fleet = settled(5, 3, 21, quick);
+fn adopting_a_replica_that_was_only_cut_off_undoes_nothing() {
+    let mut fleet = settled(5, 3, 21, short_timeouts);
     fleet.write(0, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
-    let first = fleet.record(0).map(|r| r.ids().1);
+    let first = fleet.record(0).map(|r| r.store_id());
     let cut = 4;
     fleet.cut.extend((0..4).flat_map(|n| [(n, cut), (cut, n)]));
     fleet
@@ -328,21 +333,24 @@
     fleet.run(fleet.now + SECOND).expect("sound");
     fleet.cut.clear();
     fleet.run(fleet.now + 5 * SECOND).expect("sound");
-    assert!((0..4).all(|n| fleet.record(n).map(|r| r.ids().1) == first), "the majority has left its record");
+    assert!(
+        (0..4).all(|n| fleet.record(n).map(|r| r.store_id()) == first),
+        "the majority has left its record"
+    );
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
     assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore { .. })));
     // Without its copy it joins the one that most hold.
     fleet.lose_disk(cut);
     fleet.start(cut);
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(cut).map(|r| r.ids().1), first);
+    assert_eq!(fleet.record(cut).map(|r| r.store_id()), first);
     assert_eq!(fleet.record(cut).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
 }
 
 #[test]
-fn one_that_is_far_behind_catches_up_and_is_killed_on_the_way() {
+fn a_replica_killed_while_it_catches_up_resumes_the_transfer() {
     fn slow(config: &mut Config) {
-        quick(config);
+        short_timeouts(config);
         config.catch_up_bytes_per_second = 400 << 10;
     }
     let mut fleet = settled(3, 3, 12, slow);
@@ -360,13 +368,13 @@
         fleet.run(fleet.now + 100_000).expect("sound");
     }
     fleet.start(behind);
-    let coming = |f: &VirtualRecord| f.record(behind).and_then(|r| r.status(f.now).catching_up);
+    let progress = |f: &VirtualRecord| f.record(behind).and_then(|r| r.status(f.now).catching_up);
     let mut highest = 0;
     for _ in 0..3 {
         fleet
-            .until(20 * SECOND, |f| coming(f).is_some_and(|(there, _)| there >= highest + 4))
+            .until(20 * SECOND, |f| progress(f).is_some_and(|(there, _)| there >= highest + 4))
             .expect("pieces");
-        let (there, all) = coming(&fleet).expect("under way");
+        let (there, all) = progress(&fleet).expect("under way");
         assert!(there >= highest, "{there} of {all}, {highest} were there before");
         highest = there;
         fleet.kill(behind, true);
@@ -376,9 +384,9 @@
     assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp { .. })));
 }
 
-/// Faults drawn from a seed while clients write and read; then none.
-fn drawn(seed: u64, count: usize) -> Result<(), String> {
-    let adjust = if seed.is_multiple_of(2) { quick } else { five };
+/// Injects faults drawn from a seed while clients write and read; then none.
+fn run_random_faults(seed: u64, count: usize) -> Result<(), String> {
+    let adjust = if seed.is_multiple_of(2) { short_timeouts } else { five_voters };
     let voters = if seed.is_multiple_of(2) { 3.min(count) } else { 5 };
     let mut fleet = VirtualRecord::new(count, seed, adjust);
     fleet.until(30 * SECOND, |f| f.settled(voters))?;
@@ -386,7 +394,7 @@
     let mut lost = 0;
     for _ in 0..14 {
         let span = random.random_range(100_000..SECOND);
-        busy(&mut fleet, &mut random, count, span)?;
+        run_clients(&mut fleet, &mut random, count, span)?;
         let (a, b) = (random.random_range(0..count), random.random_range(0..count));
         match random.random_range(0..9) {
             0 | 1 if a != b => drop(fleet.cut.insert((a, b))),
@@ -409,7 +417,7 @@
     fleet.run(fleet.now + 3 * SECOND)?;
     (0..count).filter(|n| !fleet.runs(*n)).collect::<Vec<_>>().into_iter().for_each(|n| fleet.start(n));
     fleet.until(30 * SECOND, |f| f.settled(voters))?;
-    busy(&mut fleet, &mut random, count, SECOND)?;
+    run_clients(&mut fleet, &mut random, count, SECOND)?;
     fleet.run(fleet.now + SECOND)?;
     let found = breaches(&fleet.operations);
     if found.is_empty() {
@@ -424,8 +432,8 @@
 
     /// Whatever is drawn, what clients saw is linearizable, no term has two leaders, and all end the same.
     #[test]
-    fn drawn_faults_lose_nothing_that_was_told_to_be_done(seed in any::<u64>(), count in 5usize..8) {
-        let came = drawn(seed, count);
-        prop_assert!(came.is_ok(), "{}", came.unwrap_err());
+    fn random_faults_lose_no_acknowledged_write(seed in any::<u64>(), count in 5usize..8) {
+        let result = run_random_faults(seed, count);
+        prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 }
--- a/crates/server/src/peers/fleet/record.rs
+++ b/crates/server/src/peers/fleet/record.rs
@@ -15,7 +15,7 @@
     StoredReplicaError,
 };
 use umberloom_store::disk::RealDisk;
-use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
+use umberloom_store::writer::{OpenedStore, Quarantined, Writer, WriterEvent};
 use umberloom_store::{Config as StoreConfig, StoreError, WriteBatch};
 
 use crate::exchange::fleet::RECORD;
@@ -171,7 +171,7 @@
         };
         match done {
             WriterEvent::Opened(_) => {}
-            WriterEvent::Durable(number, _) => {
+            WriterEvent::Durable { number, .. } => {
                 if self.record.as_ref().is_some_and(|record| record.installed_snapshot() > 0) {
                     // A snapshot has found room.
                     self.full = None;
@@ -180,7 +180,7 @@
                     record.persisted(now, number);
                 }
             }
-            WriterEvent::Failed(_, why) | WriterEvent::Closed(why) => self.failed(now, &why),
+            WriterEvent::Failed { error: why, .. } | WriterEvent::Closed(why) => self.failed(now, &why),
             WriterEvent::Scrubbed(Ok(())) => {}
             WriterEvent::Scrubbed(Err(why)) => {
                 self.fresh |= why.is_damage();
@@ -195,8 +195,8 @@
         (image, found): (Result<Option<StoredReplica>, StoredReplicaError>, OpenedStore),
     ) {
         self.opened_at = now;
-        if let Some((place, why)) = &found.quarantined {
-            error!(self.log, "record: what was on the disk is set aside"; "why" => why, "now" => %place.display());
+        if let Some(Quarantined { path, reason }) = &found.quarantined {
+            error!(self.log, "record: what was on the disk is set aside"; "why" => reason, "now" => %path.display());
         }
         match image {
             Ok(image) => {
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -136,7 +136,7 @@
         heard_ms: applied,
     };
     umberloom_replicated_store::ReplicaStatus {
-        store_id: u64::MAX - 5,
+        store_id: umberloom_replicated_store::StoreId(u64::MAX - 5),
         replica_id: 7,
         role: Role::Leader,
         term: 12,
--- a/crates/store/src/backend.rs
+++ b/crates/store/src/backend.rs
@@ -1,8 +1,8 @@
-//! `redb` on the seam: its file, and a look at it that writes nothing.
+//! Storage backends for `redb`: the store's file, and a view of it that writes nothing.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::io;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redb::StorageBackend;
 
@@ -34,30 +34,61 @@
     }
 }
 
-/// The size of the parts that an overlay keeps.
+/// The size of the pages that an overlay keeps.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The same file with all writes kept in memory: whether it is sound can be found out without changing it, so that one
-/// that is not stays for whoever wants to read it.
+/// A file with all writes kept in memory: it can be checked without being changed, so that a damaged file stays for whoever
+/// wants to read it.
 #[derive(Debug)]
 pub struct OverlayBackend {
     file: Arc<dyn DiskFile>,
-    over: Mutex<(u64, BTreeMap<u64, Vec<u8>>)>,
+    overlay: Mutex<Overlay>,
+}
+
+/// What has been written over the file.
+#[derive(Debug)]
+struct Overlay {
+    len: u64,
+    pages: BTreeMap<u64, Vec<u8>>,
+}
+
+/// The part of a read or write that lies in one page.
+struct PageRange {
+    page: u64,
+    /// Where it starts within the page.
+    start: usize,
+    len: usize,
+}
+
+impl PageRange {
+    /// The first part of `remaining` bytes from this offset.
+    fn first(offset: u64, remaining: usize) -> PageRange {
+        let start = (offset % PAGE_BYTES) as usize;
+        PageRange { page: offset / PAGE_BYTES, start, len: remaining.min(PAGE_BYTES as usize - start) }
+    }
+
+    fn end(&self) -> usize {
+        self.start + self.len
+    }
 }
 
 impl OverlayBackend {
-    pub fn new(under: Arc<dyn DiskFile>) -> io::Result<OverlayBackend> {
-        let len = under.len()?;
-        Ok(OverlayBackend { file: under, over: Mutex::new((len, BTreeMap::new())) })
+    pub fn new(file: Arc<dyn DiskFile>) -> io::Result<OverlayBackend> {
+        let len = file.len()?;
+        Ok(OverlayBackend { file, overlay: Mutex::new(Overlay { len, pages: BTreeMap::new() }) })
+    }
+
+    fn overlay(&self) -> MutexGuard<'_, Overlay> {
+        self.overlay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A part of the file as it is below, zeros where it ends.
-    fn read_page(&self, part: u64) -> io::Result<Vec<u8>> {
-        let (from, len) = (part * PAGE_BYTES, self.file.len()?);
+    /// A page of the file itself, with zeros after the file's end.
+    fn read_page(&self, page: u64) -> io::Result<Vec<u8>> {
+        let offset = page * PAGE_BYTES;
         let mut bytes = vec![0; PAGE_BYTES as usize];
-        let there = len.saturating_sub(from).min(PAGE_BYTES) as usize;
-        if there > 0 {
-            self.file.read(from, &mut bytes[..there])?;
+        let present = self.file.len()?.saturating_sub(offset).min(PAGE_BYTES) as usize;
+        if present > 0 {
+            self.file.read(offset, &mut bytes[..present])?;
         }
         Ok(bytes)
     }
@@ -65,35 +96,33 @@
 
 impl StorageBackend for OverlayBackend {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.over.lock().unwrap_or_else(PoisonError::into_inner).0)
+        Ok(self.overlay().len)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let over = self.over.lock().unwrap_or_else(PoisonError::into_inner);
-        if offset + out.len() as u64 > over.0 {
+        let overlay = self.overlay();
+        if offset + out.len() as u64 > overlay.len {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut done = 0;
         while done < out.len() {
-            let at = offset + done as u64;
-            let (part, from) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
-            let take = (PAGE_BYTES as usize - from).min(out.len() - done);
-            let below;
-            let bytes = match over.1.get(&part) {
+            let range = PageRange::first(offset + done as u64, out.len() - done);
+            let from_file;
+            let bytes = match overlay.pages.get(&range.page) {
                 Some(bytes) => bytes,
                 None => {
-                    below = self.read_page(part)?;
-                    &below
+                    from_file = self.read_page(range.page)?;
+                    &from_file
                 }
             };
-            out[done..done + take].copy_from_slice(&bytes[from..from + take]);
-            done += take;
+            out[done..done + range.len].copy_from_slice(&bytes[range.start..range.end()]);
+            done += range.len;
         }
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.over.lock().unwrap_or_else(PoisonError::into_inner).0 = len;
+        self.overlay().len = len;
         Ok(())
     }
 
@@ -102,19 +131,17 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut over = self.over.lock().unwrap_or_else(PoisonError::into_inner);
-        over.0 = over.0.max(offset + data.len() as u64);
+        let mut overlay = self.overlay();
+        overlay.len = overlay.len.max(offset + data.len() as u64);
         let mut done = 0;
         while done < data.len() {
-            let at = offset + done as u64;
-            let (part, from) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
-            let take = (PAGE_BYTES as usize - from).min(data.len() - done);
-            let bytes = match over.1.entry(part) {
-                Entry::Occupied(place) => place.into_mut(),
-                Entry::Vacant(place) => place.insert(self.read_page(part)?),
+            let range = PageRange::first(offset + done as u64, data.len() - done);
+            let bytes = match overlay.pages.entry(range.page) {
+                Entry::Occupied(page) => page.into_mut(),
+                Entry::Vacant(page) => page.insert(self.read_page(range.page)?),
             };
-            bytes[from..from + take].copy_from_slice(&data[done..done + take]);
-            done += take;
+            bytes[range.start..range.end()].copy_from_slice(&data[done..done + range.len]);
+            done += range.len;
         }
         Ok(())
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The seam between a store and the system: every operation on files is one method here.
+//! The interface between a store and the system: every operation on files is one method here.
 
 use std::any::Any;
 use std::fmt::Debug;
@@ -16,39 +16,39 @@
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
-    /// Fills `out` from there; an error where the file ends before.
+    /// Fills `out` from this offset; an error if the file ends before.
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()>;
-    /// Cuts it or fills it up with zeros.
+    /// Truncates it or extends it with zeros.
     fn set_len(&self, len: u64) -> io::Result<()>;
-    /// Writes all of it there.
+    /// Writes all of `data` at this offset.
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()>;
     /// Returns once all that was written is durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// What a store asks of the system.
+/// The file operations that a store needs.
 pub trait Disk {
-    /// Makes a folder with those above it; one that is there is fine, a file there is an error.
-    fn create_directory(&self, folder: &Path) -> io::Result<()>;
+    /// Creates a directory and its parents; an existing one is fine, a file there is an error.
+    fn create_directory(&self, directory: &Path) -> io::Result<()>;
     /// Takes a lock that ends with what is returned, or with the process however it ends. `WouldBlock`: it is taken.
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>>;
-    /// Opens a file for reading and writing; `make` makes one that is not there.
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>>;
-    /// Whether there is anything under this name.
+    /// Opens a file for reading and writing; with `create` it is created if it is not there.
+    fn open(&self, file: &Path, create: bool) -> io::Result<Arc<dyn DiskFile>>;
+    /// Whether there is anything with this name.
     fn exists(&self, file: &Path) -> bool;
-    /// Gives a file another name.
+    /// Renames a file.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Returns once the names in a folder are durable.
-    fn sync_directory(&self, folder: &Path) -> io::Result<()>;
+    /// Returns once the names in a directory are durable.
+    fn sync_directory(&self, directory: &Path) -> io::Result<()>;
 }
 
-/// The system's own.
+/// The system's files.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
 impl Disk for RealDisk {
-    fn create_directory(&self, folder: &Path) -> io::Result<()> {
-        std::fs::create_dir_all(folder)
+    fn create_directory(&self, directory: &Path) -> io::Result<()> {
+        std::fs::create_dir_all(directory)
     }
 
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>> {
@@ -60,8 +60,8 @@
         }
     }
 
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>> {
-        let file = OpenOptions::new().read(true).write(true).create(make).truncate(false).open(file)?;
+    fn open(&self, file: &Path, create: bool) -> io::Result<Arc<dyn DiskFile>> {
+        let file = OpenOptions::new().read(true).write(true).create(create).truncate(false).open(file)?;
         Ok(Arc::new(RealFile(file)))
     }
 
@@ -74,8 +74,8 @@
         std::fs::rename(from, to)
     }
 
-    fn sync_directory(&self, folder: &Path) -> io::Result<()> {
-        File::open(folder)?.sync_all()
+    fn sync_directory(&self, directory: &Path) -> io::Result<()> {
+        File::open(directory)?.sync_all()
     }
 }
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,26 +1,40 @@
-//! What can be wrong with a store, and what whoever meets it should do.
+//! Errors of a store, and what whoever meets them should do.
 
-use std::fmt;
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
+
+use thiserror::Error;
+
+/// The location of damage that is not that of one row.
+pub(crate) const WHOLE_FILE: &str = "whole";
 
 /// Why a store can't be opened or written.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process has it open. Wait for its end, or name another folder.
-    Locked(PathBuf),
-    /// What should be a folder is none.
-    NotADirectory(PathBuf),
-    /// It was written by a newer program: its form, and the newest that this one knows. Start that program.
+    /// Another process has it open. Wait for its end, or configure another directory.
+    #[error("{}: another process has it open", .file.display())]
+    Locked {
+        /// The lock file.
+        file: PathBuf,
+    },
+    /// What should be a directory is none.
+    #[error("{}: expected a folder", .path.display())]
+    NotADirectory {
+        /// The path.
+        path: PathBuf,
+    },
+    /// It was written by a newer program. Start that program.
+    #[error("{}: form {found}, this program knows up to {known}", .file.display())]
     UnsupportedFormat {
         /// The file.
         file: PathBuf,
-        /// The form found.
+        /// The format version found.
         found: u32,
-        /// The newest known.
+        /// The newest format version known.
         known: u32,
     },
-    /// What is there is not what was written: where, and what was found. Set it aside ([`crate::Store::set_aside`]).
+    /// What is there is not what was written. Quarantine it ([`crate::Store::quarantine`]).
+    #[error("{}: damaged at {location}: {reason}", .file.display())]
     Damaged {
         /// The file.
         file: PathBuf,
@@ -29,50 +43,40 @@
         /// What was found.
         reason: String,
     },
-    /// The batch does not fit under the store's own bound. Take something out first.
+    /// The batch does not fit under the store's limit. Remove rows first.
+    #[error("{bytes} bytes would be kept, {max_bytes} are allowed")]
     Full {
-        /// Bytes that it would hold.
+        /// Bytes that the store would hold.
         bytes: u64,
-        /// The bound.
+        /// The limit.
         max_bytes: u64,
     },
-    /// The system said no: to what, and why. The commit may or may not be there; open the store again to see.
+    /// The system refused an operation. A commit may or may not be there; open the store again to see.
+    #[error("{}: {operation}: {source}", .file.display())]
     Io {
         /// What was being done.
         operation: &'static str,
-        /// With which file or folder.
+        /// With which file or directory.
         file: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
 
 impl StoreError {
-    /// Whether the files are to be set aside: nothing that this program does will make them readable.
+    /// Whether the files are to be quarantined: nothing that this program does will make them readable.
     pub fn is_damage(&self) -> bool {
         matches!(self, StoreError::Damaged { .. })
     }
-}
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StoreError::Locked(file) => write!(f, "{}: another process has it open", file.display()),
-            StoreError::NotADirectory(file) => write!(f, "{}: expected a folder", file.display()),
-            StoreError::UnsupportedFormat { file, found, known } => {
-                write!(f, "{}: form {found}, this program knows up to {known}", file.display())
-            }
-            StoreError::Damaged { file, location: place, reason: what } => {
-                write!(f, "{}: damaged at {place}: {what}", file.display())
-            }
-            StoreError::Full { bytes, max_bytes: most } => {
-                write!(f, "{bytes} bytes would be kept, {most} are allowed")
-            }
-            StoreError::Io { operation: doing, file, source: why } => {
-                write!(f, "{}: {doing}: {why}", file.display())
-            }
-        }
+    /// Damage that is not that of one row.
+    pub(crate) fn damaged_file(file: &Path, reason: impl Into<String>) -> StoreError {
+        StoreError::Damaged { file: file.to_owned(), location: WHOLE_FILE.to_owned(), reason: reason.into() }
     }
-}
 
-impl std::error::Error for StoreError {}
+    /// Turns the system's error of an operation on a file into this type.
+    pub(crate) fn io(operation: &'static str, file: &Path) -> impl FnOnce(io::Error) -> StoreError {
+        let file = file.to_owned();
+        move |source| StoreError::Io { operation, file, source }
+    }
+}
--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -1,5 +1,5 @@
-//! A disk in memory whose faults are chosen: an operation fails, is cut short, or is the last before a power cut; of what
-//! was written since the last sync any part survives, in any order; a sync may be a lie; bits may be turned over.
+//! A fault-injecting disk in memory: an operation fails, is cut short, or is the last before a power cut; of what was written
+//! since the last sync any part survives, in any order; a sync may do nothing; bits may be flipped.
 //!
 //! The same seed and the same operations give the same disk, so that a failure found once is a test.
 
@@ -14,16 +14,16 @@
 
 use crate::disk::{Disk, DiskFile};
 
-/// Parts of a write survive a power cut by themselves: a sector, as disks write it whole.
+/// Sectors of a write survive a power cut independently; a disk writes one completely or not at all.
 const SECTOR: usize = 512;
 
-/// What is to go wrong, by the number of the operation.
+/// Faults to inject. Operations are numbered from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// At this operation the power is cut: it and all after it fail, until [`SimulatedDisk::cut_power`].
+    /// At this operation the power is cut: it and all after it fail, until [`FaultInjectingDisk::cut_power`].
     pub power_cut_at: Option<u64>,
-    /// This operation fails with this kind of error and does nothing.
-    pub fails: Option<(u64, ErrorKind)>,
+    /// One operation fails and does nothing.
+    pub failure: Option<OperationFailure>,
     /// This write writes its first half only, and fails.
     pub short_write_at: Option<u64>,
     /// All operations that write fail, with this kind of error.
@@ -32,11 +32,50 @@
     pub ignore_syncs: bool,
 }
 
+/// The failure of one operation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OperationFailure {
+    /// The number of the operation.
+    pub at: u64,
+    /// The kind of error.
+    pub kind: ErrorKind,
+}
+
 enum FileChange {
-    Write(u64, Vec<u8>),
+    Write { offset: u64, data: Vec<u8> },
     SetLength(u64),
 }
 
+impl FileChange {
+    fn apply_to(&self, bytes: &mut Vec<u8>) {
+        match self {
+            FileChange::SetLength(len) => bytes.resize(*len as usize, 0),
+            FileChange::Write { offset, data } => {
+                let start = *offset as usize;
+                let end = start + data.len();
+                if bytes.len() < end {
+                    bytes.resize(end, 0);
+                }
+                bytes[start..end].copy_from_slice(data);
+            }
+        }
+    }
+
+    /// The parts that survive a power cut independently.
+    fn into_sectors(self) -> Vec<FileChange> {
+        match self {
+            FileChange::Write { offset, data } => {
+                let sector = |(index, part): (usize, &[u8])| FileChange::Write {
+                    offset: offset + (index * SECTOR) as u64,
+                    data: part.to_vec(),
+                };
+                data.chunks(SECTOR).enumerate().map(sector).collect()
+            }
+            set_length @ FileChange::SetLength(_) => vec![set_length],
+        }
+    }
+}
+
 #[derive(Default)]
 struct FileState {
     /// What a power cut leaves.
@@ -47,23 +86,33 @@
     current: Vec<u8>,
 }
 
-fn change(bytes: &mut Vec<u8>, change: &FileChange) {
-    match change {
-        FileChange::SetLength(len) => bytes.resize(*len as usize, 0),
-        FileChange::Write(offset, data) => {
-            let (from, to) = (*offset as usize, *offset as usize + data.len());
-            if bytes.len() < to {
-                bytes.resize(to, 0);
+impl FileState {
+    /// A file of which all is durable.
+    fn synced(bytes: Vec<u8>) -> FileState {
+        FileState { durable: bytes.clone(), unsynced: Vec::new(), current: bytes }
+    }
+
+    /// Leaves what a power cut leaves: some of what was not synced, in any order.
+    fn cut_power(&mut self, random: &mut ChaCha8Rng) {
+        let mut surviving: Vec<FileChange> =
+            self.unsynced.drain(..).flat_map(FileChange::into_sectors).collect();
+        // Of two writes to one place the later may have come first to the disk, and then be written over.
+        let share = random.random_range(0.0..=1.0);
+        surviving.retain(|_| random.random_bool(share));
+        if random.random_bool(0.5) {
+            for index in (1..surviving.len()).rev() {
+                surviving.swap(index, random.random_range(0..=index));
             }
-            bytes[from..to].copy_from_slice(data);
         }
+        surviving.iter().for_each(|change| change.apply_to(&mut self.durable));
+        self.current.clone_from(&self.durable);
     }
 }
 
 struct DiskState {
     files: BTreeMap<PathBuf, FileState>,
     directories: BTreeSet<PathBuf>,
-    /// Names given since the folder was synced: from, to.
+    /// Renames since the directory was synced: from, to.
     renamed: Vec<(PathBuf, PathBuf)>,
     locks: BTreeSet<PathBuf>,
     faults: Faults,
@@ -77,17 +126,15 @@
 }
 
 impl DiskState {
-    /// Counts an operation, and says whether it goes wrong.
+    /// Counts an operation and injects the faults that are due at it.
     fn begin_operation(&mut self, writes: bool) -> io::Result<()> {
         self.operations += 1;
         if self.power_off || self.faults.power_cut_at.is_some_and(|at| self.operations >= at) {
             self.power_off = true;
             return Err(io::Error::other("the power is off"));
         }
-        if let Some((at, kind)) = self.faults.fails {
-            if at == self.operations {
-                return Err(kind.into());
-            }
+        if let Some(failure) = self.faults.failure.filter(|failure| failure.at == self.operations) {
+            return Err(failure.kind.into());
         }
         match self.faults.fail_writes {
             Some(kind) if writes => Err(kind.into()),
@@ -96,12 +143,12 @@
     }
 }
 
-/// The disk; clones are the same one.
+/// A fault-injecting disk; clones are the same disk.
 #[derive(Clone)]
 pub struct FaultInjectingDisk(Arc<Mutex<DiskState>>);
 
 impl FaultInjectingDisk {
-    /// An empty one; the seed chooses what survives power cuts.
+    /// An empty disk; the seed chooses what survives power cuts.
     pub fn new(seed: u64) -> FaultInjectingDisk {
         FaultInjectingDisk(Arc::new(Mutex::new(DiskState {
             files: BTreeMap::new(),
@@ -122,7 +169,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is to go wrong from now on.
+    /// Sets the faults to inject from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
@@ -142,129 +189,106 @@
         self.state().syncs
     }
 
-    /// The power goes and comes back: of what was not synced some survives. Faults are over.
+    /// Cuts the power and restores it: of what was not synced some survives. No more faults are injected.
     pub fn cut_power(&self) {
-        let mut inner = self.state();
-        let inner = &mut *inner;
-        (inner.power_off, inner.faults) = (false, Faults::default());
-        inner.locks.clear();
-        inner.power_cuts += 1;
-        let random = &mut inner.random;
-        // Names that were not synced may be the old ones again, the later ones first.
-        let stay = random.random_range(0..=inner.renamed.len());
-        for (from, to) in inner.renamed.drain(..).skip(stay).rev() {
-            if let Some(node) = inner.files.remove(&to) {
-                inner.files.insert(from, node);
+        let mut state = self.state();
+        let state = &mut *state;
+        state.power_off = false;
+        state.faults = Faults::default();
+        state.locks.clear();
+        state.power_cuts += 1;
+        // Renames that were not synced may be undone, the later ones first.
+        let surviving = state.random.random_range(0..=state.renamed.len());
+        for (from, to) in state.renamed.drain(..).skip(surviving).rev() {
+            if let Some(file) = state.files.remove(&to) {
+                state.files.insert(from, file);
             }
         }
-        for node in inner.files.values_mut() {
-            let mut left = Vec::new();
-            for one in node.unsynced.drain(..) {
-                match one {
-                    FileChange::SetLength(len) => left.push(FileChange::SetLength(len)),
-                    // Sectors of a write are on their own; so are writes among each other.
-                    FileChange::Write(offset, data) => {
-                        let sector = |(n, part): (usize, &[u8])| {
-                            FileChange::Write(offset + (n * SECTOR) as u64, part.to_vec())
-                        };
-                        left.extend(data.chunks(SECTOR).enumerate().map(sector));
-                    }
-                }
-            }
-            // Of two writes to one place the later may have come first to the disk, and then be written over.
-            let share = random.random_range(0.0..=1.0);
-            left.retain(|_| random.random_bool(share));
-            if random.random_bool(0.5) {
-                for n in (1..left.len()).rev() {
-                    left.swap(n, random.random_range(0..=n));
-                }
-            }
-            left.iter().for_each(|one| change(&mut node.durable, one));
-            node.current = node.durable.clone();
+        for file in state.files.values_mut() {
+            file.cut_power(&mut state.random);
         }
     }
 
-    /// Goes back to how the disk was at a time before: a backup was put in its place.
+    /// All files as they are now, as for a backup.
     pub fn image(&self) -> BTreeMap<PathBuf, Vec<u8>> {
-        self.state().files.iter().map(|(path, node)| (path.clone(), node.current.clone())).collect()
+        self.state().files.iter().map(|(path, file)| (path.clone(), file.current.clone())).collect()
     }
 
-    /// Puts such an image in the place of all files.
+    /// Replaces all files by an image.
     pub fn restore(&self, image: BTreeMap<PathBuf, Vec<u8>>) {
-        let node =
-            |bytes: Vec<u8>| FileState { durable: bytes.clone(), unsynced: Vec::new(), current: bytes };
-        self.state().files = image.into_iter().map(|(path, bytes)| (path, node(bytes))).collect();
+        self.state().files =
+            image.into_iter().map(|(path, bytes)| (path, FileState::synced(bytes))).collect();
     }
 
-    /// Turns a bit over, on the medium and for all who read.
+    /// Flips a bit, on the disk and for all who read.
     pub fn flip_bit(&self, file: &Path, byte: usize, bit: u8) {
-        if let Some(node) = self.state().files.get_mut(file) {
-            for bytes in [&mut node.durable, &mut node.current] {
-                if let Some(place) = bytes.get_mut(byte) {
-                    *place ^= 1 << bit;
+        if let Some(file) = self.state().files.get_mut(file) {
+            for bytes in [&mut file.durable, &mut file.current] {
+                if let Some(byte) = bytes.get_mut(byte) {
+                    *byte ^= 1 << bit;
                 }
             }
         }
     }
 
-    /// Bytes of a file.
+    /// Length of a file in bytes; 0 if it is not there.
     pub fn file_length(&self, file: &Path) -> usize {
-        self.state().files.get(file).map_or(0, |node| node.current.len())
+        self.state().files.get(file).map_or(0, |file| file.current.len())
     }
 }
 
 impl Disk for FaultInjectingDisk {
-    fn create_directory(&self, folder: &Path) -> io::Result<()> {
-        let mut inner = self.state();
-        inner.begin_operation(true)?;
-        if inner.files.contains_key(folder) {
+    fn create_directory(&self, directory: &Path) -> io::Result<()> {
+        let mut state = self.state();
+        state.begin_operation(true)?;
+        if state.files.contains_key(directory) {
             return Err(ErrorKind::AlreadyExists.into());
         }
-        inner.directories.insert(folder.to_owned());
+        state.directories.insert(directory.to_owned());
         Ok(())
     }
 
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>> {
-        let mut inner = self.state();
-        inner.begin_operation(true)?;
-        if !inner.locks.insert(file.to_owned()) {
+        let mut state = self.state();
+        state.begin_operation(true)?;
+        if !state.locks.insert(file.to_owned()) {
             return Err(ErrorKind::WouldBlock.into());
         }
-        Ok(Box::new(LockGuard { disk: self.clone(), file: file.to_owned(), life: inner.power_cuts }))
+        Ok(Box::new(LockGuard { disk: self.clone(), file: file.to_owned(), life: state.power_cuts }))
     }
 
-    fn open(&self, file: &Path, make: bool) -> io::Result<Arc<dyn DiskFile>> {
-        let mut inner = self.state();
-        inner.begin_operation(false)?;
-        if !inner.files.contains_key(file) {
-            if !make {
+    fn open(&self, file: &Path, create: bool) -> io::Result<Arc<dyn DiskFile>> {
+        let mut state = self.state();
+        state.begin_operation(false)?;
+        if !state.files.contains_key(file) {
+            if !create {
                 return Err(ErrorKind::NotFound.into());
             }
-            inner.files.insert(file.to_owned(), FileState::default());
+            state.files.insert(file.to_owned(), FileState::default());
         }
-        let life = inner.power_cuts;
+        let life = state.power_cuts;
         Ok(Arc::new(FaultInjectingFile { disk: self.clone(), file: file.to_owned(), life }))
     }
 
     fn exists(&self, file: &Path) -> bool {
-        let inner = self.state();
-        inner.files.contains_key(file) || inner.directories.contains(file)
+        let state = self.state();
+        state.files.contains_key(file) || state.directories.contains(file)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        let mut inner = self.state();
-        inner.begin_operation(true)?;
-        let node = inner.files.remove(from).ok_or(ErrorKind::NotFound)?;
-        inner.files.insert(to.to_owned(), node);
-        inner.renamed.push((from.to_owned(), to.to_owned()));
+        let mut state = self.state();
+        state.begin_operation(true)?;
+        let file = state.files.remove(from).ok_or(ErrorKind::NotFound)?;
+        state.files.insert(to.to_owned(), file);
+        state.renamed.push((from.to_owned(), to.to_owned()));
         Ok(())
     }
 
     fn sync_directory(&self, _: &Path) -> io::Result<()> {
-        let mut inner = self.state();
-        inner.begin_operation(true)?;
-        if !inner.faults.ignore_syncs {
-            inner.renamed.clear();
+        let mut state = self.state();
+        state.begin_operation(true)?;
+        if !state.faults.ignore_syncs {
+            state.renamed.clear();
         }
         Ok(())
     }
@@ -278,9 +302,9 @@
 
 impl Drop for LockGuard {
     fn drop(&mut self) {
-        let mut inner = self.disk.state();
-        if inner.power_cuts == self.life {
-            inner.locks.remove(&self.file);
+        let mut state = self.disk.state();
+        if state.power_cuts == self.life {
+            state.locks.remove(&self.file);
         }
     }
 }
@@ -298,35 +322,41 @@
 }
 
 impl FaultInjectingFile {
-    fn with<T>(&self, writes: bool, act: impl FnOnce(&mut DiskState) -> io::Result<T>) -> io::Result<T> {
-        let mut inner = self.disk.state();
-        if inner.power_cuts != self.life {
+    /// Does an operation on the disk of the time since the file was opened.
+    fn with_state<T>(
+        &self,
+        writes: bool,
+        act: impl FnOnce(&mut DiskState) -> io::Result<T>,
+    ) -> io::Result<T> {
+        let mut state = self.disk.state();
+        if state.power_cuts != self.life {
             return Err(io::Error::other("opened before the power was cut"));
         }
-        inner.begin_operation(writes)?;
-        act(&mut inner)
+        state.begin_operation(writes)?;
+        act(&mut state)
     }
 
-    fn node<'i>(&self, inner: &'i mut DiskState) -> io::Result<&'i mut FileState> {
-        inner.files.get_mut(&self.file).ok_or_else(|| ErrorKind::NotFound.into())
+    fn file_state<'s>(&self, state: &'s mut DiskState) -> io::Result<&'s mut FileState> {
+        state.files.get_mut(&self.file).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    fn change(&self, one: FileChange) -> io::Result<()> {
-        self.with(true, |inner| {
-            let short = inner.faults.short_write_at == Some(inner.operations);
-            let one = match one {
-                FileChange::Write(offset, data) if short => {
-                    FileChange::Write(offset, data[..data.len() / 2].to_vec())
+    fn change(&self, change: FileChange) -> io::Result<()> {
+        self.with_state(true, |state| {
+            let is_short = state.faults.short_write_at == Some(state.operations);
+            let change = match change {
+                FileChange::Write { offset, mut data } if is_short => {
+                    data.truncate(data.len() / 2);
+                    FileChange::Write { offset, data }
                 }
                 other => other,
             };
-            if let FileChange::Write(_, data) = &one {
-                inner.bytes_written += data.len() as u64;
+            if let FileChange::Write { data, .. } = &change {
+                state.bytes_written += data.len() as u64;
             }
-            let node = self.node(inner)?;
-            change(&mut node.current, &one);
-            node.unsynced.push(one);
-            if short {
+            let file = self.file_state(state)?;
+            change.apply_to(&mut file.current);
+            file.unsynced.push(change);
+            if is_short {
                 return Err(ErrorKind::WriteZero.into());
             }
             Ok(())
@@ -336,14 +366,17 @@
 
 impl DiskFile for FaultInjectingFile {
     fn len(&self) -> io::Result<u64> {
-        self.with(false, |inner| Ok(self.node(inner)?.current.len() as u64))
+        self.with_state(false, |state| Ok(self.file_state(state)?.current.len() as u64))
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.with(false, |inner| {
+        self.with_state(false, |state| {
             let from = offset as usize;
-            let bytes =
-                self.node(inner)?.current.get(from..from + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
+            let bytes = self
+                .file_state(state)?
+                .current
+                .get(from..from + out.len())
+                .ok_or(ErrorKind::UnexpectedEof)?;
             out.copy_from_slice(bytes);
             Ok(())
         })
@@ -354,18 +387,18 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.change(FileChange::Write(offset, data.to_vec()))
+        self.change(FileChange::Write { offset, data: data.to_vec() })
     }
 
     fn sync(&self) -> io::Result<()> {
-        self.with(true, |inner| {
-            inner.syncs += 1;
-            if inner.faults.ignore_syncs {
+        self.with_state(true, |state| {
+            state.syncs += 1;
+            if state.faults.ignore_syncs {
                 return Ok(());
             }
-            let node = self.node(inner)?;
-            node.durable = node.current.clone();
-            node.unsynced.clear();
+            let file = self.file_state(state)?;
+            file.durable.clone_from(&file.current);
+            file.unsynced.clear();
             Ok(())
         })
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,22 +1,22 @@
-//! What outlives a process: rows by key, written in batches that are there whole or not at all.
+//! A durable key-value store: rows by key, written in batches that are there completely or not at all.
 //!
-//! - [`Store`]: one writer, on `redb`; every commit is durable before it returns. What is read has a digest of its own
-//!   and is checked; what is damaged is told by file and place, and never overwritten.
-//! - [`disk`]: the seam to the system. Every file operation passes through it, so that a test can fail it, cut it short,
-//!   or cut the power at it; [`fault_disk`] is such a disk.
-//! - [`writer`]: a thread of its own with a bounded queue, so that nobody who decides ever waits for a disk.
+//! - [`Store`]: one writer, on `redb`; every commit is durable before it returns. Each row has a digest of its own, which is
+//!   checked as it is read; damage is reported by file and location, and never overwritten.
+//! - [`disk`]: the interface to the system. Every file operation passes through it, so that a test can fail it, cut it
+//!   short, or cut the power at it; [`fault_disk`] is such a disk.
+//! - [`writer`]: a thread of its own with a bounded queue, so that nobody who decides waits for a disk.
 //!
-//! A power cut at any operation leaves the state of the last commit that returned, or a later one, never a mixture. What
-//! cannot be promised: a disk that says it has synced and has not may lose commits. That shows as an older state, whole
-//! ([`Store::generation`] is then lower than others remember), or as damage.
+//! A power cut at any operation leaves the state of the last commit that returned, or a later one, never a mixture. A disk
+//! that says it has synced and has not may lose commits. That shows as an older, complete state ([`Store::generation`] is
+//! then lower than others remember), or as damage.
 //!
 //! ```
 //! use umberloom_store::{fault_disk::FaultInjectingDisk, Config, Store, WriteBatch};
 //!
 //! let disk = FaultInjectingDisk::new(1);
-//! let config = Config::new("copy");
+//! let config = Config::new("store");
 //! let mut store = Store::open(&disk, &config).expect("a new store");
-//! store.commit(WriteBatch::new().put(1, b"a", b"one").put(1, b"b", b"two")).expect("durable");
+//! store.commit(&WriteBatch::new().put(1, b"a", b"one").put(1, b"b", b"two")).expect("durable");
 //! drop(store);
 //! disk.cut_power();
 //! let store = Store::open(&disk, &config).expect("the same store");
@@ -25,6 +25,8 @@
 //! ```
 
 mod backend;
+mod batch;
+mod database;
 pub mod disk;
 mod error;
 pub mod fault_disk;
@@ -32,6 +34,7 @@
 mod store;
 pub mod writer;
 
+pub use batch::WriteBatch;
 pub use error::StoreError;
 pub use panic_guard::catch_panic;
-pub use store::{Config, Migration, Row, Store, WriteBatch};
+pub use store::{Config, Migration, Row, Store};
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A scripted life of a store, with something wrong at every single operation of it in turn.
+//! A scripted run of a store, with a fault at every single operation of it in turn.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use umberloom_store::disk::{Disk, RealDisk};
-use umberloom_store::fault_disk::{FaultInjectingDisk, Faults};
+use umberloom_store::fault_disk::{FaultInjectingDisk, Faults, OperationFailure};
 use umberloom_store::writer::{Writer, WriterEvent};
 use umberloom_store::{Config, Store, StoreError, WriteBatch};
 
@@ -17,7 +17,7 @@
 }
 
 /// The batch that makes the state after so many commits: all rows say the same number, so that a mixture shows.
-fn batch(n: u64) -> WriteBatch {
+fn state_batch(n: u64) -> WriteBatch {
     let value =
         |row: u64| [&n.to_le_bytes()[..], &vec![row as u8; 40 + (row * n * 97 % 3_000) as usize]].concat();
     let rows = (0..6).fold(WriteBatch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
@@ -26,14 +26,14 @@
     rows.remove_range(2, &0u64.to_be_bytes(), &n.saturating_sub(3).to_be_bytes())
 }
 
-/// Which state a store is in; a mixture is an error.
-fn state(store: &Store) -> Result<u64, String> {
+/// The number of the state that a store is in; a mixture is an error.
+fn read_state(store: &Store) -> Result<u64, String> {
     let rows = store.range(1, &[], None, usize::MAX).map_err(|e| e.to_string())?;
-    let said: Vec<u64> =
+    let numbers: Vec<u64> =
         rows.iter().map(|(_, v)| u64::from_le_bytes(v[..8].try_into().expect("8 bytes"))).collect();
-    let n = said.first().copied().unwrap_or(0);
-    if said.iter().any(|other| *other != n) || (n > 0 && rows.len() != 6) {
-        return Err(format!("a mixture: {said:?}"));
+    let n = numbers.first().copied().unwrap_or(0);
+    if numbers.iter().any(|other| *other != n) || (n > 0 && rows.len() != 6) {
+        return Err(format!("a mixture: {numbers:?}"));
     }
     let log = store.range(2, &[], None, usize::MAX).map_err(|e| e.to_string())?;
     let log: Vec<u64> =
@@ -45,14 +45,14 @@
     Ok(n)
 }
 
-/// Plays the life up to the first error; how many commits returned.
-fn live(disk: &FaultInjectingDisk) -> (u64, Option<StoreError>) {
+/// Runs the script up to the first error; how many commits returned, and the error.
+fn run_script(disk: &FaultInjectingDisk) -> (u64, Option<StoreError>) {
     let mut acked = 0;
     let mut play = || -> Result<(), StoreError> {
         let mut store = Store::open(disk, &config())?;
         acked = store.generation();
         while acked < COMMITS {
-            store.commit(batch(acked + 1))?;
+            store.commit(&state_batch(acked + 1))?;
             acked += 1;
             if acked == COMMITS / 2 {
                 store.compact()?;
@@ -67,60 +67,75 @@
     (acked, ended)
 }
 
-/// Operations of a life in which nothing goes wrong.
-fn operations() -> u64 {
+/// The number of disk operations of a run without faults.
+fn count_operations() -> u64 {
     let disk = FaultInjectingDisk::new(0);
-    assert_eq!(live(&disk).0, COMMITS);
+    assert_eq!(run_script(&disk).0, COMMITS);
     disk.operations()
 }
 
-/// At each operation: what the fault is, whether the power is cut afterwards, and what then must be found.
-fn at_each(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut: bool) {
-    for at in (1..=operations()).step_by(step) {
+/// Runs the script with a fault at each operation in turn, cuts the power afterwards if `cut`, and checks the state.
+fn inject_at_each_operation(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut: bool) {
+    for at in (1..=count_operations()).step_by(step) {
         let disk = FaultInjectingDisk::new(at);
         disk.set_faults(fault(at));
-        let (acked, _) = live(&disk);
+        let (acked, _) = run_script(&disk);
         if cut {
             disk.cut_power();
         }
         disk.set_faults(Faults::default());
         let store = Store::open(&disk, &config()).unwrap_or_else(|e| panic!("{name} at {at}: {e}"));
-        let found = state(&store).unwrap_or_else(|why| panic!("{name} at {at}: {why}"));
+        let found = read_state(&store).unwrap_or_else(|why| panic!("{name} at {at}: {why}"));
         // The last that returned, or one more whose answer did not come.
         assert!((acked..=acked + 1).contains(&found), "{name} at {at}: {acked} returned, {found} found");
         drop(store);
-        assert_eq!(live(&disk).0, COMMITS, "{name} at {at}: it goes on");
+        assert_eq!(run_script(&disk).0, COMMITS, "{name} at {at}: it goes on");
     }
 }
 
 #[test]
-fn a_power_cut_at_any_operation_leaves_the_last_commit_or_the_one_under_way() {
-    at_each("power cut", 1, |at| Faults { power_cut_at: Some(at), ..Faults::default() }, true);
+fn a_power_cut_at_any_operation_leaves_the_last_commit_or_the_one_in_flight() {
+    inject_at_each_operation(
+        "power cut",
+        1,
+        |at| Faults { power_cut_at: Some(at), ..Faults::default() },
+        true,
+    );
 }
 
 #[test]
-fn an_operation_that_fails_or_is_cut_short_leaves_a_whole_state() {
+fn an_operation_that_fails_or_is_cut_short_leaves_a_complete_state() {
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
-        at_each("failure", 3, |at| Faults { fails: Some((at, kind)), ..Faults::default() }, false);
+        inject_at_each_operation(
+            "failure",
+            3,
+            |at| Faults { failure: Some(OperationFailure { at, kind }), ..Faults::default() },
+            false,
+        );
     }
-    at_each("cut short", 2, |at| Faults { short_write_at: Some(at), ..Faults::default() }, true);
+    inject_at_each_operation(
+        "cut short",
+        2,
+        |at| Faults { short_write_at: Some(at), ..Faults::default() },
+        true,
+    );
 }
 
 #[test]
-fn a_disk_that_lies_about_syncs_is_found_out_or_older_never_mixed() {
+fn a_disk_that_ignores_syncs_shows_as_damage_or_an_older_state() {
     let (mut older, mut damaged) = (0, 0);
     for seed in 0..120 {
         let disk = FaultInjectingDisk::new(seed);
         let mut store = Store::open(&disk, &config()).expect("new");
-        (1..=4).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
+        (1..=4).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
         disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
-        (5..=7).for_each(|n| assert_eq!(store.commit(batch(n)).expect("told to be durable"), n));
+        (5..=7).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("told to be durable"), n));
         disk.cut_power();
         drop(store);
         match Store::open(&disk, &config()) {
             Ok(store) => {
                 // What was truly synced is there or the file says that it is damaged.
-                let found = state(&store).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+                let found = read_state(&store).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
                 assert!((4..=7).contains(&found), "seed {seed}: {found}");
                 older += u32::from(found < 7);
             }
@@ -135,9 +150,9 @@
 }
 
 #[test]
-fn a_flipped_bit_is_found_before_anything_is_written_over_it() {
+fn a_flipped_bit_is_detected_before_anything_is_overwritten() {
     let disk = FaultInjectingDisk::new(3);
-    assert_eq!(live(&disk).0, COMMITS);
+    assert_eq!(run_script(&disk).0, COMMITS);
     let (file, sound) = (config().file(), disk.image());
     let mut found = 0;
     let places = (0..disk.file_length(&file)).step_by(1_009);
@@ -146,7 +161,7 @@
         disk.flip_bit(&file, byte, (byte % 8) as u8);
         let flipped = disk.image();
         match Store::open(&disk, &config()) {
-            Ok(store) => assert_eq!(state(&store), Ok(COMMITS), "byte {byte}"),
+            Ok(store) => assert_eq!(read_state(&store), Ok(COMMITS), "byte {byte}"),
             Err(why) => {
                 assert!(
                     why.is_damage() && why.to_string().starts_with("store/rows.redb: damaged at"),
@@ -166,10 +181,10 @@
 }
 
 #[test]
-fn a_bit_that_turns_over_while_it_runs_is_found_by_reading_or_by_a_scrub() {
+fn a_bit_flipped_in_an_open_store_is_detected_by_a_scrub_or_a_reopen() {
     let disk = FaultInjectingDisk::new(3);
     let mut store = Store::open(&disk, &config()).expect("new");
-    (1..=COMMITS).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
+    (1..=COMMITS).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
     assert!(store.scrub().is_ok());
     let file = config().file();
     let mut found = 0;
@@ -183,7 +198,7 @@
 }
 
 #[test]
-fn what_stands_in_the_way_is_told_and_changes_nothing() {
+fn obstacles_are_reported_and_change_nothing() {
     let disk = FaultInjectingDisk::new(1);
     let store = Store::open(&disk, &config()).expect("new");
     let second = Store::open(&disk, &config()).expect_err("locked");
@@ -198,11 +213,11 @@
 
     let full = FaultInjectingDisk::new(1);
     let mut store = Store::open(&full, &Config { max_bytes: 4_000, ..config() }).expect("new");
-    store.commit(WriteBatch::new().put(1, b"a", &[7; 3_000])).expect("room");
-    let why = store.commit(WriteBatch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
+    store.commit(&WriteBatch::new().put(1, b"a", &[7; 3_000])).expect("room");
+    let why = store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
     assert!(matches!(why, StoreError::Full { max_bytes: 4_000, .. }), "{why}");
-    store.commit(WriteBatch::new().remove(1, b"a")).expect("taking out is always possible");
-    store.commit(WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("room again");
+    store.commit(&WriteBatch::new().remove(1, b"a")).expect("taking out is always possible");
+    store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("room again");
 
     let file = FaultInjectingDisk::new(1);
     file.open(Path::new("store"), true).expect("a file");
@@ -216,7 +231,7 @@
 }
 
 #[test]
-fn a_form_is_brought_up_step_by_step_and_a_power_cut_on_the_way_loses_nothing() {
+fn migrations_run_step_by_step_and_survive_power_cuts() {
     let two: umberloom_store::Migration = |store| {
         let old = store.get(1, b"name")?.unwrap_or_default();
         Ok(WriteBatch::new().put(1, b"name", &[&old[..], b"+2"].concat()))
@@ -231,7 +246,7 @@
         at += 1;
         let disk = FaultInjectingDisk::new(at);
         let mut store = Store::open(&disk, &config()).expect("form 1");
-        store.commit(WriteBatch::new().put(1, b"name", b"1")).expect("durable");
+        store.commit(&WriteBatch::new().put(1, b"name", b"1")).expect("durable");
         drop(store);
         let before = disk.operations();
         disk.set_faults(Faults { power_cut_at: Some(before + at), ..Faults::default() });
@@ -247,30 +262,30 @@
 }
 
 #[test]
-fn the_thread_keeps_the_order_and_takes_nothing_after_a_failure() {
+fn the_writer_keeps_the_order_and_commits_nothing_after_a_failure() {
     let disk = FaultInjectingDisk::new(1);
-    let (told, heard) = mpsc::channel();
+    let (events, received) = mpsc::channel();
     let store = Store::open(&disk, &config()).expect("new");
-    let writer = Writer::start(store, 64, move |done| drop(told.send(done))).expect("a thread");
+    let writer = Writer::start(store, 64, move |event| drop(events.send(event))).expect("a thread");
     for n in 1..=5 {
         writer.commit(n, WriteBatch::new().put(1, b"n", &n.to_le_bytes())).expect("room");
     }
     let durable = |wanted: u64| loop {
-        match heard.recv_timeout(Duration::from_secs(20)).expect("an answer") {
-            WriterEvent::Durable(n, _) if n == wanted => return,
-            WriterEvent::Durable(..) => {}
+        match received.recv_timeout(Duration::from_secs(20)).expect("an answer") {
+            WriterEvent::Durable { number, .. } if number == wanted => return,
+            WriterEvent::Durable { .. } => {}
             other => panic!("{other:?}"),
         }
     };
     durable(5);
     disk.set_faults(Faults { fail_writes: Some(ErrorKind::StorageFull), ..Faults::default() });
     writer.commit(6, WriteBatch::new().put(1, b"n", &6u64.to_le_bytes())).expect("room");
-    let failed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
-    assert!(matches!(failed, WriterEvent::Failed(6, StoreError::Io { .. })), "{failed:?}");
+    let failed = received.recv_timeout(Duration::from_secs(20)).expect("an answer");
+    assert!(matches!(failed, WriterEvent::Failed { number: 6, error: StoreError::Io { .. } }), "{failed:?}");
     disk.set_faults(Faults::default());
     writer.commit(7, WriteBatch::new().put(1, b"n", &7u64.to_le_bytes())).expect("room");
     assert!(writer.scrub());
-    let scrubbed = heard.recv_timeout(Duration::from_secs(20)).expect("an answer");
+    let scrubbed = received.recv_timeout(Duration::from_secs(20)).expect("an answer");
     assert!(matches!(scrubbed, WriterEvent::Scrubbed(_)), "batch 7 was taken: {scrubbed:?}");
     writer.finish();
     let store = Store::open(&disk, &config()).expect("opened anew");
@@ -278,15 +293,15 @@
 }
 
 #[test]
-fn on_the_system_s_own_disk_it_is_the_same() {
+fn the_system_s_disk_behaves_the_same() {
     let folder = std::env::temp_dir().join(format!("umberloom-store-{}", std::process::id()));
     let config = Config { max_bytes: 1 << 20, ..Config::new(&folder) };
     let mut store = Store::open(&RealDisk, &config).expect("new");
-    (1..=COMMITS).for_each(|n| assert_eq!(store.commit(batch(n)).expect("durable"), n));
-    assert!(matches!(Store::open(&RealDisk, &config), Err(StoreError::Locked(_))));
+    (1..=COMMITS).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
+    assert!(matches!(Store::open(&RealDisk, &config), Err(StoreError::Locked { .. })));
     drop(store);
     let mut store = Store::open(&RealDisk, &config).expect("again");
-    assert_eq!((state(&store), store.scrub().is_ok()), (Ok(COMMITS), true));
+    assert_eq!((read_state(&store), store.scrub().is_ok()), (Ok(COMMITS), true));
     drop(store);
     std::fs::write(config.file(), b"no store at all, but long enough to be looked at").expect("written");
     assert!(Store::open(&RealDisk, &config).is_err_and(|e| e.is_damage()));
