--- a/crates/server/src/peers/fleet/replication/disk.rs
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -5,7 +5,7 @@
 use umberloom_replicated_store::log::KEYSPACES;
 use umberloom_replicated_store::{Micros, Replica, StoredReplica, StoredReplicaError};
 use umberloom_store::disk::RealDisk;
-use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
+use umberloom_store::writer::{OpenedStore, Quarantined, Writer, WriterEvent};
 use umberloom_store::{Config as StoreConfig, StoreError};
 
 use super::ReplicationActor;
@@ -84,8 +84,8 @@
         };
         match event {
             WriterEvent::Opened(_) | WriterEvent::Scrubbed(Ok(())) => {}
-            WriterEvent::Durable(number, _) => self.handle_durable(now, number),
-            WriterEvent::Failed(_, error) | WriterEvent::Closed(error) => {
+            WriterEvent::Durable { number, .. } => self.handle_durable(now, number),
+            WriterEvent::Failed { error, .. } | WriterEvent::Closed(error) => {
                 self.handle_disk_failure(now, &error);
             }
             WriterEvent::Scrubbed(Err(error)) => {
@@ -107,7 +107,7 @@
     fn handle_opened(&mut self, now: Micros, opened: OpenedReplica) {
         self.opened_at = now;
         let OpenedReplica { replica, store } = opened;
-        if let Some((moved_to, reason)) = &store.quarantined {
+        if let Some(Quarantined { path: moved_to, reason }) = &store.quarantined {
             error!(self.log, "stored replica quarantined"; "reason" => reason, "moved_to" => %moved_to.display());
         }
         match replica {
