--- a/crates/fault-harness/src/check.rs
+++ b/crates/fault-harness/src/check.rs
@@ -33,7 +33,7 @@
         if event.kind == "process" {
             *starts.entry(&event.who).or_default() += 1;
         }
-        if event.kind != "log" || event.what["msg"] != "standing" {
+        if event.kind != "log" || event.what["msg"] != "partition status changed" {
             continue;
         }
         let ms = event.what["ms"].as_u64().unwrap_or(0);
@@ -84,7 +84,7 @@
             at: ms,
             who: "n1".to_owned(),
             kind: "log",
-            what: json!({"msg": "standing", "ms": ms, "from": from, "to": to}),
+            what: json!({"msg": "partition status changed", "ms": ms, "from": from, "to": to}),
         };
         let calm = [line(0, "unsure", "whole"), line(600, "whole", "alone"), line(700, "alone", "unsure")];
         assert!(flapping(&calm, 500).is_empty());
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -103,7 +103,9 @@
             fleet
                 .until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader"))?;
             fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
-            let said = others.iter().flat_map(|n| fleet.history.said(&fleet.servers[*n].name, "record role"));
+            let said = others
+                .iter()
+                .flat_map(|n| fleet.history.said(&fleet.servers[*n].name, "replica role changed"));
             let first = said.filter(|e| e.at >= at && e.what["to"] == "leader").map(|e| e.at - at).min();
             took.extend(first.map(|span| span / 1_000));
             match what {
@@ -149,10 +151,11 @@
         fleet.until_kept(3)?;
         let until = umberloom_fault_harness::history::now();
         fleet.servers[returns].read_log();
-        let said = fleet.history.said(&fleet.servers[returns].name, "record caught up");
+        let said = fleet.history.said(&fleet.servers[returns].name, "replica caught up");
         let line = said.iter().filter(|e| e.at >= from).max_by_key(|e| e.what["bytes"].as_u64());
         let line = line.ok_or("it did not catch up by a snapshot")?;
-        let (bytes, ms) = (line.what["bytes"].as_u64().unwrap_or(0), line.what["ms"].as_u64().unwrap_or(1));
+        let (bytes, ms) =
+            (line.what["bytes"].as_u64().unwrap_or(0), line.what["took_ms"].as_u64().unwrap_or(1));
         let asked =
             fleet.traffic.take().map(umberloom_fault_harness::traffic::Traffic::finish).unwrap_or_default();
         let late = |inside: bool| {
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -1,4 +1,4 @@
-//! Streams between servers: one that this server opened to each peer, and those that were opened to it.
+//! The tasks of streams between servers: one writes to a peer, one serves a stream that somebody opened to this server.
 
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
@@ -8,127 +8,151 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt};
 
+use super::streams::InboundFrame;
 use crate::peers::stream;
 use crate::wire::fleet::{self, FrameKind, HEADER_BYTES};
 
-/// Frames that may wait to be written to a member; more are lost, as on a network.
-pub const WAITING: usize = 64;
-/// The same for what is long and may wait.
-pub const BULK: usize = 16;
-/// A peer that takes nothing for so long, or does not let us connect, is given up; what waits is lost.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Between two connections to a peer that did not come about.
-const BACK_OFF: Duration = Duration::from_millis(250);
-/// A stream that carries nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(15);
-/// A frame that has begun must have come whole within this time.
-const WHOLE: Duration = Duration::from_secs(5);
+/// Frames that may wait to be written to a member; more are dropped, as on a network.
+pub(super) const QUEUE_CAPACITY: usize = 64;
+/// The same for bulk frames.
+pub(super) const BULK_QUEUE_CAPACITY: usize = 16;
+/// A peer that takes no bytes for this long, or does not accept a connection, is given up; what waits is lost.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a connection to a peer that failed.
+const CONNECT_BACKOFF: Duration = Duration::from_millis(250);
+/// A stream that carries nothing for this long is closed by its opener; the other end waits twice as long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// A frame must be complete within this time of its first byte.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes read at once.
+const READ_BYTES: usize = 4_096;
 
-/// What came over a stream that others opened.
-pub enum Came {
-    /// A frame.
+/// What was received on a stream that somebody opened.
+pub(super) enum Received {
     Frame(FrameKind, Vec<u8>),
-    /// Its end.
-    End,
+    /// The stream is over.
+    Closed,
 }
 
-/// Writes what is given to a peer, over a connection made when something is to be written. A peer that accepts and
-/// never reads holds up nobody but itself. What is `bulk` goes when nothing else waits: a snapshot on its way must make
-/// nobody look dead.
-pub async fn write_to(address: SocketAddr, frames: Receiver<Vec<u8>>, bulk: Receiver<Vec<u8>>) {
-    let mut link: Option<Async<TcpStream>> = None;
+/// Writes frames to a peer, over a connection made when there is one to write. A peer that accepts and never reads
+/// holds up nobody but itself. Bulk frames go when nothing else waits: a snapshot on its way must make nobody look
+/// dead.
+pub(super) async fn write_to(address: SocketAddr, urgent: Receiver<Vec<u8>>, bulk: Receiver<Vec<u8>>) {
+    let mut connection: Option<Async<TcpStream>> = None;
     loop {
-        let first = async { Some(frames.recv().await) };
-        let next = future::or(first, async {
-            match bulk.recv().await {
-                Ok(frame) => Some(Ok(frame)),
-                Err(_) => future::pending().await,
-            }
-        });
-        let idle = async {
-            Timer::after(IDLE).await;
-            None
-        };
-        let frame = match future::or(next, idle).await {
-            Some(Ok(frame)) => frame,
-            Some(Err(_)) => return,
-            None => {
-                link = None;
+        let frame = match next_frame(&urgent, &bulk).await {
+            Next::Frame(frame) => frame,
+            Next::Idle => {
+                connection = None;
                 continue;
             }
+            Next::Done => return,
         };
-        // One whose end has come is made anew: the peer has started again, or closed it as idle.
-        let kept = link.take().filter(stream::is_silent);
-        let open = match kept {
+        // A connection whose end has arrived is made anew: the peer has restarted, or closed it as idle.
+        let open = match connection.take().filter(stream::is_silent) {
             Some(open) => Ok(open),
             None => connect(address).await,
         };
         match open {
             Ok(open) => {
-                let written = stream::with_timeout(PATIENCE, stream::write_all(&open, &frame)).await;
-                link = matches!(written, Some(Ok(()))).then_some(open);
+                let written = stream::with_timeout(WRITE_TIMEOUT, stream::write_all(&open, &frame)).await;
+                connection = matches!(written, Some(Ok(()))).then_some(open);
             }
             Err(_) => {
-                Timer::after(BACK_OFF).await;
-                // What has waited meanwhile is old.
-                while frames.try_recv().is_ok() || bulk.try_recv().is_ok() {}
+                Timer::after(CONNECT_BACKOFF).await;
+                // What has waited meanwhile is outdated.
+                while urgent.try_recv().is_ok() || bulk.try_recv().is_ok() {}
             }
         }
     }
 }
 
+enum Next {
+    Frame(Vec<u8>),
+    /// There was none for [`IDLE_TIMEOUT`].
+    Idle,
+    /// There will be none.
+    Done,
+}
+
+async fn next_frame(urgent: &Receiver<Vec<u8>>, bulk: &Receiver<Vec<u8>>) -> Next {
+    let urgent = async { urgent.recv().await.map_or(Next::Done, Next::Frame) };
+    let bulk = async {
+        match bulk.recv().await {
+            Ok(frame) => Next::Frame(frame),
+            Err(_) => future::pending().await,
+        }
+    };
+    let idle = async {
+        Timer::after(IDLE_TIMEOUT).await;
+        Next::Idle
+    };
+    future::or(urgent, future::or(bulk, idle)).await
+}
+
 async fn connect(address: SocketAddr) -> Result<Async<TcpStream>> {
-    let made = stream::with_timeout(PATIENCE, Async::<TcpStream>::connect(address)).await;
-    let made = made.ok_or(ErrorKind::TimedOut)??;
-    let _ = made.get_ref().set_nodelay(true);
-    Ok(made)
+    let connected = stream::with_timeout(WRITE_TIMEOUT, Async::<TcpStream>::connect(address)).await;
+    let connection = connected.ok_or(ErrorKind::TimedOut)??;
+    // Without it frames are only later.
+    let _ = connection.get_ref().set_nodelay(true);
+    Ok(connection)
 }
 
-/// Reads frames from a stream that somebody opened until it ends, and writes answers to it.
-pub async fn serve(id: u64, stream: Async<TcpStream>, came: Sender<(u64, Came)>, answers: Receiver<Vec<u8>>) {
+/// Reads frames from a stream that somebody opened until it ends, and writes replies to it.
+pub(super) async fn serve(
+    stream_id: u64,
+    stream: Async<TcpStream>,
+    inbound: Sender<InboundFrame>,
+    replies: Receiver<Vec<u8>>,
+) {
     let read = async {
-        while let Ok(Some((kind, content))) = frame(&stream).await {
-            if came.send((id, Came::Frame(kind, content))).await.is_err() {
+        while let Ok(Some((kind, content))) = read_frame(&stream).await {
+            let received = Received::Frame(kind, content);
+            if inbound.send(InboundFrame { stream_id, received }).await.is_err() {
                 return;
             }
         }
     };
     let write = async {
-        while let Ok(answer) = answers.recv().await {
-            let written = stream::with_timeout(PATIENCE, stream::write_all(&stream, &answer)).await;
+        while let Ok(reply) = replies.recv().await {
+            let written = stream::with_timeout(WRITE_TIMEOUT, stream::write_all(&stream, &reply)).await;
             if !matches!(written, Some(Ok(()))) {
                 return;
             }
         }
     };
     future::or(read, write).await;
-    let _ = came.send((id, Came::End)).await;
+    // The actor is gone only when the program ends.
+    let _ = inbound.send(InboundFrame { stream_id, received: Received::Closed }).await;
 }
 
-/// The next frame; `None` if the stream has been idle, or says what makes no sense.
-async fn frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
+/// The next frame; `None` if the stream has been idle, or sends what is no frame.
+async fn read_frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut first = [0; 1];
-    let Some(begun) = stream::with_timeout(2 * IDLE, reader.read_exact(&mut first)).await else {
-        return Ok(None);
-    };
+    let begun = stream::with_timeout(2 * IDLE_TIMEOUT, reader.read_exact(&mut first)).await;
+    let Some(begun) = begun else { return Ok(None) };
     begun?;
-    let rest = async {
-        let mut start = [first[0], 0, 0, 0, 0];
-        reader.read_exact(&mut start[1..HEADER_BYTES]).await?;
-        let Some((kind, length)) = fleet::parse_header(start) else { return Ok(None) };
-        // What is stated is bounded, and only what comes takes memory beyond a page.
-        let mut content = Vec::with_capacity(length.min(4_096));
-        let mut part = [0; 4_096];
-        while content.len() < length {
-            let want = (length - content.len()).min(part.len());
-            let got = reader.read(&mut part[..want]).await?;
-            if got == 0 {
-                return Err(ErrorKind::UnexpectedEof.into());
-            }
-            content.extend_from_slice(&part[..got]);
+    stream::with_timeout(FRAME_TIMEOUT, read_rest(stream, first[0])).await.unwrap_or(Ok(None))
+}
+
+/// The frame that begins with this byte.
+async fn read_rest(stream: &Async<TcpStream>, first: u8) -> Result<Option<(FrameKind, Vec<u8>)>> {
+    let mut reader = stream;
+    let mut header = [0; HEADER_BYTES];
+    header[0] = first;
+    reader.read_exact(&mut header[1..]).await?;
+    let Some((kind, length)) = fleet::parse_header(header) else { return Ok(None) };
+    // The length is bounded, and only what arrives takes memory beyond the first read.
+    let mut content = Vec::with_capacity(length.min(READ_BYTES));
+    let mut bytes = [0; READ_BYTES];
+    while content.len() < length {
+        let wanted = (length - content.len()).min(bytes.len());
+        let read = reader.read(&mut bytes[..wanted]).await?;
+        if read == 0 {
+            return Err(ErrorKind::UnexpectedEof.into());
         }
-        Ok(Some((kind, content)))
-    };
-    stream::with_timeout(WHOLE, rest).await.unwrap_or(Ok(None))
+        content.extend_from_slice(&bytes[..read]);
+    }
+    Ok(Some((kind, content)))
 }
--- /dev/null
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -0,0 +1,153 @@
+//! Opening the store on the disk, and what to do when the disk fails.
+
+use async_channel::bounded;
+use slog::{error, info, warn};
+use umberloom_replicated_store::log::KEYSPACES;
+use umberloom_replicated_store::{Micros, Replica, StoredReplica, StoredReplicaError};
+use umberloom_store::disk::RealDisk;
+use umberloom_store::writer::{OpenedStore, Writer, WriterEvent};
+use umberloom_store::{Config as StoreConfig, StoreError};
+
+use super::ReplicationActor;
+
+/// Batches that may wait for the disk's thread.
+const WRITE_QUEUE_CAPACITY: usize = 64;
+/// Events of that thread that may wait to be taken; it waits itself where there are more.
+pub(super) const DISK_EVENT_CAPACITY: usize = 256;
+/// A disk that failed is opened again after this time, which doubles with each failure.
+pub(super) const MIN_REOPEN_BACKOFF: Micros = 250_000;
+const MAX_REOPEN_BACKOFF: Micros = 8_000_000;
+/// After a disk has been in use for this long, the backoff starts from its least again.
+const BACKOFF_RESET_AFTER: Micros = 10_000_000;
+
+/// What the disk's thread reports.
+pub enum DiskEvent {
+    /// The store is open.
+    Opened(Box<OpenedReplica>),
+    /// Anything else.
+    Writer(WriterEvent),
+}
+
+/// A store that was opened, and the replica in it, which is decoded by the disk's thread as that may take long.
+pub struct OpenedReplica {
+    replica: Result<Option<StoredReplica>, StoredReplicaError>,
+    store: OpenedStore,
+}
+
+impl ReplicationActor {
+    /// Starts a thread that opens the store. Without a folder each start is one from nothing.
+    pub(super) fn open_disk(&mut self, now: Micros) {
+        self.reopen_at = None;
+        let Some(folder) = self.settings.folder.clone() else {
+            return self.start_replica(now, None);
+        };
+        let config = StoreConfig { max_bytes: self.settings.most, ..StoreConfig::new(folder) };
+        let quarantine = std::mem::take(&mut self.quarantine_on_open);
+        let events = self.disk_event_sender.clone();
+        let report = move |event| {
+            let event = match event {
+                WriterEvent::Opened(mut store) => {
+                    let replica = StoredReplica::read(std::mem::take(&mut store.rows));
+                    DiskEvent::Opened(Box::new(OpenedReplica { replica, store }))
+                }
+                other => DiskEvent::Writer(other),
+            };
+            // Nobody listens any more if this store was closed.
+            let _ = events.send_blocking(event);
+        };
+        match Writer::open(RealDisk, config, &KEYSPACES, quarantine, WRITE_QUEUE_CAPACITY, report) {
+            Ok(writer) => self.writer = Some(writer),
+            Err(e) => {
+                warn!(self.log, "store thread failed to start"; "error" => %e);
+                self.schedule_reopen(now);
+            }
+        }
+    }
+
+    /// Closes the store and opens it again after the backoff.
+    pub(super) fn schedule_reopen(&mut self, now: Micros) {
+        self.replica = None;
+        // The old thread ends by itself once it has done what it was given.
+        self.writer = None;
+        self.unwritten.clear();
+        // What it still reports is about a store that is closed.
+        (self.disk_event_sender, self.disk_events) = bounded(DISK_EVENT_CAPACITY);
+        self.reopen_at = Some(now + self.reopen_backoff);
+        self.reopen_backoff = (2 * self.reopen_backoff).min(MAX_REOPEN_BACKOFF);
+    }
+
+    /// Handles an event of the disk's thread.
+    pub fn handle_disk_event(&mut self, now: Micros, event: DiskEvent) {
+        let event = match event {
+            DiskEvent::Opened(opened) => return self.handle_opened(now, *opened),
+            DiskEvent::Writer(event) => event,
+        };
+        match event {
+            WriterEvent::Opened(_) | WriterEvent::Scrubbed(Ok(())) => {}
+            WriterEvent::Durable(number, _) => self.handle_durable(now, number),
+            WriterEvent::Failed(_, error) | WriterEvent::Closed(error) => {
+                self.handle_disk_failure(now, &error);
+            }
+            WriterEvent::Scrubbed(Err(error)) => {
+                self.quarantine_on_open |= error.is_damage();
+                self.handle_disk_failure(now, &error);
+            }
+        }
+    }
+
+    fn handle_durable(&mut self, now: Micros, number: u64) {
+        let Some(replica) = &mut self.replica else { return };
+        if replica.installed_snapshot() > 0 {
+            // A snapshot has found room.
+            self.snapshot_after = None;
+        }
+        replica.persisted(now, number);
+    }
+
+    fn handle_opened(&mut self, now: Micros, opened: OpenedReplica) {
+        self.opened_at = now;
+        let OpenedReplica { replica, store } = opened;
+        if let Some((moved_to, reason)) = &store.quarantined {
+            error!(self.log, "stored replica quarantined"; "reason" => reason, "moved_to" => %moved_to.display());
+        }
+        match replica {
+            Ok(replica) => {
+                let found_replica = replica.is_some();
+                info!(self.log, "store opened"; "commits" => store.generation, "found_replica" => found_replica);
+                self.start_replica(now, replica);
+            }
+            Err(e) => {
+                error!(self.log, "stored replica is invalid"; "error" => %e);
+                self.quarantine_on_open = true;
+                self.schedule_reopen(now);
+            }
+        }
+    }
+
+    fn start_replica(&mut self, now: Micros, stored: Option<StoredReplica>) {
+        self.seed = self.seed.wrapping_add(1);
+        match Replica::new(now, self.settings.config.clone(), stored, self.seed) {
+            Ok(mut replica) => {
+                if let Some(after) = self.snapshot_after {
+                    replica.request_snapshot_after(after);
+                }
+                self.replica = Some(replica);
+            }
+            Err(e) => error!(self.log, "replicated store configuration is invalid"; "error" => %e),
+        }
+    }
+
+    fn handle_disk_failure(&mut self, now: Micros, error: &StoreError) {
+        if now >= self.opened_at + BACKOFF_RESET_AFTER {
+            self.reopen_backoff = MIN_REOPEN_BACKOFF;
+        }
+        let retry_in_ms = self.reopen_backoff / 1_000;
+        warn!(self.log, "store disk failed"; "error" => %error, "retry_in_ms" => retry_in_ms);
+        if matches!(error, StoreError::Full { .. }) {
+            let installed = self.replica.as_ref().map_or(0, Replica::installed_snapshot);
+            self.snapshot_after = Some(installed.max(self.snapshot_after.unwrap_or(0)));
+        }
+        // A thread that found damage while it wrote has said so; the next one sets it aside.
+        self.schedule_reopen(now);
+    }
+}
