--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -149,13 +149,20 @@
         if written > 0 {
             return Ok(());
         }
-        let full = self.command_log.len() >= MAILBOX_CAPACITY;
-        let word = async {
-            if full {
+        match self.wait(link).await? {
+            Some(message) if self.handle_message(&message) => Err(LinkEnd::AddressChanged),
+            _ => Ok(()),
+        }
+    }
+
+    /// Waits until the link can be read or written, or a message is there.
+    async fn wait(&self, link: &Link) -> Result<Option<AgentActorMessage>, LinkEnd> {
+        let has_room = self.command_log.len() < MAILBOX_CAPACITY;
+        let message = async {
+            if !has_room {
                 return future::pending().await;
             }
-            let word = self.mailbox.recv().await.map_err(|_| LinkEnd::ShuttingDown)?;
-            Ok(Some(word))
+            self.mailbox.recv().await.map(Some).map_err(|_| LinkEnd::ShuttingDown)
         };
         let readable = async { link.stream.readable().await.map(|()| None).map_err(LinkEnd::Lost) };
         let writable = async {
@@ -164,27 +171,25 @@
             }
             link.stream.writable().await.map(|()| None).map_err(LinkEnd::Lost)
         };
-        match future::or(readable, future::or(writable, word)).await? {
-            Some(word) if self.handle_message(&word) => Err(LinkEnd::AddressChanged),
-            _ => Ok(()),
-        }
+        future::or(readable, future::or(writable, message)).await
     }
 
-    /// Takes in all that was said; `true` if the agent has moved. What was written to the old address and may
-    /// not have been read there is in the journal, which restates it on the new link.
+    /// Handles the messages that are there; `true` if the agent's address has changed. What was written to the old
+    /// address and may not have been read there is in the command log, which replays it on the new link.
     fn drain_mailbox(&mut self) -> bool {
-        let mut moved = false;
+        let mut address_changed = false;
         while self.command_log.len() < MAILBOX_CAPACITY {
-            let Ok(word) = self.mailbox.try_recv() else { break };
-            moved |= self.handle_message(&word);
+            let Ok(message) = self.mailbox.try_recv() else { break };
+            address_changed |= self.handle_message(&message);
         }
-        moved
+        address_changed
     }
 
-    fn handle_message(&mut self, word: &AgentActorMessage) -> bool {
-        match word {
-            AgentActorMessage::Command(order) => {
-                self.command_log.push(order);
+    /// `true` if the agent's address has changed.
+    fn handle_message(&mut self, message: &AgentActorMessage) -> bool {
+        match message {
+            AgentActorMessage::Command(command) => {
+                self.command_log.push(command);
                 false
             }
             AgentActorMessage::SetAddress(address) => {
--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -29,14 +29,14 @@
 /// Whether the other end answers a ping.
 pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
     let mut caller = Caller::new(ajp.packet_bytes);
-    let asked = async {
+    let ping = async {
         caller.ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
         match next_event(stream, &mut caller, &mut Buffer::new(ajp.packet_bytes)).await? {
             Event::Pong => Ok(()),
             _ => Err(Error::from(ErrorKind::InvalidData)),
         }
     };
-    matches!(stream::with_timeout(PING_TIMEOUT, asked).await, Some(Ok(())))
+    matches!(stream::with_timeout(PING_TIMEOUT, ping).await, Some(Ok(())))
 }
 
 /// One call and its reply, in the form of a reply over HTTP.
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -63,100 +63,150 @@
     InvalidRank,
 }
 
+/// The longest id of a request.
+const MAX_REQUEST_ID_BYTES: usize = 64;
+/// Memory of a queued request is under this.
+const MAX_FOOTPRINT_KB: f64 = 2_000.0;
 /// The longest idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 /// An estimate of more work than this is ignored: an hour.
 const MAX_WORK_ESTIMATE_MS: f64 = 3_600_000.0;
 
+/// The name-value pairs of a request.
+struct Params<'a> {
+    pairs: Vec<fastcgi::NameValuePair<'a>>,
+}
+
+impl<'a> Params<'a> {
+    /// The value of this name, if there is one and it is text.
+    fn get(&self, name: &str) -> Option<&'a str> {
+        let (_, value) = self.pairs.iter().find(|(other, _)| *other == name.as_bytes())?;
+        std::str::from_utf8(value).ok()
+    }
+
+    /// A number of milliseconds, in microseconds.
+    fn millis(&self, name: &str) -> Option<Micros> {
+        self.get(name)?.trim().parse::<u64>().ok()?.checked_mul(1_000)
+    }
+
+    /// A finite number.
+    fn number(&self, name: &str) -> Option<f64> {
+        self.get(name)?.trim().parse::<f64>().ok().filter(|number| number.is_finite())
+    }
+
+    /// Whether the request is a retry. Older callers number their attempts instead of marking retries.
+    fn is_retry(&self) -> Result<bool, InvalidParams> {
+        let marked = match self.get("HTTP_ATTEMPT_AGAIN").map(str::trim) {
+            None | Some("0") => false,
+            Some("1") => true,
+            Some(_) => return Err(InvalidParams::InvalidRetryMark),
+        };
+        let Some(attempt) = self.get("HTTP_ATTEMPT") else { return Ok(marked) };
+        let attempt = attempt.trim().parse::<u32>().ok().filter(|attempt| *attempt > 0);
+        Ok(marked || attempt.ok_or(InvalidParams::InvalidAttempt)? > 1)
+    }
+
+    /// The key has two names, of which the second is that of older callers. Two keys would name two requests.
+    fn idempotency_key(&self) -> Result<Option<&'a str>, InvalidParams> {
+        let keys = [self.get("HTTP_ONCE_KEY"), self.get("HTTP_IDEMPOTENCY_KEY")];
+        if matches!(keys, [Some(one), Some(other)] if one != other) {
+            return Err(InvalidParams::ConflictingKeys);
+        }
+        let key = keys.into_iter().flatten().next();
+        Ok(key.filter(|key| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len())))
+    }
+
+    /// The caller's timeout, if it states one.
+    fn timeout(&self) -> Result<Option<Micros>, InvalidParams> {
+        if self.get("HTTP_BUDGET_MS").is_none() {
+            return Ok(None);
+        }
+        self.millis("HTTP_BUDGET_MS").map(Some).ok_or(InvalidParams::InvalidTimeout)
+    }
+
+    /// The work that the caller expects. An estimate out of range is ignored: admission does without where there is none.
+    fn estimated_cost(&self) -> Option<Micros> {
+        let estimate_ms = self.number("HTTP_WORK_ESTIMATE")?;
+        if estimate_ms <= 0.0 || estimate_ms >= MAX_WORK_ESTIMATE_MS {
+            return None;
+        }
+        Some((estimate_ms * 1_000.0) as Micros).filter(|cost| *cost > 0)
+    }
+
+    fn text(&self, name: &str) -> Option<String> {
+        self.get(name).filter(|text| !text.is_empty()).map(String::from)
+    }
+}
+
 /// Parses the parameters of a request.
 ///
 /// # Errors
 /// If they name no valid request.
 pub fn parse_request(params: &[u8]) -> Result<CgiRequest, InvalidParams> {
-    let pairs = fastcgi::parse_pairs(params)?;
-    let get = |name: &str| {
-        let found = pairs.iter().find(|(n, _)| *n == name.as_bytes());
-        found.and_then(|(_, value)| std::str::from_utf8(value).ok())
-    };
-    let path = get("SCRIPT_NAME").ok_or(InvalidParams::MissingPath)?;
+    let params = Params { pairs: fastcgi::parse_pairs(params)? };
+    let path = params.get("SCRIPT_NAME").ok_or(InvalidParams::MissingPath)?;
     if path == HEALTH_CHECK_PATH {
-        let full = get("QUERY_STRING").is_some_and(|q| q.split('&').any(|part| part == "full=1"));
-        return Ok(CgiRequest::HealthCheck(full));
+        let query = params.get("QUERY_STRING").unwrap_or_default();
+        return Ok(CgiRequest::HealthCheck(query.split('&').any(|part| part == "full=1")));
     }
     let class = path.strip_prefix(SERVICE_PATH_PREFIX).ok_or(InvalidParams::UnknownPath)?;
-    if get("REQUEST_METHOD") != Some("POST") {
+    if params.get("REQUEST_METHOD") != Some("POST") {
         return Err(InvalidParams::NotPost);
     }
-    let millis = |name| get(name).and_then(|v| v.trim().parse::<u64>().ok()?.checked_mul(1_000));
-    let number = |name| get(name).and_then(|v| v.trim().parse::<f64>().ok()).filter(|n| n.is_finite());
-    let id =
-        get("HTTP_REQUEST_ID").filter(|id| (1..=64).contains(&id.len())).ok_or(InvalidParams::InvalidId)?;
-    let marked_as_retry = match get("HTTP_ATTEMPT_AGAIN").map(str::trim) {
-        None | Some("0") => false,
-        Some("1") => true,
-        Some(_) => return Err(InvalidParams::InvalidRetryMark),
-    };
-    // Older callers number their attempts.
-    let attempt = match get("HTTP_ATTEMPT") {
-        Some(n) => n.trim().parse::<u32>().ok().filter(|n| *n > 0).ok_or(InvalidParams::InvalidAttempt)?,
-        None => 1,
-    };
-    // The key has two names, of which the second is that of older callers. Two keys would name two requests.
-    let keys = [get("HTTP_ONCE_KEY"), get("HTTP_IDEMPOTENCY_KEY")];
-    if matches!(keys, [Some(one), Some(other)] if one != other) {
-        return Err(InvalidParams::ConflictingKeys);
-    }
-    let idempotency_key =
-        keys.into_iter().flatten().next().filter(|k| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&k.len()));
-    // An estimate out of range is ignored: admission does without where there is none.
-    let estimate = number("HTTP_WORK_ESTIMATE").filter(|ms| *ms > 0.0 && *ms < MAX_WORK_ESTIMATE_MS);
-    Ok(CgiRequest::Work(WorkRequest {
+    parse_work(&params, class).map(CgiRequest::Work)
+}
+
+fn parse_work(params: &Params, class: &str) -> Result<WorkRequest, InvalidParams> {
+    let id = params.get("HTTP_REQUEST_ID").filter(|id| (1..=MAX_REQUEST_ID_BYTES).contains(&id.len()));
+    let id = id.ok_or(InvalidParams::InvalidId)?;
+    let is_retry = params.is_retry()?;
+    let idempotency_key = params.idempotency_key()?;
+    let received_at = params.millis("HTTP_RECEIVED_AT").ok_or(InvalidParams::InvalidArrivalTime)?;
+    let timeout = params.timeout()?;
+    let sender = params.get("HTTP_SENT_BY").and_then(|sender| sender.trim().parse().ok());
+    let sender = sender.ok_or(InvalidParams::InvalidSender)?;
+    let queued_kb = params.number("HTTP_FOOTPRINT_KB").filter(|&kb| kb > 0.0 && kb < MAX_FOOTPRINT_KB);
+    let queued_kb = queued_kb.ok_or(InvalidParams::InvalidFootprint)?;
+    let rank = params.number("HTTP_PRIORITY_RANK").filter(|rank| (0.0..1.0).contains(rank));
+    let rank = rank.ok_or(InvalidParams::InvalidRank)?;
+    Ok(WorkRequest {
         id: id.to_owned(),
         class: class.to_owned(),
-        received_at: millis("HTTP_RECEIVED_AT").ok_or(InvalidParams::InvalidArrivalTime)?,
-        timeout: match get("HTTP_BUDGET_MS") {
-            Some(_) => Some(millis("HTTP_BUDGET_MS").ok_or(InvalidParams::InvalidTimeout)?),
-            None => None,
-        },
-        is_retry: marked_as_retry || attempt > 1,
-        tenant: get("HTTP_ACCOUNT").filter(|name| !name.is_empty()).map(String::from),
-        cost: estimate.map(|ms| (ms * 1_000.0) as Micros).filter(|cost| *cost > 0),
-        sender: get("HTTP_SENT_BY")
-            .and_then(|v| v.trim().parse().ok())
-            .ok_or(InvalidParams::InvalidSender)?,
-        queued_kb: number("HTTP_FOOTPRINT_KB")
-            .filter(|&n| n > 0.0 && n < 2_000.0)
-            .ok_or(InvalidParams::InvalidFootprint)?,
-        rank: number("HTTP_PRIORITY_RANK")
-            .filter(|n| (0.0..1.0).contains(n))
-            .ok_or(InvalidParams::InvalidRank)?,
-        subject_key: get("HTTP_RESOURCE_KEY").filter(|k| !k.is_empty()).map(String::from),
+        received_at,
+        timeout,
+        is_retry,
+        tenant: params.text("HTTP_ACCOUNT"),
+        cost: params.estimated_cost(),
+        sender,
+        queued_kb,
+        rank,
+        subject_key: params.text("HTTP_RESOURCE_KEY"),
         idempotency_key: idempotency_key.map(String::from),
-    }))
+    })
 }
 
 /// The response as CGI: headers, among them the load hint where there is one, an empty line, and the body.
-pub fn encode_response(answer: &Response, hint: Option<f64>) -> Vec<u8> {
-    let (status, more, body): (&str, String, &[u8]) = match answer {
+pub fn encode_response(response: &Response, load_hint: Option<f64>) -> Vec<u8> {
+    let (status, extra_headers, body): (&str, String, &[u8]) = match response {
         Response::Served(result) => ("200 OK", String::new(), result),
-        Response::Rejected { retry_after: stay_away, terminal } => {
-            let mut more = String::new();
-            if *stay_away > 0 {
-                more.push_str(&format!("Back-Off-Ms: {}\r\n", stay_away.div_ceil(1_000)));
+        Response::Rejected { retry_after, terminal } => {
+            let mut headers = String::new();
+            if *retry_after > 0 {
+                headers.push_str(&format!("Back-Off-Ms: {}\r\n", retry_after.div_ceil(1_000)));
             }
             if *terminal {
-                more.push_str("Final-Refusal: 1\r\n");
+                headers.push_str("Final-Refusal: 1\r\n");
             }
-            ("503 Service Unavailable", more, b"")
+            ("503 Service Unavailable", headers, b"")
         }
         Response::Failed | Response::Aborted => ("500 Internal Server Error", String::new(), b""),
         Response::BadRequest => ("400 Bad Request", String::new(), b""),
         Response::Health(true) => ("200 OK", String::new(), b""),
         Response::Health(false) => ("500 Internal Server Error", String::new(), b""),
     };
-    let hint = hint.map(|value| format!("Server-Hint: {value:.4}\r\n")).unwrap_or_default();
+    let load_hint = load_hint.map(|value| format!("Server-Hint: {value:.4}\r\n")).unwrap_or_default();
     let mut bytes = format!(
-        "Status: {status}\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\n{more}{hint}\r\n",
+        "Status: {status}\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\n{extra_headers}{load_hint}\r\n",
         body.len()
     )
     .into_bytes();
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -49,7 +49,7 @@
     ]
 }
 
-fn fleet_view() -> FleetView {
+fn members() -> Vec<MemberView> {
     let states = [
         MemberState::NeverSeen,
         MemberState::Present,
@@ -87,6 +87,10 @@
         about: about.clone(),
         differs_ms: (n == 2).then_some(900),
     });
+    members.collect()
+}
+
+fn quotas() -> Vec<(String, QuotaStatus)> {
     let moved = [
         ChangeCause::Started,
         ChangeCause::Settled,
@@ -108,14 +112,18 @@
         moved: (moved, 250),
         quiet_ms: 500,
     };
+    moved.map(|moved| (format!("{moved:?}"), allowance(moved))).to_vec()
+}
+
+fn fleet_view() -> FleetView {
     FleetView {
         name: "server-a".to_owned(),
         boot: 1_700_000_000_000_002,
         standing: PartitionStatus::Majority,
         sick: 1,
         silenced: true,
-        members: members.collect(),
-        allowances: moved.map(|moved| (format!("{moved:?}"), allowance(moved))).to_vec(),
+        members: members(),
+        allowances: quotas(),
         disagreements: vec![("server-2".to_owned(), vec!["server-3: not there here".to_owned()])],
         counts: MessageCounts {
             sent: (500, 70_000),
