--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -58,9 +58,12 @@
         Reply { status: 0, headers: Vec::new(), body: Vec::new(), keep_alive: false, encoded_bytes: 0 };
     loop {
         match next_event(stream, &mut caller, &mut buffer).await? {
-            Event::Head(head) => (reply.status, reply.headers) = (head.status, head.headers),
+            Event::Head(head) => {
+                reply.status = head.status;
+                reply.headers = head.headers;
+            }
             Event::Body(part) if reply.body.len() + part.len() <= http::MAX_BODY_BYTES => {
-                reply.body.extend(part)
+                reply.body.extend(part);
             }
             Event::Body(_) => return Err(ErrorKind::InvalidData.into()),
             Event::End(reuse) => {
--- a/crates/server/src/wire/jsonl/tests.rs
+++ b/crates/server/src/wire/jsonl/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::wire::test_bytes;
 
-fn text(command: Command) -> String {
+fn text(command: &Command) -> String {
     String::from_utf8(command.encode()).expect("text")
 }
 
@@ -22,9 +22,9 @@
         (Command::Exercise { tag: "7" }, r#"{"op":"exercise","tag":"7"}"#),
     ];
     for (command, line) in cases {
-        assert_eq!(text(command), format!("{line}\n"));
+        assert_eq!(text(&command), format!("{line}\n"));
     }
-    assert_eq!(text(Command::Thaw { id: "a\n\"b" }).lines().count(), 1);
+    assert_eq!(text(&Command::Thaw { id: "a\n\"b" }).lines().count(), 1);
 }
 
 #[test]
