--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -1,4 +1,7 @@
-//! The listening socket, and the connections that came from it.
+//! The listening socket, and the connections that it accepted.
+//!
+//! How many connections there may be, and which of them is closed when a place is needed, is decided by
+//! [`ConnectionTable`]; this actor accepts, starts an actor for each connection and passes the decisions on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,30 +23,34 @@
 use crate::messages::caller::{ConnectionActivity, ConnectionCommand};
 use crate::messages::listener::ListenerCommand;
 
-/// Words that may wait to be taken.
+/// Commands that may wait in the mailbox.
 pub const MAILBOX_CAPACITY: usize = 64;
 /// Time between looks for idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A connection at the door has this long to ask.
+/// A connection beyond the table's capacity has this long to send a request, which is rejected.
 const REJECT_PERIOD: Micros = 250_000;
-/// Time after which accepting is tried again when the system had no descriptor for it.
+/// Accepting is tried again after this time if the system had no descriptor for it.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
+/// What the listener knows of a connection.
 struct ConnectionEntry {
     mailbox: Sender<ConnectionCommand>,
     activity: Rc<ConnectionActivity>,
+    /// It found no place: its requests are rejected.
     rejecting: bool,
-    /// When it was told to close.
-    told: Cell<Option<Micros>>,
+    close_requested_at: Cell<Option<Micros>>,
 }
 
 impl ConnectionEntry {
-    /// One such word at a time: a connection that is slow to take its mail must keep room there for its answers.
+    /// Sends the command only to an empty mailbox: a connection that is slow to take its messages must keep room there
+    /// for its responses.
     fn close_if_idle(&self, now: Micros) {
-        if self.mailbox.is_empty() && self.mailbox.try_send(ConnectionCommand::CloseIfIdle).is_ok() {
-            let since = self.told.get().filter(|told| *told >= self.activity.last_active.get());
-            self.told.set(since.or(Some(now)));
+        if !self.mailbox.is_empty() || self.mailbox.try_send(ConnectionCommand::CloseIfIdle).is_err() {
+            return;
         }
+        let last_active = self.activity.last_active.get();
+        let earlier_request = self.close_requested_at.get().filter(|at| *at >= last_active);
+        self.close_requested_at.set(earlier_request.or(Some(now)));
     }
 
     fn state(&self, id: u64) -> ConnectionState {
@@ -53,57 +60,59 @@
             requests_in_flight: self.activity.open_requests.get(),
             has_sent_request: self.activity.has_requested.get(),
             last_active: self.activity.last_active.get(),
-            close_requested_at: self.told.get(),
+            close_requested_at: self.close_requested_at.get(),
             in_overflow: self.rejecting,
         }
     }
 }
 
+/// Why [`Listener::wait`] returned.
 enum Wakeup {
     Accepted(TcpStream),
+    /// `None`: all senders are gone.
     Command(Option<ListenerCommand>),
-    Closed(u64),
+    ConnectionClosed(u64),
     IdleCheck,
-    /// What waits to be accepted is to be looked at again, after the word to finish.
+    /// While draining, connections that wait to be accepted are to be looked at again.
     Backlog,
 }
 
 /// The actor.
 pub struct Listener<'a> {
     executor: Rc<LocalExecutor<'a>>,
-    listener: Option<Async<TcpListener>>,
+    /// `None` once it is closed for draining.
+    socket: Option<Async<TcpListener>>,
     context: ConnectionContext,
     commands: Receiver<ListenerCommand>,
-    /// Most connections at once, so that descriptors last.
     table: ConnectionTable,
     idle_timeout: Micros,
     connections: BTreeMap<u64, ConnectionEntry>,
-    /// The word to finish has come.
     draining: bool,
     last_id: u64,
-    closed: (Sender<u64>, Receiver<u64>),
+    /// Connections report their end here.
+    closed_sender: Sender<u64>,
+    closed: Receiver<u64>,
     /// When idle connections are looked for next, whatever else happens.
     next_idle_check: Instant,
     table_full_throttle: LogThrottle,
-    /// Nothing could be accepted.
     accept_error_throttle: RefCell<LogThrottle>,
     log: Logger,
 }
 
 impl<'a> Listener<'a> {
-    /// Connections from `listener`, as many at once as there are places.
+    /// Accepts from `socket`, as many connections at once as `table` has places.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
-        (listener, table): (Async<TcpListener>, ConnectionTable),
+        (socket, table): (Async<TcpListener>, ConnectionTable),
         context: ConnectionContext,
         commands: Receiver<ListenerCommand>,
         idle_timeout: Micros,
     ) -> Listener<'a> {
-        let closed = async_channel::bounded(table.total_capacity().max(1));
+        let (closed_sender, closed) = async_channel::bounded(table.total_capacity().max(1));
         let log = context.log.clone();
         Listener {
             executor,
-            listener: Some(listener),
+            socket: Some(socket),
             context,
             commands,
             table,
@@ -111,6 +120,7 @@
             connections: BTreeMap::new(),
             draining: false,
             last_id: 0,
+            closed_sender,
             closed,
             next_idle_check: Instant::now() + IDLE_CHECK_INTERVAL,
             table_full_throttle: LogThrottle::default(),
@@ -119,21 +129,21 @@
         }
     }
 
-    /// Accepts and looks after connections until, after the word to finish, none is left.
+    /// Accepts and looks after connections until it has drained and none is left.
     pub async fn run(mut self) {
-        while self.listener.is_some() || !self.connections.is_empty() {
+        while self.socket.is_some() || !self.connections.is_empty() {
             match self.wait().await {
                 Wakeup::Accepted(stream) => {
                     self.admit(stream).await;
-                    // What has come with it is read before the next one needs its place.
+                    // What has arrived with it is read before the next one needs its place.
                     future::yield_now().await;
                 }
-                Wakeup::Closed(number) => drop(self.connections.remove(&number)),
+                Wakeup::ConnectionClosed(id) => drop(self.connections.remove(&id)),
                 Wakeup::IdleCheck => {
                     self.next_idle_check = Instant::now() + IDLE_CHECK_INTERVAL;
                     self.close_idle();
                 }
-                Wakeup::Command(Some(ListenerCommand::CloseIdle(span))) => self.idle_timeout = span,
+                Wakeup::Command(Some(ListenerCommand::CloseIdle(timeout))) => self.idle_timeout = timeout,
                 Wakeup::Command(Some(ListenerCommand::Drain)) => self.drain().await,
                 Wakeup::Backlog => self.accept_backlog().await,
                 Wakeup::Command(None) => return,
@@ -141,46 +151,51 @@
         }
     }
 
-    /// The next thing to do. A look that is due comes first, however much else there is: what keeps places free
+    /// The next thing to do. An idle check that is due comes first, however much else there is: what keeps places free
     /// must not depend on a lull.
     async fn wait(&self) -> Wakeup {
         if Instant::now() >= self.next_idle_check {
             return Wakeup::IdleCheck;
         }
-        let over = async { self.closed.1.recv().await.map_or(Wakeup::IdleCheck, Wakeup::Closed) };
-        let order = async { Wakeup::Command(self.commands.recv().await.ok()) };
+        let closed = async { self.closed.recv().await.map_or(Wakeup::IdleCheck, Wakeup::ConnectionClosed) };
+        let command = async { Wakeup::Command(self.commands.recv().await.ok()) };
         let accepted = async {
-            match &self.listener {
+            match &self.socket {
                 Some(_) if self.draining => {
                     Timer::after(ACCEPT_BACKOFF).await;
                     Wakeup::Backlog
                 }
-                Some(listener) if !self.is_place_expected() => self.accept(listener).await,
+                Some(socket) if !self.is_place_expected() => self.accept(socket).await,
                 _ => future::pending().await,
             }
         };
-        let look = async {
+        let idle_check = async {
             Timer::at(self.next_idle_check).await;
             Wakeup::IdleCheck
         };
-        future::or(over, future::or(order, future::or(accepted, look))).await
+        future::or(closed, future::or(command, future::or(accepted, idle_check))).await
     }
 
     fn connection_states(&self) -> Vec<ConnectionState> {
         self.connections.iter().map(|(id, entry)| entry.state(*id)).collect()
     }
 
-    fn is_place_expected(&self) -> bool {
+    fn is_table_full(&self) -> bool {
         self.connections.len() >= self.table.capacity()
+    }
+
+    /// A connection that was asked to close is about to make room: better wait than reject the next one.
+    fn is_place_expected(&self) -> bool {
+        self.is_table_full()
             && self.table.should_pause_accept(self.context.clock.now(), &self.connection_states())
     }
 
-    async fn accept(&self, listener: &Async<TcpListener>) -> Wakeup {
+    async fn accept(&self, socket: &Async<TcpListener>) -> Wakeup {
         loop {
-            match listener.accept().await {
+            match socket.accept().await {
                 Ok((stream, _)) => match stream.into_inner() {
                     Ok(stream) => return Wakeup::Accepted(stream),
-                    Err(e) => debug!(self.log, "accepted in vain"; "why" => %e),
+                    Err(e) => debug!(self.log, "accepted connection lost"; "error" => %e),
                 },
                 // The peer has left already.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
@@ -192,109 +207,121 @@
         }
     }
 
+    /// Starts the actor of a new connection, or closes it where there is no place even to reject its requests.
     async fn admit(&mut self, stream: TcpStream) {
-        let lot = self.admission();
+        let admission = self.decide_admission();
+        // Without it responses are only later.
         let _ = stream.set_nodelay(true);
         // Sets it non-blocking too, whichever way it was accepted.
         let Ok(stream) = Async::new(stream) else { return };
         let activity = Rc::new(ConnectionActivity::default());
         activity.closing.set(self.draining);
-        let Some((connection, words)) = Connection::new(stream, self.context.clone(), activity.clone())
-        else {
-            return;
-        };
-        if lot == Admission::Close {
-            // With nothing run: its caller learns at once that it is to go elsewhere.
-            return connection.reject_received_and_close().await;
+        let connection = Connection::new(stream, self.context.clone(), activity.clone());
+        let Some((connection, mailbox)) = connection else { return };
+        match admission {
+            Admission::Accept => self.start(connection, mailbox, activity, false),
+            Admission::RejectRequests => {
+                self.start(connection.rejecting_for(REJECT_PERIOD), mailbox, activity, true);
+            }
+            // Nothing runs: its caller learns at once that it is to try another server.
+            Admission::Close => connection.reject_received_and_close().await,
         }
-        let at_door = lot == Admission::RejectRequests;
-        let connection = if at_door { connection.rejecting_for(REJECT_PERIOD) } else { connection };
+    }
+
+    fn start(
+        &mut self,
+        connection: Connection,
+        mailbox: Sender<ConnectionCommand>,
+        activity: Rc<ConnectionActivity>,
+        rejecting: bool,
+    ) {
         self.last_id += 1;
-        let (number, over) = (self.last_id, self.closed.0.clone());
-        self.connections.insert(
-            number,
-            ConnectionEntry { mailbox: words, activity, rejecting: at_door, told: Cell::new(None) },
-        );
+        let id = self.last_id;
+        let entry = ConnectionEntry { mailbox, activity, rejecting, close_requested_at: Cell::new(None) };
+        self.connections.insert(id, entry);
+        let closed = self.closed_sender.clone();
         let served = async move {
             connection.run().await;
-            let _ = over.send(number).await;
+            // The listener is gone only when the program ends.
+            let _ = closed.send(id).await;
         };
         self.executor.spawn(served).detach();
-        if self.connections.len() >= self.table.capacity() {
+        if self.is_table_full() {
             self.close_idle();
         }
     }
 
-    /// Where a new connection finds its place.
-    fn admission(&mut self) -> Admission {
-        if self.connections.len() < self.table.capacity() {
-            return Admission::Accepted;
+    /// Whether a new connection finds a place.
+    fn decide_admission(&mut self) -> Admission {
+        if !self.is_table_full() {
+            return Admission::Accept;
         }
         let now = self.context.clock.now();
-        let (lot, closed) = self.table.admit(now, 0, &self.connection_states());
-        if let Some(entry) = closed.and_then(|id| self.connections.get(&id)) {
+        let decision = self.table.admit(now, 0, &self.connection_states());
+        if let Some(entry) = decision.close_first.and_then(|id| self.connections.get(&id)) {
             entry.close_if_idle(now);
         }
-        if lot != Admission::Accepted {
+        if decision.admission != Admission::Accept {
             self.log_table_full();
         }
-        lot
+        decision.admission
     }
 
     fn log_table_full(&mut self) {
-        if let Some(more) = self.table_full_throttle.tell(Instant::now()) {
-            let busy =
-                self.connections.values().filter(|entry| entry.activity.open_requests.get() > 0).count();
-            let at_door = self.connections.values().filter(|entry| entry.rejecting).count();
-            warn!(self.log, "no place for a connection"; "not_told" => more, "at_door" => at_door,
-                "busy" => busy, "places" => self.table.capacity());
-        }
+        let Some(suppressed) = self.table_full_throttle.tell(Instant::now()) else { return };
+        let is_busy = |entry: &&ConnectionEntry| entry.activity.open_requests.get() > 0;
+        let busy = self.connections.values().filter(is_busy).count();
+        let rejecting = self.connections.values().filter(|entry| entry.rejecting).count();
+        warn!(self.log, "connection table full"; "suppressed" => suppressed, "rejecting" => rejecting,
+            "busy" => busy, "capacity" => self.table.capacity());
     }
 
-    fn log_accept_error(&self, why: &std::io::Error) {
-        if let Some(more) = self.accept_error_throttle.borrow_mut().tell(Instant::now()) {
-            warn!(self.log, "not accepted"; "why" => %why, "not_told" => more);
+    fn log_accept_error(&self, error: &std::io::Error) {
+        if let Some(suppressed) = self.accept_error_throttle.borrow_mut().tell(Instant::now()) {
+            warn!(self.log, "accept failed"; "error" => %error, "suppressed" => suppressed);
         }
     }
 
     fn close_idle(&self) {
         let now = self.context.clock.now();
-        for id in self.table.idle_connections_to_close(now, &[self.idle_timeout], &self.connection_states()) {
+        let states = self.connection_states();
+        for id in self.table.idle_connections_to_close(now, &[self.idle_timeout], &states) {
             if let Some(entry) = self.connections.get(&id) {
                 entry.close_if_idle(now);
             }
         }
     }
 
-    /// Nothing new is let in; each connection closes once nothing is open on it.
+    /// Accepts nothing more; each connection closes once no request is open on it.
     async fn drain(&mut self) {
         self.draining = true;
         for entry in self.connections.values() {
             entry.activity.closing.set(true);
-            // Only to wake it: where there is no room it has other words to wake for.
+            // Only to wake it: a mailbox without room has other messages to wake for.
             let _ = entry.mailbox.try_send(ConnectionCommand::Close);
         }
         self.accept_backlog().await;
     }
 
-    /// Connections that wait to be accepted may carry whole requests, which this server has: all are taken before the
-    /// socket closes. An error of one of them is not the end of the others, and without a descriptor the socket stays
-    /// open until connections have ended.
+    /// Connections that wait to be accepted may carry complete requests, which this server has: all are accepted before
+    /// the socket closes. An error of one of them is not the end of the others, and without a descriptor the socket
+    /// stays open until connections have ended.
     async fn accept_backlog(&mut self) {
-        // Out of the reactor first, so that the close follows the last look at once: who comes between them is reset.
-        let Some(Ok(listener)) = self.listener.take().map(Async::into_inner) else { return };
+        // Out of the reactor first, so that the close follows the last accept at once: a connection that arrives between
+        // them is reset.
+        let Some(Ok(socket)) = self.socket.take().map(Async::into_inner) else { return };
         loop {
-            match listener.accept() {
+            match socket.accept() {
                 Ok((stream, _)) => {
                     self.admit(stream).await;
-                    // Who connects without end must not keep the others from ending.
+                    // Peers that connect without end must not keep the others from ending.
                     future::yield_now().await;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
                     self.log_accept_error(&e);
-                    self.listener = Async::new_nonblocking(listener).ok();
+                    self.socket = Async::new_nonblocking(socket).ok();
                     return;
                 }
             }
