--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -2,7 +2,7 @@
 
 use std::ops::RangeInclusive;
 
-use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
+use kdl::{KdlDocument, KdlEntry, KdlIdentifier, KdlNode, KdlValue};
 use umberloom::interface::Micros;
 
 use crate::error::{Mistake, Position};
@@ -214,7 +214,7 @@
     /// Notes all properties that were not taken.
     pub fn finish(self) {
         for entry in self.node.entries() {
-            let Some(name) = entry.name().map(|n| n.value()) else {
+            let Some(name) = entry.name().map(KdlIdentifier::value) else {
                 if !self.has_arguments {
                     let reason = format!("found {}, expected NAME=VALUE", show(entry.value()));
                     self.reader.report_entry(entry, reason);
@@ -242,7 +242,7 @@
         let Some(node) = document.nodes().iter().find(around) else { break };
         names.push(node.name().value());
         let property = node.entries().iter().find(|entry| entry.span().offset() == offset);
-        names.extend(property.and_then(KdlEntry::name).map(|name| name.value()));
+        names.extend(property.and_then(KdlEntry::name).map(KdlIdentifier::value));
         level = node.children();
     }
     names.join(".")
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -77,7 +77,7 @@
         let request = StoreRequest::ReadDocument { name: name.to_owned(), latest, from };
         match ask(client, request)? {
             StoreResponse::Document { version, index, by, length, part, age_ms } => {
-                let revision = first.get_or_insert_with(|| Revision { version, by, index, age_ms });
+                let revision = first.get_or_insert(Revision { version, by, index, age_ms });
                 if revision.version != version {
                     return Ok(None);
                 }
--- a/crates/server/src/cli/mod.rs
+++ b/crates/server/src/cli/mod.rs
@@ -12,7 +12,7 @@
 use crate::lifecycle::config::ConfigError;
 use crate::lifecycle::config_files::{ConfigFileError, ConfigFiles};
 use crate::lifecycle::log::LogFormat;
-use crate::lifecycle::ServeError;
+use crate::lifecycle::StartupError;
 
 /// A command, with its options.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     ConfigFiles(#[from] ConfigFileError),
     /// The server can't start.
     #[error(transparent)]
-    Serve(#[from] ServeError),
+    Serve(#[from] StartupError),
     /// `check` without a file.
     #[error("nothing to check: name a file with --config or --operator")]
     NothingToCheck,
--- a/crates/server/src/cli/serve.rs
+++ b/crates/server/src/cli/serve.rs
@@ -16,7 +16,7 @@
     let level = if verbose { Level::Debug } else { Level::Info };
     let (log, _guard) = log::start(&config.server.name, level, format);
     log_configuration(&config, &log);
-    lifecycle::serve(config, files, signals, log)?;
+    lifecycle::serve(config, files, signals, &log)?;
     Ok(())
 }
 
--- a/crates/server/src/lifecycle/config_files.rs
+++ b/crates/server/src/lifecycle/config_files.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
-use umberloom_operator_config::{self as operator_config, Operator, ServerContext};
+use umberloom_operator_config::{self as operator_config, Operator, ServerContext, Service};
 
 use super::config::{Config, ConfigError};
 use super::fleet::{self, FleetLimitError};
@@ -88,7 +88,7 @@
             max_kb: max_bytes >> 10,
         });
     }
-    let needs_records_service = operator.services.iter().any(|service| service.is_platform());
+    let needs_records_service = operator.services.iter().any(Service::is_platform);
     if needs_records_service && server.records.is_none() {
         return Err(ConfigFileError::NoRecordsService { file: file() });
     }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -30,9 +30,8 @@
 use phase::{Phase, PhaseTracker};
 use server::Server;
 use signals::SignalListener;
-use startup::{ListenSockets, StartupError};
-
-pub use startup::StartupError as ServeError;
+use startup::ListenSockets;
+pub use startup::StartupError;
 
 /// The part of the memory limit that peers can make this process take: one in so many.
 const PEER_MEMORY_DIVISOR: usize = 2;
@@ -42,7 +41,7 @@
     config: LoadedConfig,
     files: ConfigFiles,
     signals: SignalListener,
-    log: Logger,
+    log: &Logger,
 ) -> Result<(), StartupError> {
     let mut phase = PhaseTracker::new(log.clone());
     let balancers = startup::bind_balancers(config.server.listen)?;
@@ -52,7 +51,7 @@
     executor.spawn(stall_detector::watch(log.clone())).detach();
     let fleet = startup::bind_fleet(config.operator.as_ref())?;
     let sockets = ListenSockets { balancers, fleet };
-    let server = Server::start(&executor, config, files, sockets, &clock, &log)?;
+    let server = Server::start(&executor, config, files, sockets, &clock, log)?;
     async_io::block_on(executor.run(server.run(phase, signals)));
     Ok(())
 }
