--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -39,32 +39,27 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
     /// How long a lease lasts.
-    pub lease: u64,
+    pub lease_duration: u64,
     /// The longest time that a call to a shared dependency may state.
-    pub max_call: u64,
+    pub max_call_duration: u64,
     /// How long a call may be on its way.
-    pub max_delivery: u64,
+    pub max_delivery_delay: u64,
     /// How far the rate of a clock may be off, as a share.
     pub clock_drift: f64,
 }
 
 impl Default for LeaseTimes {
     fn default() -> LeaseTimes {
-        let quota::Config {
-            lease_duration: lease,
-            max_call_duration: max_call,
-            max_delivery_delay: max_delivery,
-            clock_drift,
-            ..
-        } = quota::Config::new(1, &["a"], "a");
-        LeaseTimes { lease, max_call, max_delivery, clock_drift }
+        let quota::Config { lease_duration, max_call_duration, max_delivery_delay, clock_drift, .. } =
+            quota::Config::new(1, &["a"], "a");
+        LeaseTimes { lease_duration, max_call_duration, max_delivery_delay, clock_drift }
     }
 }
 
 impl Fleet {
     /// The distributed quota of a shared dependency that survives `calls` concurrent calls.
     pub fn quota_config(&self, calls: u32) -> quota::Config {
-        let LeaseTimes { lease, max_call, max_delivery, clock_drift } = self.leases;
+        let LeaseTimes { lease_duration, max_call_duration, max_delivery_delay, clock_drift } = self.leases;
         let own_name = self.membership.name.clone();
         let peers = self.membership.peers.iter().map(|peer| peer.name.clone());
         let roster = peers.chain([own_name.clone()]).collect();
@@ -72,9 +67,9 @@
             total: calls,
             roster,
             own_name,
-            lease_duration: lease,
-            max_call_duration: max_call,
-            max_delivery_delay: max_delivery,
+            lease_duration,
+            max_call_duration,
+            max_delivery_delay,
             clock_drift,
         }
     }
@@ -231,9 +226,9 @@
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
     let leases = LeaseTimes {
-        lease: properties.millis("loan-ms", defaults.lease),
-        max_call: properties.millis("call-ms", defaults.max_call),
-        max_delivery: properties.millis("delivery-ms", defaults.max_delivery),
+        lease_duration: properties.millis("loan-ms", defaults.lease_duration),
+        max_call_duration: properties.millis("call-ms", defaults.max_call_duration),
+        max_delivery_delay: properties.millis("delivery-ms", defaults.max_delivery_delay),
         clock_drift: properties.number("drift", defaults.clock_drift),
     };
     properties.finish();
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!((&*fleet.membership.name, &*fleet.membership.zone), ("n1", "west"));
     assert_eq!(fleet.addresses[1], "127.0.0.1:7403".parse().expect("an address"));
     assert_eq!(fleet.shared, [("billing".to_owned(), 40)]);
-    assert_eq!((fleet.membership.timing.probe_interval, fleet.leases.max_call), (250_000, 800_000));
+    assert_eq!((fleet.membership.timing.probe_interval, fleet.leases.max_call_duration), (250_000, 800_000));
     assert_eq!(
         (fleet.quota_config(40).own_share(), operator.dependencies.dependencies[1].concurrency_ceiling()),
         (14, 10)
