--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use umberloom_fault_harness::linear::breaches;
 use umberloom_fault_harness::virtual_record::VirtualRecord;
-use umberloom_replicated_store::{Config, Event, Role};
+use umberloom_replicated_store::{Config, Event, Replica, Role};
 
 const SECOND: u64 = 1_000_000;
 
@@ -125,13 +125,13 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         let liar = fleet.leader().expect("a leader");
-        let copy = fleet.record(liar).map(|r| r.replica_id());
+        let copy = fleet.record(liar).map(Replica::replica_id);
         fleet.lie(liar);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         fleet.kill(liar, true);
         fleet.start(liar);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        found += usize::from(fleet.record(liar).map(|r| r.replica_id()) != copy);
+        found += usize::from(fleet.record(liar).map(Replica::replica_id) != copy);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "seed {seed}");
     }
@@ -219,7 +219,7 @@
         let voter =
             (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
         let image = fleet.image(voter);
-        let number = fleet.record(voter).map(|r| r.replica_id());
+        let number = fleet.record(voter).map(Replica::replica_id);
         run_clients(&mut fleet, &mut random, 5, 2 * SECOND).expect("sound");
         match set_back {
             true => fleet.put_back(voter, image),
@@ -227,7 +227,7 @@
         }
         fleet.start(voter);
         fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        let now = fleet.record(voter).map(|r| r.replica_id());
+        let now = fleet.record(voter).map(Replica::replica_id);
         assert_ne!(number, now, "set back: {set_back}");
         assert_eq!(fleet.aside.len(), usize::from(set_back), "{:?}", fleet.aside);
         let state = fleet.record(voter).expect("runs").state();
@@ -252,27 +252,27 @@
     fleet.until(10 * SECOND, replaced).expect("replaced");
     fleet.start(voter);
     fleet.until(10 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(voter).map(|r| r.role()), Some(Role::Learner));
+    assert_eq!(fleet.record(voter).map(Replica::role), Some(Role::Learner));
 }
 
 #[test]
 fn a_fleet_that_lost_all_disks_bootstraps_a_new_store() {
     let mut fleet = settled(3, 3, 8, short_timeouts);
-    let first = fleet.record(0).map(|r| r.store_id());
+    let first = fleet.record(0).map(Replica::store_id);
     (0..3).for_each(|n| fleet.lose_disk(n));
     (0..3).for_each(|n| fleet.start(n));
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_ne!(fleet.record(0).map(|r| r.store_id()), first);
+    assert_ne!(fleet.record(0).map(Replica::store_id), first);
     assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped { .. })).count(), 2);
     // With disks it is the old one, whatever the order.
-    let second = fleet.record(0).map(|r| r.store_id());
+    let second = fleet.record(0).map(Replica::store_id);
     (0..3).for_each(|n| fleet.kill(n, true));
     for n in [2, 0, 1] {
         fleet.start(n);
         fleet.run(fleet.now + SECOND).expect("sound");
     }
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(0).map(|r| r.store_id()), second);
+    assert_eq!(fleet.record(0).map(Replica::store_id), second);
 }
 
 #[test]
@@ -321,7 +321,7 @@
     let mut fleet = settled(5, 3, 21, short_timeouts);
     fleet.write(0, "x", None);
     fleet.run(fleet.now + SECOND).expect("sound");
-    let first = fleet.record(0).map(|r| r.store_id());
+    let first = fleet.record(0).map(Replica::store_id);
     let cut = 4;
     fleet.cut.extend((0..4).flat_map(|n| [(n, cut), (cut, n)]));
     fleet
@@ -334,7 +334,7 @@
     fleet.cut.clear();
     fleet.run(fleet.now + 5 * SECOND).expect("sound");
     assert!(
-        (0..4).all(|n| fleet.record(n).map(|r| r.store_id()) == first),
+        (0..4).all(|n| fleet.record(n).map(Replica::store_id) == first),
         "the majority has left its record"
     );
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
@@ -343,7 +343,7 @@
     fleet.lose_disk(cut);
     fleet.start(cut);
     fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(cut).map(|r| r.store_id()), first);
+    assert_eq!(fleet.record(cut).map(Replica::store_id), first);
     assert_eq!(fleet.record(cut).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
 }
 
