--- a/crates/dependencies/benches/decision.rs
+++ b/crates/dependencies/benches/decision.rs
@@ -41,22 +41,22 @@
         plans: vec![plan(1), plan(8)],
         ..Config::default()
     };
-    Engine::new(0, config, 1).expect("no mistakes")
+    Engine::new(0, config, 1).expect("a valid configuration")
 }
 
-/// Plans of so many calls, each call answered after 20 ms, with 32 plans under way.
+/// Plans of so many calls, each call answered after 20 ms, with 32 plans in flight.
 #[divan::bench(args = [1, 8])]
-fn plan_from_beginning_to_end(bencher: divan::Bencher, calls: usize) {
+fn plan_from_start_to_end(bencher: divan::Bencher, calls: usize) {
     let class = format!("c{calls}");
     let (engine, now, next) = (RefCell::new(engine()), Cell::new(0), Cell::new(0));
-    let flying = RefCell::new(std::collections::VecDeque::new());
+    let in_flight = RefCell::new(std::collections::VecDeque::new());
     let step = || {
-        let (mut engine, mut flying) = (engine.borrow_mut(), flying.borrow_mut());
+        let (mut engine, mut in_flight) = (engine.borrow_mut(), in_flight.borrow_mut());
         now.set(now.get() + 1_000);
         next.set(next.get() + 1);
         let mut out = Vec::with_capacity(32);
         let due = now.get() + 1_000_000;
-        let ask = PlanRequest {
+        let request = PlanRequest {
             plan: next.get(),
             class: &class,
             priority_level: 1,
@@ -65,15 +65,15 @@
             request_deadline: due,
             is_retry: false,
         };
-        engine.start_plan(now.get(), &ask, &mut out);
-        while flying.len() > 32 * calls {
-            let Some(attempt) = flying.pop_front() else { break };
+        engine.start_plan(now.get(), &request, &mut out);
+        while in_flight.len() > 32 * calls {
+            let Some(attempt) = in_flight.pop_front() else { break };
             engine.handle_attempt_end(now.get(), attempt, Outcome::Ok, Vec::new(), &mut out);
         }
         engine.handle_timeout(now.get(), &mut out);
         for action in out {
             if let Action::StartAttempt { attempt, .. } = action {
-                flying.push_back(attempt);
+                in_flight.push_back(attempt);
             }
         }
     };
--- a/crates/dependencies/src/config/tests.rs
+++ b/crates/dependencies/src/config/tests.rs
@@ -4,7 +4,7 @@
 type Mistake = fn(&mut Config);
 
 fn valid_config() -> Config {
-    let call = |name: &str, needed| CallConfig { dependency: name.to_owned(), required: needed };
+    let call = |name: &str, required| CallConfig { dependency: name.to_owned(), required };
     let stage = |calls| StageConfig { weight: 1.0, min_time: 0, max_time: 1_000_000, calls };
     let stages = vec![stage(vec![call("a", true), call("b", false)])];
     Config {
--- a/crates/dependencies/src/latency/tests.rs
+++ b/crates/dependencies/src/latency/tests.rs
@@ -6,8 +6,9 @@
     (0..19).for_each(|_| latency.record(1, 1_000));
     assert_eq!(latency.quantile(1, 0.5), None);
     latency.record(1, 100_000);
-    let near =
-        |found: Option<Micros>, wanted: Micros| found.is_some_and(|f| f.abs_diff(wanted) <= wanted / 50);
+    let near = |found: Option<Micros>, expected: Micros| {
+        found.is_some_and(|f| f.abs_diff(expected) <= expected / 50)
+    };
     assert!(near(latency.quantile(1, 0.5), 1_000) && near(latency.quantile(1, 1.0), 100_000));
     // In the next span the old counts until there is enough that is new.
     latency.record(WINDOW, 5_000);
--- a/crates/dependencies/src/retry/tests.rs
+++ b/crates/dependencies/src/retry/tests.rs
@@ -9,12 +9,12 @@
 #[test]
 fn outage_empties_the_budget() {
     let mut budget = RetryBudget::new(POLICY);
-    let taken = (0..1_000).filter(|_| {
+    let withdrawn = (0..1_000).filter(|_| {
         budget.record_first_attempt();
         budget.try_withdraw()
     });
     // Three saved up, and one for ten.
-    assert_eq!(taken.count(), 102);
+    assert_eq!(withdrawn.count(), 102);
 }
 
 #[test]
@@ -38,8 +38,8 @@
     for retries in [0, 1, 3] {
         let waits: Vec<Micros> = (0..2_000).map(|_| backoff(&POLICY, retries, &mut random)).collect();
         let mean = waits.iter().sum::<u64>() as f64 / 2_000.0;
-        let wanted = 1_000.0 * f64::from(1 << retries);
-        assert!((mean / wanted - 1.0).abs() < 0.05, "{retries}: {mean}");
+        let expected = 1_000.0 * f64::from(1 << retries);
+        assert!((mean / expected - 1.0).abs() < 0.05, "{retries}: {mean}");
         assert!(waits.iter().all(|&w| w <= 2_000 << retries));
     }
     let far = backoff(&POLICY, 40, &mut random);
--- a/crates/dependencies/src/time_budget/tests.rs
+++ b/crates/dependencies/src/time_budget/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn claim(share: f64, least: Micros, most: Micros, needed: bool) -> StageClaim {
-    StageClaim { weight: share, min_time: least, max_time: most, required: needed }
+fn claim(weight: f64, min_time: Micros, max_time: Micros, required: bool) -> StageClaim {
+    StageClaim { weight, min_time, max_time, required }
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn samples_from_a_stall_are_unlearned() {
     let mut estimate = LocalWorkEstimate::default();
     (0..20).for_each(|_| estimate.record(4_000));
-    // Runs that were under way while the process stood still seem to have taken seconds.
+    // Requests in flight during a stall of the process seem to have taken seconds.
     (0..10).for_each(|_| estimate.record(5_000_000));
     // As long as calls get some time, runs end and teach again.
     let mut rounds = 0;
@@ -74,7 +74,7 @@
 
 proptest! {
     /// Every stage in turn, whatever each spends: none gets more than is left or than its ceiling, and the
-    /// floors of needed stages are kept for them by those that may be missing.
+    /// minimum times of required stages are left to them by optional ones.
     #[test]
     fn stage_times_never_exceed_what_is_left(
         left in 0u64..10_000_000,
@@ -82,14 +82,14 @@
             (0.01f64..100.0, 0u64..1_000_000, 0u64..5_000_000, any::<bool>(), 0.0f64..=1.0), 1..8),
     ) {
         let claims: Vec<StageClaim> =
-            stages.iter().map(|&(w, least, more, needed, _)| claim(w, least, least + more, needed)).collect();
+            stages.iter().map(|&(weight, min, range, required, _)| claim(weight, min, min + range, required)).collect();
         let mut left = left;
         for (place, stage) in stages.iter().enumerate() {
             let Some(time) = first_stage_time(left, &claims[place..]) else { continue };
             prop_assert!(time <= left && time >= claims[place].min_time && time <= claims[place].max_time);
-            let needed: u64 = claims[place + 1..].iter().filter(|c| c.required).map(|c| c.min_time).sum();
-            if !claims[place].required && left >= needed {
-                prop_assert!(left - time >= needed);
+            let required: u64 = claims[place + 1..].iter().filter(|c| c.required).map(|c| c.min_time).sum();
+            if !claims[place].required && left >= required {
+                prop_assert!(left - time >= required);
             }
             left -= (time as f64 * stage.4) as u64;
         }
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -97,7 +97,7 @@
         (Behaviour::Hang, "DeadlineExceeded"),
         (Behaviour::Reset, "ConnectionLost"),
         (Behaviour::failing(), "Failed"),
-        (Behaviour::turning_away(), "Refused"),
+        (Behaviour::turning_away(), "Rejected"),
         (Behaviour::Drip { body: vec![b'x'; 100], every_ms: 20 }, "DeadlineExceeded"),
         (Behaviour::Lie { body: b"short".to_vec(), by: 5 }, "ConnectionLost"),
         (Behaviour::Endless, "ConnectionLost"),
@@ -249,7 +249,7 @@
     let cases = [
         (AjpBehaviour::Answer(200, b"notes".to_vec()), "notes"),
         (AjpBehaviour::Answer(500, vec![]), "Failed"),
-        (AjpBehaviour::NotBegun(503), "Refused"),
+        (AjpBehaviour::NotBegun(503), "Rejected"),
         (AjpBehaviour::Hang, "DeadlineExceeded"),
         (AjpBehaviour::Cut, "ConnectionLost"),
         (AjpBehaviour::Noise, "ConnectionLost"),
