--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -1,5 +1,7 @@
 //! The fleet's part in the life of the process: its limits, its start, and what may change on reload.
 
+mod digest_form;
+
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -7,7 +9,6 @@
 use async_executor::LocalExecutor;
 use slog::Logger;
 use thiserror::Error;
-use umberloom::interface::Settings;
 use umberloom_membership::wire::{digest, BuildInfo};
 use umberloom_operator_config::{Fleet as FleetConfig, Operator, Position, Record};
 
@@ -89,14 +90,14 @@
 /// The program's version and digests of its configuration, by which operators compare servers. Names and addresses,
 /// which differ from server to server, are left out.
 pub fn build_info(server: &Config, operator: &Operator) -> BuildInfo {
-    let settings = Settings { seed: 0, starts_cold: false, ..server.settings.clone() };
-    let dependencies = (&operator.dependencies, &operator.services);
+    let settings = digest_form::settings_text(&server.settings);
+    let dependencies = digest_form::dependencies_text(operator);
     let quota_basis = operator.fleet.as_ref().map_or_else(String::new, FleetConfig::basis);
     BuildInfo {
         zone: String::new(),
         program: env!("CARGO_PKG_VERSION").to_owned(),
-        config: digest(&format!("{settings:?}")),
-        operator: digest(&format!("{dependencies:?} {quota_basis}")),
+        config: digest(&settings),
+        operator: digest(&format!("{dependencies} {quota_basis}")),
         shares: if quota_basis.is_empty() { 0 } else { digest(&quota_basis) },
     }
 }
--- a/crates/server/src/lifecycle/fleet/tests.rs
+++ b/crates/server/src/lifecycle/fleet/tests.rs
@@ -1,4 +1,7 @@
+use std::path::Path;
+
 use super::*;
+use crate::lifecycle::config_files::load_operator;
 
 /// The example's fleet, with parts of its text replaced.
 fn fleet(changes: &[(&str, &str)]) -> FleetConfig {
@@ -73,3 +76,20 @@
     assert!(check_reload("f", None, Some(&old)).is_err() && check_reload("f", Some(&old), None).is_err());
     assert_eq!(check_reload("f", None, None), Ok(()));
 }
+
+#[test]
+fn digests_of_the_configuration_are_those_of_version_0_2_0() {
+    // Written by commit 604394b for the same files: members of both versions compare them during a roll.
+    let golden = [
+        ("operator.kdl", 13_024_996_230_927_598_769, 1_230_908_082_770_570_781, 0),
+        ("fleet.kdl", 13_024_996_230_927_598_769, 6_669_981_574_053_675_783, 18_249_752_022_403_950_875),
+    ];
+    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
+    let server = Config::load(&deploy.join("example.json")).expect("a sound configuration");
+    for (file, config_digest, operator_digest, quota_digest) in golden {
+        let operator = load_operator(&deploy.join(file), Some(&server)).expect("a sound operator's file");
+        let info = build_info(&server, &operator);
+        assert_eq!((info.config, info.operator), (config_digest, operator_digest), "{file}");
+        assert_eq!(info.shares, quota_digest, "{file}");
+    }
+}
