--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -141,6 +141,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, one a line")]
 fn mistakes_in_dependencies_and_plans_are_reported_at_their_places() {
     let cases = [
         ("dependencies \"a\"\n", "f:1:1: found \"dependencies\", expected one of"),
--- a/crates/server/src/wire/buffer.rs
+++ b/crates/server/src/wire/buffer.rs
@@ -49,7 +49,7 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Notes that `n` bytes were read into [`Buffer::space`].
+    /// Notes that `n` bytes were read into [`Buffer::spare_capacity`].
     pub fn advance(&mut self, n: usize) {
         self.end = (self.end + n).min(self.bytes.len());
     }
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -1,7 +1,7 @@
 //! Frames on the streams between servers, and operators' requests on the same port.
 //!
 //! A frame is its length (4 bytes, big endian, the kind included), its kind (1 byte) and its content. A longer one
-//! than [`LONGEST`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
+//! than [`MAX_CONTENT_BYTES`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
 
 use serde::{Deserialize, Serialize};
 use umberloom_membership::{Evidence, MemberView, MessageCounts, PartitionStatus};
