--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -10,11 +10,14 @@
 //! - [`virtual_fleet`] has up to a thousand members in one process, on virtual time, and [`virtual_record`] a record with
 //!   its disks; [`linear`] says whether what clients saw of it is linearizable.
 //!
+//! [`golden`] compares encoded bytes with those of an earlier version.
+//!
 //! All waits are bounded, all addresses are on loopback, and every process is ended by its own id.
 #![allow(missing_docs)]
 
 pub mod check;
 pub mod fleet;
+pub mod golden;
 pub mod history;
 pub mod linear;
 pub mod relay;
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,6 +1,7 @@
 //! The bytes of each kind of message between members, as written by commit 604394b: servers of that version and of this
 //! one form one fleet while a new version is rolled out.
 
+use umberloom_fault_harness::golden::{assert_decoded, assert_encoded};
 use umberloom_membership::wire::{
     Body, BuildInfo, Header, Key, Message, SenderStatus, ViewRow, MAX_MESSAGE_LEN,
 };
@@ -65,31 +66,14 @@
     all
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-    (0..hex.len()).step_by(2).map(digit).collect()
-}
-
 #[test]
 fn sealed_messages_are_written_byte_for_byte_as_before() {
     let key = Key::new("harbour", "a secret of twenty bytes");
-    let lines: Vec<String> =
-        messages().iter().map(|(name, message)| format!("{name} {}", hex(&key.seal(message)))).collect();
-    assert_eq!(lines.join("\n"), GOLDEN.trim_end());
+    assert_encoded(&messages(), GOLDEN, |message| key.seal(message));
 }
 
 #[test]
 fn sealed_messages_of_the_earlier_version_are_read() {
     let key = Key::new("harbour", "a secret of twenty bytes");
-    let golden: Vec<&str> = GOLDEN.lines().collect();
-    assert_eq!(golden.len(), messages().len());
-    for (line, (name, message)) in golden.into_iter().zip(messages()) {
-        let (golden_name, sealed) = line.split_once(' ').expect("a name and bytes");
-        assert_eq!(golden_name, name);
-        assert_eq!(key.open::<Message>(&bytes(sealed), MAX_MESSAGE_LEN), Ok(message), "{name}");
-    }
+    assert_decoded(&messages(), GOLDEN, |sealed| key.open::<Message>(sealed, MAX_MESSAGE_LEN).ok());
 }
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -3,6 +3,7 @@
 
 use std::path::Path;
 
+use umberloom_fault_harness::golden::{assert_decoded, assert_encoded};
 use umberloom_membership::MemberName;
 use umberloom_replicated_store::entry::{Content, DocumentPart, DocumentUpdate, Entry, Envelope};
 use umberloom_replicated_store::export::Export;
@@ -19,15 +20,6 @@
 const ENVELOPES: &str = include_str!("golden/envelopes.txt");
 const EXPORT: &[u8] = include_bytes!("golden/export");
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-    (0..hex.len()).step_by(2).map(digit).collect()
-}
-
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let seen = DurableProgress { starts: 3, term: 500, last_index: 70_000 };
     let status = StatusMessage {
@@ -80,40 +72,29 @@
 
 #[test]
 fn messages_are_written_byte_for_byte_as_before() {
-    let lines: Vec<String> =
-        messages().iter().map(|(name, word)| format!("{name} {}", hex(&message::encode(word)))).collect();
-    assert_eq!(lines.join("\n"), MESSAGES.trim_end());
+    assert_encoded(&messages(), MESSAGES, message::encode);
 }
 
 #[test]
 fn messages_of_the_earlier_version_are_read() {
-    let golden: Vec<&str> = MESSAGES.lines().collect();
-    assert_eq!(golden.len(), messages().len());
-    for (line, (name, word)) in golden.into_iter().zip(messages()) {
-        let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
-        assert_eq!((golden_name, message::decode(&bytes(written))), (name, Some(word)));
-    }
+    assert_decoded(&messages(), MESSAGES, message::decode);
 }
 
 #[test]
 fn log_entries_are_written_byte_for_byte_as_before() {
-    let write = |entry: &Entry| hex(&entry.to_envelope(1 << 100, "server-a", 1_700_000_000_123).to_bytes());
-    let lines: Vec<String> =
-        entries().iter().map(|(name, entry)| format!("{name} {}", write(entry))).collect();
-    assert_eq!(lines.join("\n"), ENVELOPES.trim_end());
+    let encode = |entry: &Entry| entry.to_envelope(1 << 100, "server-a", 1_700_000_000_123).to_bytes();
+    assert_encoded(&entries(), ENVELOPES, encode);
 }
 
 #[test]
 fn log_entries_of_the_earlier_version_are_read() {
-    let golden: Vec<&str> = ENVELOPES.lines().collect();
-    assert_eq!(golden.len(), entries().len());
-    for (line, (name, entry)) in golden.into_iter().zip(entries()) {
-        let (golden_name, written) = line.split_once(' ').expect("a name and bytes");
-        let envelope = Envelope::from_bytes(&bytes(written)).expect("an envelope");
-        assert_eq!((golden_name, envelope.decode()), (name, Some(entry)));
+    let decode = |bytes: &[u8]| {
+        let envelope = Envelope::from_bytes(bytes)?;
         assert_eq!((envelope.id, envelope.author.as_str()), (1 << 100, "server-a"));
         assert_eq!(envelope.written_at_ms, 1_700_000_000_123);
-    }
+        envelope.decode()
+    };
+    assert_decoded(&entries(), ENVELOPES, decode);
 }
 
 /// The history that the three servers had agreed on when they were stopped, oldest line first.
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{de::DeserializeOwned, Serialize};
+use umberloom_fault_harness::golden::{from_hex, to_hex};
 use umberloom_membership::wire::{BuildInfo, RejectReason};
 use umberloom_membership::{Evidence, MemberState, MemberView, MessageCounts, PartitionStatus};
 use umberloom_quota::{ChangeCause, QuotaStatus};
@@ -21,24 +22,15 @@
 const STATUS_JSON: &str = include_str!("golden/status.json");
 const HISTORY_JSON: &str = include_str!("golden/history.json");
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-    (0..hex.len()).step_by(2).map(digit).collect()
-}
-
 /// These values are written as the golden lines are, and the golden lines are read as these values.
 fn assert_golden<T>(values: &[T], golden: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let write = |value: &T| hex(&postcard::to_allocvec(value).expect("serializable"));
+    let write = |value: &T| to_hex(&postcard::to_allocvec(value).expect("serializable"));
     assert_eq!(values.iter().map(write).collect::<Vec<_>>().join("\n"), golden.trim_end());
     for (value, line) in values.iter().zip(golden.lines()) {
-        assert_eq!(postcard::from_bytes::<T>(&bytes(line)).as_ref(), Ok(value));
+        assert_eq!(postcard::from_bytes::<T>(&from_hex(line)).as_ref(), Ok(value));
     }
 }
 
