--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! The server that was built with these tests, with fakes of all its peers around it.
 #![allow(dead_code, unused_imports)]
 
+pub mod replicated_store;
+
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
 use std::process::Output;
--- /dev/null
+++ b/crates/server/tests/common/replicated_store.rs
@@ -0,0 +1,157 @@
+//! A fleet whose servers keep a replicated store, and clients that read and write it by the server's own command.
+
+use std::path::PathBuf;
+use std::process::Command;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+use umberloom_fault_harness::linear::{breaches, Operation};
+use umberloom_fault_harness::Fleet;
+
+use super::{options, program, UnwrapOrPanic};
+
+/// Starts servers that keep a store with short timeouts, with disks or in memory, under a light load of requests.
+pub fn start_fleet_with_store(servers: usize, voters: usize, with_disks: bool) -> Fleet {
+    let mut options = options(servers);
+    options.record = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
+    options.disk = with_disks.then(|| "most-mb=64".to_owned());
+    let mut fleet = Fleet::start(options).unwrap_or_else(|why| panic!("{why}"));
+    fleet.until_kept(voters).unwrap_or_panic();
+    fleet.ask(2, Duration::from_millis(20));
+    fleet
+}
+
+/// Writes a document at a server; its version.
+pub fn put_document(fleet: &Fleet, server: usize, name: &str, content: &str) -> Result<u64, String> {
+    let file = fleet.servers[server].folder.join("document");
+    std::fs::write(&file, content).map_err(|e| e.to_string())?;
+    let reply = fleet.record(server, &["put", name, &file.display().to_string()])?;
+    reply["version"].as_u64().ok_or(reply.to_string())
+}
+
+/// The latest content of a document, read at a server.
+pub fn read_latest(fleet: &Fleet, server: usize, name: &str) -> Result<String, String> {
+    let reply = fleet.record(server, &["show", name])?;
+    Ok(reply["content"].as_str().unwrap_or_default().to_owned())
+}
+
+/// Waits until a server other than `former` leads; its index.
+pub fn wait_for_other_leader(fleet: &Fleet, former: usize) -> usize {
+    let leads = |fleet: &Fleet| fleet.leader().is_some_and(|leader| leader != former);
+    fleet.until("another leader", leads).unwrap_or_panic();
+    fleet.leader().expect("a leader")
+}
+
+/// A voter that does not lead.
+pub fn any_follower(fleet: &Fleet) -> usize {
+    let follows = |server: &usize| fleet.kept(*server, "role") == "Voter";
+    (0..fleet.servers.len()).find(follows).expect("a follower")
+}
+
+/// The log lines of a server with this message.
+pub fn logged(fleet: &mut Fleet, server: usize, message: &str) -> Vec<Value> {
+    fleet.servers[server].read_log();
+    let name = fleet.servers[server].name.clone();
+    fleet.history.said(&name, message).into_iter().map(|event| event.what).collect()
+}
+
+/// One client at each server, which write and read one register until they are stopped.
+pub struct Clients {
+    stop: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<Vec<Operation>>>,
+}
+
+impl Clients {
+    /// Starts them; `seed` tells their values from those of other clients.
+    pub fn start(fleet: &Fleet, seed: u128) -> Clients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let started = Instant::now();
+        let threads = fleet.servers.iter().zip(0u128..).map(|(server, number)| {
+            let client = Client {
+                file: server.folder.join(format!("client-{seed}")),
+                operator_file: server.operator_file(),
+                address: server.fleet.to_string(),
+                number,
+                seed,
+                started,
+            };
+            let stop = stop.clone();
+            std::thread::spawn(move || client.run(&stop))
+        });
+        Clients { threads: threads.collect(), stop }
+    }
+
+    /// Stops them and asserts that at least so many operations were done and that all are linearizable.
+    pub fn finish(self, min_done: usize) {
+        self.stop.store(true, Ordering::Relaxed);
+        let all: Vec<Operation> =
+            self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect();
+        let done = all.iter().filter(|operation| operation.told.is_some()).count();
+        assert!(done >= min_done, "{done} of {} operations were done", all.len());
+        assert_eq!(breaches(&all), Vec::<String>::new());
+    }
+}
+
+/// A client of one server.
+struct Client {
+    /// Where the content that it writes is.
+    file: PathBuf,
+    operator_file: PathBuf,
+    address: String,
+    number: u128,
+    seed: u128,
+    started: Instant,
+}
+
+impl Client {
+    /// Writes in two rounds of three and reads in the third.
+    fn run(&self, stop: &AtomicBool) -> Vec<Operation> {
+        let mut operations = Vec::new();
+        for round in 0u128.. {
+            if stop.load(Ordering::Relaxed) {
+                break;
+            }
+            let is_write = !(round + self.number).is_multiple_of(3);
+            operations.push(if is_write { self.write(round) } else { self.read() });
+        }
+        operations
+    }
+
+    fn write(&self, round: u128) -> Operation {
+        let value = (self.seed << 64) + (self.number << 32) + round + 1;
+        let mut operation = Operation::write("x", self.now(), value);
+        // Without the file the command fails, and so does the operation.
+        let _ = std::fs::write(&self.file, value.to_string());
+        let reply = self.command(&["put", "x", &self.file.display().to_string()]);
+        if let Some(version) = reply.and_then(|reply| reply["version"].as_u64()) {
+            operation.done(self.now(), version, value);
+        }
+        operation
+    }
+
+    fn read(&self) -> Operation {
+        let mut operation = Operation::read("x", self.now());
+        let Some(reply) = self.command(&["show", "x"]) else { return operation };
+        let content = reply["content"].as_str().and_then(|text| text.parse().ok());
+        if let Some(version) = reply["version"].as_u64() {
+            operation.done(self.now(), version, content.unwrap_or(0));
+        }
+        operation
+    }
+
+    fn command(&self, arguments: &[&str]) -> Option<Value> {
+        let mut command = Command::new(program());
+        command.args(["fleet", "record", "--json", "--operator"]).arg(&self.operator_file);
+        let output = command.args(["--at", &self.address]).args(arguments).output().ok()?;
+        let reply: Option<Value> = serde_json::from_slice(&output.stdout).ok();
+        reply.filter(|_| output.status.success())
+    }
+
+    /// Microseconds since the clients were started.
+    fn now(&self) -> u64 {
+        self.started.elapsed().as_micros() as u64
+    }
+}
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn all_started_at_once_with_no_seed_up_find_each_other() {
+fn servers_started_together_without_a_seed_find_each_other() {
     // What they say first is lost: nobody is up yet for anybody.
     let mut fleet = Fleet::prepare(options(5)).expect("a fleet");
     fleet.set_all(Faults { cut: true, ..Faults::default() });
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn behind_a_one_way_cut_both_ends_know_that_they_do_not_reach_each_other() {
+fn both_ends_of_a_one_way_cut_know_that_they_do_not_reach_each_other() {
     let mut fleet = whole(5);
     // The first still hears the second; the second hears nothing of it.
     fleet.change(0, 1, |faults| faults.cut = true);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_cut_in_three_parts_leaves_no_majority_and_heals() {
+fn a_partition_into_three_leaves_no_majority_and_heals() {
     let fleet = whole(5);
     fleet.part(&[&[0, 1], &[2, 3], &[4]]);
     fleet.until_stands(0, "minority").unwrap_or_panic();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn over_a_bridge_nobody_is_failed_and_standings_are_by_who_is_reached() {
+fn over_a_bridge_nobody_fails_and_partition_status_follows_direct_reach() {
     let mut fleet = whole(5);
     fleet.part(&[&[0, 1], &[3, 4]]);
     for n in [0, 1, 3, 4] {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn with_a_third_of_datagrams_lost_who_lives_is_there() {
+fn live_servers_stay_present_while_a_third_of_datagrams_is_lost() {
     let fleet = whole(5);
     fleet.set_all(Faults { drop: 0.3, ..Faults::default() });
     rest(3_000);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn datagrams_doubled_and_late_count_once() {
+fn duplicated_and_late_datagrams_count_once() {
     let fleet = whole(3);
     fleet.set_all(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
     rest(2_500);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_is_damaged_is_counted_and_never_believed() {
+fn damaged_messages_are_counted_and_rejected() {
     let fleet = whole(3);
     fleet.set_all(Faults { damage: 0.1, ..Faults::default() });
     fleet
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn who_stood_still_for_long_is_given_up_and_believes_nothing_on_wake() {
+fn a_server_that_stalled_for_long_is_failed_and_trusts_nothing_when_it_wakes() {
     let mut fleet = whole(3);
     fleet.servers[2].stop(true);
     fleet.until_holds(0, 2, "failed").unwrap_or_panic();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_suspicion_that_ran_out_while_its_holder_stood_still_can_still_be_refuted() {
+fn a_suspicion_that_expired_during_a_stall_of_its_holder_can_still_be_refuted() {
     let mut told = options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=2500");
     let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_pause_of_five_seconds_within_the_time_to_give_up_costs_nothing() {
+fn a_pause_of_five_seconds_within_the_suspicion_timeout_costs_nothing() {
     let mut told = options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=20000");
     let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_restart_from_nothing_under_the_same_name_takes_its_place_at_once() {
+fn a_restarted_process_takes_over_its_name_at_once() {
     let mut fleet = whole(3);
     let before = member(&fleet, 0, 1)["boot"].as_u64();
     fleet.servers[1].kill();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_second_process_of_a_name_elsewhere_is_told_and_falls_silent() {
+fn a_second_process_with_a_name_at_another_address_is_fenced() {
     let mut fleet = twins();
     fleet.servers[3].start().expect("a process");
     fleet
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn where_an_address_moved_the_later_process_has_the_name_and_the_earlier_is_told() {
+fn after_an_address_moved_the_later_process_has_the_name_and_the_earlier_is_fenced() {
     let mut fleet = twins();
     for n in [1, 2] {
         fleet.relay(n, 0).lead(fleet.servers[3].fleet);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn the_last_one_of_a_fleet_serves_alone() {
+fn the_last_server_of_a_fleet_serves_alone() {
     let mut fleet = whole(4);
     (1..4).for_each(|n| fleet.servers[n].kill());
     fleet.until_stands(0, "alone").unwrap_or_panic();
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_link_that_flaps_moves_nobody_faster_than_the_damping() {
+fn a_flapping_link_changes_no_status_faster_than_the_damping_allows() {
     let mut told = options(3);
     told.timing = told.timing.replace("damp-ms=500", "damp-ms=1800");
     told.damp_ms = 1_800;
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn where_datagrams_die_streams_carry_what_they_would_have() {
+fn streams_carry_membership_where_datagrams_are_lost() {
     let mut fleet = whole(4);
     fleet.set_all(Faults { no_datagrams: true, ..Faults::default() });
     rest(3_000);
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn one_that_accepts_and_never_reads_holds_up_nobody() {
+fn a_peer_that_accepts_and_never_reads_blocks_nobody() {
     let fleet = whole(3);
     fleet.change(0, 1, |faults| faults.stall = true);
     fleet.change(2, 1, |faults| faults.stall = true);
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn messages_of_the_past_bring_nobody_back() {
+fn replayed_messages_revive_nobody() {
     let mut fleet = whole(3);
     rest(1_000);
     let past = fleet.direction(1, 0).remembered();
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn who_leaves_says_so_and_is_not_missed() {
+fn a_leaving_server_announces_it_and_is_not_suspected() {
     let mut fleet = whole(4);
     fleet.servers[3].terminate();
     fleet.until_holds(0, 3, "leaving").unwrap_or_panic();
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn a_file_with_other_peers_is_taken_up_whole_or_not_at_all() {
+fn a_changed_roster_is_applied_completely_or_not_at_all() {
     let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
     for n in 0..3 {
         fleet.told_of[n].retain(|other| *other != 2);
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn two_that_hold_different_views_for_long_are_told_and_why() {
+fn lasting_view_divergence_is_logged_with_its_rows() {
     let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
     // The second was never told of the third.
     fleet.told_of[1].retain(|other| *other != 2);
--- a/crates/server/tests/fleet_quota.rs
+++ b/crates/server/tests/fleet_quota.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_others_do_not_need_goes_to_the_one_that_does() {
+fn idle_permits_are_lent_to_the_server_with_demand() {
     let fleet = uneven(4);
     until_borrowed(&fleet, 0);
     fleet.until("more than its part in use", |fleet| fleet.most_in_use() >= 8).unwrap_or_panic();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_server_that_is_cut_off_falls_back_to_its_own_part() {
+fn a_server_that_is_cut_off_falls_back_to_its_own_share() {
     let fleet = uneven(3);
     until_borrowed(&fleet, 0);
     fleet.part(&[&[0], &[1, 2]]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_borrower_that_wakes_after_its_loan_does_not_use_it() {
+fn a_borrower_that_wakes_after_its_lease_does_not_use_it() {
     let mut fleet = uneven(3);
     for round in 0..6 {
         until_borrowed(&fleet, 0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn lenders_and_borrowers_that_start_again_forget_no_loan_and_no_call() {
+fn restarts_of_lenders_and_borrowers_forget_no_lease_and_no_call() {
     let mut fleet = uneven(3);
     for n in [1, 0, 2, 0] {
         until_borrowed(&fleet, 0);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_drain_of_a_lender_is_not_held_up_and_its_loans_run_out() {
+fn a_lender_drains_without_delay_and_its_leases_expire() {
     let mut fleet = uneven(3);
     until_borrowed(&fleet, 0);
     fleet.servers[1].terminate();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_file_that_takes_out_the_borrower_leaves_the_whole_as_it_is() {
+fn removing_the_borrower_from_the_roster_keeps_the_quota() {
     let mut fleet = uneven(4);
     until_borrowed(&fleet, 0);
     // The borrower's process ends, and the others are told that it is gone: their parts grow once all agree.
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_dependency_that_one_part_of_a_cut_reaches_is_used_by_that_part() {
+fn a_dependency_reached_by_one_side_of_a_partition_is_used_by_that_side() {
     let fleet = uneven(4);
     until_borrowed(&fleet, 0);
     fleet.part(&[&[0, 1], &[2, 3]]);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn in_all_weathers_the_whole_holds() {
+fn the_quota_holds_under_all_network_faults() {
     let fleet = uneven(4);
     let bad = Faults { drop: 0.2, double: 1.0, damage: 0.05, reorder: 0.3, late_ms: 40, ..Faults::default() };
     for faults in [bad, Faults { no_datagrams: true, ..bad }, Faults { stall: true, ..bad }] {
@@ -179,7 +179,7 @@
 
 /// Drawn faults of all kinds, two at a time now and then. A seed that fails is printed with its script, and stays.
 #[test]
-fn drawn_faults_break_nothing() {
+fn random_faults_violate_no_invariant() {
     for seed in [1, 2, 3] {
         let mut fleet = uneven(4);
         let drawn = Script::draw(seed, 4, 8, &script::KINDS);
