--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -1,360 +1,93 @@
 //! The nodes `kept`, `dependency` and `plan`.
 
-use std::net::SocketAddr;
+mod dependency;
+mod plan;
 
 use kdl::{KdlDocument, KdlNode};
-use umberloom_dependencies::config::{
-    At, Bounds, Breaker, Call, Config, Dependency, Fallback, FallbackCacheLimits, Hedge, Plan, Retry, Route,
-    Stage,
-};
+use umberloom_dependencies::config::{At, Config, FallbackCacheLimits};
 
-use crate::node::{list, show, Reader};
-use crate::{Ajp, Operator, Service, PLATFORM};
+use crate::reader::Reader;
+use crate::Service;
+use plan::StageOffsets;
 
-/// Path of the platform's records service.
-const RECORDS: &str = "/records/op";
-/// Endpoints that one node may name.
-const ENDPOINTS: usize = 64;
-/// The longest share of time for a stage, unless set: a minute.
-const LONGEST: u64 = 60_000_000;
+/// How many endpoints one dependency, or calls one node of a plan, may name.
+const MAX_NAMES: usize = 64;
 
-/// Where the stages of a plan stand, and the calls in each.
-type StagePlaces = Vec<(usize, Vec<usize>)>;
+/// What the nodes say.
+pub struct Dependencies {
+    /// Dependencies and plans.
+    pub config: Config,
+    /// How each dependency is reached, in the same order.
+    pub services: Vec<Service>,
+}
 
 /// Where nodes stand, so that mistakes in what they say together have a place too.
 #[derive(Default)]
-struct Places {
+struct Offsets {
     kept: usize,
     dependencies: Vec<usize>,
-    plans: Vec<(usize, StagePlaces)>,
+    plans: Vec<PlanOffsets>,
+}
+
+struct PlanOffsets {
+    node: usize,
+    stages: Vec<StageOffsets>,
 }
 
-impl Places {
-    fn of(&self, at: At) -> usize {
+impl Offsets {
+    /// The byte of the node that a mistake is about; 0 if there is none.
+    fn find(&self, at: At) -> usize {
         let plan = |p: usize| self.plans.get(p);
-        let stage = |p: usize, s: usize| plan(p).and_then(|(_, stages)| stages.get(s));
-        let found = match at {
+        let stage = |p: usize, s: usize| plan(p).and_then(|plan| plan.stages.get(s));
+        let offset = match at {
             At::Kept => Some(self.kept),
             At::Dependency(d) => self.dependencies.get(d).or(self.dependencies.last()).copied(),
-            At::Plan(p) => plan(p).map(|(at, _)| *at),
-            At::Stage(p, s) => stage(p, s).map(|(at, _)| *at),
-            At::Call(p, s, c) => stage(p, s).and_then(|(_, calls)| calls.get(c).copied()),
+            At::Plan(p) => plan(p).map(|plan| plan.node),
+            At::Stage(p, s) => stage(p, s).map(|stage| stage.node),
+            At::Call(p, s, c) => stage(p, s).and_then(|stage| stage.calls.get(c).copied()),
         };
-        found.unwrap_or(0)
+        offset.unwrap_or(0)
     }
 }
 
-pub fn read(reader: &mut Reader, document: &KdlDocument, classes: Option<&[String]>) -> Operator {
-    let (mut places, mut config, mut services) = (Places::default(), Config::default(), Vec::new());
-    if let Some(node) = reader.one(Some(document), "kept") {
-        places.kept = node.span().offset();
-        config.kept = kept(reader, node);
+/// Reads the nodes. `classes` are the names that plans may be for, where they are known.
+pub fn read(reader: &mut Reader, document: &KdlDocument, classes: Option<&[String]>) -> Dependencies {
+    let mut offsets = Offsets::default();
+    let mut config = Config::default();
+    let mut services = Vec::new();
+    if let Some(node) = reader.single(Some(document), "kept") {
+        offsets.kept = node.span().offset();
+        config.kept = fallback_cache_limits(reader, node);
     }
     for node in document.nodes() {
+        let offset = node.span().offset();
         match node.name().value() {
             "dependency" => {
-                let (dependency, service) = dependency(reader, node);
-                places.dependencies.push(node.span().offset());
+                let (dependency, service) = dependency::read(reader, node);
+                offsets.dependencies.push(offset);
                 config.dependencies.push(dependency);
                 services.push(service);
             }
             "plan" => {
-                let (plan, stages) = plan(reader, node, classes);
-                places.plans.push((node.span().offset(), stages));
+                let (plan, stages) = plan::read(reader, node, classes);
+                offsets.plans.push(PlanOffsets { node: offset, stages });
                 config.plans.push(plan);
             }
             _ => {}
         }
     }
     for mistake in config.validate() {
-        reader.fault(places.of(mistake.at), mistake.what);
+        reader.report(offsets.find(mistake.at), mistake.what);
     }
-    Operator { dependencies: config, services, fleet: None }
+    Dependencies { config, services }
 }
 
-fn kept(reader: &mut Reader, node: &KdlNode) -> FallbackCacheLimits {
-    let unless_set = FallbackCacheLimits::default();
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let entries = from.whole("entries", unless_set.entries as u64, (0, 1 << 20)) as usize;
-    let bytes = from.whole("kb", unless_set.bytes as u64 / 1_024, (0, 1 << 20)) as usize * 1_024;
-    from.done();
+fn fallback_cache_limits(reader: &mut Reader, node: &KdlNode) -> FallbackCacheLimits {
+    let defaults = FallbackCacheLimits::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let entries = properties.integer("entries", defaults.entries as u64, 0..=1 << 20) as usize;
+    let bytes = properties.integer("kb", defaults.bytes as u64 / 1_024, 0..=1 << 20) as usize * 1_024;
+    properties.finish();
     FallbackCacheLimits { entries, bytes }
 }
-
-fn dependency(reader: &mut Reader, node: &KdlNode) -> (Dependency, Service) {
-    let name = reader.text(node, "a name").unwrap_or_default();
-    reader.properties(node).with_arguments().done();
-    let within = node.children();
-    let names = [
-        "platform",
-        "endpoints",
-        "path",
-        "transport",
-        "safe-to-repeat",
-        "retry",
-        "hedge",
-        "limit",
-        "endpoint-limit",
-        "survives",
-        "breaker",
-        "no-breaker",
-        "route",
-        "fallback",
-    ];
-    if let Some(within) = within {
-        reader.only(within, &names);
-    }
-    let mut found = Dependency::new(&name, &[]);
-    let (addresses, path) = reached(reader, node, within);
-    found.endpoints = addresses.iter().map(SocketAddr::to_string).collect();
-    if reader.one(within, "platform").is_some() {
-        found.endpoints = vec![PLATFORM.to_owned()];
-    }
-    if let Some(node) = reader.one(within, "safe-to-repeat") {
-        found.repeatable = true;
-        reader.leaf(node);
-        reader.texts(node, 0);
-        reader.properties(node).done();
-    }
-    if let Some(node) = reader.one(within, "retry") {
-        found.retry = retry(reader, node);
-    }
-    if let Some(node) = reader.one(within, "hedge") {
-        let mut from = reader.properties(node);
-        found.hedge =
-            Some(Hedge { quantile: from.number("quantile", 0.95), least: from.millis("least-ms", 1_000) });
-        from.done();
-    }
-    if let Some(node) = reader.one(within, "limit") {
-        found.limit = bounds(reader, node, found.limit);
-    }
-    if let Some(node) = reader.one(within, "endpoint-limit") {
-        found.endpoint_limit = bounds(reader, node, found.endpoint_limit);
-    }
-    if let Some(node) = reader.one(within, "survives") {
-        let mut from = reader.properties(node);
-        let calls = from.required("calls");
-        let servers = from.whole("servers", 1, (1, 1_000_000)) as u32;
-        found.survives = Some((calls, servers));
-        from.done();
-    }
-    if let Some(node) = reader.one(within, "breaker") {
-        found.breaker = Some(breaker(reader, node));
-    }
-    if let Some(node) = reader.one(within, "no-breaker") {
-        reader.leaf(node);
-        if found.breaker != Dependency::new("", &[]).breaker {
-            reader.fault(
-                node.span().offset(),
-                "found \"no-breaker\" with a breaker, expected one or the other",
-            );
-        }
-        found.breaker = None;
-    }
-    if let Some(node) = reader.one(within, "route") {
-        found.route = route(reader, node);
-    }
-    if let Some(node) = reader.one(within, "fallback") {
-        found.fallbacks = fallbacks(reader, node);
-    }
-    let ajp = reader.one(within, "transport").and_then(|node| transport(reader, node));
-    let service = Service { name, path, endpoints: addresses, ajp };
-    (found, service)
-}
-
-/// Endpoints and path. The platform's records service has both of its own.
-fn reached(reader: &mut Reader, node: &KdlNode, within: Option<&KdlDocument>) -> (Vec<SocketAddr>, String) {
-    let platform = reader.one(within, "platform");
-    let (endpoints, path) = (reader.one(within, "endpoints"), reader.one(within, "path"));
-    let mut addresses = Vec::new();
-    for entry in endpoints.iter().flat_map(|n| n.entries()) {
-        let text = entry.value().as_string();
-        match text.and_then(|t| t.parse().ok()).filter(|_| entry.name().is_none()) {
-            Some(address) if addresses.len() < ENDPOINTS => addresses.push(address),
-            Some(_) => reader.fault(entry.span().offset(), format!("found more than {ENDPOINTS} endpoints")),
-            None => {
-                let what = format!(
-                    "found {}, expected an address and port such as \"127.0.0.1:9001\"",
-                    show(entry.value())
-                );
-                reader.fault(entry.span().offset(), what);
-            }
-        }
-    }
-    let found = path.and_then(|n| reader.text(n, "a path"));
-    if let Some(node) = path {
-        reader.properties(node).with_arguments().done();
-    }
-    if let (Some(node), Some(path)) = (path, &found) {
-        let plain = path.bytes().all(|b| b.is_ascii_graphic());
-        if !path.starts_with('/') || !plain || path.len() > 1_024 {
-            reader.fault(
-                node.span().offset(),
-                format!("found the path {path:?}, expected \"/…\" without spaces"),
-            );
-        }
-    }
-    let other = endpoints.or(path).or(reader.one(within, "transport"));
-    match platform {
-        Some(platform) if other.is_some() => {
-            let what = "found \"platform\" with endpoints, a path or a transport, expected one or the other";
-            reader.fault(platform.span().offset(), what);
-        }
-        Some(platform) => reader.leaf(platform),
-        None if endpoints.is_none() => {
-            let what = "found a dependency without endpoints, expected \"endpoints\" or \"platform\"";
-            reader.fault(node.span().offset(), what);
-        }
-        None => {}
-    }
-    (addresses, found.unwrap_or_else(|| if platform.is_some() { RECORDS } else { "/" }.to_owned()))
-}
-
-/// `http`, which is the same as none, or `ajp`.
-fn transport(reader: &mut Reader, node: &KdlNode) -> Option<Ajp> {
-    let name = reader.text(node, "a transport")?;
-    reader.leaf(node);
-    let mut from = reader.properties(node).with_arguments();
-    if name == "http" {
-        from.done();
-        return None;
-    }
-    let packet = from.whole("packet", 8_192, (8_192, 65_535)) as usize;
-    let secret = from.text("secret");
-    from.done();
-    if name != "ajp" {
-        reader.fault(
-            node.span().offset(),
-            format!("found the transport {name:?}, expected \"http\" or \"ajp\""),
-        );
-    }
-    Some(Ajp { secret, packet })
-}
-
-fn retry(reader: &mut Reader, node: &KdlNode) -> Retry {
-    let unless_set = Retry::default();
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let found = Retry {
-        most: from.whole("most", unless_set.most.into(), (0, 10)) as u32,
-        share: from.number("share", unless_set.share),
-        burst: from.number("burst", unless_set.burst),
-        back_off: from.millis("back-off-ms", unless_set.back_off),
-    };
-    from.done();
-    found
-}
-
-fn bounds(reader: &mut Reader, node: &KdlNode, unless_set: Bounds) -> Bounds {
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let mut take = |name, unless_set: usize| from.whole(name, unless_set as u64, (1, 65_536)) as usize;
-    let (least, most) = (take("least", unless_set.least), take("most", unless_set.most));
-    let start = take("start", unless_set.start.clamp(least, most.max(least)));
-    from.done();
-    Bounds { start, least, most }
-}
-
-fn breaker(reader: &mut Reader, node: &KdlNode) -> Breaker {
-    let unless_set = Breaker::default();
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let found = Breaker {
-        share: from.number("share", unless_set.share),
-        calls: from.whole("calls", unless_set.calls.into(), (1, 1_000)) as u32,
-        open: from.millis("open-ms", unless_set.open),
-    };
-    from.done();
-    found
-}
-
-fn route(reader: &mut Reader, node: &KdlNode) -> Route {
-    let unless_set = Route::default();
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let found = Route {
-        failures: from.whole("failures", unless_set.failures.into(), (1, 1_000)) as u32,
-        lag: from.number("lag", unless_set.lag),
-        out: from.millis("out-ms", unless_set.out),
-        out_most: from.number("out-most", unless_set.out_most),
-        ramp: from.millis("ramp-ms", unless_set.ramp),
-        servers: unless_set.servers,
-    };
-    from.done();
-    found
-}
-
-fn fallbacks(reader: &mut Reader, node: &KdlNode) -> Vec<Fallback> {
-    let Some(within) = node.children() else { return Vec::new() };
-    reader.only(within, &["kept", "constant", "left-out"]);
-    let mut found = Vec::new();
-    for node in within.nodes() {
-        reader.leaf(node);
-        match node.name().value() {
-            "kept" => {
-                let mut from = reader.properties(node);
-                from.required("max-age-ms");
-                let oldest = from.whole("max-age-ms", 0, (0, 86_400_000));
-                from.done();
-                found.push(Fallback::Kept(oldest * 1_000));
-            }
-            "constant" => {
-                let text = reader.text(node, "a text").unwrap_or_default();
-                reader.properties(node).with_arguments().done();
-                found.push(Fallback::Constant(text.into_bytes()));
-            }
-            "left-out" => {
-                reader.texts(node, 0);
-                found.push(Fallback::LeftOut);
-            }
-            _ => {}
-        }
-    }
-    found
-}
-
-fn plan(reader: &mut Reader, node: &KdlNode, classes: Option<&[String]>) -> (Plan, StagePlaces) {
-    let class = reader.text(node, "a class").unwrap_or_default();
-    reader.properties(node).with_arguments().done();
-    if let Some(known) = classes.filter(|known| !known.contains(&class)) {
-        let known: Vec<&str> = known.iter().map(String::as_str).collect();
-        let what = format!("found a plan for {class:?}, expected a class of the settings: {}", list(&known));
-        reader.fault(node.span().offset(), what);
-    }
-    let (mut stages, mut places) = (Vec::new(), Vec::new());
-    if let Some(within) = node.children() {
-        reader.only(within, &["stage"]);
-        for node in within.nodes().iter().filter(|n| n.name().value() == "stage") {
-            let (stage, calls) = stage(reader, node);
-            stages.push(stage);
-            places.push((node.span().offset(), calls));
-        }
-    }
-    (Plan { class, stages }, places)
-}
-
-fn stage(reader: &mut Reader, node: &KdlNode) -> (Stage, Vec<usize>) {
-    reader.texts(node, 0);
-    let mut from = reader.properties(node);
-    let share = from.number("share", 1.0);
-    let (least, most) = (from.millis("least-ms", 0), from.millis("most-ms", LONGEST));
-    from.done();
-    let (mut calls, mut places) = (Vec::new(), Vec::new());
-    if let Some(within) = node.children() {
-        reader.only(within, &["needs", "wants"]);
-        for node in within.nodes() {
-            let needed = node.name().value() == "needs";
-            if !needed && node.name().value() != "wants" {
-                continue;
-            }
-            reader.leaf(node);
-            reader.properties(node).with_arguments().done();
-            for dependency in reader.texts(node, ENDPOINTS) {
-                calls.push(Call { dependency, needed });
-                places.push(node.span().offset());
-            }
-        }
-    }
-    (Stage { share, least, most, calls }, places)
-}
--- /dev/null
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -0,0 +1,277 @@
+//! The node `dependency`: how a service is reached and how its failures are handled.
+
+use std::net::SocketAddr;
+
+use kdl::{KdlDocument, KdlNode};
+use umberloom_dependencies::config::{Bounds, Breaker, Dependency, Fallback, Hedge, Retry, Route};
+
+use super::MAX_NAMES;
+use crate::reader::{show, Reader};
+use crate::{Ajp, Service, PLATFORM};
+
+/// The path of the platform's records service.
+const RECORDS_PATH: &str = "/records/op";
+/// The longest path, in bytes.
+const MAX_PATH: usize = 1_024;
+/// The longest time for which a cached result may be used, in milliseconds: a day.
+const MAX_CACHE_AGE_MS: u64 = 86_400_000;
+/// The smallest and the default size of an AJP packet, in bytes.
+const MIN_AJP_PACKET: u64 = 8_192;
+/// The largest size of an AJP packet, in bytes.
+const MAX_AJP_PACKET: u64 = 65_535;
+
+/// The nodes that may stand within.
+const CHILDREN: [&str; 14] = [
+    "platform",
+    "endpoints",
+    "path",
+    "transport",
+    "safe-to-repeat",
+    "retry",
+    "hedge",
+    "limit",
+    "endpoint-limit",
+    "survives",
+    "breaker",
+    "no-breaker",
+    "route",
+    "fallback",
+];
+
+/// Reads the node.
+pub fn read(reader: &mut Reader, node: &KdlNode) -> (Dependency, Service) {
+    let name = reader.string(node, "a name").unwrap_or_default();
+    reader.expect_no_properties(node);
+    let children = node.children();
+    if let Some(children) = children {
+        reader.allow_only(children, &CHILDREN);
+    }
+    let mut dependency = Dependency::new(&name, &[]);
+    let (endpoints, path) = endpoints_and_path(reader, node, children);
+    dependency.endpoints = endpoints.iter().map(SocketAddr::to_string).collect();
+    if reader.single(children, "platform").is_some() {
+        dependency.endpoints = vec![PLATFORM.to_owned()];
+    }
+    attempts(reader, children, &mut dependency);
+    limits(reader, children, &mut dependency);
+    circuit_breaker(reader, children, &mut dependency);
+    if let Some(node) = reader.single(children, "route") {
+        dependency.route = route(reader, node);
+    }
+    if let Some(node) = reader.single(children, "fallback") {
+        dependency.fallbacks = fallbacks(reader, node);
+    }
+    let ajp = reader.single(children, "transport").and_then(|node| transport(reader, node));
+    (dependency, Service { name, path, endpoints, ajp })
+}
+
+/// Endpoints and path. The platform's records service has both of its own.
+fn endpoints_and_path(
+    reader: &mut Reader,
+    node: &KdlNode,
+    children: Option<&KdlDocument>,
+) -> (Vec<SocketAddr>, String) {
+    let platform = reader.single(children, "platform");
+    let endpoints = reader.single(children, "endpoints");
+    let path = reader.single(children, "path");
+    let addresses = endpoints.map_or_else(Vec::new, |node| addresses(reader, node));
+    let path_text = path.and_then(|node| path_text(reader, node));
+    let own_target = endpoints.or(path).or(reader.single(children, "transport"));
+    match platform {
+        Some(platform) if own_target.is_some() => {
+            let reason =
+                "found \"platform\" with endpoints, a path or a transport, expected one or the other";
+            reader.report_node(platform, reason);
+        }
+        Some(platform) => reader.expect_no_children(platform),
+        None if endpoints.is_none() => {
+            let reason = "found a dependency without endpoints, expected \"endpoints\" or \"platform\"";
+            reader.report_node(node, reason);
+        }
+        None => {}
+    }
+    let default_path = if platform.is_some() { RECORDS_PATH } else { "/" };
+    (addresses, path_text.unwrap_or_else(|| default_path.to_owned()))
+}
+
+fn addresses(reader: &mut Reader, node: &KdlNode) -> Vec<SocketAddr> {
+    let mut addresses = Vec::new();
+    for entry in node.entries() {
+        let offset = entry.span().offset();
+        let text = entry.value().as_string();
+        match text.and_then(|t| t.parse().ok()).filter(|_| entry.name().is_none()) {
+            Some(address) if addresses.len() < MAX_NAMES => addresses.push(address),
+            Some(_) => reader.report(offset, format!("found more than {MAX_NAMES} endpoints")),
+            None => {
+                let found = show(entry.value());
+                let reason =
+                    format!("found {found}, expected an address and port such as \"127.0.0.1:9001\"");
+                reader.report(offset, reason);
+            }
+        }
+    }
+    addresses
+}
+
+fn path_text(reader: &mut Reader, node: &KdlNode) -> Option<String> {
+    let path = reader.string(node, "a path");
+    reader.expect_no_properties(node);
+    if let Some(path) = &path {
+        let visible = path.bytes().all(|b| b.is_ascii_graphic());
+        if !path.starts_with('/') || !visible || path.len() > MAX_PATH {
+            reader.report_node(node, format!("found the path {path:?}, expected \"/…\" without spaces"));
+        }
+    }
+    path
+}
+
+/// `http`, which is the default, or `ajp`.
+fn transport(reader: &mut Reader, node: &KdlNode) -> Option<Ajp> {
+    let name = reader.string(node, "a transport")?;
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node).with_arguments();
+    if name == "http" {
+        properties.finish();
+        return None;
+    }
+    let packet = properties.integer("packet", MIN_AJP_PACKET, MIN_AJP_PACKET..=MAX_AJP_PACKET) as usize;
+    let secret = properties.string("secret");
+    properties.finish();
+    if name != "ajp" {
+        reader.report_node(node, format!("found the transport {name:?}, expected \"http\" or \"ajp\""));
+    }
+    Some(Ajp { secret, packet })
+}
+
+/// Repeated and hedged attempts.
+fn attempts(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+    if let Some(node) = reader.single(children, "safe-to-repeat") {
+        dependency.repeatable = true;
+        reader.expect_no_children(node);
+        reader.strings(node, 0);
+        reader.properties(node).finish();
+    }
+    if let Some(node) = reader.single(children, "retry") {
+        dependency.retry = retry(reader, node);
+    }
+    if let Some(node) = reader.single(children, "hedge") {
+        let mut properties = reader.properties(node);
+        let quantile = properties.number("quantile", 0.95);
+        let least = properties.millis("least-ms", 1_000);
+        properties.finish();
+        dependency.hedge = Some(Hedge { quantile, least });
+    }
+}
+
+fn retry(reader: &mut Reader, node: &KdlNode) -> Retry {
+    let defaults = Retry::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let retry = Retry {
+        most: properties.integer("most", defaults.most.into(), 0..=10) as u32,
+        share: properties.number("share", defaults.share),
+        burst: properties.number("burst", defaults.burst),
+        back_off: properties.millis("back-off-ms", defaults.back_off),
+    };
+    properties.finish();
+    retry
+}
+
+/// Limits on concurrent calls.
+fn limits(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+    if let Some(node) = reader.single(children, "limit") {
+        dependency.limit = bounds(reader, node, dependency.limit);
+    }
+    if let Some(node) = reader.single(children, "endpoint-limit") {
+        dependency.endpoint_limit = bounds(reader, node, dependency.endpoint_limit);
+    }
+    if let Some(node) = reader.single(children, "survives") {
+        let mut properties = reader.properties(node);
+        let calls = properties.required_number("calls");
+        let servers = properties.integer("servers", 1, 1..=1_000_000) as u32;
+        dependency.survives = Some((calls, servers));
+        properties.finish();
+    }
+}
+
+fn bounds(reader: &mut Reader, node: &KdlNode, defaults: Bounds) -> Bounds {
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let mut calls = |name, default: usize| properties.integer(name, default as u64, 1..=65_536) as usize;
+    let least = calls("least", defaults.least);
+    let most = calls("most", defaults.most);
+    let start = calls("start", defaults.start.clamp(least, most.max(least)));
+    properties.finish();
+    Bounds { start, least, most }
+}
+
+fn circuit_breaker(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut Dependency) {
+    if let Some(node) = reader.single(children, "breaker") {
+        dependency.breaker = Some(breaker(reader, node));
+    }
+    if let Some(node) = reader.single(children, "no-breaker") {
+        reader.expect_no_children(node);
+        if dependency.breaker != Dependency::new("", &[]).breaker {
+            reader.report_node(node, "found \"no-breaker\" with a breaker, expected one or the other");
+        }
+        dependency.breaker = None;
+    }
+}
+
+fn breaker(reader: &mut Reader, node: &KdlNode) -> Breaker {
+    let defaults = Breaker::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let breaker = Breaker {
+        share: properties.number("share", defaults.share),
+        calls: properties.integer("calls", defaults.calls.into(), 1..=1_000) as u32,
+        open: properties.millis("open-ms", defaults.open),
+    };
+    properties.finish();
+    breaker
+}
+
+fn route(reader: &mut Reader, node: &KdlNode) -> Route {
+    let defaults = Route::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let route = Route {
+        failures: properties.integer("failures", defaults.failures.into(), 1..=1_000) as u32,
+        lag: properties.number("lag", defaults.lag),
+        out: properties.millis("out-ms", defaults.out),
+        out_most: properties.number("out-most", defaults.out_most),
+        ramp: properties.millis("ramp-ms", defaults.ramp),
+        servers: defaults.servers,
+    };
+    properties.finish();
+    route
+}
+
+fn fallbacks(reader: &mut Reader, node: &KdlNode) -> Vec<Fallback> {
+    let Some(children) = node.children() else { return Vec::new() };
+    reader.allow_only(children, &["kept", "constant", "left-out"]);
+    let mut fallbacks = Vec::new();
+    for node in children.nodes() {
+        reader.expect_no_children(node);
+        match node.name().value() {
+            "kept" => {
+                let mut properties = reader.properties(node);
+                properties.required_number("max-age-ms");
+                let max_age_ms = properties.integer("max-age-ms", 0, 0..=MAX_CACHE_AGE_MS);
+                properties.finish();
+                fallbacks.push(Fallback::Kept(max_age_ms * 1_000));
+            }
+            "constant" => {
+                let text = reader.string(node, "a text").unwrap_or_default();
+                reader.expect_no_properties(node);
+                fallbacks.push(Fallback::Constant(text.into_bytes()));
+            }
+            "left-out" => {
+                reader.strings(node, 0);
+                fallbacks.push(Fallback::LeftOut);
+            }
+            _ => {}
+        }
+    }
+    fallbacks
+}
--- /dev/null
+++ b/crates/operator-config/src/dependencies/plan.rs
@@ -0,0 +1,69 @@
+//! The node `plan`: the calls that requests of a class make, in stages.
+
+use kdl::KdlNode;
+use umberloom::interface::Micros;
+use umberloom_dependencies::config::{Call, Plan, Stage};
+
+use super::MAX_NAMES;
+use crate::reader::{alternatives, Reader};
+
+/// The most time that a stage gets, unless set: a minute.
+const DEFAULT_MAX_STAGE_TIME: Micros = 60_000_000;
+
+/// Where a stage and each of its calls stand.
+pub struct StageOffsets {
+    /// The node of the stage.
+    pub node: usize,
+    /// The node of each call, in their order.
+    pub calls: Vec<usize>,
+}
+
+/// Reads the node. `classes` are the names that it may be for, where they are known.
+pub fn read(reader: &mut Reader, node: &KdlNode, classes: Option<&[String]>) -> (Plan, Vec<StageOffsets>) {
+    let class = reader.string(node, "a class").unwrap_or_default();
+    reader.expect_no_properties(node);
+    if let Some(known) = classes.filter(|known| !known.contains(&class)) {
+        let known: Vec<&str> = known.iter().map(String::as_str).collect();
+        let expected = alternatives(&known);
+        let reason = format!("found a plan for {class:?}, expected a class of the settings: {expected}");
+        reader.report_node(node, reason);
+    }
+    let (mut stages, mut offsets) = (Vec::new(), Vec::new());
+    if let Some(children) = node.children() {
+        reader.allow_only(children, &["stage"]);
+        for node in children.nodes().iter().filter(|n| n.name().value() == "stage") {
+            let (stage, calls) = stage(reader, node);
+            stages.push(stage);
+            offsets.push(StageOffsets { node: node.span().offset(), calls });
+        }
+    }
+    (Plan { class, stages }, offsets)
+}
+
+/// A stage, and where each of its calls stands.
+fn stage(reader: &mut Reader, node: &KdlNode) -> (Stage, Vec<usize>) {
+    reader.strings(node, 0);
+    let mut properties = reader.properties(node);
+    let share = properties.number("share", 1.0);
+    let least = properties.millis("least-ms", 0);
+    let most = properties.millis("most-ms", DEFAULT_MAX_STAGE_TIME);
+    properties.finish();
+    let (mut calls, mut offsets) = (Vec::new(), Vec::new());
+    if let Some(children) = node.children() {
+        reader.allow_only(children, &["needs", "wants"]);
+        for node in children.nodes() {
+            let needed = match node.name().value() {
+                "needs" => true,
+                "wants" => false,
+                _ => continue,
+            };
+            reader.expect_no_children(node);
+            reader.expect_no_properties(node);
+            for dependency in reader.strings(node, MAX_NAMES) {
+                calls.push(Call { dependency, needed });
+                offsets.push(node.span().offset());
+            }
+        }
+    }
+    (Stage { share, least, most, calls }, offsets)
+}
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,38 +1,44 @@
-//! The node `fleet`: who belongs together, how they reach each other, and what they share.
+//! The node `fleet`: which servers belong together, how they reach each other, and what they share.
 
 use std::net::SocketAddr;
 
 use kdl::{KdlDocument, KdlNode};
-use umberloom_dependencies::config::Config as Dependencies;
+use umberloom_dependencies::config::Config as DependencyConfig;
 use umberloom_membership::config::{Config, Peer, Timing, MOST_PEERS};
-use umberloom_quota as allowance;
+use umberloom_quota as quota;
 
-use crate::node::Reader;
+use crate::error::Position;
+use crate::reader::Reader;
 use crate::record::Record;
 
-/// A fleet, as one server is told of it.
+/// Stands for an address that is missing or invalid, which is reported.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// The server's name in messages where the platform's configuration is not known.
+const UNKNOWN_NAME: &str = "this server, whose name the configuration has";
+
+/// A fleet, as one server's file describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// Where this server listens for the others, by datagram and by stream.
     pub listen: SocketAddr,
-    /// Who belongs to it, and its times. Its own name comes from the platform's configuration.
+    /// Its members and the times of the membership protocol. This server's name comes from the platform's configuration.
     pub membership: Config,
     /// The address of each peer, in the same order.
     pub addresses: Vec<SocketAddr>,
-    /// How what is shared is lent. Its whole is that of each dependency in [`Fleet::shared`].
-    pub loans: Loans,
-    /// Dependencies whose `survives` all servers share, and what each survives.
+    /// The times of quota leases.
+    pub leases: LeaseTimes,
+    /// Dependencies whose `survives` all servers share, and how many concurrent calls each survives.
     pub shared: Vec<(String, u32)>,
-    /// What the servers keep together, if they do.
+    /// The replicated store, if the servers have one.
     pub record: Option<Record>,
-    /// Where the node stands in its file: line and column.
-    pub place: (usize, usize),
+    /// Where the node stands in its file.
+    pub position: Position,
 }
 
-/// Times of loans; see [`allowance::Config`].
+/// Times of quota leases, in microseconds; see [`quota::Config`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Loans {
-    /// How long a loan lasts, in microseconds.
+pub struct LeaseTimes {
+    /// How long a lease lasts.
     pub loan: u64,
     /// The longest time that a call to a shared dependency may state.
     pub call: u64,
@@ -42,180 +48,212 @@
     pub drift: f64,
 }
 
+impl Default for LeaseTimes {
+    fn default() -> LeaseTimes {
+        let quota::Config { loan, call, delivery, drift, .. } = quota::Config::new(1, &["a"], "a");
+        LeaseTimes { loan, call, delivery, drift }
+    }
+}
+
 impl Fleet {
-    /// The allowance of a shared dependency that survives so many calls.
-    pub fn allowance(&self, whole: u32) -> allowance::Config {
-        let Loans { loan, call, delivery, drift } = self.loans;
-        let peers = self.membership.peers.iter().map(|peer| peer.name.clone());
+    /// The distributed quota of a shared dependency that survives `calls` concurrent calls.
+    pub fn quota_config(&self, calls: u32) -> quota::Config {
+        let LeaseTimes { loan, call, delivery, drift } = self.leases;
         let me = self.membership.name.clone();
+        let peers = self.membership.peers.iter().map(|peer| peer.name.clone());
         let roster = peers.chain([me.clone()]).collect();
-        allowance::Config { whole, roster, me, loan, call, delivery, drift }
+        quota::Config { whole: calls, roster, me, loan, call, delivery, drift }
     }
 
-    /// What two servers must have in common to go by the same parts.
+    /// What two servers must have in common to assume the same quota shares. It is hashed and compared between servers.
     pub fn basis(&self) -> String {
-        let one = |(name, whole): &(String, u32)| format!("{name:?} {}\n", self.allowance(*whole).basis());
+        let one = |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
         self.shared.iter().map(one).collect()
     }
 }
 
-/// Reads the node, if there is one. `me` is this server's name, where the platform's configuration is known.
+/// Reads the node, if there is one. `server_name` is this server's, where the platform's configuration is known.
 pub fn read(
     reader: &mut Reader,
     document: &KdlDocument,
-    me: Option<&str>,
-    dependencies: &Dependencies,
+    server_name: Option<&str>,
+    dependencies: &DependencyConfig,
 ) -> Option<Fleet> {
-    let shared = shared(document, dependencies);
-    let node = reader.one(Some(document), "fleet")?;
-    let at = node.span().offset();
-    let name = reader.text(node, "a name").unwrap_or_default();
-    reader.properties(node).with_arguments().done();
-    let within = node.children();
-    if let Some(within) = within {
-        reader.only(within, &["listen", "secret", "zone", "peer", "timing", "loans", "record"]);
-    }
-    let listen = reader.one(within, "listen");
-    if listen.is_none() {
-        reader.fault(at, "found a fleet without \"listen\", expected an address and port of this server");
-    }
-    let listen = listen.and_then(|node| {
-        let text = value(reader, node, "an address")?;
-        address(reader, node, &text)
-    });
-    let secret = reader.one(within, "secret").and_then(|node| value(reader, node, "a secret"));
-    let zone = reader.one(within, "zone").and_then(|node| value(reader, node, "a zone"));
-    let (mut peers, mut addresses, mut places) = (Vec::new(), Vec::new(), Vec::new());
-    for node in within.into_iter().flat_map(KdlDocument::nodes).filter(|n| n.name().value() == "peer") {
-        let (peer, address) = peer(reader, node);
-        places.push(node.span().offset());
-        peers.push(peer);
-        addresses.push(address);
-    }
-    for (place, address) in addresses.iter().enumerate() {
-        if Some(*address) == listen || addresses[..place].contains(address) {
-            let what = format!("found {address} a second time, expected one address for each server");
-            reader.fault(places[place], what);
-        }
+    let node = reader.single(Some(document), "fleet")?;
+    let fleet_name = reader.string(node, "a name").unwrap_or_default();
+    reader.expect_no_properties(node);
+    let children = node.children();
+    if let Some(children) = children {
+        reader.allow_only(children, &["listen", "secret", "zone", "peer", "timing", "loans", "record"]);
     }
-    let timing = reader.one(within, "timing").map_or_else(Timing::default, |node| timing(reader, node));
-    let lent = reader.one(within, "loans");
-    let loans = loans(reader, lent);
-    let known = me.unwrap_or("this server, whose name the configuration has");
+    let listen = listen_address(reader, node, children);
+    let secret = reader.single(children, "secret").and_then(|node| reader.only_string(node, "a secret"));
+    let zone = reader.single(children, "zone").and_then(|node| reader.only_string(node, "a zone"));
+    let peers = Peers::read(reader, children);
+    peers.check_addresses(reader, listen);
+    let timing = reader.single(children, "timing").map_or_else(Timing::default, |n| timing(reader, n));
+    let leases = reader.single(children, "loans").map_or_else(LeaseTimes::default, |n| leases(reader, n));
     let membership = Config {
-        fleet: name,
+        fleet: fleet_name,
         secret: secret.unwrap_or_default(),
-        name: known.into(),
+        name: server_name.unwrap_or(UNKNOWN_NAME).into(),
         zone: zone.unwrap_or_default().as_str().into(),
-        peers,
+        peers: peers.peers,
         timing,
     };
     for mistake in membership.validate() {
-        let place = mistake.peer.and_then(|place| places.get(place.min(MOST_PEERS)).copied());
-        reader.fault(place.unwrap_or(at), mistake.what);
+        let peer = mistake.peer.and_then(|peer| peers.offsets.get(peer.min(MOST_PEERS)));
+        reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.what);
     }
-    let kept = reader.one(within, "record");
-    let record = kept.map(|node| {
+    let record = reader.single(children, "record").map(|node| {
         let others: Vec<&str> = membership.peers.iter().map(|peer| &*peer.name).collect();
         crate::record::read(reader, node, (&membership.name, &membership.zone, &others))
     });
-    let (line, column) = reader.place(at);
-    let listen = listen.unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)));
-    let fleet = Fleet { listen, membership, addresses, loans, shared, record, place: (line, column) };
-    for (name, whole) in &fleet.shared {
-        // Mistakes in the roster are told already, by their own places.
-        for what in fleet.allowance(*whole).validate() {
-            reader.fault(
-                survives(document, name).map_or(at, |n| n.span().offset()),
-                format!("{name:?}: {what}"),
-            );
-        }
-    }
+    let fleet = Fleet {
+        listen: listen.unwrap_or(NO_ADDRESS),
+        membership,
+        addresses: peers.addresses,
+        leases,
+        shared: shared_quotas(document, dependencies),
+        record,
+        position: reader.position(node.span().offset()),
+    };
+    check_quotas(reader, document, node, &fleet);
     Some(fleet)
 }
 
-/// Dependencies that say what they survive, and not by how many servers that is to be cut: all servers share it.
-fn shared(document: &KdlDocument, dependencies: &Dependencies) -> Vec<(String, u32)> {
-    let whole = |name: &str| {
-        let found = dependencies.dependencies.iter().find(|d| d.name == name)?;
-        found.survives.map(|(calls, _)| calls as u32)
+fn listen_address(
+    reader: &mut Reader,
+    fleet: &KdlNode,
+    children: Option<&KdlDocument>,
+) -> Option<SocketAddr> {
+    let Some(node) = reader.single(children, "listen") else {
+        let reason = "found a fleet without \"listen\", expected an address and port of this server";
+        reader.report_node(fleet, reason);
+        return None;
     };
-    let names = dependencies.dependencies.iter().map(|d| d.name.as_str());
-    let cut = |name: &&str| survives(document, name).is_some_and(|node| node.entry("servers").is_none());
-    names.filter(cut).filter_map(|name| Some((name.to_owned(), whole(name)?))).collect()
+    let text = reader.only_string(node, "an address")?;
+    address(reader, node, &text)
 }
 
-/// The node `survives` of a dependency.
-fn survives<'d>(document: &'d KdlDocument, dependency: &str) -> Option<&'d KdlNode> {
-    let named = |n: &&KdlNode| {
-        n.name().value() == "dependency" && n.get(0).and_then(|v| v.as_string()) == Some(dependency)
-    };
-    document.nodes().iter().find(named)?.children()?.get("survives")
+fn address(reader: &mut Reader, node: &KdlNode, text: &str) -> Option<SocketAddr> {
+    let address = text.parse().ok().filter(|address: &SocketAddr| address.port() != 0);
+    if address.is_none() {
+        let reason = format!("found {text:?}, expected an address and port such as \"127.0.0.1:7400\"");
+        reader.report_node(node, reason);
+    }
+    address
 }
 
-fn value(reader: &mut Reader, node: &KdlNode, what: &str) -> Option<String> {
-    let found = reader.text(node, what);
-    reader.leaf(node);
-    reader.properties(node).with_arguments().done();
-    found
+/// All nodes `peer`, in their order.
+#[derive(Default)]
+struct Peers {
+    peers: Vec<Peer>,
+    addresses: Vec<SocketAddr>,
+    /// Where each stands.
+    offsets: Vec<usize>,
 }
 
-fn address(reader: &mut Reader, node: &KdlNode, text: &str) -> Option<SocketAddr> {
-    let found = text.parse().ok().filter(|address: &SocketAddr| address.port() != 0);
-    if found.is_none() {
-        let what = format!("found {text:?}, expected an address and port such as \"127.0.0.1:7400\"");
-        reader.fault(node.span().offset(), what);
+impl Peers {
+    fn read(reader: &mut Reader, children: Option<&KdlDocument>) -> Peers {
+        let nodes = children.into_iter().flat_map(KdlDocument::nodes);
+        let mut peers = Peers::default();
+        for node in nodes.filter(|n| n.name().value() == "peer") {
+            let (peer, address) = peer(reader, node);
+            peers.peers.push(peer);
+            peers.addresses.push(address);
+            peers.offsets.push(node.span().offset());
+        }
+        peers
+    }
+
+    fn check_addresses(&self, reader: &mut Reader, listen: Option<SocketAddr>) {
+        for (n, address) in self.addresses.iter().enumerate() {
+            if Some(*address) == listen || self.addresses[..n].contains(address) {
+                let reason = format!("found {address} a second time, expected one address for each server");
+                reader.report(self.offsets[n], reason);
+            }
+        }
     }
-    found
 }
 
 fn peer(reader: &mut Reader, node: &KdlNode) -> (Peer, SocketAddr) {
-    let name = reader.text(node, "a name").unwrap_or_default();
-    reader.leaf(node);
-    let mut from = reader.properties(node).with_arguments();
-    let (text, zone) = (from.text("address"), from.text("zone"));
-    from.done();
-    let found = match text {
+    let name = reader.string(node, "a name").unwrap_or_default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node).with_arguments();
+    let text = properties.string("address");
+    let zone = properties.string("zone");
+    properties.finish();
+    let address = match text {
         Some(text) => address(reader, node, &text),
         None => {
-            reader
-                .fault(node.span().offset(), "found a peer without an address, expected address=\"IP:PORT\"");
+            reader.report_node(node, "found a peer without an address, expected address=\"IP:PORT\"");
             None
         }
     };
     let peer = Peer { name: name.as_str().into(), zone: zone.unwrap_or_default().as_str().into() };
-    (peer, found.unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0))))
+    (peer, address.unwrap_or(NO_ADDRESS))
 }
 
 fn timing(reader: &mut Reader, node: &KdlNode) -> Timing {
-    let unless_set = Timing::default();
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let found = Timing {
-        probe: from.millis("probe-ms", unless_set.probe),
-        suspect: from.millis("suspect-ms", unless_set.suspect),
-        beat: from.millis("beat-ms", unless_set.beat),
-        rise: from.millis("rise-ms", unless_set.rise),
-        damp: from.millis("damp-ms", unless_set.damp),
-        calm: from.millis("calm-ms", unless_set.calm),
-        disagree: from.millis("disagree-ms", unless_set.disagree),
+    let defaults = Timing::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let timing = Timing {
+        probe: properties.millis("probe-ms", defaults.probe),
+        suspect: properties.millis("suspect-ms", defaults.suspect),
+        beat: properties.millis("beat-ms", defaults.beat),
+        rise: properties.millis("rise-ms", defaults.rise),
+        damp: properties.millis("damp-ms", defaults.damp),
+        calm: properties.millis("calm-ms", defaults.calm),
+        disagree: properties.millis("disagree-ms", defaults.disagree),
     };
-    from.done();
-    found
+    properties.finish();
+    timing
 }
 
-fn loans(reader: &mut Reader, node: Option<&KdlNode>) -> Loans {
-    let allowance::Config { loan, call, delivery, drift, .. } = allowance::Config::new(1, &["a"], "a");
-    let unless_set = Loans { loan, call, delivery, drift };
-    let Some(node) = node else { return unless_set };
-    reader.leaf(node);
-    let mut from = reader.properties(node);
-    let found = Loans {
-        loan: from.millis("loan-ms", loan),
-        call: from.millis("call-ms", call),
-        delivery: from.millis("delivery-ms", delivery),
-        drift: from.number("drift", drift),
+fn leases(reader: &mut Reader, node: &KdlNode) -> LeaseTimes {
+    let defaults = LeaseTimes::default();
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node);
+    let leases = LeaseTimes {
+        loan: properties.millis("loan-ms", defaults.loan),
+        call: properties.millis("call-ms", defaults.call),
+        delivery: properties.millis("delivery-ms", defaults.delivery),
+        drift: properties.number("drift", defaults.drift),
     };
-    from.done();
-    found
+    properties.finish();
+    leases
+}
+
+/// Mistakes in the quotas of shared dependencies. Those in the roster are reported already, at their own places.
+fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
+    for (name, calls) in &fleet.shared {
+        for reason in fleet.quota_config(*calls).validate() {
+            let place = survives_node(document, name).unwrap_or(node);
+            reader.report_node(place, format!("{name:?}: {reason}"));
+        }
+    }
+}
+
+/// Dependencies that state what they survive, and not by how many servers that is to be divided: all servers share it.
+fn shared_quotas(document: &KdlDocument, dependencies: &DependencyConfig) -> Vec<(String, u32)> {
+    let mut shared = Vec::new();
+    for name in dependencies.dependencies.iter().map(|dependency| &dependency.name) {
+        let is_shared = survives_node(document, name).is_some_and(|node| node.entry("servers").is_none());
+        let first = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
+        let survives = first.and_then(|dependency| dependency.survives);
+        if let Some((calls, _)) = survives.filter(|_| is_shared) {
+            shared.push((name.clone(), calls as u32));
+        }
+    }
+    shared
+}
+
+/// The node `survives` of a dependency.
+fn survives_node<'d>(document: &'d KdlDocument, dependency: &str) -> Option<&'d KdlNode> {
+    let named = |n: &&KdlNode| {
+        n.name().value() == "dependency" && n.get(0).and_then(|v| v.as_string()) == Some(dependency)
+    };
+    document.nodes().iter().find(named)?.children()?.get("survives")
 }
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -1,59 +1,81 @@
-//! The node `record` within a fleet: what its servers keep together, and where.
+//! The node `record` within a fleet: the replicated store of its servers.
 
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-use kdl::KdlNode;
+use kdl::{KdlDocument, KdlNode};
 use umberloom_replicated_store::Config;
 
-use crate::node::Reader;
+use crate::reader::Reader;
 
-/// The record, as one server is told of it.
+/// A second, in microseconds.
+const SECOND: u64 = 1_000_000;
+/// A day, in seconds.
+const DAY_S: u64 = 86_400;
+/// Bytes that a replica takes on disk at most, in MiB, unless set.
+const DEFAULT_MOST_MB: u64 = 256;
+/// Time between two scrubs, in seconds, unless set.
+const DEFAULT_SCRUB_S: u64 = 600;
+/// The range of `voters`.
+const VOTERS: RangeInclusive<u64> = 1..=5;
+
+/// The replicated store, as one server's file describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// Who votes, and its times. Names come from the fleet.
     pub config: Config,
-    /// Where this server's copy outlives its process; without it nothing does.
+    /// Where this server's replica outlives its process; without it nothing does.
     pub folder: Option<PathBuf>,
-    /// Bytes that the copy takes there at most; the file may be about twice as large between two compactions.
+    /// Bytes that the replica takes there at most; the file may be about twice as large between two compactions.
     pub most: u64,
-    /// Time between two readings of all that is on disk, in microseconds.
+    /// Time between two scrubs of all that is on disk, in microseconds.
     pub scrub: u64,
 }
 
-/// Reads the node. `me` and `others` are the fleet's.
-pub fn read(reader: &mut Reader, node: &KdlNode, (me, zone, others): (&str, &str, &[&str])) -> Record {
-    let unless_set = Config { zone: zone.into(), ..Config::new(me, others) };
-    // Three of less than three would be a mistake nobody made.
-    let usual = if others.len() < 2 { 1 } else { 3 };
-    let within = node.children();
-    if let Some(within) = within {
-        reader.only(within, &["folder"]);
+/// Where a replica is stored, and how.
+struct Storage {
+    folder: Option<PathBuf>,
+    most: u64,
+    scrub: u64,
+}
+
+/// Reads the node. `name`, `zone` and the names of the `others` are the fleet's.
+pub fn read(reader: &mut Reader, node: &KdlNode, (name, zone, others): (&str, &str, &[&str])) -> Record {
+    let defaults = Config { zone: zone.into(), ..Config::new(name, others) };
+    // Three voters of fewer members would be a mistake that nobody made.
+    let default_voters = if others.len() < 2 { 1 } else { 3 };
+    let Storage { folder, most, scrub } = storage(reader, node.children());
+    let mut properties = reader.properties(node);
+    let replace_after_s = defaults.replace_after / SECOND;
+    let config = Config {
+        voters: properties.integer("voters", default_voters, VOTERS) as usize,
+        election: properties.millis("election-ms", defaults.election),
+        replace_after: properties.integer("replace-after-s", replace_after_s, 1..=DAY_S) * SECOND,
+        catch_up: properties.integer("catch-up-kb", defaults.catch_up >> 10, 64..=1 << 20) << 10,
+        ..defaults
+    };
+    properties.finish();
+    for reason in config.validate() {
+        reader.report_node(node, reason);
     }
-    let folder = reader.one(within, "folder");
-    let (mut path, mut most, mut scrub) = (None, 256 << 20, 600_000_000);
-    if let Some(folder) = folder {
-        path = reader.text(folder, "a path").filter(|path| !path.is_empty()).map(PathBuf::from);
-        reader.leaf(folder);
-        let mut from = reader.properties(folder).with_arguments();
-        most = from.whole("most-mb", 256, (1, 4_096)) << 20;
-        scrub = from.whole("scrub-s", 600, (1, 86_400)) * 1_000_000;
-        from.done();
-        if path.is_none() {
-            reader.fault(folder.span().offset(), "found a folder without a path, expected folder \"PATH\"");
-        }
+    Record { config, folder, most, scrub }
+}
+
+fn storage(reader: &mut Reader, children: Option<&KdlDocument>) -> Storage {
+    if let Some(children) = children {
+        reader.allow_only(children, &["folder"]);
     }
-    let mut from = reader.properties(node);
-    let config = Config {
-        voters: from.whole("voters", usual, (1, 5)) as usize,
-        election: from.millis("election-ms", unless_set.election),
-        replace_after: from.whole("replace-after-s", unless_set.replace_after / 1_000_000, (1, 86_400))
-            * 1_000_000,
-        catch_up: from.whole("catch-up-kb", unless_set.catch_up >> 10, (64, 1 << 20)) << 10,
-        ..unless_set
+    let Some(node) = reader.single(children, "folder") else {
+        return Storage { folder: None, most: DEFAULT_MOST_MB << 20, scrub: DEFAULT_SCRUB_S * SECOND };
     };
-    from.done();
-    for what in config.validate() {
-        reader.fault(node.span().offset(), what);
+    let folder = reader.string(node, "a path").filter(|path| !path.is_empty()).map(PathBuf::from);
+    reader.expect_no_children(node);
+    let mut properties = reader.properties(node).with_arguments();
+    let most = properties.integer("most-mb", DEFAULT_MOST_MB, 1..=4_096) << 20;
+    let scrub = properties.integer("scrub-s", DEFAULT_SCRUB_S, 1..=DAY_S) * SECOND;
+    properties.finish();
+    if folder.is_none() {
+        reader.report_node(node, "found a folder without a path, expected folder \"PATH\"");
     }
-    Record { config, folder: path, most, scrub }
+    Storage { folder, most, scrub }
 }
--- /dev/null
+++ b/crates/server/src/admin_client/client.rs
@@ -0,0 +1,86 @@
+//! Asks one question over a connection of its own.
+
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use umberloom_membership::wire::Key;
+use umberloom_operator_config::Fleet;
+
+use super::error::AdminError;
+use crate::wire::fleet::{frame, head, Answer, FrameKind, Question, QuestionKind, Reply, HEAD};
+
+/// How long an answer may take.
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Asks one server of a fleet.
+pub struct AdminClient {
+    key: Key,
+    server: SocketAddr,
+}
+
+impl AdminClient {
+    /// Will ask the server at this address of the fleet.
+    pub fn new(fleet: &Fleet, server: SocketAddr) -> AdminClient {
+        let key = Key::new(&fleet.membership.fleet, &fleet.membership.secret);
+        AdminClient { key, server }
+    }
+
+    /// The server's address.
+    pub fn server(&self) -> SocketAddr {
+        self.server
+    }
+
+    /// The error for an answer that fits another question.
+    pub fn unexpected_answer(&self) -> AdminError {
+        AdminError::UnexpectedAnswer { server: self.server }
+    }
+
+    /// Asks, and waits for the answer.
+    pub fn ask(&self, question: QuestionKind) -> Result<Reply, AdminError> {
+        let mut stream = self.connect().map_err(|e| self.connection_error(e))?;
+        let number = question_number();
+        let sealed = self.key.seal(&Question { number, what: question });
+        stream.write_all(&frame(FrameKind::Question, &sealed)).map_err(|e| self.connection_error(e))?;
+        self.read_answer(&mut stream, number)
+    }
+
+    fn connect(&self) -> io::Result<TcpStream> {
+        let stream = TcpStream::connect_timeout(&self.server, TIMEOUT)?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
+        stream.set_write_timeout(Some(TIMEOUT))?;
+        Ok(stream)
+    }
+
+    /// Reads frames up to the answer to the question of this number.
+    fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<Reply, AdminError> {
+        let server = self.server;
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
+            let mut start = [0; HEAD];
+            stream.read_exact(&mut start).map_err(|source| AdminError::NoAnswer { server, source })?;
+            let (kind, length) = head(start).ok_or(AdminError::InvalidFrame { server })?;
+            let mut content = vec![0; length];
+            stream.read_exact(&mut content).map_err(|e| self.connection_error(e))?;
+            match self.key.open::<Answer>(&content, content.len()) {
+                Ok(answer) if kind == FrameKind::Answer && answer.number == number => {
+                    return Ok(answer.reply);
+                }
+                Ok(_) => {}
+                Err(reason) => {
+                    return Err(AdminError::Untrusted { server, reason: format!("{reason:?}") });
+                }
+            }
+        }
+        Err(AdminError::Timeout { server, seconds: TIMEOUT.as_secs() })
+    }
+
+    fn connection_error(&self, source: io::Error) -> AdminError {
+        AdminError::Connection { server: self.server, source }
+    }
+}
+
+/// Taken from the time: it only has to differ from that of an answer to someone else.
+fn question_number() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
+}
--- /dev/null
+++ b/crates/server/src/admin_client/mod.rs
@@ -0,0 +1,119 @@
+//! `umberloom fleet …`: questions to a server about its fleet, over the fleet's own port.
+//!
+//! [`client`] exchanges a question for its answer; [`members`] prints what comes back about the fleet, and [`store`]
+//! has the commands about the replicated store.
+
+mod client;
+mod error;
+mod members;
+mod store;
+mod table;
+
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use bpaf::{construct, long, positional, Parser};
+
+use crate::lifecycle::config_files::load_operator;
+use crate::wire::fleet::QuestionKind;
+use client::AdminClient;
+pub use error::AdminError;
+use store::StoreCommand;
+
+/// A command and whom it goes to.
+#[derive(Clone, Debug)]
+pub struct Options {
+    /// The operator's file, which names the fleet and its secret.
+    operator: PathBuf,
+    /// The server that is asked; unless given, the one of the file.
+    at: Option<SocketAddr>,
+    /// Whether JSON is printed, instead of a table.
+    json: bool,
+    command: FleetCommand,
+}
+
+#[derive(Clone, Debug)]
+enum FleetCommand {
+    /// The members, as one server sees them.
+    Members,
+    /// The evidence for one member's state.
+    Explain(String),
+    /// The replicated store.
+    Store(StoreCommand),
+}
+
+/// The words after `fleet`.
+pub fn command_line() -> impl Parser<Options> {
+    let (operator, at, json) = (operator(), at(), json());
+    let members = construct!(operator, at, json)
+        .map(|(operator, at, json)| Options { operator, at, json, command: FleetCommand::Members })
+        .to_options()
+        .descr("Who is there, as one server has it")
+        .command("members");
+    let (operator, at, json) = (self::operator(), self::at(), self::json());
+    let name = positional::<String>("NAME").help("A member; the server's own name explains its standing");
+    let explain = construct!(operator, at, json, name)
+        .map(|(operator, at, json, name)| {
+            let command = FleetCommand::Explain(name);
+            Options { operator, at, json, command }
+        })
+        .to_options()
+        .descr("Why one server holds a member for what it does: evidence with its age")
+        .command("explain");
+    let (operator, at, json) = (self::operator(), self::at(), self::json());
+    let command = store::command_line();
+    let store = construct!(operator, at, json, command)
+        .map(|(operator, at, json, command)| {
+            let command = FleetCommand::Store(command);
+            Options { operator, at, json, command }
+        })
+        .to_options()
+        .descr("What the servers keep together: its standing, documents and history")
+        .command("record");
+    construct!([members, explain, store])
+}
+
+fn operator() -> impl Parser<PathBuf> {
+    long("operator")
+        .help("The operator's file that names the fleet and its secret")
+        .argument::<PathBuf>("FILE")
+}
+
+fn at() -> impl Parser<Option<SocketAddr>> {
+    long("at")
+        .help("The fleet's address of the server to ask; unless given, that in the file")
+        .argument::<SocketAddr>("ADDRESS")
+        .optional()
+}
+
+fn json() -> impl Parser<bool> {
+    long("json").help("One JSON document instead of a table").switch()
+}
+
+/// Runs the command and prints its result.
+pub fn run(options: &Options) -> Result<(), AdminError> {
+    let text = if let FleetCommand::Store(StoreCommand::Verify(file)) = &options.command {
+        store::verify(file, options.json)?
+    } else {
+        ask_server(options)?
+    };
+    // A reader that has closed its end wants no more.
+    let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
+    Ok(())
+}
+
+fn ask_server(options: &Options) -> Result<String, AdminError> {
+    let operator = load_operator(&options.operator, None)?;
+    let Some(fleet) = operator.fleet else {
+        return Err(AdminError::NoFleet { file: options.operator.display().to_string() });
+    };
+    let client = AdminClient::new(&fleet, options.at.unwrap_or(fleet.listen));
+    match &options.command {
+        FleetCommand::Members => members::show(&client, QuestionKind::Members, options.json),
+        FleetCommand::Explain(name) => {
+            members::show(&client, QuestionKind::Explain(name.clone()), options.json)
+        }
+        FleetCommand::Store(command) => store::run(&client, command, options.json),
+    }
+}
--- /dev/null
+++ b/crates/server/src/admin_client/store/export.rs
@@ -0,0 +1,62 @@
+//! Exports: fetched from a server into a file, and checked.
+
+use std::fmt::Write as _;
+use std::path::Path;
+
+use serde_json::json;
+use umberloom_replicated_store::Export;
+
+use super::ask;
+use crate::admin_client::client::AdminClient;
+use crate::admin_client::error::AdminError;
+use crate::wire::record::{StoreAnswer, StoreQuestion};
+
+/// Fetches an export, checks it, and writes it to a file.
+pub fn export(client: &AdminClient, file: &Path) -> Result<String, AdminError> {
+    let bytes = fetch(client)?;
+    let verified = Export::read(&bytes).and_then(|export| export.verify()).map_err(|reason| {
+        AdminError::InvalidExport { origin: client.server().to_string(), reason: reason.to_string() }
+    })?;
+    let name = file.display().to_string();
+    std::fs::write(file, &bytes).map_err(|source| AdminError::File { file: name.clone(), source })?;
+    Ok(format!("{name}: {} bytes, entries {} to {}", bytes.len(), verified.from, verified.to))
+}
+
+/// Fetches all parts of an export.
+fn fetch(client: &AdminClient) -> Result<Vec<u8>, AdminError> {
+    let mut bytes: Vec<u8> = Vec::new();
+    loop {
+        match ask(client, StoreQuestion::Export(bytes.len() as u64))? {
+            StoreAnswer::Bytes(part, length) => {
+                bytes.extend_from_slice(&part);
+                if bytes.len() as u64 >= length || part.is_empty() {
+                    return Ok(bytes);
+                }
+            }
+            _ => return Err(client.unexpected_answer()),
+        }
+    }
+}
+
+/// Checks an export in a file, and describes what it holds.
+pub fn verify(file: &Path, as_json: bool) -> Result<String, AdminError> {
+    let name = file.display().to_string();
+    let bytes = std::fs::read(file).map_err(|source| AdminError::File { file: name.clone(), source })?;
+    let invalid = |reason: String| AdminError::InvalidExport { origin: name.clone(), reason };
+    let export = Export::read(&bytes).map_err(|e| invalid(e.to_string()))?;
+    let found = export.verify().map_err(|e| invalid(e.to_string()))?;
+    if as_json {
+        let value = json!({"record": format!("{:016x}", found.record), "from": found.from, "to": found.to,
+            "by": export.from, "unknown": found.unknown, "documents": found.documents});
+        return Ok(serde_json::to_string_pretty(&value)?);
+    }
+    let mut text = format!(
+        "{name}: sound, record {:016x} as {} had it, entries {} to {}, {} of newer programs\n",
+        found.record, export.from, found.from, found.to, found.unknown
+    );
+    for (document, version, length) in &found.documents {
+        // Writing to a string never fails.
+        let _ = writeln!(text, "{document}: version {version}, {length} bytes");
+    }
+    Ok(text)
+}
--- /dev/null
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -0,0 +1,176 @@
+//! `umberloom fleet record …`: the replicated store, read and written by hand.
+
+mod documents;
+mod export;
+mod status;
+
+use std::path::PathBuf;
+
+use bpaf::{construct, long, positional, Parser};
+use serde_json::json;
+use umberloom_replicated_store::entry::Entry;
+
+use super::client::AdminClient;
+use super::error::AdminError;
+use crate::wire::fleet::{QuestionKind, Reply};
+use crate::wire::record::{StoreAnswer, StoreQuestion};
+pub use export::verify;
+
+/// A command about the replicated store.
+#[derive(Clone, Debug)]
+pub enum StoreCommand {
+    /// One server's replica.
+    Status,
+    /// A document; `out` is the file that its content is written to.
+    Show { name: String, local: bool, out: Option<PathBuf> },
+    /// So many of the last entries.
+    History(u32),
+    /// A document gets the content of a file, or is removed.
+    Put { name: String, file: Option<PathBuf>, expect: Option<u64> },
+    /// A note in the history.
+    Note(String),
+    /// A member becomes a voter, or a learner.
+    SetVoter { name: String, votes: bool },
+    /// The store starts anew from the replica of the server that is asked.
+    Adopt,
+    /// Writes an export to a file.
+    Export(PathBuf),
+    /// Checks such a file; no server is asked.
+    Verify(PathBuf),
+}
+
+/// The words after `record`.
+pub fn command_line() -> impl Parser<StoreCommand> {
+    let status =
+        bpaf::pure(StoreCommand::Status).to_options().descr("How one server's part stands").command("status");
+    let (show, put, remove) = (show_command(), put_command(), remove_command());
+    let history = long("most")
+        .help("So many lines")
+        .argument::<u32>("N")
+        .fallback(20)
+        .map(StoreCommand::History)
+        .to_options()
+        .descr("The last entries, newest first")
+        .command("history");
+    let note = positional::<String>("TEXT")
+        .help("A remark, for the history")
+        .map(StoreCommand::Note)
+        .to_options()
+        .descr("Writes a remark")
+        .command("note");
+    let promote = member()
+        .map(|name| StoreCommand::SetVoter { name, votes: true })
+        .to_options()
+        .descr("A member that learns votes from now on")
+        .command("promote");
+    let demote = member()
+        .map(|name| StoreCommand::SetVoter { name, votes: false })
+        .to_options()
+        .descr("A member that votes learns from now on")
+        .command("demote");
+    let export = file().map(StoreCommand::Export).to_options().descr("A copy, in a file").command("export");
+    let verify = file()
+        .map(StoreCommand::Verify)
+        .to_options()
+        .descr("Whether such a file is sound, without a server")
+        .command("verify");
+    let adopt = bpaf::pure(StoreCommand::Adopt)
+        .to_options()
+        .descr("For the worst day: the asked server's copy is the record from now on")
+        .command("adopt");
+    construct!([status, show, history, put, remove, note, promote, demote, adopt, export, verify])
+}
+
+fn show_command() -> impl Parser<StoreCommand> {
+    let local =
+        long("local").help("As this server has it, with its age; else the latest by a majority").switch();
+    let out = long("out").help("Writes its content to this file").argument::<PathBuf>("FILE").optional();
+    let name = document();
+    construct!(StoreCommand::Show { local, out, name }).to_options().descr("A document").command("show")
+}
+
+fn put_command() -> impl Parser<StoreCommand> {
+    let (name, expect) = (document(), expect());
+    let file = positional::<PathBuf>("FILE").help("Its content").map(Some);
+    construct!(StoreCommand::Put { expect, name, file })
+        .to_options()
+        .descr("A document takes on the content of a file")
+        .command("put")
+}
+
+fn remove_command() -> impl Parser<StoreCommand> {
+    let (name, expect, file) = (document(), expect(), bpaf::pure(None));
+    construct!(StoreCommand::Put { expect, file, name })
+        .to_options()
+        .descr("A document is taken out")
+        .command("remove")
+}
+
+fn document() -> impl Parser<String> {
+    positional::<String>("NAME").help("A document's name")
+}
+
+fn expect() -> impl Parser<Option<u64>> {
+    let help = "Only if it has this version now; 0: only if it is not there";
+    long("expect").help(help).argument::<u64>("VERSION").optional()
+}
+
+fn member() -> impl Parser<String> {
+    positional::<String>("MEMBER").help("A server that holds a copy")
+}
+
+fn file() -> impl Parser<PathBuf> {
+    positional::<PathBuf>("FILE")
+}
+
+/// Runs a command, and returns what is to be printed.
+pub fn run(client: &AdminClient, command: &StoreCommand, as_json: bool) -> Result<String, AdminError> {
+    match command {
+        StoreCommand::Status => match ask(client, StoreQuestion::Status)? {
+            StoreAnswer::Status(status) if as_json => Ok(serde_json::to_string_pretty(&json!(status))?),
+            StoreAnswer::Status(status) => Ok(status::status_text(&status)),
+            _ => Err(client.unexpected_answer()),
+        },
+        StoreCommand::History(max) => match ask(client, StoreQuestion::History(*max))? {
+            StoreAnswer::History(lines) if as_json => Ok(serde_json::to_string_pretty(&json!(lines))?),
+            StoreAnswer::History(lines) => Ok(status::history_text(&lines)),
+            _ => Err(client.unexpected_answer()),
+        },
+        StoreCommand::Show { name, local, out } => {
+            documents::show(client, name, *local, out.as_deref(), as_json)
+        }
+        StoreCommand::Put { name, file, expect } => {
+            let entries = match file {
+                None => documents::removal(name, *expect),
+                Some(file) => documents::content(name, file, *expect)?,
+            };
+            documents::write(client, entries, as_json)
+        }
+        StoreCommand::Note(note) => documents::write(client, vec![Entry::Note(note.clone())], as_json),
+        StoreCommand::SetVoter { name, votes } => {
+            ask(client, StoreQuestion::Hand(name.clone(), *votes))?;
+            let role = if *votes { "vote" } else { "learn" };
+            Ok(format!("the leader was asked to let {name} {role}"))
+        }
+        StoreCommand::Adopt => {
+            ask(client, StoreQuestion::Adopt)?;
+            let server = client.server();
+            Ok(format!(
+                "the copy of {server} is the record from now on, under a new number; the others join it"
+            ))
+        }
+        StoreCommand::Export(file) => export::export(client, file),
+        StoreCommand::Verify(file) => verify(file, as_json),
+    }
+}
+
+/// Asks about the store; a rejected question is an error.
+fn ask(client: &AdminClient, question: StoreQuestion) -> Result<StoreAnswer, AdminError> {
+    match client.ask(QuestionKind::Record(question))? {
+        Reply::Record(StoreAnswer::Refused(reason)) => {
+            Err(AdminError::Rejected { server: client.server(), reason })
+        }
+        Reply::Record(answer) => Ok(answer),
+        _ => Err(client.unexpected_answer()),
+    }
+}
--- /dev/null
+++ b/crates/server/src/admin_client/store/status.rs
@@ -0,0 +1,72 @@
+//! A replica's status and the history of the store, as text.
+
+use std::fmt::Write as _;
+
+use umberloom_replicated_store::state::HistoryLine;
+use umberloom_replicated_store::{Outcome, ReplicaStatus};
+
+use crate::admin_client::table::{age, Table};
+
+/// A replica's own state, then a table of all replicas.
+pub fn status_text(status: &ReplicaStatus) -> String {
+    let ReplicaStatus {
+        record,
+        copy,
+        role,
+        term,
+        leader,
+        applied,
+        commit,
+        last,
+        leader_heard_ms,
+        unknown,
+        ..
+    } = status;
+    let leader = leader.as_deref().unwrap_or("nobody");
+    let mut text = format!(
+        "{role} of record {record:016x} with copy {copy:016x}, term {term}, leader {leader} (heard {} ago)\n\
+         applied {applied} of {commit} agreed on, last entry {last}, {unknown} of newer programs\n",
+        age(*leader_heard_ms)
+    );
+    if let Some((there, all)) = status.catching_up {
+        // Writing to a string never fails.
+        let _ = writeln!(text, "catching up: {there} of {all} pieces of a snapshot are here");
+    }
+    if status.frozen {
+        text.push_str("frozen: copies differ and nobody can tell which is right; nothing is written\n");
+    }
+    let mut table = Table::with_headings(["copy", "server", "zone", "votes", "applied", "heard"]);
+    table.extend(status.copies.iter().map(|replica| {
+        let applied = replica.applied.map_or_else(|| "-".to_owned(), |index| index.to_string());
+        let votes = if replica.votes { "yes" } else { "no" };
+        vec![
+            format!("{:016x}", replica.copy),
+            replica.name.clone(),
+            replica.zone.clone(),
+            votes.to_owned(),
+            applied,
+            age(replica.heard_ms),
+        ]
+    }));
+    text + &table.render()
+}
+
+/// Entries with their outcomes.
+pub fn history_text(lines: &[HistoryLine]) -> String {
+    let mut table = Table::with_headings(["entry", "by", "what", "outcome"]);
+    table.extend(lines.iter().map(|line| {
+        let outcome = outcome_text(&line.outcome);
+        vec![line.index.to_string(), line.by.0.clone(), line.what.clone(), outcome]
+    }));
+    table.render()
+}
+
+fn outcome_text(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::Done(0) => "done".to_owned(),
+        Outcome::Done(version) => format!("version {version}"),
+        Outcome::Conflict(version) => format!("refused: version {version} was there"),
+        Outcome::Refused(reason) => format!("refused: {reason}"),
+        Outcome::Kept => "kept for a newer program".to_owned(),
+    }
+}
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -1,31 +1,40 @@
-//! The configuration that a server is given.
+//! The platform's configuration of one server, in JSON.
 
+mod error;
+
+use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
 
 use serde_json::Value;
 use umberloom::interface::{Downstream, Settings};
-
-use super::known_config_keys;
-use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object, Read};
+use umberloom_settings::fields::{number_or, object, text, whole, whole_or, Object};
 use umberloom_settings::shape::Shape;
 use umberloom_settings::{class_names, locate, settings, tenant_names, GaugeNames};
 
-/// What the process may take.
+use super::known_config_keys;
+pub use error::{ConfigError, ImmutableFieldError, InvalidConfig, Location};
+
+/// The smallest memory limit, in bytes.
+const MIN_MEMORY: usize = 16 << 20;
+/// The smallest limit on descriptors.
+const MIN_SOCKETS: usize = 32;
+
+/// Limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Of a core.
+    /// Processor cores; may be a fraction.
     pub cores: f64,
     /// Bytes of memory.
     pub memory: usize,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
-/// Everything that a server is told.
+/// All that the platform's configuration says.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The server's name.
     pub name: String,
     /// Where balancers connect.
     pub listen: SocketAddr,
@@ -35,13 +44,13 @@
     pub announce: SocketAddr,
     /// The records service; absent where nothing is called.
     pub records: Option<SocketAddr>,
-    /// From the notice to drain to the end, in microseconds.
+    /// From the request to shut down to the end of the process, in microseconds.
     pub stop: u64,
-    /// What the process may take.
+    /// Limits of the process.
     pub limits: Limits,
-    /// What the module is told.
+    /// Settings of the admission controller.
     pub settings: Settings,
-    /// What requests say of themselves.
+    /// Which fields requests carry.
     pub shape: Shape,
     /// Names of the classes, in their order.
     pub classes: Vec<String>,
@@ -49,39 +58,55 @@
     pub tenants: Vec<String>,
     /// Names of the gauges, in their order.
     pub gauges: GaugeNames,
-    /// What is to be told about the file without refusing it: keys that it is not known to hold, by line.
-    pub warnings: Vec<String>,
+    /// Keys that no configuration is known to have. They are reported and otherwise ignored.
+    pub unknown_keys: Vec<UnknownKey>,
+}
+
+/// A key that no configuration is known to have.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UnknownKey {
+    /// Where it stands.
+    pub location: Location,
+    /// Its path, such as `settings.classes[0].wirte`.
+    pub key: String,
+}
+
+impl fmt::Display for UnknownKey {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "configuration {}: field `{}` is no key known here; disregarded", self.location, self.key)
+    }
 }
 
 impl Config {
-    /// Reads and checks the configuration in a file.
-    pub fn load(path: &Path) -> Result<Config, String> {
-        let place = |why: String| format!("configuration {}: {why}", path.display());
-        let bytes = std::fs::read(path).map_err(|e| place(e.to_string()))?;
-        let text = String::from_utf8_lossy(&bytes);
-        // A complaint that names a field names the line where it stands too.
-        let at = |field: &str| match locate::line_of(&text, field) {
-            Some(line) => format!("configuration {}:{line}", path.display()),
-            None => format!("configuration {}", path.display()),
-        };
-        let mut config = Config::parse(&bytes).map_err(|why| match locate::named(&why) {
-            Some(field) => format!("{}: {why}", at(field)),
-            None => place(why),
+    /// Reads and checks the configuration in a file. Errors name the line of the field that they are about.
+    pub fn load(path: &Path) -> Result<Config, ConfigError> {
+        let file = path.display().to_string();
+        let bytes =
+            std::fs::read(path).map_err(|source| ConfigError::Unreadable { file: file.clone(), source })?;
+        let json = String::from_utf8_lossy(&bytes);
+        let location_of = |field: &str| Location { file: file.clone(), line: locate::line_of(&json, field) };
+        let mut config = Config::parse(&bytes).map_err(|source| {
+            let location = match locate::named(&source.to_string()) {
+                Some(field) => location_of(field),
+                None => Location { file: file.clone(), line: None },
+            };
+            ConfigError::Invalid { location, source }
         })?;
-        let top = serde_json::from_slice::<Value>(&bytes).ok().and_then(|v| v.as_object().cloned());
-        let strays = top.map(|top| known_config_keys::unknown(&top)).unwrap_or_default();
-        let said =
-            |field: &String| format!("{}: field `{field}` is no key known here; disregarded", at(field));
-        config.warnings = strays.iter().map(said).collect();
+        let value: Option<Value> = serde_json::from_slice(&bytes).ok();
+        if let Some(Value::Object(top)) = value {
+            let unknown = known_config_keys::unknown(&top).into_iter();
+            config.unknown_keys =
+                unknown.map(|key| UnknownKey { location: location_of(&key), key }).collect();
+        }
         Ok(config)
     }
 
     /// Reads and checks a configuration.
-    pub fn parse(bytes: &[u8]) -> Read<Config> {
-        let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
-        let Value::Object(top) = value else { return Err("expected an object".into()) };
+    pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
+        let value: Value = serde_json::from_slice(bytes).map_err(InvalidConfig::NotJson)?;
+        let Value::Object(top) = value else { return Err(InvalidConfig::NotAnObject) };
         let options = object(&top, "settings")?;
-        let set = settings(options, seed(&top)?)?;
+        let settings = settings(options, seed(&top)?)?;
         let config = Config {
             name: text(&top, "name")?.to_owned(),
             listen: address(&top, "listen")?,
@@ -91,78 +116,86 @@
             stop: whole(&top, "stop_ms")?.saturating_mul(1_000),
             limits: limits(&top)?,
             shape: Shape::read(options)?,
-            settings: set,
+            settings,
             classes: class_names(options)?,
             tenants: tenant_names(options)?,
             gauges: GaugeNames::read(options)?,
-            warnings: Vec::new(),
+            unknown_keys: Vec::new(),
         };
-        config.check()?;
+        config.validate()?;
         Ok(config)
     }
 
-    /// Refuses what makes no sense, and what this protocol has no words for.
-    fn check(&self) -> Read<()> {
-        self.settings.check().map_err(|e| e.to_string())?;
-        let set = &self.settings;
-        let named = |name: &String| !name.is_empty() && !name.contains('/');
+    /// Rejects values that contradict each other or that the protocols can't express.
+    fn validate(&self) -> Result<(), InvalidConfig> {
+        self.settings.check().map_err(|e| InvalidConfig::Settings(e.to_string()))?;
+        let is_path_segment = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
             (self.tenants.iter().all(|name| !name.is_empty()), "a tenant has no name"),
             // The next tier too is reached there, through a balancer of the platform's: guards against refusing to start
             // for a customer who has one.
             (
-                set.downstream == Downstream::None || self.records.is_some(),
+                self.settings.downstream == Downstream::None || self.records.is_some(),
                 "calls are made, but `records` is absent",
             ),
-            (self.classes.iter().all(named), "a class has no name, or one that is no part of a path"),
-            (!self.name.is_empty() && self.name.bytes().all(plain), "`name` is no part of a path"),
-            (self.limits.memory >= 16 << 20, "`limits.memory_mb` is under 16"),
-            (self.limits.sockets >= 32, "`limits.sockets` is under 32"),
+            (
+                self.classes.iter().all(is_path_segment),
+                "a class has no name, or one that is no part of a path",
+            ),
+            (!self.name.is_empty() && self.name.bytes().all(is_unreserved), "`name` is no part of a path"),
+            (self.limits.memory >= MIN_MEMORY, "`limits.memory_mb` is under 16"),
+            (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` is under 32"),
             (self.stop > 0, "`stop_ms` must be above 0"),
         ];
-        rules.iter().find(|(holds, _)| !holds).map_or(Ok(()), |(_, why)| Err((*why).to_owned()))
+        match rules.iter().find(|(holds, _)| !holds) {
+            Some((_, reason)) => Err(InvalidConfig::Rule(reason)),
+            None => Ok(()),
+        }
     }
-}
 
-impl Config {
-    /// Whether a running program can go over to `new`: only addresses of peers and the time to leave may
-    /// differ. Names the first field that may not. What describes a start (`seed`, `fresh_start`) is not
-    /// compared, as it says nothing of a process that has started.
-    pub fn can_become(&self, new: &Config) -> Read<()> {
+    /// Whether a running server can change over to `new`: only addresses of peers and the time to the stop may differ.
+    /// The error names the first field that may not. What describes a start (`seed`, `fresh_start`) is not compared, as
+    /// it says nothing of a process that has started.
+    pub fn check_reload(&self, new: &Config) -> Result<(), ImmutableFieldError> {
         let mut settings = new.settings.clone();
-        (settings.seed, settings.starts_cold) = (self.settings.seed, self.settings.starts_cold);
-        let same = [
+        settings.seed = self.settings.seed;
+        settings.starts_cold = self.settings.starts_cold;
+        let same_settings = self.settings == settings
+            && self.shape == new.shape
+            && self.classes == new.classes
+            && self.tenants == new.tenants
+            && self.gauges == new.gauges;
+        let fields = [
             (self.name == new.name, "name"),
             (self.listen == new.listen, "listen"),
             (self.limits == new.limits, "limits"),
-            (
-                self.settings == settings
-                    && self.shape == new.shape
-                    && self.classes == new.classes
-                    && self.tenants == new.tenants
-                    && self.gauges == new.gauges,
-                "settings",
-            ),
+            (same_settings, "settings"),
         ];
-        let changed = same.iter().find(|(same, _)| !same);
-        changed.map_or(Ok(()), |(_, field)| Err(format!("`{field}` cannot change while running")))
+        match fields.iter().find(|(same, _)| !same) {
+            Some((_, field)) => Err(ImmutableFieldError { field }),
+            None => Ok(()),
+        }
     }
 }
 
-fn plain(byte: u8) -> bool {
+/// Whether a byte may stand in a path segment as it is (RFC 3986, 2.3, without `~`).
+fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
 
-fn address(o: &Object, field: &str) -> Read<SocketAddr> {
-    text(o, field)?.parse().map_err(|_| format!("field `{field}`: expected an address and a port"))
+fn address(top: &Object, field: &'static str) -> Result<SocketAddr, InvalidConfig> {
+    text(top, field)?.parse().map_err(|_| InvalidConfig::Address { field })
 }
 
-fn seed(o: &Object) -> Read<u64> {
-    u64::from_str_radix(text(o, "seed")?, 16).map_err(|_| "field `seed`: expected hex digits".to_owned())
+fn seed(top: &Object) -> Result<u64, InvalidConfig> {
+    u64::from_str_radix(text(top, "seed")?, 16).map_err(|_| InvalidConfig::Seed)
 }
 
-fn limits(o: &Object) -> Read<Limits> {
-    let o = object(o, "limits")?;
-    let memory = whole(o, "memory_mb")?.saturating_mul(1 << 20) as usize;
-    Ok(Limits { cores: number_or(o, "cores", 1.0)?, memory, sockets: whole_or(o, "sockets", 1024)? as usize })
+fn limits(top: &Object) -> Result<Limits, InvalidConfig> {
+    let limits = object(top, "limits")?;
+    Ok(Limits {
+        memory: whole(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
+        cores: number_or(limits, "cores", 1.0)?,
+        sockets: whole_or(limits, "sockets", 1024)? as usize,
+    })
 }
--- /dev/null
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -0,0 +1,82 @@
+//! The actors through which the dependencies of the operator's file are called.
+
+use std::rc::Rc;
+
+use async_channel::{bounded, Sender};
+use umberloom_operator_config::{Operator, Service};
+
+use super::server::Server;
+use super::startup::FallbackCacheMemoryError;
+use crate::messages::calls::{DependencyCommand, DependencySettings};
+use crate::peers::ajp::Ajp;
+use crate::peers::dependency::{self, Dependency, Target};
+
+/// The running actor of one dependency.
+pub struct DependencyHandle {
+    /// How it is reached.
+    pub target: Target,
+    /// Its mailbox.
+    pub mailbox: Sender<DependencyCommand>,
+}
+
+impl Server<'_> {
+    /// Sees to it that an actor runs for each dependency of the operator's file. A dependency that is reached as before
+    /// keeps its actor; actors of those that the file no longer names end with their last call.
+    pub fn connect_dependencies(
+        &mut self,
+        mut operator: Operator,
+    ) -> Result<DependencySettings, FallbackCacheMemoryError> {
+        for dependency in &mut operator.dependencies.dependencies {
+            // The others route to the same endpoints and see them fail and come back when this one does.
+            dependency.route.servers = self.config.settings.servers;
+        }
+        let bytes = operator.dependencies.kept.bytes;
+        let charge = self.budget.take(bytes).ok_or(FallbackCacheMemoryError { bytes })?;
+        self.replace_dependencies(&operator.services);
+        let mailboxes = self
+            .dependencies
+            .iter()
+            .map(|(name, dependency)| (name.clone(), dependency.mailbox.clone()))
+            .collect();
+        let shared_quotas = operator.fleet.iter().flat_map(|fleet| {
+            fleet.shared.iter().map(|(name, calls)| (Rc::from(name.as_str()), fleet.quota_config(*calls)))
+        });
+        let shared_quotas = shared_quotas.collect();
+        Ok(DependencySettings { config: operator.dependencies, mailboxes, shared_quotas, charge })
+    }
+
+    fn replace_dependencies(&mut self, services: &[Service]) {
+        let mut before = std::mem::take(&mut self.dependencies);
+        for service in services {
+            let target = self.target(service);
+            let name: Rc<str> = service.name.as_str().into();
+            let unchanged = before.remove(&name).filter(|dependency| dependency.target == target);
+            let dependency = unchanged.unwrap_or_else(|| self.start_dependency(target));
+            self.dependencies.insert(name, dependency);
+        }
+    }
+
+    fn target(&self, service: &Service) -> Target {
+        let ajp =
+            service.ajp.as_ref().map(|ajp| Rc::new(Ajp { secret: ajp.secret.clone(), packet: ajp.packet }));
+        Target {
+            path: service.path.as_str().into(),
+            platform: self.config.records.filter(|_| service.is_platform()),
+            ajp,
+        }
+    }
+
+    fn start_dependency(&self, target: Target) -> DependencyHandle {
+        let (mailbox, inbox) = bounded(dependency::MAILBOX);
+        let actor = Dependency::new(
+            self.executor.clone(),
+            (target.clone(), self.call_sockets.clone()),
+            inbox,
+            self.senders.admission.clone(),
+            self.clock.clone(),
+            self.log.clone(),
+        );
+        self.executor.spawn(actor.run()).detach();
+        DependencyHandle { target, mailbox }
+    }
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/fleet/tests.rs
@@ -0,0 +1,75 @@
+use super::*;
+
+/// The example's fleet, with parts of its text replaced.
+fn fleet(changes: &[(&str, &str)]) -> FleetConfig {
+    let mut text = include_str!("../../../../../deploy/fleet.kdl").to_owned();
+    for (part, replacement) in changes {
+        assert!(text.contains(part), "{part}");
+        text = text.replacen(part, replacement, 1);
+    }
+    let operator =
+        umberloom_operator_config::parse("fleet.kdl", &text, None).unwrap_or_else(|e| panic!("{e}"));
+    operator.fleet.expect("a fleet")
+}
+
+/// The example's configuration, with parts of its text replaced.
+fn server(changes: &[(&str, &str)]) -> Config {
+    let mut text = include_str!("../../../../../deploy/example.json").to_owned();
+    changes.iter().for_each(|(part, replacement)| text = text.replacen(part, replacement, 1));
+    Config::parse(text.as_bytes()).expect("a valid example")
+}
+
+#[test]
+fn fleets_beyond_the_limits_are_rejected_with_their_position() {
+    let mut many_peers = fleet(&[]);
+    many_peers.membership.peers = vec![many_peers.membership.peers[0].clone(); 100];
+    let cases = [
+        (fleet(&[]), server(&[]), None),
+        (
+            fleet(&[]),
+            server(&[("\"sockets\": 1024", "\"sockets\": 48")]),
+            Some("14 descriptors, expected 12 at most"),
+        ),
+        (
+            many_peers,
+            server(&[("\"memory_mb\": 192", "\"memory_mb\": 17")]),
+            Some("2560 kb, expected 2176 at most"),
+        ),
+        (fleet(&[("127.0.0.1:7401", "127.0.0.1:10080")]), server(&[]), Some("where balancers connect")),
+    ];
+    for (fleet, server, expected) in cases {
+        let found = check_limits(&fleet, &server).err().map(|e| e.to_string());
+
+        let start = format!("{}:{}: found", fleet.position.line, fleet.position.column);
+        let as_expected = match (&found, expected) {
+            (None, None) => true,
+            (Some(message), Some(part)) => message.starts_with(&start) && message.contains(part),
+            _ => false,
+        };
+        assert!(as_expected, "{found:?}, expected {expected:?}");
+    }
+}
+
+#[test]
+fn only_peers_and_shared_quotas_may_change_on_reload() {
+    let old = fleet(&[]);
+    let allowed =
+        [("127.0.0.1:7402", "127.0.0.1:7409"), ("calls=40", "calls=50"), ("loan-ms=2000", "loan-ms=900")];
+    for change in allowed {
+        assert_eq!(check_reload("f", Some(&old), Some(&fleet(&[change]))), Ok(()), "{change:?}");
+    }
+    let rejected = [
+        ("127.0.0.1:7401", "127.0.0.1:7409", "listen"),
+        ("fleet \"desks\"", "fleet \"others\"", "name"),
+        ("secret \"change", "secret \"changed", "secret"),
+        ("zone \"west\"", "zone \"north\"", "zone"),
+        ("probe-ms=500", "probe-ms=400", "timing"),
+    ];
+    for (part, replacement, field) in rejected {
+        let new = fleet(&[(part, replacement)]);
+        let message = check_reload("f", Some(&old), Some(&new)).expect_err(field).to_string();
+        assert!(message.contains(&format!("the fleet's {field} has changed")), "{message}");
+    }
+    assert!(check_reload("f", None, Some(&old)).is_err() && check_reload("f", Some(&old), None).is_err());
+    assert_eq!(check_reload("f", None, None), Ok(()));
+}
--- a/crates/server/src/lifecycle/known_config_keys.rs
+++ b/crates/server/src/lifecycle/known_config_keys.rs
@@ -1,7 +1,8 @@
-//! The keys that a configuration is known to hold: a key that is none of them may be a slip of the pen, such as
-//! `wirte` for `write`, that leaves a setting at its default unseen. It is told, never refused: the wire says that
-//! further keys may come and are to be disregarded, and the fleet's own files carry keys of their own (`admin`),
-//! which a refusal kept from starting (GATE failed: calm+mass, herd+mass and split+mass).
+//! The keys that a configuration is known to have.
+//!
+//! Another key may be a typing error, such as `wirte` for `write`, that leaves a setting at its default unnoticed. It is
+//! reported and never rejected: the protocol says that further keys may come and are to be ignored, and the fleet's own
+//! files have keys of their own (`admin`), which a rejection once kept from starting.
 
 use serde_json::Value;
 use umberloom_settings::fields::Object;
@@ -9,7 +10,7 @@
 const TOP: &[&str] =
     &["name", "listen", "agent", "announce", "records", "seed", "stop_ms", "limits", "settings"];
 const LIMITS: &[&str] = &["cores", "memory_mb", "sockets"];
-/// The settings, as `WIRE-umberloom.md` names them for `power_on`.
+/// The settings object, as the simulator's protocol names it (`power_on` in `WIRE-umberloom.md`).
 const SETTINGS: &[&str] = &[
     "servers",
     "classes",
@@ -71,38 +72,43 @@
 const SETTINGS_LIMITS: &[&str] = &["cpu_us_per_request", "cpu_us_per_s", "max_retry_after_us", "retry_after"];
 const REALM: &[&str] = &["name", "quota_rps", "share"];
 
-fn strays(o: &Object, known: &[&str], at: &str, out: &mut Vec<String>) {
-    let stray = o.keys().filter(|key| !known.contains(&key.as_str()));
-    out.extend(stray.map(|key| if at.is_empty() { key.clone() } else { format!("{at}.{key}") }));
+/// The paths of the unknown keys of a configuration, in the order of the checks.
+pub fn unknown(top: &Object) -> Vec<String> {
+    let mut paths = Vec::new();
+    in_object(top, TOP, "", &mut paths);
+    in_member(top, "limits", LIMITS, "", &mut paths);
+    if let Some(settings) = top.get("settings").and_then(Value::as_object) {
+        in_object(settings, SETTINGS, "settings", &mut paths);
+        in_list(settings, "classes", CLASS, "settings.", &mut paths);
+        in_list(settings, "realms", REALM, "settings.", &mut paths);
+        in_member(settings, "family_info", FAMILY_INFO, "settings.", &mut paths);
+        in_member(settings, "guarantees", GUARANTEES, "settings.", &mut paths);
+        in_member(settings, "limits", SETTINGS_LIMITS, "settings.", &mut paths);
+    }
+    paths
 }
 
-fn in_list(o: &Object, field: &str, known: &[&str], at: &str, out: &mut Vec<String>) {
-    let list = o.get(field).and_then(Value::as_array).into_iter().flatten();
-    for (n, item) in list.enumerate().filter_map(|(n, item)| Some((n, item.as_object()?))) {
-        strays(item, known, &format!("{at}{field}[{n}]"), out);
-    }
+/// Adds the unknown keys of `object`, which stands at `path`.
+fn in_object(object: &Object, known: &[&str], path: &str, paths: &mut Vec<String>) {
+    let unknown = object.keys().filter(|key| !known.contains(&key.as_str()));
+    paths.extend(unknown.map(|key| if path.is_empty() { key.clone() } else { format!("{path}.{key}") }));
 }
 
-fn within(o: &Object, field: &str, known: &[&str], at: &str, out: &mut Vec<String>) {
-    if let Some(inner) = o.get(field).and_then(Value::as_object) {
-        strays(inner, known, &format!("{at}{field}"), out);
+/// Adds the unknown keys of each object in the list `field`.
+fn in_list(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
+    let list = object.get(field).and_then(Value::as_array).into_iter().flatten();
+    for (n, item) in list.enumerate() {
+        if let Some(item) = item.as_object() {
+            in_object(item, known, &format!("{prefix}{field}[{n}]"), paths);
+        }
     }
 }
 
-/// The paths of the keys that a configuration is not known to hold, in the order of the checks.
-pub fn unknown(top: &Object) -> Vec<String> {
-    let mut out = Vec::new();
-    strays(top, TOP, "", &mut out);
-    within(top, "limits", LIMITS, "", &mut out);
-    if let Some(s) = top.get("settings").and_then(Value::as_object) {
-        strays(s, SETTINGS, "settings", &mut out);
-        in_list(s, "classes", CLASS, "settings.", &mut out);
-        in_list(s, "realms", REALM, "settings.", &mut out);
-        within(s, "family_info", FAMILY_INFO, "settings.", &mut out);
-        within(s, "guarantees", GUARANTEES, "settings.", &mut out);
-        within(s, "limits", SETTINGS_LIMITS, "settings.", &mut out);
+/// Adds the unknown keys of the object `field`.
+fn in_member(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
+    if let Some(inner) = object.get(field).and_then(Value::as_object) {
+        in_object(inner, known, &format!("{prefix}{field}"), paths);
     }
-    out
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/server/src/lifecycle/reload.rs
@@ -0,0 +1,107 @@
+//! SIGHUP: the configuration files are read again.
+
+use slog::{error, info};
+use thiserror::Error;
+use umberloom_operator_config::Operator;
+
+use super::config::{Config, ImmutableFieldError};
+use super::config_files::{ConfigFileError, LoadedConfig};
+use super::fleet::{self, FleetReloadError};
+use super::server::Server;
+use crate::messages::agent::AgentActorMessage;
+use crate::messages::calls::DependencyCommand;
+use crate::messages::fleet::FleetCommand;
+use crate::messages::registration::RegistrationCommand;
+use crate::messages::AdmissionMessage;
+
+/// Why the configuration in force stays.
+#[derive(Debug, Error)]
+enum ReloadError {
+    /// A file is missing or invalid.
+    #[error(transparent)]
+    Files(#[from] ConfigFileError),
+    /// The platform's configuration changes what can't change while running.
+    #[error(transparent)]
+    Server(#[from] ImmutableFieldError),
+    /// The operator's file changes what can't change while running.
+    #[error(transparent)]
+    Fleet(#[from] FleetReloadError),
+}
+
+impl Server<'_> {
+    /// Changes over to what the files say now, if both are valid and change nothing that can't change while running;
+    /// else all of the old configuration stays in force. A file that is broken or half written must not cost what is
+    /// being served.
+    pub async fn reload(&mut self) {
+        match self.load_changed() {
+            Ok(config) => self.apply(config).await,
+            Err(error) => error!(self.log, "configuration reload rejected"; "reason" => %error),
+        }
+    }
+
+    fn load_changed(&self) -> Result<LoadedConfig, ReloadError> {
+        let new = self.files.load()?;
+        self.config.check_reload(&new.server)?;
+        if let Some(operator) = &new.operator {
+            let before = self.fleet.as_ref().map(|fleet| &fleet.config);
+            fleet::check_reload(&self.files.operator_name(), before, operator.fleet.as_ref())?;
+        }
+        Ok(new)
+    }
+
+    async fn apply(&mut self, new: LoadedConfig) {
+        let LoadedConfig { server, operator } = new;
+        info!(self.log, "configuration reloaded"; "agent" => %server.agent, "announce" => %server.announce);
+        self.move_peers(&server).await;
+        self.config = server;
+        if let Some(operator) = operator {
+            self.reconfigure_fleet(&operator).await;
+            self.reconfigure_dependencies(operator).await;
+        }
+    }
+
+    /// Tells each actor whose peer has another address; the others notice nothing.
+    ///
+    /// Sending fails only if the actor has ended, which none does before the process.
+    async fn move_peers(&mut self, new: &Config) {
+        if new.agent != self.config.agent {
+            let _ = self.senders.agent.send(AgentActorMessage::SetAddress(new.agent)).await;
+        }
+        if let Some(address) = new.records.filter(|_| new.records != self.config.records) {
+            let _ = self.senders.records.send(DependencyCommand::SetAddress(address)).await;
+            let on_platform = |dependency: &&mut super::dependencies::DependencyHandle| {
+                dependency.target.platform.is_some()
+            };
+            for dependency in self.dependencies.values_mut().filter(on_platform) {
+                dependency.target.platform = Some(address);
+                let _ = dependency.mailbox.send(DependencyCommand::SetAddress(address)).await;
+            }
+        }
+        if new.announce != self.config.announce {
+            let _ = self.senders.registration.send(RegistrationCommand::SetAddress(new.announce)).await;
+        }
+    }
+
+    async fn reconfigure_fleet(&mut self, operator: &Operator) {
+        let (Some(handle), Some(new)) = (&mut self.fleet, &operator.fleet) else { return };
+        handle.config = new.clone();
+        let build_info = fleet::build_info(&self.config, operator);
+        let settings = (new.membership.clone(), new.addresses.clone(), build_info, new.record.clone());
+        // Fails only if the fleet actor has ended, which it does not before the process.
+        let _ = handle.mailbox.send(FleetCommand::Reconfigure(Box::new(settings))).await;
+    }
+
+    async fn reconfigure_dependencies(&mut self, operator: Operator) {
+        let plans = operator.dependencies.plans.len();
+        match self.connect_dependencies(operator) {
+            Ok(settings) => {
+                let dependencies = self.dependencies.len();
+                info!(self.log, "dependencies reloaded"; "plans" => plans, "dependencies" => dependencies);
+                let reconfigured = AdmissionMessage::DependenciesReconfigured(Box::new(settings));
+                // Fails only if the admission actor has ended; then nothing is called any more.
+                let _ = self.senders.admission.send(reconfigured).await;
+            }
+            Err(error) => error!(self.log, "dependency reload rejected"; "reason" => %error),
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/server.rs
@@ -0,0 +1,128 @@
+//! The running server: waits for what may change its phase, up to the exit.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Receiver;
+use async_executor::{LocalExecutor, Task};
+use async_io::Timer;
+use futures_lite::future;
+use slog::Logger;
+use umberloom::interface::Micros;
+
+use super::clock::Clock;
+use super::config::Config;
+use super::config_files::ConfigFiles;
+use super::dependencies::DependencyHandle;
+use super::fleet::FleetHandle;
+use super::phase::{Phase, PhaseTracker};
+use super::signals::{SignalListener, SignalRequest};
+use super::startup::Senders;
+use crate::memory::budget::Budget;
+use crate::messages::fleet::FleetCommand;
+use crate::messages::listener::ListenerCommand;
+use crate::messages::AdmissionMessage;
+use crate::peers::dependency::Sockets;
+
+/// What may change the phase.
+enum ServerEvent {
+    /// The agent has greeted.
+    AgentUp,
+    /// A signal has come.
+    Signal(SignalRequest),
+    /// The next phase may be due.
+    Timeout,
+    /// The last connection is closed.
+    ConnectionsClosed,
+}
+
+/// The server as its actors' supervisor sees it.
+pub struct Server<'a> {
+    pub(super) executor: Rc<LocalExecutor<'a>>,
+    /// The configuration in force.
+    pub(super) config: Config,
+    pub(super) files: ConfigFiles,
+    /// Memory that peers can make this process take.
+    pub(super) budget: Budget,
+    /// Sockets for calls to dependencies.
+    pub(super) call_sockets: Sockets,
+    /// Dependencies of the operator's file, by name.
+    pub(super) dependencies: BTreeMap<Rc<str>, DependencyHandle>,
+    pub(super) senders: Senders,
+    pub(super) fleet: Option<FleetHandle>,
+    /// Receives once when the agent has greeted.
+    pub(super) agent_up: Receiver<()>,
+    /// Ends with the last connection of a balancer.
+    pub(super) connections: Task<()>,
+    pub(super) clock: Clock,
+    pub(super) log: Logger,
+}
+
+impl Server<'_> {
+    /// Passes through the phases up to the exit.
+    pub async fn run(mut self, mut phase: PhaseTracker, mut signals: SignalListener) {
+        while phase.phase() != Phase::Stopped {
+            match self.next_event(phase.next_timeout(), &mut signals).await {
+                ServerEvent::AgentUp => phase.enter(Phase::Serving),
+                ServerEvent::Signal(SignalRequest::Reload) => self.reload().await,
+                ServerEvent::Signal(SignalRequest::Shutdown) => self.begin_drain(&mut phase).await,
+                ServerEvent::Timeout => self.handle_timeout(&mut phase).await,
+                ServerEvent::ConnectionsClosed => phase.enter(Phase::Stopped),
+            }
+        }
+    }
+
+    async fn begin_drain(&self, phase: &mut PhaseTracker) {
+        let noticed_at = self.clock.now();
+        let stop_after = self.config.stop;
+        if !phase.begin_drain(noticed_at, stop_after) {
+            return;
+        }
+        // Before the drain begins, and without waiting for it: the fleet learns that this server leaves.
+        self.notify_fleet(FleetCommand::Leave);
+        let drain = AdmissionMessage::Drain { noticed_at, stop_at: noticed_at.saturating_add(stop_after) };
+        // Fails only if the admission actor has ended; then there is nothing to drain.
+        let _ = self.senders.admission.send(drain).await;
+    }
+
+    async fn handle_timeout(&self, phase: &mut PhaseTracker) {
+        if phase.handle_timeout(self.clock.now()) && phase.phase() == Phase::Closing {
+            self.notify_fleet(FleetCommand::AnnounceDeparture);
+            // Fails only if the listener has ended, and its connections with it.
+            let _ = self.senders.listener.send(ListenerCommand::Drain).await;
+        }
+    }
+
+    fn notify_fleet(&self, command: FleetCommand) {
+        if let Some(fleet) = &self.fleet {
+            // A full mailbox loses it: the others find out by their probes, and the shutdown waits for nobody.
+            let _ = fleet.mailbox.try_send(command);
+        }
+    }
+
+    /// Waits for the next event; earlier variants of [`ServerEvent`] come first where several are ready.
+    async fn next_event(&mut self, timeout: Option<Micros>, signals: &mut SignalListener) -> ServerEvent {
+        let Server { agent_up, connections, clock, .. } = self;
+        let agent_up = async {
+            match agent_up.recv().await {
+                Ok(()) => ServerEvent::AgentUp,
+                Err(_) => future::pending().await,
+            }
+        };
+        let signal = async {
+            let request = signals.next().await;
+            ServerEvent::Signal(request)
+        };
+        let timeout = async {
+            let Some(at) = timeout else { return future::pending().await };
+            Timer::after(Duration::from_micros(at.saturating_sub(clock.now()))).await;
+            ServerEvent::Timeout
+        };
+        let connections_closed = async {
+            connections.await;
+            ServerEvent::ConnectionsClosed
+        };
+        future::or(agent_up, future::or(signal, future::or(timeout, connections_closed))).await
+    }
+}
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,34 +1,33 @@
-//! Notices from the system.
+//! Signals of the operating system.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// What the system may ask of the program.
+/// What a signal asks of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// Drain, then end.
-    Leave,
-    /// The configuration has been replaced: read it again.
+pub enum SignalRequest {
+    /// SIGTERM or SIGINT: drain, then exit.
+    Shutdown,
+    /// SIGHUP: read the configuration files again.
     Reload,
 }
 
-/// The notices, from the moment they are listened to.
-pub struct Notices(Signals);
+/// Receives signals from the moment it is created.
+pub struct SignalListener(Signals);
 
-impl Notices {
-    /// Begins to listen.
-    pub fn new() -> std::io::Result<Notices> {
-        // Unheard, each of them would end the process.
-        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map(Notices)
+impl SignalListener {
+    /// Starts to listen. Without a listener each of these signals would end the process.
+    pub fn new() -> std::io::Result<SignalListener> {
+        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map(SignalListener)
     }
 
-    /// The next notice.
-    pub async fn next(&mut self) -> Notice {
+    /// The next request.
+    pub async fn next(&mut self) -> SignalRequest {
         loop {
-            // The stream has no end; were reading it to fail, no notice could come any more.
+            // The stream has no end; were reading it to fail, no signal could come any more.
             match self.0.next().await {
-                Some(Ok(Signal::Hup)) => return Notice::Reload,
-                Some(Ok(_)) => return Notice::Leave,
+                Some(Ok(Signal::Hup)) => return SignalRequest::Reload,
+                Some(Ok(_)) => return SignalRequest::Shutdown,
                 Some(Err(_)) | None => {}
             }
         }
--- /dev/null
+++ b/crates/server/src/lifecycle/startup.rs
@@ -0,0 +1,291 @@
+//! Starts the server: binds its sockets, and starts and connects its actors.
+
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+use async_channel::{bounded, Receiver, Sender};
+use async_executor::{LocalExecutor, Task};
+use async_io::Async;
+use slog::{warn, Logger};
+use thiserror::Error;
+use umberloom_connection_admission::connection_table::ConnectionTable;
+use umberloom_operator_config::Operator;
+
+use super::clock::Clock;
+use super::config::Config;
+use super::config_files::{ConfigFiles, LoadedConfig};
+use super::descriptor_limit::{self, DescriptorBudget};
+use super::fleet::{self, FleetHandle, FleetStart};
+use super::server::Server;
+use super::PEER_MEMORY_DIVISOR;
+use crate::admission::{self, AdmissionActor, Mailboxes};
+use crate::dependency_calls::DependencyCalls;
+use crate::memory::budget::Budget;
+use crate::messages::agent::AgentActorMessage;
+use crate::messages::caller::LoadHint;
+use crate::messages::calls::{DependencyCommand, DependencySettings};
+use crate::messages::listener::ListenerCommand;
+use crate::messages::registration::RegistrationCommand;
+use crate::messages::AdmissionMessage;
+use crate::peers::agent::{self, Agent};
+use crate::peers::connection::Shared;
+use crate::peers::dependency::{self, Dependency, Sockets, Target};
+use crate::peers::fleet::{descriptors, Sockets as FleetSockets};
+use crate::peers::listener::{self, Front};
+use crate::peers::registration::{self, List};
+use crate::quota_leases::QuotaLeases;
+
+/// Why the server can't start.
+#[derive(Debug, Error)]
+pub enum StartupError {
+    /// The address for balancers can't be bound.
+    #[error("listen on {address}: {source}")]
+    Listen { address: SocketAddr, source: std::io::Error },
+    /// The fleet's sockets or its membership can't be started; the text says why.
+    #[error("{0}")]
+    Fleet(String),
+    /// The memory limit leaves no room for the fleet's streams.
+    #[error("no memory for {bytes} bytes of the fleet's streams")]
+    FleetMemory { bytes: usize },
+    /// The memory limit leaves no room for cached fallback results.
+    #[error(transparent)]
+    FallbackCache(#[from] FallbackCacheMemoryError),
+}
+
+/// The memory limit leaves no room for cached fallback results.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("no memory for {bytes} bytes of kept results")]
+pub struct FallbackCacheMemoryError {
+    /// What the cache would take.
+    pub bytes: usize,
+}
+
+/// The sockets that are bound before anything is served.
+pub struct ListenSockets {
+    /// Where balancers connect.
+    pub balancers: Async<TcpListener>,
+    /// Where other servers of the fleet reach this one, if it belongs to a fleet.
+    pub fleet: Option<FleetSockets>,
+}
+
+/// Binds the address for balancers.
+pub fn bind_balancers(address: SocketAddr) -> Result<Async<TcpListener>, StartupError> {
+    let listener = TcpListener::bind(address).and_then(Async::new);
+    listener.map_err(|source| StartupError::Listen { address, source })
+}
+
+/// Binds the fleet's address, if the operator's file names a fleet.
+pub fn bind_fleet(operator: Option<&Operator>) -> Result<Option<FleetSockets>, StartupError> {
+    let Some(fleet) = operator.and_then(|operator| operator.fleet.as_ref()) else { return Ok(None) };
+    let sockets = FleetSockets::bind(fleet.listen).map_err(|e| StartupError::Fleet(e.to_string()))?;
+    Ok(Some(sockets))
+}
+
+/// The sending ends of the actors' mailboxes.
+#[derive(Clone)]
+pub struct Senders {
+    pub admission: Sender<AdmissionMessage>,
+    pub agent: Sender<AgentActorMessage>,
+    /// The dependency actor for the platform's records service.
+    pub records: Sender<DependencyCommand>,
+    pub registration: Sender<RegistrationCommand>,
+    pub listener: Sender<ListenerCommand>,
+}
+
+/// The receiving ends of the actors' mailboxes.
+struct Inboxes {
+    admission: Receiver<AdmissionMessage>,
+    agent: Receiver<AgentActorMessage>,
+    records: Receiver<DependencyCommand>,
+    registration: Receiver<RegistrationCommand>,
+    listener: Receiver<ListenerCommand>,
+}
+
+fn open_mailboxes() -> (Senders, Inboxes) {
+    let (admission, admission_inbox) = bounded(admission::MAILBOX);
+    let (agent, agent_inbox) = bounded(agent::MAILBOX);
+    let (records, records_inbox) = bounded(dependency::MAILBOX);
+    let (registration, registration_inbox) = bounded(registration::MAILBOX);
+    let (listener, listener_inbox) = bounded(listener::MAILBOX);
+    let senders = Senders { admission, agent, records, registration, listener };
+    let inboxes = Inboxes {
+        admission: admission_inbox,
+        agent: agent_inbox,
+        records: records_inbox,
+        registration: registration_inbox,
+        listener: listener_inbox,
+    };
+    (senders, inboxes)
+}
+
+impl<'a> Server<'a> {
+    /// Starts all actors on `executor`. They run once the executor does.
+    pub fn start(
+        executor: &Rc<LocalExecutor<'a>>,
+        config: LoadedConfig,
+        files: ConfigFiles,
+        sockets: ListenSockets,
+        clock: &Clock,
+        log: &Logger,
+    ) -> Result<Server<'a>, StartupError> {
+        let LoadedConfig { server: config, operator } = config;
+        let descriptors = divide_descriptors(&config, operator.as_ref(), log);
+        let (senders, inboxes) = open_mailboxes();
+        let (agent_up_sender, agent_up) = bounded(1);
+        let budget = Budget::new(config.limits.memory / PEER_MEMORY_DIVISOR);
+        let call_sockets = Sockets::new(descriptors.calls);
+        let starter = ActorStarter { executor, config: &config, senders: &senders, clock, log };
+        let fleet = starter.fleet(operator.as_ref(), sockets.fleet, &budget)?;
+        let mailboxes = Mailboxes {
+            fleet: fleet.as_ref().map(|handle| handle.mailbox.clone()),
+            agent: senders.agent.clone(),
+            records: senders.records.clone(),
+            list: senders.registration.clone(),
+            front: senders.listener.clone(),
+            up: agent_up_sender,
+            hint: LoadHint::default(),
+        };
+        starter.agent(inboxes.agent);
+        starter.registration(inboxes.registration);
+        starter.records_service(inboxes.records, &call_sockets);
+        let shared = starter.connection_context(&mailboxes.hint, descriptors.connections, &budget);
+        let connections = starter.listener(sockets.balancers, shared, inboxes.listener);
+        let mut server = Server {
+            executor: executor.clone(),
+            config,
+            files,
+            budget,
+            call_sockets,
+            dependencies: BTreeMap::new(),
+            senders,
+            fleet,
+            agent_up,
+            connections,
+            clock: clock.clone(),
+            log: log.clone(),
+        };
+        let dependencies = operator.map(|operator| server.connect_dependencies(operator)).transpose()?;
+        server.start_admission(inboxes.admission, mailboxes, dependencies);
+        Ok(server)
+    }
+
+    fn start_admission(
+        &self,
+        inbox: Receiver<AdmissionMessage>,
+        mailboxes: Mailboxes,
+        dependencies: Option<DependencySettings>,
+    ) {
+        let seed = self.config.settings.seed;
+        let quota_leases = QuotaLeases::new(mailboxes.fleet.clone(), seed, self.log.clone());
+        let dependency_calls = dependencies.and_then(|settings| {
+            DependencyCalls::new(self.clock.now(), settings, quota_leases, seed, self.log.clone())
+        });
+        let settings = (self.config.settings.clone(), self.config.shape, self.config.gauges.clone());
+        let actor = AdmissionActor::new(
+            settings,
+            dependency_calls,
+            inbox,
+            mailboxes,
+            self.clock.clone(),
+            self.log.clone(),
+        );
+        self.executor.spawn(actor.run()).detach();
+    }
+}
+
+/// Divides the descriptors that the system allows, and warns where these are fewer than configured.
+fn divide_descriptors(config: &Config, operator: Option<&Operator>, log: &Logger) -> DescriptorBudget {
+    let configured = config.limits.sockets;
+    let allowed = descriptor_limit::effective_limit(configured);
+    if allowed < configured {
+        warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
+    }
+    let fleet = operator.and_then(|operator| operator.fleet.as_ref());
+    let for_fleet = fleet.map_or(0, |fleet| descriptors(fleet.membership.peers.len()));
+    DescriptorBudget::divide(allowed, for_fleet)
+}
+
+/// Starts one actor after the other.
+struct ActorStarter<'s, 'a> {
+    executor: &'s Rc<LocalExecutor<'a>>,
+    config: &'s Config,
+    senders: &'s Senders,
+    clock: &'s Clock,
+    log: &'s Logger,
+}
+
+impl<'a> ActorStarter<'_, 'a> {
+    fn fleet(
+        &self,
+        operator: Option<&Operator>,
+        sockets: Option<FleetSockets>,
+        budget: &Budget,
+    ) -> Result<Option<FleetHandle>, StartupError> {
+        let (Some(operator), Some(sockets)) = (operator, sockets) else { return Ok(None) };
+        let Some(config) = operator.fleet.clone() else { return Ok(None) };
+        let start = FleetStart {
+            sockets,
+            config,
+            build_info: fleet::build_info(self.config, operator),
+            seed: self.config.settings.seed,
+            admission: &self.senders.admission,
+            budget,
+            log: self.log,
+        };
+        fleet::start(self.executor, start).map(Some)
+    }
+
+    fn agent(&self, inbox: Receiver<AgentActorMessage>) {
+        let actor = Agent::new(self.config.agent, inbox, self.senders.admission.clone(), self.log.clone());
+        self.executor.spawn(actor.run()).detach();
+    }
+
+    fn registration(&self, inbox: Receiver<RegistrationCommand>) {
+        let among = (self.config.settings.servers, self.config.settings.seed);
+        let actor = List::new(self.config.announce, &self.config.name, among, inbox, self.log.clone());
+        self.executor.spawn(actor.run()).detach();
+    }
+
+    fn records_service(&self, inbox: Receiver<DependencyCommand>, sockets: &Sockets) {
+        let Some(address) = self.config.records else { return };
+        let actor = Dependency::new(
+            self.executor.clone(),
+            (Target::records(address), sockets.clone()),
+            inbox,
+            self.senders.admission.clone(),
+            self.clock.clone(),
+            self.log.clone(),
+        );
+        self.executor.spawn(actor.run()).detach();
+    }
+
+    /// What all connections of balancers have in common.
+    fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> Shared {
+        Shared {
+            module: self.senders.admission.clone(),
+            classes: Rc::new(self.config.classes.clone()),
+            tenants: Rc::new(self.config.tenants.clone()),
+            hint: hint.clone(),
+            shape: self.config.shape,
+            connections,
+            serial: Rc::default(),
+            budget: budget.clone(),
+            clock: self.clock.clone(),
+            log: self.log.clone(),
+        }
+    }
+
+    /// The task ends once the listener has closed its last connection.
+    fn listener(
+        &self,
+        socket: Async<TcpListener>,
+        shared: Shared,
+        inbox: Receiver<ListenerCommand>,
+    ) -> Task<()> {
+        let from = (socket, ConnectionTable::new(shared.connections, &[1]));
+        let idle_timeout = self.config.settings.idle_timeout_max;
+        let actor = Front::new(self.executor.clone(), from, shared, inbox, idle_timeout);
+        self.executor.spawn(actor.run())
+    }
+}
