--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -48,7 +48,7 @@
         for (name, value) in self.0.iter().zip(values) {
             match name.as_str() {
                 "core_use" => gauges.cpu = Some(value),
-                "on_cores" => gauges.on_cores = Some(value),
+                "on_cores" => gauges.core_demand = Some(value),
                 "heap_share" => gauges.memory = Some(value),
                 "links" => gauges.connections = Some(value),
                 _ => {}
--- a/crates/sim-adapter/src/tests.rs
+++ b/crates/sim-adapter/src/tests.rs
@@ -141,7 +141,7 @@
         panic!("a timer")
     };
     assert_eq!(
-        (g.connections, g.cpu, g.memory, g.on_cores),
+        (g.connections, g.cpu, g.memory, g.core_demand),
         (Some(120.0), Some(0.62), Some(0.41), Some(3.0))
     );
 }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -28,7 +28,7 @@
         let most = ((ConcurrencyLimit::survivable(settings, uptime) * SAFE_SHARE) as usize).max(cores);
         // The gauge looks back: where more wants a core than there are, in the mean or now, none is free.
         let excess = self.core_demand - core_count;
-        let is_taken = excess > 0.0 || gauges.on_cores.is_some_and(|on_cores| on_cores > core_count);
+        let is_taken = excess > 0.0 || gauges.core_demand.is_some_and(|core_demand| core_demand > core_count);
         let completions = f64::from(std::mem::take(&mut self.completions));
         if gauges.cpu.unwrap_or(1.0) < BUSY_CPU && !is_taken {
             (self.slots, self.step, self.previous_completions) = (running + cores, -1, 0.0);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -218,7 +218,7 @@
     fn handle_timer(&mut self, now: Micros, gauges: Gauges, out: &mut Vec<Action>) {
         self.is_timer_armed = false;
         let core_demand = &mut self.concurrency.core_demand;
-        *core_demand = ewma(*core_demand, gauges.on_cores.unwrap_or(*core_demand));
+        *core_demand = ewma(*core_demand, gauges.core_demand.unwrap_or(*core_demand));
         if now < self.next_adjustment {
             return;
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -255,7 +255,7 @@
     /// Share of the cores that was busy over the last half second.
     pub cpu: Option<f64>,
     /// Number of tasks that want a core now.
-    pub on_cores: Option<f64>,
+    pub core_demand: Option<f64>,
     /// Share of the memory in use.
     pub memory: Option<f64>,
     /// Number of open connections.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -103,11 +103,11 @@
 }
 
 pub fn busy_timer() -> Event {
-    Event::Timer(Gauges { cpu: Some(1.0), on_cores: Some(2.0), memory: Some(0.1), connections: Some(3.0) })
+    Event::Timer(Gauges { cpu: Some(1.0), core_demand: Some(2.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
 pub fn idle_timer() -> Event {
-    Event::Timer(Gauges { cpu: Some(0.2), on_cores: Some(0.0), memory: Some(0.1), connections: Some(3.0) })
+    Event::Timer(Gauges { cpu: Some(0.2), core_demand: Some(0.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
 pub fn run_ended(name: &str, took: Micros) -> Event {
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -37,7 +37,7 @@
 fn a_lagging_cpu_gauge_does_not_raise_the_limit_under_demand() {
     let mut controller = controller(default_settings());
     send(&mut controller, 0, &[("a", 0), ("b", 0), ("c", 0)]);
-    let overloaded = Event::Timer(Gauges { cpu: Some(0.3), on_cores: Some(6.0), ..Gauges::default() });
+    let overloaded = Event::Timer(Gauges { cpu: Some(0.3), core_demand: Some(6.0), ..Gauges::default() });
     let early = (1..25)
         .flat_map(|n| step(&mut controller, n * 20 * MS, vec![overloaded.clone()]))
         .collect::<Vec<_>>();
@@ -50,14 +50,14 @@
     let mut controller = controller(default_settings());
     send(&mut controller, 0, &[("a", 0), ("b", 0), ("c", 0)]);
     // The gauge still shows the time before the start, and the mean of a single look is low.
-    let sudden = Event::Timer(Gauges { cpu: Some(0.3), on_cores: Some(6.0), ..Gauges::default() });
+    let sudden = Event::Timer(Gauges { cpu: Some(0.3), core_demand: Some(6.0), ..Gauges::default() });
     let actions = step(&mut controller, 500 * MS, vec![sudden]);
     assert!(admitted(&actions).is_empty(), "{actions:?}");
 }
 
 /// Completes `done` short requests, with a new arrival for each, then sends timers under full CPU use;
 /// returns how many run afterwards.
-fn run_interval(host: &mut Host, done: usize, on_cores: f64, tag: usize) -> usize {
+fn run_interval(host: &mut Host, done: usize, core_demand: f64, tag: usize) -> usize {
     let new_arrival = |name: String| Event::Arrived(arrival(&name, 0, 6 * SEC));
     for n in 0..10 {
         host.step(vec![new_arrival(format!("{tag}-{n}"))]);
@@ -67,7 +67,7 @@
         host.step(vec![Event::RunEnded(first, Outcome::Ok, MS), new_arrival(format!("{tag}+{n}"))]);
     }
     host.now += 500 * MS;
-    let gauges = Gauges { cpu: Some(1.0), on_cores: Some(on_cores), ..Gauges::default() };
+    let gauges = Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() };
     // Many timers let the mean of what wants a core settle; the first of them is the reading.
     for _ in 0..20 {
         host.step(vec![Event::Timer(gauges)]);
@@ -124,9 +124,9 @@
     controller: &mut AdmissionController,
     from: Micros,
     count: u64,
-    on_cores: f64,
+    core_demand: f64,
 ) -> Micros {
-    let look = Event::Timer(Gauges { cpu: Some(1.0), on_cores: Some(on_cores), ..Gauges::default() });
+    let look = Event::Timer(Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() });
     for n in 1..=25 * count {
         step(controller, from + n * 20 * MS, vec![look.clone()]);
     }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -5,7 +5,12 @@
 use umberloom::interface::*;
 
 fn open_connections(open: f64) -> Event {
-    Event::Timer(Gauges { cpu: Some(0.5), on_cores: Some(1.0), memory: Some(0.1), connections: Some(open) })
+    Event::Timer(Gauges {
+        cpu: Some(0.5),
+        core_demand: Some(1.0),
+        memory: Some(0.1),
+        connections: Some(open),
+    })
 }
 
 fn idle_timeout(actions: &[Action]) -> Option<Micros> {
--- a/tests/generated_events.rs
+++ b/tests/generated_events.rs
@@ -95,7 +95,7 @@
         let mut events = Vec::new();
         if host.wake.is_some_and(|at| at <= host.now) {
             let cpu = Some([0.3, 0.9, 1.0][random.below(3) as usize]);
-            events.push(Event::Timer(Gauges { cpu, on_cores: Some(3.0), ..Gauges::default() }));
+            events.push(Event::Timer(Gauges { cpu, core_demand: Some(3.0), ..Gauges::default() }));
         }
         if n == 1_000 {
             events.push(Event::Drain { time_left: 2_400 * MS, notified_ago: 0 });
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -137,7 +137,7 @@
         (1..100).flat_map(|n| readiness(&step(&mut quiet, n * 100 * MS, vec![busy_timer()]))).collect();
     assert_eq!(quiet, [], "two want two cores: checks go on showing whether work gets done");
     let mut overloaded = controller(settings);
-    let wants = Gauges { cpu: Some(1.0), on_cores: Some(9.0), ..Gauges::default() };
+    let wants = Gauges { cpu: Some(1.0), core_demand: Some(9.0), ..Gauges::default() };
     let looks = (1..100).map(|n| step(&mut overloaded, n * 100 * MS, vec![Event::Timer(wants)]));
     let published: Vec<Action> = looks.flatten().collect();
     assert_eq!(readiness(&published), [true], "once");
