--- a/src/admission/caller_timeouts.rs
+++ b/src/admission/caller_timeouts.rs
@@ -1,31 +1,39 @@
-//! The timeouts that callers usually state: what is missing from a usual one has passed in earlier attempts.
+//! The timeouts that callers usually state. The time by which a stated timeout is shorter than a usual one
+//! has passed in earlier attempts.
 
 use super::*;
 
-const MAX_VOTES: u32 = 32; // for a usual timeout; with an eighth of them it counts as known
+/// Most votes that a usual timeout keeps. It counts as known with an eighth of them, as well known with half.
+const MAX_VOTES: u32 = 32;
 
-/// The usual timeouts over all callers: in a large fleet a server meets most callers rarely.
+/// The usual timeouts of all callers together: in a large fleet a server sees most single callers rarely.
 #[derive(Default)]
 pub struct CallerTimeouts([UsualTimeout; 6]);
 
 #[derive(Default)]
 struct UsualTimeout {
+    /// The timeout as a share of the class deadline.
     share_of_deadline: f64,
+    /// 0: this entry is unused.
     votes: u32,
 }
 
+/// Whether a stated timeout is taken for a usual one; both are shares of the class deadline.
 fn is_similar(share: f64, usual: f64) -> bool {
     share < usual + RELATIVE_TOLERANCE / 4.0 && share > usual - RELATIVE_TOLERANCE
 }
 
 impl CallerTimeouts {
+    /// The timeouts with enough votes to count as known.
     fn known(&self) -> impl Iterator<Item = f64> + '_ {
         self.0.iter().filter(|usual| usual.votes >= MAX_VOTES / 8).map(|usual| usual.share_of_deadline)
     }
 
-    /// Votes for the usual timeout that a stated one is similar to, or against the one with the fewest votes.
+    /// Votes for the usual timeout that the stated one is similar to, or else against the one with the fewest
+    /// votes.
     pub fn record(&mut self, share: f64, is_first_attempt: bool) {
-        // What is left after a first attempt that timed out is not usual, however often it comes.
+        // The time left after a first attempt that timed out is not a usual timeout, however often it is
+        // stated.
         let is_remainder = self.known().any(|usual| is_similar(share, 1.0 - usual));
         if let Some(usual) = self.0.iter_mut().find(|usual| is_similar(share, usual.share_of_deadline)) {
             let share_of_deadline = usual.share_of_deadline.max(share);
@@ -39,11 +47,13 @@
         }
     }
 
-    /// The share of the deadline that has passed at least. Callers have a usual timeout for an attempt, and
-    /// the longest for a client's request, less what has passed of it; what is longer is left of a deadline.
+    /// The share of the class deadline that has passed at least, by a stated timeout. Callers state their
+    /// usual timeout of an attempt or, where that is shorter, what is left of the longest one, that of the
+    /// client's request. A timeout longer than all known ones is what is left of the deadline.
     pub fn elapsed_share(&self, share: f64) -> f64 {
         let longest = self.known().fold(share, f64::max);
-        // Only well after the first is known can a second no longer be mistaken for such a rest.
+        // Before one usual timeout is well known, a second, longer one could be mistaken for what is left of
+        // the deadline.
         let is_well_known = self.0.iter().any(|usual| usual.votes >= MAX_VOTES / 2);
         let otherwise = if share < longest || !is_well_known { longest } else { 1.0 };
         let full = self.known().find(|usual| is_similar(share, *usual)).unwrap_or(otherwise);
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -2,20 +2,26 @@
 
 use super::*;
 
-const BUSY_CPU: f64 = 0.8; // under this use free cores are filled (SWDS)
+/// CPU use, as a share of all cores, under which free cores are filled (SWDS).
+const BUSY_CPU: f64 = 0.8;
 
-/// Hill climbing on completions per interval; where cores are free they are filled at once (SWDS).
+/// Hill climbing on completions per control interval; free cores are filled at once (SWDS).
 #[derive(Default)]
 pub struct ConcurrencyLimit {
+    /// The limit: how many requests may run at once.
     pub slots: usize,
+    /// The next change of the limit while it climbs: 1 or -1.
     pub step: isize,
+    /// Runs that ended with a success or an error in this control interval.
     pub completions: u32,
+    /// The completions of the control interval before; 0 after one in which cores were free.
     pub previous_completions: f64,
-    pub core_demand: f64, // mean of what wants a core
+    /// Mean number of tasks that want a core.
+    pub core_demand: f64,
 }
 
 impl ConcurrencyLimit {
-    /// Running requests that a server survives: fewer while it is warming up.
+    /// The number of running requests that the server survives, which is lower while it is warming up.
     pub fn survivable(settings: &Settings, uptime: Micros) -> f64 {
         let warmed_up = uptime as f64 / settings.warm_up_time.max(1) as f64;
         let warmed_up = if settings.starts_cold { warmed_up.min(1.0) } else { 1.0 };
@@ -23,10 +29,12 @@
         f64::from(settings.cores) * (1.0 + (settings.overload_per_core - 1.0) * speed)
     }
 
+    /// Adjusts the limit at the end of a control interval, within the cores and what the server survives.
     pub fn adjust(&mut self, gauges: Gauges, running: usize, uptime: Micros, settings: &Settings) {
         let (cores, core_count) = (settings.cores as usize, f64::from(settings.cores));
         let most = ((ConcurrencyLimit::survivable(settings, uptime) * SAFE_SHARE) as usize).max(cores);
-        // The gauge looks back: where more wants a core than there are, in the mean or now, none is free.
+        // The CPU gauge shows the past. No core is free where core demand, in the mean or now, exceeds the
+        // cores.
         let excess = self.core_demand - core_count;
         let is_taken = excess > 0.0 || gauges.core_demand.is_some_and(|core_demand| core_demand > core_count);
         let completions = f64::from(std::mem::take(&mut self.completions));
@@ -38,17 +46,20 @@
         self.slots = self.slots.clamp(cores, most);
     }
 
+    /// One step of hill climbing; `excess` is the mean core demand above the number of cores.
     fn climb(&mut self, completions: f64, excess: f64) {
-        // Counts differ by chance: less than their spread is flat.
+        // Counts differ by chance: a difference within their standard deviation is no change.
         let noise = (self.previous_completions + completions).sqrt();
         let got_worse = completions < self.previous_completions - noise;
         self.step = if got_worse { -self.step } else { self.step };
-        // Where cores are in demand counts follow other work too: only what is well beyond chance shows.
+        // Under excess core demand completions depend on other work too: only twice that difference is
+        // significant.
         let significant = if excess > 0.0 { 2.0 * noise } else { noise };
         if (completions - self.previous_completions).abs() > significant {
             self.slots = self.slots.saturating_add_signed(self.step);
         } else if excess > 0.0 {
-            // Flat, yet overloaded: slots added while cores were free get in the way. Counts don't show it.
+            // Completions are flat under overload: slots that were added while cores were free only add
+            // contention, which the counts don't show.
             self.slots = self.slots.saturating_sub((excess / 4.0).max(1.0) as usize);
         }
         self.previous_completions = completions;
--- a/src/admission/connections.rs
+++ b/src/admission/connections.rs
@@ -1,18 +1,24 @@
-//! Callers' connections: who has one already, and how long idle ones stay open.
+//! Callers' connections: which callers have one already, and how long idle connections stay open.
 
 use super::*;
 
-const MIN_RETURNING_SHARE: f64 = 0.75; // above it connections stay open for longer
+/// Share of arrivals from returning callers above which more connections are kept open.
+const MIN_RETURNING_SHARE: f64 = 0.75;
 
 #[derive(Default)]
 pub struct Connections {
+    /// The time of the latest arrival of each caller seen within the longest idle timeout.
     pub caller_last_seen: BTreeMap<u64, Micros>,
-    pub new_caller_share: f64, // of arrivals: from callers without an open connection
-    pub returning_share: f64,  // of arrivals: from callers seen within the longest idle timeout
+    /// Share of arrivals from callers without an open connection; 0 where connections cost nothing.
+    pub new_caller_share: f64,
+    /// Share of arrivals from callers seen within the longest idle timeout.
+    pub returning_share: f64,
+    /// Idle time after which connections are closed.
     pub idle_timeout: Micros,
 }
 
 impl Connections {
+    /// Counts an arrival of this caller.
     pub fn record_arrival(&mut self, now: Micros, caller: u64, settings: &Settings) {
         let last_seen = self.caller_last_seen.insert(caller, now);
         let was_seen_within = |span: Micros| last_seen.is_some_and(|seen| seen + span >= now);
@@ -22,9 +28,11 @@
         self.returning_share = ewma(self.returning_share, f64::from(is_returning));
     }
 
-    /// A changed timeout: halved when open connections take too many places, doubled when there are few.
+    /// Halves the idle timeout when there are too many open connections and doubles it when there are few.
+    /// Returns it if it has changed.
     pub fn adjust_idle_timeout(&mut self, open: f64, settings: &Settings) -> Option<Micros> {
-        // Where most callers return before their connections would end, each one kept saves more.
+        // Where most callers return within the longest idle timeout, connections that are kept save more
+        // handshakes.
         let factor = if self.returning_share > MIN_RETURNING_SHARE { 2.0 } else { 0.5 };
         let useful = f64::from(settings.cores) * settings.overload_per_core * factor;
         let timeout = match self.idle_timeout {
--- a/src/admission/dispatch.rs
+++ b/src/admission/dispatch.rs
@@ -1,37 +1,42 @@
-//! Dispatch: which request of the wait queue runs next.
+//! Dispatch: selects the request of the wait queue that runs next.
 
 use super::*;
 
-const LOOK_AHEAD: usize = 32; // places of the wait queue that one search looks at (SWDS)
-const CALLS_PER_CORE: usize = 4; // with more only classes without downstream calls start
+/// Number of requests at the head of the wait queue that one search examines (SWDS).
+const LOOK_AHEAD: usize = 32;
+/// Number of requests at downstream calls, for each core, from which on only classes without such calls
+/// start.
+const CALLS_PER_CORE: usize = 4;
 
 impl AdmissionController {
-    /// How many priority weights of classes a request's own value reaches. Over quota or late it is lower.
+    /// The priority level: how many priority weights of classes the request's own weight reaches. That weight
+    /// is reduced for late requests and for tenants over their quota.
     pub(super) fn priority_level(&self, now: Micros, request: &Request) -> usize {
         let class = &self.settings.classes[request.class];
         let late_factor = if request.is_late { class.late_weight_share } else { 1.0 };
         let is_over_quota = self.tenants.is_over_quota(now, request.tenant, &self.settings);
         let quota_factor = if is_over_quota { self.settings.over_quota_weight_share } else { 1.0 };
-        // Against rounding, where the product equals a weight.
+        // The last factor makes up for rounding where the product equals a class's weight.
         let value = request.priority_weight * late_factor * quota_factor * 1.000_001;
         self.priority_weights.iter().filter(|&&weight| weight <= value).count()
     }
 
-    /// The oldest request of the highest level among the first places of the wait queue.
+    /// The oldest request of the highest priority level in the look-ahead window that may start.
     fn select(&self, now: Micros, may_start: impl Fn(&Request) -> bool) -> Option<u64> {
         let requests = &self.requests.by_sequence;
         let window = self.requests.wait_queue.iter().take(LOOK_AHEAD);
         let startable = window.filter(|sequence| may_start(&requests[sequence]));
-        // Of equal levels `max_by_key` takes the last: searched from the far end, that is the oldest.
+        // `max_by_key` takes the last of equal levels, which in reverse order is the oldest request.
         startable.rev().max_by_key(|sequence| self.priority_level(now, &requests[sequence])).copied()
     }
 
+    /// Admits queued requests while there are free slots and enough memory.
     pub(super) fn dispatch(&mut self, now: Micros, out: &mut Vec<Action>) {
         let survivable = ConcurrencyLimit::survivable(&self.settings, now - self.started_at);
         while !self.requests.wait_queue.is_empty() {
             let running = self.requests.count(Stage::Running);
             let at_calls = self.requests.count(Stage::AwaitingCall) + self.requests.count(Stage::Calling);
-            // Calls may all come back at once, so requests at calls count as running.
+            // All calls may end at once, so requests at calls count as running.
             let is_overfull = (running + at_calls) as f64 + 1.0 > (survivable * SAFE_SHARE).max(1.0);
             let is_full = running >= self.concurrency.slots || is_overfull;
             if is_full || (self.health.is_unhealthy && !self.health.may_probe(now, running)) {
--- a/src/admission/downstream_calls.rs
+++ b/src/admission/downstream_calls.rs
@@ -1,27 +1,44 @@
-//! Downstream calls: how many at once, for how long, when a failed dependency is probed. In microseconds.
+//! Downstream calls: how many are made at once, how long each may take, and when a failed dependency is
+//! probed. Times are in microseconds.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::*;
 
-const MAX_ATTEMPTS: u32 = 3; // of one call; and failures in a row after which calls are only probed
-const SLOW_FACTOR: f64 = 3.0; // of the best time: calls that typically take longer are slow
-const BEST_TIME_GROWTH: f64 = 1.001; // a call, so that the best time is forgotten
-const MIN_LIMIT_SHARE: f64 = 0.25; // of the quota: a lower limit makes no call quicker
-const MIN_BACKOFF: Micros = PROBE_INTERVAL / 4; // after a failed attempt, doubled with each
+/// Number of attempts of one call; also the number of failures in a row from which on calls are only probes.
+const MAX_ATTEMPTS: u32 = 3;
+/// Calls are slow when their typical time is above this multiple of the best time.
+const SLOW_FACTOR: f64 = 3.0;
+/// Factor by which the best time grows with each call, so that an outdated best time is forgotten.
+const BEST_TIME_GROWTH: f64 = 1.001;
+/// Least limit on calls in flight, as a share of the safe quota: a lower limit makes no call quicker.
+const MIN_LIMIT_SHARE: f64 = 0.25;
+/// Base of the wait before a failed call is attempted again, doubled with each attempt that was made.
+const MIN_BACKOFF: Micros = PROBE_INTERVAL / 4;
 
 #[derive(Default)]
 pub struct DownstreamCalls {
+    /// Mean time of successful calls; none before the first one or once it has decayed to the best time.
     typical_time: Option<f64>,
+    /// The lowest typical time, which is forgotten slowly.
     best_time: f64,
+    /// Limit on calls in flight.
     limit: f64,
-    saw_success: bool, // since the last adjustment
-    saw_no_time: bool, // for a call, since the last adjustment
+    /// Whether a call has succeeded since the last adjustment.
+    saw_success: bool,
+    /// Whether a request had too little time left for a call since the last adjustment.
+    saw_no_time: bool,
     failures_in_row: u32,
+    /// When the next probe or, while cautious, the next call may be made.
     probe_at: Micros,
-    cautious_until: Micros, // after the start or a failure, a quota under one call is kept call by call
-    abandoned_until: Vec<Micros>, // calls that timed out: the dependency may still work on them
+    /// Until this time, after the start or a failure, calls are spaced like probes if the safe quota is
+    /// less than one call.
+    cautious_until: Micros,
+    /// For each call that timed out: until when the dependency may still work on it.
+    abandoned_until: Vec<Micros>,
+    /// Calls in flight, averaged over the call window.
     mean_in_flight: f64,
+    /// When the mean was updated last.
     updated_at: Micros,
 }
 
@@ -37,6 +54,7 @@
         DownstreamCalls { probe_at: calls.next_probe(now, 0, settings), ..calls }
     }
 
+    /// Updates the mean of calls in flight, of which `calling` are waited for here.
     pub fn update_mean(&mut self, now: Micros, calling: usize, settings: &Settings) {
         let in_flight = (calling + self.abandoned_until.len()) as f64;
         let kept = (-((now - self.updated_at) as f64) / settings.call_window.max(1) as f64).exp();
@@ -45,7 +63,8 @@
         self.abandoned_until.retain(|&end| end > now);
     }
 
-    /// How long one more call may take; 0: none may be made. Half of a quota under 1 is kept in the mean.
+    /// How long one more call may take; 0: none may be made. A quota under one call bounds the mean of calls
+    /// in flight, to half of the quota.
     fn time_limit(&self, calling: usize, settings: &Settings) -> Micros {
         let quota = safe_quota(settings);
         let in_flight = (calling + self.abandoned_until.len()) as f64;
@@ -58,7 +77,8 @@
         (time as Micros).saturating_sub(settings.abandoned_call_lifetime)
     }
 
-    /// The limit falls when calls take much longer than at best, and rises again slowly once they are quick.
+    /// Learns from the time of a successful call. The limit falls while calls take much longer than the best
+    /// time, and rises slowly once they are quick again.
     fn record_success(&mut self, call_time: f64, settings: &Settings) {
         self.saw_success = true;
         let typical = self.typical_time.map_or(call_time, |typical| ewma(typical, call_time));
@@ -71,7 +91,9 @@
         self.limit = (self.limit + step).clamp((most * MIN_LIMIT_SHARE).max(1.0), most);
     }
 
-    /// Calls that would take too long are not made, and never found quick again: their time decays.
+    /// Lets the typical time decay towards the best time while requests have too little time for calls and
+    /// none succeeds. Calls that would take too long are not made, so a quicker dependency would not be
+    /// noticed otherwise.
     pub fn decay(&mut self) {
         let is_stuck = std::mem::take(&mut self.saw_no_time) & !std::mem::take(&mut self.saw_success);
         if let Some(typical) = self.typical_time.filter(|_| is_stuck) {
@@ -80,7 +102,9 @@
         }
     }
 
-    /// All servers lose a dependency at once: together they probe it as their quotas allow, each by its seed.
+    /// The time of the next probe. All servers lose a shared dependency at once: intervals by their call
+    /// quotas keep the sum of their probes within what it survives, and jitter from each server's seed
+    /// spreads the probes.
     fn next_probe(&self, now: Micros, sequence: u64, settings: &Settings) -> Micros {
         let quota = if settings.downstream == Downstream::Shared { safe_quota(settings) } else { 1.0 };
         let least = if self.failures_in_row >= MAX_ATTEMPTS { PROBE_INTERVAL as f64 } else { 0.0 };
@@ -110,7 +134,8 @@
         request.call_not_before = now + (MIN_BACKOFF << request.call_attempts.min(4));
         let abandoned_until = now + self.settings.abandoned_call_lifetime;
         self.calls.abandoned_until.extend((outcome == Outcome::TimedOut).then_some(abandoned_until));
-        // What rejects calls is overloaded, not down, and one service of several that failed is not all.
+        // A dependency that rejects calls is overloaded, not down; an aborted call to several services failed
+        // at one of them, which says nothing of the others.
         if !matches!(outcome, Outcome::Rejected | Outcome::Aborted) {
             self.calls.failures_in_row += 1;
             self.calls.cautious_until = now + self.settings.call_window;
@@ -118,6 +143,7 @@
         self.calls.probe_at = self.calls.next_probe(now, self.requests.next_sequence, &self.settings);
     }
 
+    /// Makes, skips or fails the calls that requests wait for, in order of arrival.
     pub(super) fn serve_calls(&mut self, now: Micros, out: &mut Vec<Action>) {
         let requests = self.requests.by_sequence.iter();
         let awaiting = requests.filter(|(_, r)| !r.abandoned && r.stage == Stage::AwaitingCall);
@@ -130,12 +156,13 @@
         let time_limit = calls.time_limit(self.requests.count(Stage::Calling), settings);
         let is_down = calls.failures_in_row >= MAX_ATTEMPTS;
         let is_breaker_open = is_down && now < calls.probe_at;
-        // Servers that start or recover together have no mean yet that would keep their calls apart.
+        // Servers that start or recover together have no mean of calls in flight yet that would limit their
+        // sum.
         let is_cautious = safe_quota(settings) < 1.0 && now < calls.cautious_until;
         let is_early = is_cautious && settings.downstream == Downstream::Shared && now < calls.probe_at;
         let typical = calls.typical_time.unwrap_or(0.0) as Micros;
         let Some(request) = self.requests.by_sequence.get_mut(&sequence) else { return };
-        // After the call there is work left to do.
+        // The part of the run that follows the call.
         let rest = (self.run_times.expected(request, settings) * MIN_RUN_SHARE) as Micros;
         let class = &settings.classes[request.class];
         let until = if request.is_late { request.deadline } else { request.objective_end };
@@ -154,7 +181,7 @@
             if is_cautious || is_down {
                 calls.probe_at = calls.next_probe(now, self.requests.next_sequence, settings);
             }
-            // A call that never ends must leave time for another, or for the run to go on without it.
+            // A call that hangs must leave time for another attempt, or for the run to go on without it.
             let half = until.saturating_sub(now + rest) / 2;
             let is_half_enough = half as f64 > typical as f64 * SLOW_FACTOR;
             let time = if is_half_enough { half.min(time_limit) } else { time_limit };
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -1,25 +1,36 @@
-//! What this server knows of its own health, and what it publishes of it.
+//! The health of this server, and the readiness and load hint that it publishes.
 
 use super::*;
 
-const UNHEALTHY_ERRORS: f64 = 0.35; // share of failed runs above which a server is unhealthy ...
-const HEALTHY_ERRORS: f64 = 0.15; // ... until it is under this
-const ERROR_WEIGHT: f64 = 0.2; // of the newest run
+/// Share of failed runs above which a healthy server becomes unhealthy.
+const UNHEALTHY_ERRORS: f64 = 0.35;
+/// Share of failed runs above which an unhealthy server stays unhealthy.
+const HEALTHY_ERRORS: f64 = 0.15;
+/// Weight, from 0 to 1, of the newest run in the share of failed runs.
+const ERROR_WEIGHT: f64 = 0.2;
 
 #[derive(Default)]
 pub struct HealthMonitor {
-    pub read_delay: f64,  // mean, in microseconds
-    pub retry_share: f64, // of arrivals
-    pub retry_age: f64,   // mean, in microseconds, at which rejected requests come again
-    error_share: f64,     // of runs
+    /// Mean read delay of arrivals, in microseconds.
+    pub read_delay: f64,
+    /// Share of retries among arrivals.
+    pub retry_share: f64,
+    /// Mean age, in microseconds, at which requests rejected here are expected to be retried.
+    pub retry_age: f64,
+    /// Share of failed runs.
+    error_share: f64,
     pub is_unhealthy: bool,
+    /// The readiness published last; none before the first time.
     published_ready: Option<bool>,
+    /// Whether a request has arrived in this control interval.
     pub saw_arrival: bool,
+    /// While unhealthy: when the next request may start.
     probe_at: Micros,
 }
 
 impl HealthMonitor {
-    /// A server that fails quickly draws work and spoils it: it runs single requests until they do well.
+    /// Learns from a run that ended. A server that fails quickly attracts more requests and fails them too,
+    /// so while it is unhealthy it only runs single requests as probes, until enough of them succeed.
     pub fn record_run(&mut self, now: Micros, failed: bool) {
         self.error_share += ERROR_WEIGHT * (f64::from(failed) - self.error_share);
         let bound = if self.is_unhealthy { HEALTHY_ERRORS } else { UNHEALTHY_ERRORS };
@@ -29,7 +40,8 @@
         }
     }
 
-    /// Without new evidence the old fades: no server stays unhealthy for good.
+    /// Lets old evidence decay in a control interval without arrivals, so that no server stays unhealthy for
+    /// good.
     pub fn decay(&mut self) {
         if !std::mem::take(&mut self.saw_arrival) {
             self.error_share *= DECAY;
@@ -38,16 +50,20 @@
         }
     }
 
+    /// Whether an unhealthy server may start a request now: one in each probe interval, with at most one
+    /// other running.
     pub fn may_probe(&mut self, now: Micros, running: usize) -> bool {
         let may_probe = now >= self.probe_at && running < 2;
         self.probe_at = if may_probe { now + PROBE_INTERVAL } else { self.probe_at };
         may_probe
     }
 
-    /// A long read delay does not matter: many servers that are not ready at once would overload the rest.
+    /// Publishes the readiness and the load hint when the readiness changes. A long read delay does not
+    /// change it: if many servers became not ready at once they would overload the others.
     pub fn publish(&mut self, draining: bool, demand: f64, settings: &Settings, out: &mut Vec<Action>) {
         let is_ready = !self.is_unhealthy && !draining;
-        // Until it is set, health checks may do real work, which must not take cores that are in demand.
+        // Until readiness is set, health checks may do real work, which must not take cores that are in
+        // demand: under excess demand it is published even without a change.
         let is_first = self.published_ready.is_none() && demand > f64::from(settings.cores);
         if self.published_ready.unwrap_or(true) == is_ready && !is_first {
             return;
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,8 +1,8 @@
 //! The admission controller: what one server admits, runs and rejects.
 //!
-//! The ordinary path is the SWDS mechanism: one wait queue in arrival order, a search of its first places for
-//! the oldest request of the highest priority level whenever a slot is free, and a concurrency limit that
-//! climbs towards more completions. All else guards against one kind of overload or failure.
+//! The basic mechanism is SWDS: one wait queue in arrival order, a search of its look-ahead window for the
+//! oldest request of the highest priority level whenever a slot is free, and a concurrency limit found by
+//! hill climbing on completions. Everything else guards against a particular kind of overload or failure.
 
 mod caller_timeouts;
 mod concurrency_limit;
@@ -23,26 +23,41 @@
 use self::{run_time::RunTimeModel, tenant_rates::TenantRates};
 use crate::interface::*;
 
-const CONTROL_INTERVAL: Micros = 500_000; // the CPU gauge looks back so far
-const PROBE_INTERVAL: Micros = 100_000; // after it something that failed is tried again
-const STALL_AFTER: Micros = 1_000_000; // time without a step, though timers are due much sooner
-const SAFE_SHARE: f64 = 0.85; // of the survivable concurrency, memory or calls is made use of
-const MIN_RUN_SHARE: f64 = 0.5; // of the expected run time: after a call, elsewhere, or at the lowest cost
-const WAIT_SHARE: f64 = 0.25; // of its spare time a request may wait here rather than elsewhere
-const EWMA_WEIGHT: f64 = 0.1; // of the newest sample
-const DECAY: f64 = 0.8; // of old evidence, in an interval without new
-const RELATIVE_TOLERANCE: f64 = 0.02; // times or shares that differ by less are taken for the same
+/// Time between adjustments of the limits: the CPU gauge averages over the same time.
+const CONTROL_INTERVAL: Micros = 500_000;
+/// Time until an unhealthy server or a failed dependency is probed again. It also bounds the time between
+/// timers from above and Retry-After from below.
+const PROBE_INTERVAL: Micros = 100_000;
+/// A longer time between two steps counts as a stall, as timers are due much sooner.
+const STALL_AFTER: Micros = 1_000_000;
+/// Share of the survivable concurrency, of the memory and of the call quota that is used; the rest is a
+/// margin.
+const SAFE_SHARE: f64 = 0.85;
+/// Least share of the expected run time that is assumed for the part of a run after its downstream call, for
+/// a run at another server and for a run of the lowest cost.
+const MIN_RUN_SHARE: f64 = 0.5;
+/// Share of its spare time for which a request may wait here rather than be sent to another server.
+const WAIT_SHARE: f64 = 0.25;
+/// Weight, from 0 to 1, of the newest sample in moving averages.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Factor by which old evidence shrinks in each control interval that brings no new evidence.
+const DECAY: f64 = 0.8;
+/// Relative difference below which two times or shares count as equal.
+const RELATIVE_TOLERANCE: f64 = 0.02;
 
+/// The exponentially weighted moving average after one more sample.
 fn ewma(mean: f64, sample: f64) -> f64 {
     mean + EWMA_WEIGHT * (sample - mean)
 }
 
-/// The decisions of one server, by [`AdmissionController::step`]. It does no I/O and reads no clock.
+/// Decides for one server what is admitted, run and rejected: [`AdmissionController::step`] turns events into
+/// actions. It does no I/O and reads no clock.
 pub struct AdmissionController {
     settings: Settings,
     started_at: Micros,
     requests: RequestTable,
-    priority_weights: Vec<f64>, // of the classes, in ascending order
+    /// The priority weights of all classes, in ascending order.
+    priority_weights: Vec<f64>,
     concurrency: ConcurrencyLimit,
     calls: DownstreamCalls,
     run_times: RunTimeModel,
@@ -51,15 +66,20 @@
     connections: Connections,
     caller_timeouts: CallerTimeouts,
     drain_notified_at: Option<Micros>,
-    answer_by: Micros, // while draining: before the process is stopped
+    /// While draining: the time by which all requests are answered, a margin before the process is stopped.
+    answer_by: Micros,
     next_adjustment: Micros,
     last_step: Micros,
+    /// When the latest stall ended; times that span a stall are not learned.
     stall_end: Micros,
     is_timer_armed: bool,
 }
 
 impl AdmissionController {
-    /// A server that has just started. Fails with settings under which no decision could be right.
+    /// Creates the controller of a server that starts at `now`.
+    ///
+    /// # Errors
+    /// If [`Settings::validate`] rejects the settings.
     pub fn new(now: Micros, settings: Settings) -> Result<AdmissionController, InvalidSettings> {
         settings.validate()?;
         let mut priority_weights: Vec<f64> = settings.classes.iter().map(|c| c.priority_weight).collect();
@@ -85,7 +105,8 @@
         })
     }
 
-    /// Takes in what happened and adds what is to be done about it. `now` must not go back.
+    /// Handles the events that have occurred and appends the resulting actions to `out`. `now` must not
+    /// decrease from one call to the next.
     pub fn step(&mut self, now: Micros, events: impl IntoIterator<Item = Event>, out: &mut Vec<Action>) {
         self.stall_end = if now > self.last_step + STALL_AFTER { now } else { self.stall_end };
         self.last_step = now;
@@ -104,7 +125,7 @@
         }
     }
 
-    /// Time between timers: answers must be out within the slack after their deadline.
+    /// Time between timers, short enough to answer each request within the answer slack after its deadline.
     fn sweep_interval(&self) -> Micros {
         (self.settings.answer_slack / 3).clamp(self.settings.tick.max(1_000), PROBE_INTERVAL)
     }
@@ -136,18 +157,19 @@
         let age = self.least_age(now, &arrival, &class);
         let is_retry = arrival.is_retry || age as f64 > RELATIVE_TOLERANCE * class.deadline as f64;
         self.health.retry_share = ewma(self.health.retry_share, f64::from(is_retry));
-        // What came during a stall waited for its end, not for this server to read.
+        // A request that came during a stall waited for the stall to end: its read delay does not show load.
         if received_at >= self.stall_end {
             self.health.read_delay = ewma(self.health.read_delay, arrival.read_delay as f64);
         }
         self.health.saw_arrival = true;
         let sequence = self.requests.enqueue(self.new_request(now, &arrival, &class, age));
-        // What reached the machine after the drain grace is never run, so it goes elsewhere at once.
+        // A request that reached the machine after the drain grace must not run, so it is rejected at once.
         let grace = self.settings.drain_grace;
         if self.drain_notified_at.is_some_and(|notified_at| received_at > notified_at + grace) {
             self.abandon(now, sequence, out);
         } else if arrival.duplicate_of.is_some() && class.idempotency != Idempotency::NotIdempotent {
-            // Once an attempt is known here no other may run: this one takes the other's answer.
+            // Only one attempt with an idempotency key may run: this one waits for the answer of the known
+            // one.
             self.requests.wait_queue.pop();
             let request = self.requests.by_sequence.get_mut(&sequence);
             request.into_iter().for_each(|request| request.stage = Stage::AwaitingDuplicate);
@@ -180,15 +202,18 @@
         }
     }
 
-    /// By the timeout that the caller states; behind the first tier that is what its own request has left.
+    /// The least age of the client's request, in microseconds, by the timeout that the caller states. Behind
+    /// the first tier a stated timeout shows no age: it is the time that the caller's own request has left.
     fn least_age(&mut self, now: Micros, arrival: &Arrival, class: &Class) -> Micros {
         let Some(timeout) = arrival.caller_timeout.filter(|_| self.settings.tier == 0) else {
-            // A retry was rejected by some server, as this one rejects.
+            // Some server rejected the request that is retried: it is as old as retries of requests rejected
+            // here.
             let was_rejected = arrival.is_retry && arrival.caller_timeout.is_none();
             return if was_rejected { self.health.retry_age as Micros } else { 0 };
         };
         let received_at = now.saturating_sub(arrival.read_delay);
-        // Nobody waits for longer than a client does; who says so must not be learned from.
+        // Caller timeouts longer than the class deadline are cut to it: no client waits longer, so the excess
+        // must not be learned.
         let share = ((now + timeout - received_at) as f64 / class.deadline as f64).min(1.0);
         if received_at >= self.stall_end {
             self.caller_timeouts.record(share, !arrival.is_retry);
@@ -231,7 +256,7 @@
         let idle_timeout = self.connections.adjust_idle_timeout(gauges.connections.unwrap_or(0.0), settings);
         out.extend(idle_timeout.map(Action::CloseIdle));
         self.tenants.update_median(now, settings);
-        // A preemption asked for during a stall had no effect: ask again.
+        // A preemption requested during a stall had no effect, so it is requested again.
         let may_preempt = settings.preemption != Preemption::Never;
         let requests = self.requests.by_sequence.values().filter(|_| may_preempt);
         let stray = requests.filter(|request| request.abandoned && request.stage == Stage::Running);
--- a/src/admission/run_time.rs
+++ b/src/admission/run_time.rs
@@ -1,17 +1,22 @@
-//! Run times in microseconds: means by class, and an online linear regression on the stated cost.
+//! Expected run times in microseconds: moving averages by class, and an online linear regression on the
+//! stated cost.
 
 use super::*;
 
 #[derive(Default)]
 pub struct RunTimeModel {
+    /// Mean run time by class index, in microseconds.
     pub class_means: BTreeMap<usize, f64>,
+    /// Mean stated cost, in microseconds; none before the first run with a stated cost.
     mean_cost: Option<f64>,
+    /// Mean run time of the runs with a stated cost, in microseconds.
     mean_time: f64,
     cost_variance: f64,
     covariance: f64,
 }
 
 impl RunTimeModel {
+    /// Learns from a run of a class, with its stated cost and its run time in microseconds.
     pub fn record(&mut self, class: usize, cost: Option<f64>, run_time: f64) {
         let mean = self.class_means.entry(class).or_insert(run_time);
         *mean = ewma(*mean, run_time);
@@ -26,13 +31,15 @@
         self.covariance = weighted(self.covariance, EWMA_WEIGHT * cost_offset * time_offset);
     }
 
-    /// Expected run time. While nothing is known a new server may be slow: a share of the objective.
+    /// Expected run time in microseconds, by the stated cost or else the mean of the class. Before the first
+    /// run a share of the latency objective is assumed, as a new server may be slow.
     pub fn expected(&self, request: &Request, settings: &Settings) -> f64 {
         let objective = settings.classes[request.class].latency_objective as f64;
         let mean = self.class_means.get(&request.class).copied().unwrap_or(objective * WAIT_SHARE);
         request.cost.and_then(|cost| self.predict(cost)).unwrap_or(mean)
     }
 
+    /// The run time by the regression on the cost; none before the first run with a stated cost.
     fn predict(&self, cost: f64) -> Option<f64> {
         let slope = self.covariance / self.cost_variance;
         let slope = if self.cost_variance > 0.0 { slope.max(0.0) } else { 0.0 };
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -2,11 +2,15 @@
 
 use super::*;
 
-const MAX_RETRY_SHARE: f64 = 0.25; // of arrivals: above it rejections are terminal
-const MAX_NEW_CALLER_SHARE: f64 = 0.5; // of arrivals: above it another server costs a connection
+/// Share of retries among arrivals above which rejections are terminal.
+const MAX_RETRY_SHARE: f64 = 0.25;
+/// Share of arrivals from new callers above which an attempt at another server is expected to cost a
+/// connection.
+const MAX_NEW_CALLER_SHARE: f64 = 0.5;
 
 impl AdmissionController {
-    /// Answers what is due or earns nothing any more. Unsafe runs go on: a failure would invite a second one.
+    /// Answers requests that are due or whose response would earn nothing any more. Runs that are not
+    /// idempotent go on until their deadline: an earlier failure would invite a second run.
     pub(super) fn abandon_expired(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (sweep_interval, classes) = (self.sweep_interval(), &self.settings.classes);
         let waiting = self.requests.by_sequence.iter_mut().filter(|(_, request)| !request.abandoned);
@@ -22,10 +26,11 @@
         expired.into_iter().for_each(|sequence| self.abandon(now, sequence, out));
     }
 
-    /// The final answer of a request that is not served.
+    /// Gives a request that is not served its final answer: a rejection if it may run elsewhere, else a
+    /// failure.
     pub(super) fn abandon(&mut self, now: Micros, sequence: u64, out: &mut Vec<Action>) {
         let Some(request) = self.requests.by_sequence.get(&sequence) else { return };
-        // An idempotent run may be rejected: the caller may retry, and its work here goes on.
+        // A running request that is idempotent may be rejected: a retry is safe even if the run here goes on.
         let is_safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         if request.stage == Stage::Queued || (is_safe && request.stage == Stage::Running) {
             let (retry_after, terminal) = self.rejection(now, request);
@@ -35,7 +40,8 @@
         } else {
             out.push(Action::Fail(request.id.clone()));
         }
-        // It took at least so long: a server grown slow must notice by what it never finishes.
+        // The run would have taken at least this long. A server that has become slow must learn this from
+        // runs that it never finishes.
         let run_time = (now - request.started_at) as f64;
         let is_slow = run_time > self.run_times.class_means.get(&request.class).copied().unwrap_or(0.0);
         if request.started_at >= self.stall_end && !request.has_not_run() && is_slow {
@@ -44,16 +50,17 @@
         self.release(sequence, out);
     }
 
-    /// Retry-After, and whether the rejection is terminal.
+    /// Retry-After in microseconds, and whether the rejection is terminal.
     fn rejection(&self, now: Micros, request: &Request) -> (Micros, bool) {
-        // Retry-After would keep the caller's other tenants away, and no other server is to take it either.
+        // A Retry-After would keep the caller's other tenants away, and no other server is to take the
+        // request either.
         if self.tenants.is_over_quota(now, request.tenant, &self.settings) {
             return (0, true);
         }
         let read_delay = self.health.read_delay;
         let expected = self.run_times.expected(request, &self.settings);
         let (now, objective_end) = (now as f64, request.objective_end as f64);
-        // Elsewhere it would wait to be read as here, then run.
+        // At another server the request would have the same read delay as here before it runs.
         let has_no_time = now + read_delay + expected * MIN_RUN_SHARE > objective_end;
         let mostly_retries = self.health.retry_share > MAX_RETRY_SHARE;
         let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
@@ -61,7 +68,8 @@
         (self.retry_after(spare), has_no_time || mostly_retries || costs_connection)
     }
 
-    /// About as long as the wait queue takes to empty, or a part of the spare time: a retry must be in time.
+    /// The time in which the wait queue empties, but at most a share of the spare time, so that the retry is
+    /// in time. An unhealthy or draining server states the longest time that callers honour.
     fn retry_after(&self, spare: f64) -> Micros {
         if self.health.is_unhealthy || self.drain_notified_at.is_some() {
             return self.settings.retry_after_max;
@@ -73,7 +81,8 @@
         (wait as Micros).max(PROBE_INTERVAL).min(self.settings.retry_after_max)
     }
 
-    /// Nobody waits for it any more: what has begun is preempted where that can be done.
+    /// Drops a request that nobody waits for any more. Work that has begun is preempted where that is
+    /// possible.
     pub(super) fn release(&mut self, sequence: u64, out: &mut Vec<Action>) {
         let Some(request) = self.requests.by_sequence.get_mut(&sequence) else { return };
         if request.has_not_run() {
@@ -86,7 +95,8 @@
         out.extend(may_stop.then(|| Action::Preempt(request.id.clone())));
     }
 
-    /// Rejects early what, in the order of dispatch, can't be done in time: another server may still do it.
+    /// Rejects early the queued requests that, in the order of dispatch, can't be served in time: another
+    /// server may still serve them.
     pub(super) fn shed_load(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.health.is_unhealthy {
             let queued = self.requests.wait_queue.clone();
@@ -101,12 +111,13 @@
         for (place, sequence) in order.into_iter().enumerate() {
             let request = &self.requests.by_sequence[&sequence];
             let run_time = self.run_times.expected(request, &self.settings);
-            // What can start now waits for nothing, however long it runs.
+            // A request that can start now has no wait, however long it runs.
             let starts_now = place < free_slots;
             let wait = if starts_now { 0.0 } else { (work_ahead + run_time) / self.concurrency.slots as f64 };
             let until = if request.is_late { request.deadline } else { request.objective_end };
             let time_left = until as f64 - now as f64;
-            // Only a new request goes elsewhere, sooner at a lower level, and where that costs no connection.
+            // Only a new request is sent elsewhere for its wait, sooner at a lower level, and not where that
+            // costs a connection.
             let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
             let may_move = !starts_now && !request.was_considered && !costs_connection;
             let level = self.priority_level(now, request) as f64;
@@ -121,13 +132,15 @@
         self.requests.by_sequence.values_mut().for_each(|request| request.was_considered = true);
     }
 
+    /// Memory of all requests and retained idempotency keys, in kilobytes.
     pub(super) fn memory_kb(&self) -> f64 {
         let factor = |r: &Request| if r.has_not_run() { 1.0 } else { self.settings.run_memory_factor };
         let requests_kb: f64 = self.requests.by_sequence.values().map(|r| r.queued_kb * factor(r)).sum();
         requests_kb + self.requests.idempotency_keys.len() as f64 * self.settings.key_kb
     }
 
-    /// Evicts the newest of the lowest level until the memory suffices, then the newest duplicates.
+    /// Evicts queued requests, the newest of the lowest level first, and then the newest waiting duplicates,
+    /// until the memory in use is no more than halfway between its safe share and all of it.
     pub(super) fn evict_for_memory(&mut self, now: Micros, out: &mut Vec<Action>) {
         while self.memory_kb() > self.settings.memory_kb * (1.0 + SAFE_SHARE) / 2.0 {
             let requests = &self.requests.by_sequence;
--- a/src/admission/tenant_rates.rs
+++ b/src/admission/tenant_rates.rs
@@ -2,12 +2,16 @@
 
 use super::*;
 
-const RATE_WINDOW: f64 = 10e6; // time constant of rates, in microseconds
-const QUOTA_SLACK: f64 = 1.25; // of its share a tenant may use, as shares are uneven
+/// Time constant, in microseconds, with which the rates of starts decay.
+const RATE_WINDOW: f64 = 10e6;
+/// Multiple of its quota share that a tenant may use, as its requests spread unevenly over the servers.
+const QUOTA_SLACK: f64 = 1.25;
 
 #[derive(Default)]
 pub struct TenantRates {
-    pub rates: Vec<TenantRate>, // in the order of the settings
+    /// One rate for each tenant, in the order of the settings.
+    pub rates: Vec<TenantRate>,
+    /// Quota use of the median tenant at the latest adjustment, as a multiple of this server's share.
     pub median_use: f64,
 }
 
@@ -24,17 +28,19 @@
 }
 
 impl TenantRates {
+    /// Counts a request of this tenant that starts now.
     pub fn record_start(&mut self, now: Micros, tenant: usize) {
         let Some(rate) = self.rates.get_mut(tenant) else { return };
         *rate = TenantRate { starts_per_s: rate.at(now) + 1e6 / RATE_WINDOW, updated_at: now };
     }
 
-    /// What a tenant has used here, as a multiple of this server's share of its quota.
+    /// The tenant's rate of starts here, as a multiple of this server's share of its quota.
     fn quota_use(&self, now: Micros, tenant: usize, settings: &Settings) -> Option<f64> {
         let (quota, rate) = (settings.tenants.get(tenant)?.quota_per_s, self.rates.get(tenant)?.at(now));
         Some(rate * f64::from(settings.servers) / quota.max(1e-9))
     }
 
+    /// Updates the quota use of the median tenant.
     pub fn update_median(&mut self, now: Micros, settings: &Settings) {
         let quota_use = |tenant| self.quota_use(now, tenant, settings);
         let mut uses: Vec<f64> = (0..self.rates.len()).filter_map(quota_use).collect();
@@ -42,7 +48,8 @@
         self.median_use = uses.get(uses.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
     }
 
-    /// A server that draws more than its share of all traffic compares each tenant with the median one.
+    /// Whether a tenant has used more than its quota share and the slack. On a server that gets more than its
+    /// share of all traffic, each tenant is compared with the median tenant instead of its own share.
     pub fn is_over_quota(&self, now: Micros, tenant: usize, settings: &Settings) -> bool {
         let limit = QUOTA_SLACK * self.median_use.max(1.0);
         self.quota_use(now, tenant, settings).is_some_and(|used| used > limit)
