--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! umberloom decides, inside each server of a fleet, what that server admits, runs and rejects.
 //!
-//! - [`admission`]: the decisions, by an [`AdmissionController`];
+//! - [`admission`]: the [`AdmissionController`], which makes the decisions;
 //! - [`interface`]: its settings, the events that it takes and the actions that it returns.
 //!
-//! The library reads no clock, starts no thread and does no I/O: time and events come in, actions go out.
+//! The library reads no clock, starts no thread and does no I/O: the host passes in the time and the events,
+//! and executes the actions that the controller returns.
 //!
 //! ```
 //! use umberloom::interface::{Action, Event, InvalidSettings, Settings};
