--- a/src/admission/caller_timeouts.rs
+++ b/src/admission/caller_timeouts.rs
@@ -34,11 +34,11 @@
     pub fn record(&mut self, share: f64, is_first_attempt: bool) {
         // The time left after a first attempt that timed out is not a usual timeout, however often it is
         // stated.
-        let is_remainder = self.known().any(|usual| is_similar(share, 1.0 - usual));
+        let is_remaining_time = self.known().any(|usual| is_similar(share, 1.0 - usual));
         if let Some(usual) = self.0.iter_mut().find(|usual| is_similar(share, usual.share_of_deadline)) {
             let share_of_deadline = usual.share_of_deadline.max(share);
             *usual = UsualTimeout { share_of_deadline, votes: (usual.votes + 1).min(MAX_VOTES) };
-        } else if is_first_attempt && !is_remainder {
+        } else if is_first_attempt && !is_remaining_time {
             let weakest = self.0.iter_mut().min_by_key(|usual| usual.votes);
             weakest.into_iter().for_each(|weakest| match weakest.votes {
                 0 => *weakest = UsualTimeout { share_of_deadline: share, votes: 1 },
@@ -55,8 +55,8 @@
         // Before one usual timeout is well known, a second, longer one could be mistaken for what is left of
         // the deadline.
         let is_well_known = self.0.iter().any(|usual| usual.votes >= MAX_VOTES / 2);
-        let otherwise = if share < longest || !is_well_known { longest } else { 1.0 };
-        let full = self.known().find(|usual| is_similar(share, *usual)).unwrap_or(otherwise);
-        (full - share).max(0.0)
+        let default_share = if share < longest || !is_well_known { longest } else { 1.0 };
+        let full_share = self.known().find(|usual| is_similar(share, *usual)).unwrap_or(default_share);
+        (full_share - share).max(0.0)
     }
 }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// CPU use, as a share of all cores, under which free cores are filled (SWDS).
-const BUSY_CPU: f64 = 0.8;
+const BUSY_CPU_SHARE: f64 = 0.8;
 
 /// Hill climbing on completions per control interval; free cores are filled at once (SWDS).
 #[derive(Default)]
@@ -32,18 +32,19 @@
     /// Adjusts the limit at the end of a control interval, within the cores and what the server survives.
     pub fn adjust(&mut self, gauges: Gauges, running: usize, uptime: Micros, settings: &Settings) {
         let (cores, core_count) = (settings.cores as usize, f64::from(settings.cores));
-        let most = ((ConcurrencyLimit::survivable(settings, uptime) * SAFE_SHARE) as usize).max(cores);
+        let max_slots = ((ConcurrencyLimit::survivable(settings, uptime) * SAFE_SHARE) as usize).max(cores);
         // The CPU gauge shows the past. No core is free where core demand, in the mean or now, exceeds the
         // cores.
         let excess = self.core_demand - core_count;
-        let is_taken = excess > 0.0 || gauges.core_demand.is_some_and(|core_demand| core_demand > core_count);
+        let is_overloaded =
+            excess > 0.0 || gauges.core_demand.is_some_and(|core_demand| core_demand > core_count);
         let completions = f64::from(std::mem::take(&mut self.completions));
-        if gauges.cpu.unwrap_or(1.0) < BUSY_CPU && !is_taken {
+        if gauges.cpu.unwrap_or(1.0) < BUSY_CPU_SHARE && !is_overloaded {
             (self.slots, self.step, self.previous_completions) = (running + cores, -1, 0.0);
         } else {
             self.climb(completions, excess);
         }
-        self.slots = self.slots.clamp(cores, most);
+        self.slots = self.slots.clamp(cores, max_slots);
     }
 
     /// One step of hill climbing; `excess` is the mean core demand above the number of cores.
@@ -54,8 +55,8 @@
         self.step = if got_worse { -self.step } else { self.step };
         // Under excess core demand completions depend on other work too: only twice that difference is
         // significant.
-        let significant = if excess > 0.0 { 2.0 * noise } else { noise };
-        if (completions - self.previous_completions).abs() > significant {
+        let significance_threshold = if excess > 0.0 { 2.0 * noise } else { noise };
+        if (completions - self.previous_completions).abs() > significance_threshold {
             self.slots = self.slots.saturating_add_signed(self.step);
         } else if excess > 0.0 {
             // Completions are flat under overload: slots that were added while cores were free only add
--- a/src/admission/dispatch.rs
+++ b/src/admission/dispatch.rs
@@ -6,7 +6,7 @@
 const LOOK_AHEAD: usize = 32;
 /// Number of requests at downstream calls, for each core, from which on only classes without such calls
 /// start.
-const CALLS_PER_CORE: usize = 4;
+const MAX_CALLS_PER_CORE: usize = 4;
 
 impl AdmissionController {
     /// The priority level: how many priority weights of classes the request's own weight reaches. That weight
@@ -37,16 +37,16 @@
             let running = self.requests.count(Stage::Running);
             let at_calls = self.requests.count(Stage::AwaitingCall) + self.requests.count(Stage::Calling);
             // All calls may end at once, so requests at calls count as running.
-            let is_overfull = (running + at_calls) as f64 + 1.0 > (survivable * SAFE_SHARE).max(1.0);
-            let is_full = running >= self.concurrency.slots || is_overfull;
+            let is_above_survivable = (running + at_calls) as f64 + 1.0 > (survivable * SAFE_SHARE).max(1.0);
+            let is_full = running >= self.concurrency.slots || is_above_survivable;
             if is_full || (self.health.is_unhealthy && !self.health.may_probe(now, running)) {
                 return;
             }
             let free_kb = self.settings.memory_kb * SAFE_SHARE - self.memory_kb();
-            let may_call = at_calls < self.settings.cores as usize * CALLS_PER_CORE;
+            let may_call = at_calls < self.settings.cores as usize * MAX_CALLS_PER_CORE;
             let may_start = |request: &Request| {
-                let is_callable = may_call || !self.settings.classes[request.class].calls_downstream;
-                is_callable && request.queued_kb * (self.settings.run_memory_factor - 1.0) <= free_kb
+                let is_allowed = may_call || !self.settings.classes[request.class].calls_downstream;
+                is_allowed && request.queued_kb * (self.settings.run_memory_factor - 1.0) <= free_kb
             };
             let Some(sequence) = self.select(now, may_start) else { return };
             self.requests.wait_queue.retain(|&queued| queued != sequence);
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// Share of failed runs above which a healthy server becomes unhealthy.
-const UNHEALTHY_ERRORS: f64 = 0.35;
+const UNHEALTHY_ERROR_SHARE: f64 = 0.35;
 /// Share of failed runs above which an unhealthy server stays unhealthy.
-const HEALTHY_ERRORS: f64 = 0.15;
+const HEALTHY_ERROR_SHARE: f64 = 0.15;
 /// Weight, from 0 to 1, of the newest run in the share of failed runs.
-const ERROR_WEIGHT: f64 = 0.2;
+const ERROR_EWMA_WEIGHT: f64 = 0.2;
 
 #[derive(Default)]
 pub struct HealthMonitor {
@@ -32,9 +32,9 @@
     /// Learns from a run that ended. A server that fails quickly attracts more requests and fails them too,
     /// so while it is unhealthy it only runs single requests as probes, until enough of them succeed.
     pub fn record_run(&mut self, now: Micros, failed: bool) {
-        self.error_share += ERROR_WEIGHT * (f64::from(failed) - self.error_share);
-        let bound = if self.is_unhealthy { HEALTHY_ERRORS } else { UNHEALTHY_ERRORS };
-        if self.is_unhealthy != (self.error_share > bound) {
+        self.error_share += ERROR_EWMA_WEIGHT * (f64::from(failed) - self.error_share);
+        let threshold = if self.is_unhealthy { HEALTHY_ERROR_SHARE } else { UNHEALTHY_ERROR_SHARE };
+        if self.is_unhealthy != (self.error_share > threshold) {
             self.is_unhealthy = !self.is_unhealthy;
             self.probe_at = now;
         }
@@ -44,9 +44,9 @@
     /// good.
     pub fn decay(&mut self) {
         if !std::mem::take(&mut self.saw_arrival) {
-            self.error_share *= DECAY;
-            self.is_unhealthy &= self.error_share > HEALTHY_ERRORS;
-            self.read_delay *= DECAY;
+            self.error_share *= DECAY_FACTOR;
+            self.is_unhealthy &= self.error_share > HEALTHY_ERROR_SHARE;
+            self.read_delay *= DECAY_FACTOR;
         }
     }
 
@@ -60,12 +60,13 @@
 
     /// Publishes the readiness and the load hint when the readiness changes. A long read delay does not
     /// change it: if many servers became not ready at once they would overload the others.
-    pub fn publish(&mut self, draining: bool, demand: f64, settings: &Settings, out: &mut Vec<Action>) {
+    pub fn publish(&mut self, draining: bool, core_demand: f64, settings: &Settings, out: &mut Vec<Action>) {
         let is_ready = !self.is_unhealthy && !draining;
         // Until readiness is set, health checks may do real work, which must not take cores that are in
         // demand: under excess demand it is published even without a change.
-        let is_first = self.published_ready.is_none() && demand > f64::from(settings.cores);
-        if self.published_ready.unwrap_or(true) == is_ready && !is_first {
+        let is_first_under_overload =
+            self.published_ready.is_none() && core_demand > f64::from(settings.cores);
+        if self.published_ready.unwrap_or(true) == is_ready && !is_first_under_overload {
             return;
         }
         self.published_ready = Some(is_ready);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -29,7 +29,7 @@
 /// timers from above and Retry-After from below.
 const PROBE_INTERVAL: Micros = 100_000;
 /// A longer time between two steps counts as a stall, as timers are due much sooner.
-const STALL_AFTER: Micros = 1_000_000;
+const STALL_THRESHOLD: Micros = 1_000_000;
 /// Share of the survivable concurrency, of the memory and of the call quota that is used; the rest is a
 /// margin.
 const SAFE_SHARE: f64 = 0.85;
@@ -41,7 +41,7 @@
 /// Weight, from 0 to 1, of the newest sample in moving averages.
 const EWMA_WEIGHT: f64 = 0.1;
 /// Factor by which old evidence shrinks in each control interval that brings no new evidence.
-const DECAY: f64 = 0.8;
+const DECAY_FACTOR: f64 = 0.8;
 /// Relative difference below which two times or shares count as equal.
 const RELATIVE_TOLERANCE: f64 = 0.02;
 
@@ -108,7 +108,7 @@
     /// Handles the events that have occurred and appends the resulting actions to `out`. `now` must not
     /// decrease from one call to the next.
     pub fn step(&mut self, now: Micros, events: impl IntoIterator<Item = Event>, out: &mut Vec<Action>) {
-        self.stall_end = if now > self.last_step + STALL_AFTER { now } else { self.stall_end };
+        self.stall_end = if now > self.last_step + STALL_THRESHOLD { now } else { self.stall_end };
         self.last_step = now;
         self.calls.update_mean(now, self.requests.count(Stage::Calling), &self.settings);
         events.into_iter().for_each(|event| self.handle_event(now, event, out));
@@ -154,7 +154,7 @@
         };
         let received_at = now.saturating_sub(arrival.read_delay);
         self.connections.record_arrival(now, arrival.caller, &self.settings);
-        let age = self.least_age(now, &arrival, &class);
+        let age = self.estimate_min_age(now, &arrival, &class);
         let is_retry = arrival.is_retry || age as f64 > RELATIVE_TOLERANCE * class.deadline as f64;
         self.health.retry_share = ewma(self.health.retry_share, f64::from(is_retry));
         // A request that came during a stall waited for the stall to end: its read delay does not show load.
@@ -185,14 +185,14 @@
         let class_deadline = (received_at + class.deadline).max(now);
         let deadline =
             arrival.caller_timeout.map_or(class_deadline, |timeout| now + timeout).min(self.answer_by);
-        let extra_time = (class.objective_per_cost * arrival.cost.unwrap_or(0) as f64) as Micros;
-        let objective = (class.latency_objective + extra_time).min(class.deadline);
-        let place = (arrival.rank.clamp(0.0, 1.0) * self.priority_weights.len() as f64) as usize;
+        let objective_extension = (class.objective_per_cost * arrival.cost.unwrap_or(0) as f64) as Micros;
+        let objective = (class.latency_objective + objective_extension).min(class.deadline);
+        let weight_index = (arrival.rank.clamp(0.0, 1.0) * self.priority_weights.len() as f64) as usize;
         Request {
             id: arrival.id.clone(),
             class: arrival.class,
             tenant: arrival.tenant,
-            priority_weight: self.priority_weights[place.min(self.priority_weights.len() - 1)],
+            priority_weight: self.priority_weights[weight_index.min(self.priority_weights.len() - 1)],
             queued_kb: arrival.queued_kb,
             cost: arrival.cost.map(|cost| cost as f64),
             received_at,
@@ -204,7 +204,7 @@
 
     /// The least age of the client's request, in microseconds, by the timeout that the caller states. Behind
     /// the first tier a stated timeout shows no age: it is the time that the caller's own request has left.
-    fn least_age(&mut self, now: Micros, arrival: &Arrival, class: &Class) -> Micros {
+    fn estimate_min_age(&mut self, now: Micros, arrival: &Arrival, class: &Class) -> Micros {
         let Some(timeout) = arrival.caller_timeout.filter(|_| self.settings.tier == 0) else {
             // Some server rejected the request that is retried: it is as old as retries of requests rejected
             // here.
@@ -259,8 +259,9 @@
         // A preemption requested during a stall had no effect, so it is requested again.
         let may_preempt = settings.preemption != Preemption::Never;
         let requests = self.requests.by_sequence.values().filter(|_| may_preempt);
-        let stray = requests.filter(|request| request.abandoned && request.stage == Stage::Running);
-        out.extend(stray.map(|request| Action::Preempt(request.id.clone())));
+        let abandoned_running =
+            requests.filter(|request| request.abandoned && request.stage == Stage::Running);
+        out.extend(abandoned_running.map(|request| Action::Preempt(request.id.clone())));
         self.concurrency.adjust(gauges, self.requests.count(Stage::Running), now - self.started_at, settings);
     }
 }
--- a/src/admission/run_time.rs
+++ b/src/admission/run_time.rs
@@ -43,7 +43,7 @@
     fn predict(&self, cost: f64) -> Option<f64> {
         let slope = self.covariance / self.cost_variance;
         let slope = if self.cost_variance > 0.0 { slope.max(0.0) } else { 0.0 };
-        let least = self.mean_time * MIN_RUN_SHARE;
-        self.mean_cost.map(|mean| (self.mean_time + slope * (cost - mean)).max(least))
+        let min_time = self.mean_time * MIN_RUN_SHARE;
+        self.mean_cost.map(|mean| (self.mean_time + slope * (cost - mean)).max(min_time))
     }
 }
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -74,7 +74,8 @@
         if self.health.is_unhealthy || self.drain_notified_at.is_some() {
             return self.settings.retry_after_max;
         }
-        let expected = |seq| self.run_times.expected(&self.requests.by_sequence[seq], &self.settings);
+        let expected =
+            |sequence| self.run_times.expected(&self.requests.by_sequence[sequence], &self.settings);
         let work: f64 = self.requests.wait_queue.iter().map(expected).sum();
         let wait = (work / self.concurrency.slots as f64).max(self.health.read_delay);
         let wait = if spare > 0.0 { wait.min(spare * WAIT_SHARE) } else { wait };
@@ -108,14 +109,14 @@
         let mut order = self.requests.wait_queue.clone();
         order.sort_by_cached_key(|sequence| (usize::MAX - level_of(sequence), *sequence));
         let mut work_ahead = 0.0;
-        for (place, sequence) in order.into_iter().enumerate() {
+        for (position, sequence) in order.into_iter().enumerate() {
             let request = &self.requests.by_sequence[&sequence];
             let run_time = self.run_times.expected(request, &self.settings);
             // A request that can start now has no wait, however long it runs.
-            let starts_now = place < free_slots;
+            let starts_now = position < free_slots;
             let wait = if starts_now { 0.0 } else { (work_ahead + run_time) / self.concurrency.slots as f64 };
-            let until = if request.is_late { request.deadline } else { request.objective_end };
-            let time_left = until as f64 - now as f64;
+            let due_at = if request.is_late { request.deadline } else { request.objective_end };
+            let time_left = due_at as f64 - now as f64;
             // Only a new request is sent elsewhere for its wait, sooner at a lower level, and not where that
             // costs a connection.
             let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
@@ -123,7 +124,7 @@
             let level = self.priority_level(now, request) as f64;
             let wait_share = 2.0 * WAIT_SHARE * level / self.priority_weights.len() as f64;
             let waits_too_long = may_move && wait > (time_left - run_time) * wait_share;
-            if (wait + run_time > time_left || waits_too_long) && (place > 0 || running > 0) {
+            if (wait + run_time > time_left || waits_too_long) && (position > 0 || running > 0) {
                 self.abandon(now, sequence, out);
             } else if !starts_now {
                 work_ahead += run_time;
@@ -147,7 +148,9 @@
             let queued = self.requests.wait_queue.iter().rev();
             let lowest = queued.min_by_key(|sequence| self.priority_level(now, &requests[sequence]));
             let duplicate = || requests.iter().rev().find(|(_, r)| r.stage == Stage::AwaitingDuplicate);
-            let Some(&sequence) = lowest.or_else(|| duplicate().map(|(seq, _)| seq)) else { return };
+            let Some(&sequence) = lowest.or_else(|| duplicate().map(|(sequence, _)| sequence)) else {
+                return;
+            };
             self.abandon(now, sequence, out);
         }
     }
--- a/src/admission/tenant_rates.rs
+++ b/src/admission/tenant_rates.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Time constant, in microseconds, with which the rates of starts decay.
-const RATE_WINDOW: f64 = 10e6;
+const RATE_WINDOW_US: f64 = 10e6;
 /// Multiple of its quota share that a tenant may use, as its requests spread unevenly over the servers.
 const QUOTA_SLACK: f64 = 1.25;
 
@@ -22,8 +22,8 @@
 }
 
 impl TenantRate {
-    fn at(&self, now: Micros) -> f64 {
-        self.starts_per_s * (-((now - self.updated_at) as f64) / RATE_WINDOW).exp()
+    fn starts_per_s_at(&self, now: Micros) -> f64 {
+        self.starts_per_s * (-((now - self.updated_at) as f64) / RATE_WINDOW_US).exp()
     }
 }
 
@@ -31,12 +31,14 @@
     /// Counts a request of this tenant that starts now.
     pub fn record_start(&mut self, now: Micros, tenant: usize) {
         let Some(rate) = self.rates.get_mut(tenant) else { return };
-        *rate = TenantRate { starts_per_s: rate.at(now) + 1e6 / RATE_WINDOW, updated_at: now };
+        *rate =
+            TenantRate { starts_per_s: rate.starts_per_s_at(now) + 1e6 / RATE_WINDOW_US, updated_at: now };
     }
 
     /// The tenant's rate of starts here, as a multiple of this server's share of its quota.
     fn quota_use(&self, now: Micros, tenant: usize, settings: &Settings) -> Option<f64> {
-        let (quota, rate) = (settings.tenants.get(tenant)?.quota_per_s, self.rates.get(tenant)?.at(now));
+        let (quota, rate) =
+            (settings.tenants.get(tenant)?.quota_per_s, self.rates.get(tenant)?.starts_per_s_at(now));
         Some(rate * f64::from(settings.servers) / quota.max(1e-9))
     }
 
@@ -52,6 +54,6 @@
     /// share of all traffic, each tenant is compared with the median tenant instead of its own share.
     pub fn is_over_quota(&self, now: Micros, tenant: usize, settings: &Settings) -> bool {
         let limit = QUOTA_SLACK * self.median_use.max(1.0);
-        self.quota_use(now, tenant, settings).is_some_and(|used| used > limit)
+        self.quota_use(now, tenant, settings).is_some_and(|quota_use| quota_use > limit)
     }
 }
