--- a/tests/abandonment.rs
+++ b/tests/abandonment.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests whose latency objective has passed, by their idempotency.
+//! How requests past their latency objective are answered, depending on their idempotency.
 
 mod common;
 use common::*;
@@ -26,8 +26,9 @@
     assert!(past_objective.contains(&Action::Preempt(id("long"))));
 }
 
-/// Guards against rejecting a keyed run that was abandoned (its retry would be a double effect) or answering it
-/// only at its deadline: it is failed at its objective, and its duplicates wait for its result.
+/// Guards against rejecting an abandoned run with an idempotency key (its retry would take effect a second
+/// time) and against answering it only at its deadline: it is failed at its objective, and its duplicates
+/// wait for its result.
 #[test]
 fn a_keyed_run_past_its_objective_is_failed_and_not_rejected() {
     let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
@@ -38,8 +39,8 @@
     assert!(!past_objective.iter().any(|a| matches!(a, Action::Preempt(_))), "it can't be stopped here");
 }
 
-/// Guards against failing an unsafe write while it runs, which invites a second, unmarked one: it goes on
-/// to its end, and is failed only at its due time.
+/// Guards against failing a write that is not idempotent while it runs, which invites a second one that can't
+/// be recognised as a duplicate: it runs to its end, and is failed only at its deadline.
 #[test]
 fn a_non_idempotent_run_goes_on_past_its_objective_until_its_deadline() {
     let mut controller = controller(settings_with_idempotency(Idempotency::NotIdempotent));
@@ -53,8 +54,8 @@
     assert_eq!(failed(&due), ["sale"]);
 }
 
-/// Guards against a duplicate that waits until its deadline: past its objective its answer earns nothing, and it
-/// is failed at once, never rejected.
+/// Guards against a duplicate that waits until its deadline: past its objective an answer earns nothing, so
+/// it is failed at once. It is never rejected.
 #[test]
 fn a_duplicate_past_its_objective_is_failed_at_once() {
     let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
--- a/tests/caller_timeouts.rs
+++ b/tests/caller_timeouts.rs
@@ -5,7 +5,7 @@
 use umberloom::interface::*;
 use umberloom::AdmissionController;
 
-/// Sends attempts with this timeout, one at a time, each served at once.
+/// Serves this many attempts with this timeout, one after another; returns the time after them.
 fn serve_with_timeout(
     controller: &mut AdmissionController,
     from: Micros,
@@ -24,7 +24,7 @@
 fn a_longer_timeout_than_usual_shows_a_later_attempt() {
     let mut controller = controller(default_settings());
     let now = serve_with_timeout(&mut controller, 0, 20, 2_400 * MS);
-    // 3.5 s of 6 s are left: it is 2.5 s old and its objective of 2 s has passed.
+    // 3.5 s of 6 s are left: the request is 2.5 s old and its objective of 2 s has passed.
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
     assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "{actions:?}");
     let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("young", 0, 5_000 * MS))]);
@@ -81,8 +81,8 @@
     assert_eq!(admitted(&actions), ["short"]);
 }
 
-/// Guards against work on requests that are late already: where callers state no timeout, a marked retry is as old
-/// as a request that was rejected here and waited for its Retry-After.
+/// Guards against serving requests that are late already: where callers state no timeout, a marked retry
+/// counts as old as a request that was rejected here and waited for its Retry-After.
 #[test]
 fn retries_without_a_timeout_are_as_old_as_rejected_requests() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Settings, events and a small host for the tests: it executes actions as a server would and checks
-//! the four guarantees.
+//! Settings, events and a small host for the tests. The host executes actions as a server would and checks
+//! the four guarantees after every step: 1. each request is answered once and in time; 2. nothing takes
+//! effect twice; 3. a drain is clean; 4. overload is survived.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -79,20 +80,20 @@
     Arc::from(name)
 }
 
-/// One step; returns the actions.
+/// Passes the events to the controller in one step and returns its actions.
 pub fn step(controller: &mut AdmissionController, now: Micros, events: Vec<Event>) -> Vec<Action> {
     let mut actions = Vec::new();
     controller.step(now, events, &mut actions);
     actions
 }
 
-/// One step with one request of each given name and class.
+/// One step in which one request of each given name and class arrives.
 pub fn send(controller: &mut AdmissionController, now: Micros, names: &[(&str, usize)]) -> Vec<Action> {
     let events = names.iter().map(|(n, c)| Event::Arrived(arrival(n, *c, 6 * SEC))).collect();
     step(controller, now, events)
 }
 
-/// A controller that knows short run times from two runs.
+/// A controller that has learned run times of 1 ms from one run of each class.
 pub fn controller_with_short_runs(settings: Settings) -> AdmissionController {
     let mut controller = AdmissionController::new(0, settings).expect("sound settings");
     for (name, class) in [("v", 0), ("w", 1)] {
@@ -145,7 +146,7 @@
     })
 }
 
-/// A controller that knows run times of `run`, with both cores taken from the returned time on.
+/// A controller that has learned run times of `run_time`, and the time from which on both its cores are busy.
 pub fn saturated_controller(settings: Settings, run: Micros) -> (AdmissionController, Micros) {
     let mut controller = controller(settings);
     let mut now = 0;
@@ -163,7 +164,7 @@
     Event::Arrived(Arrival { caller: 100 + n, ..arrival(&format!("s{n}"), 0, 6 * SEC) })
 }
 
-/// A controller that knows short run times, with both slots taken by requests of the low class.
+/// A controller that has learned run times of 1 ms, with both slots taken by requests of the lower class.
 pub fn controller_with_two_running(settings: Settings) -> AdmissionController {
     let mut controller = controller_with_short_runs(settings);
     let actions = send(&mut controller, 0, &[("x", 0), ("y", 0)]);
@@ -171,7 +172,7 @@
     controller
 }
 
-/// A small seeded generator (xorshift) for generated events.
+/// A seeded pseudo-random number generator (xorshift).
 pub struct Random(pub u64);
 
 impl Random {
@@ -279,7 +280,7 @@
         self.requests.iter().filter(|(_, i)| i.stage == stage).map(|(id, _)| id.clone()).collect()
     }
 
-    /// A request whose idempotency key is retained.
+    /// A request whose idempotency key is retained now, if there is one.
     pub fn retained_key(&self) -> Option<RequestId> {
         self.keys.iter().find(|(_, end)| **end > self.now).map(|(id, _)| id.clone())
     }
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The concurrency limit: it fills free cores, climbs towards more completions and steps back under overload.
+//! The concurrency limit fills free cores, climbs towards more completions and falls under overload.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
 fn the_limit_rises_by_the_cores_while_they_are_idle() {
     let mut controller = controller_with_two_running(default_settings());
     send(&mut controller, MS, &[("a", 0), ("b", 0), ("c", 0)]);
-    // Two run and two cores: the limit is four.
+    // Two requests run on two cores: the limit rises to four.
     assert_eq!(admitted(&step(&mut controller, 500 * MS, vec![idle_timer()])), ["a", "b"]);
 }
 
@@ -49,7 +49,7 @@
 fn sudden_core_demand_keeps_the_limit() {
     let mut controller = controller(default_settings());
     send(&mut controller, 0, &[("a", 0), ("b", 0), ("c", 0)]);
-    // The gauge still shows the time before the start, and the mean of a single look is low.
+    // The CPU gauge still shows the time before the start, and the mean core demand after one reading is low.
     let sudden = Event::Timer(Gauges { cpu: Some(0.3), core_demand: Some(6.0), ..Gauges::default() });
     let actions = step(&mut controller, 500 * MS, vec![sudden]);
     assert!(admitted(&actions).is_empty(), "{actions:?}");
@@ -68,12 +68,12 @@
     }
     host.now += 500 * MS;
     let gauges = Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() };
-    // Many timers let the mean of what wants a core settle; the first of them is the reading.
+    // Many timers let the mean core demand settle; only the first of them adjusts the limit.
     for _ in 0..20 {
         host.step(vec![Event::Timer(gauges)]);
     }
     let running = host.running().len();
-    // What is left over is served, so that it does not grow old.
+    // The remaining requests are served, so that they don't expire.
     while let Some(first) = host.running().first().cloned() {
         host.step(vec![Event::RunEnded(first, Outcome::Ok, MS)]);
     }
@@ -86,7 +86,7 @@
     host.step(vec![Event::Arrived(arrival("a", 0, 6 * SEC)), Event::Arrived(arrival("b", 0, 6 * SEC))]);
     host.now = 500 * MS;
     host.step(vec![idle_timer()]);
-    // The first counts still grow from nothing; from then on they are the same.
+    // The first completion counts still rise from zero; after that they are equal.
     let slots: Vec<usize> = (1..12).map(|tag| run_interval(&mut host, 40, 2.0, tag)).collect();
     assert!(slots[2..].iter().all(|&s| s == slots[2]), "completions are flat: {slots:?}");
 }
@@ -101,8 +101,8 @@
     assert_eq!(*slots.last().expect("some"), 2, "never below the cores: {slots:?}");
 }
 
-/// Guards against climbing under overload on counts that rise with the other work (reading, new connections):
-/// there only what is well beyond chance moves the limit, and that still does.
+/// Guards against climbing under overload on completion counts that follow other work (reading, new
+/// connections): under overload only differences well beyond chance move the limit, and those still do.
 #[test]
 fn under_overload_only_significant_completions_move_the_limit() {
     let slots = |low: usize, high: usize| {
@@ -119,7 +119,7 @@
     assert!(proof.iter().any(|&s| s > 2), "70 apart, chance is under 10: {proof:?}");
 }
 
-/// Control intervals with this core demand, in which no run ends.
+/// Runs `count` control intervals with this core demand, in which no run ends; returns the time after them.
 fn overloaded_intervals(
     controller: &mut AdmissionController,
     from: Micros,
@@ -143,7 +143,7 @@
     let arrivals = names.iter().map(|n| Event::Arrived(arrival(n, 0, 100 * SEC))).collect();
     let mut now = 10 * SEC;
     let mut running = admitted(&step(&mut controller, now, arrivals)).len();
-    // A lull by the gauge: each reading adds the cores.
+    // The CPU gauge shows idle cores: each reading raises the limit by the number of cores.
     while running < 40 {
         now += 500 * MS;
         running += admitted(&step(&mut controller, now, vec![idle_timer()])).len();
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -17,7 +17,8 @@
     actions.iter().find_map(|a| if let Action::CloseIdle(span) = a { Some(*span) } else { None })
 }
 
-/// Guards against a connection table that callers of a large fleet fill and that nobody gets past.
+/// Guards against idle connections of a large fleet's callers that fill the connection table, so that nobody
+/// else can connect.
 #[test]
 fn the_idle_timeout_follows_the_number_of_open_connections() {
     let mut controller = controller(default_settings());
@@ -32,8 +33,8 @@
     assert_eq!(idle_timeout(&step(&mut controller, 5 * SEC, vec![open_connections(3.0)])), Some(15 * SEC));
 }
 
-/// Guards against closing connections that nearly every arrival would use again: a small fleet's callers
-/// pay a handshake for most of their requests then, though all of them would find a place.
+/// Guards against closing connections that nearly every arrival would reuse: a small fleet's callers would
+/// pay a handshake for most of their requests, although the connection table has room for all of them.
 #[test]
 fn the_idle_timeout_stays_where_callers_return() {
     let closes = |callers: u64, open: f64| {
@@ -53,8 +54,9 @@
     assert!(closes(1_000, 30.0), "nobody comes again");
 }
 
-/// Guards against a handshake for every call: behind the first tier callers are the servers before it, and
-/// closing their connections early only has them opened again (mapas-central, drawn big day 101).
+/// Guards against a handshake for every call: behind the first tier the callers are the servers of the tier
+/// before it, and connections of theirs that are closed early are only opened again (mapas-central, drawn big
+/// day 101).
 #[test]
 fn the_idle_timeout_stays_behind_the_first_tier() {
     let closes = |tier: u32| {
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -27,13 +27,13 @@
 
 #[test]
 fn the_search_is_limited_to_the_look_ahead() {
-    // Runs are so short that a long wait queue is no reason to reject.
+    // Runs are so short that no request is rejected for a long wait queue.
     let mut controller = controller_with_two_running(default_settings());
     let names: Vec<String> = (0..32).map(|n| format!("low{n}")).collect();
     let mut all: Vec<(&str, usize)> = names.iter().map(|n| (n.as_str(), 0)).collect();
     all.push(("high", 1));
     send(&mut controller, MS, &all);
-    // "high" stands at the 33rd place: the head starts. Then it is within reach.
+    // "high" is 33rd in the wait queue, so the head starts; then "high" is within the look-ahead window.
     assert_eq!(admitted(&step(&mut controller, 2 * MS, vec![run_ended("x", MS)])), ["low0"]);
     assert_eq!(admitted(&step(&mut controller, 3 * MS, vec![run_ended("y", MS)])), ["high"]);
 }
--- a/tests/downstream_calls.rs
+++ b/tests/downstream_calls.rs
@@ -59,7 +59,7 @@
         );
         let actions =
             step(&mut controller, now + 2 * MS, vec![Event::CallEnded(id(&name), Outcome::Rejected, MS)]);
-        // It is tried again by itself, after a while.
+        // The call is attempted again after the backoff.
         assert!(!actions.contains(&Action::SkipCall(id(&name))), "{n}: {actions:?}");
         step(&mut controller, now + 3 * MS, vec![run_ended(&name, MS)]);
     }
@@ -135,7 +135,7 @@
         step(&mut controller, now, vec![Event::Arrived(arrival(&name, 0, SEC)), busy_timer()]);
         let actions = step(&mut controller, now + MS, vec![Event::NeedsCall(id(&name))]);
         let called = actions.iter().any(|a| matches!(a, Action::Call(..)));
-        // For two seconds the dependency takes longer than any request has time, then 20 ms.
+        // For two seconds a call takes longer than any request has time for, then 20 ms.
         let took = if now < 2 * SEC { 900 * MS } else { 20 * MS };
         calls += u32::from(called && now >= 10 * SEC);
         if called {
--- a/tests/generated_events.rs
+++ b/tests/generated_events.rs
@@ -1,10 +1,10 @@
-//! Generated event sequences: the four guarantees hold for all of them. The host checks them after each step.
+//! The four guarantees hold for generated event sequences. The host checks them after each step.
 
 mod common;
 use common::*;
 use umberloom::interface::*;
 
-/// Random settings: all kinds of preemption, downstream, idempotency and load hint, and core counts.
+/// Random settings: every kind of preemption, downstream, idempotency and load hint, and 1 to 8 cores.
 fn random_settings(random: &mut Random) -> Settings {
     let mut settings = default_settings();
     settings.cores = 1 + random.below(8) as u32;
@@ -49,7 +49,8 @@
     })
 }
 
-/// The end of a run, call or wait for a duplicate, or the need of a call.
+/// A random run, call or wait for a duplicate ends, or a running request needs a call. Each request is used
+/// once per step, which `used` records.
 fn random_completion(host: &Host, random: &mut Random, used: &mut Vec<RequestId>) -> Option<Event> {
     let choose = |list: Vec<RequestId>, random: &mut Random| {
         let index = random.below(list.len().max(1) as u64) as usize;
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -11,7 +11,8 @@
     settings
 }
 
-/// Steps until `until` and collects all actions, without timers, which might raise the limit.
+/// Steps every 20 ms up to `until` and returns all actions with their times. Sends no timers, as these might
+/// raise the concurrency limit.
 fn step_until(controller: &mut AdmissionController, from: Micros, until: Micros) -> Vec<(Micros, Action)> {
     let mut all = Vec::new();
     let mut now = from;
@@ -88,7 +89,8 @@
     assert_eq!(rejected(&actions), ["late"]);
 }
 
-/// Guards against a grace that begins anew when a host could tell of the notice only later, as its agent came up late.
+/// Guards against a drain grace that starts when the host reports the notice instead of at the notice: a host
+/// whose agent starts late reports it late.
 #[test]
 fn the_drain_grace_counts_from_the_notice() {
     let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
@@ -210,7 +212,7 @@
     send(&mut controller, 0, &names.map(|n| (n, 0)));
     let actions = step(&mut controller, MS, names.iter().map(|n| Event::NeedsCall(id(n))).collect());
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 2);
-    // The dependency still works on a call that timed out, which keeps its place.
+    // The dependency may still work on a call that timed out, so it counts as in flight.
     let actions = step(&mut controller, 2 * MS, vec![Event::CallEnded(id("a"), Outcome::TimedOut, MS)]);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count(), 0);
     let actions = step(&mut controller, 300 * MS, vec![busy_timer()]);
@@ -225,7 +227,7 @@
     let mut controller = AdmissionController::new(0, settings).expect("sound settings");
     let mut busy_for = 0;
     let mut now = 0;
-    // Always a request at a call; each call takes 100 ms.
+    // There is always one request that needs a call or is at one; each call takes 100 ms.
     for n in 0..400 {
         let name = format!("r{n}");
         step(&mut controller, now, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
@@ -288,7 +290,8 @@
     assert!(actions.contains(&Action::SetReady(false)), "{actions:?}");
 }
 
-/// A share of 0 allows no call at all, not one; what can go on without does so, the rest is answered.
+/// Guards against a call quota of 0 that still allows one call: requests that can skip the call go on without
+/// it, and the others are answered.
 #[test]
 fn a_call_quota_of_zero_allows_no_call() {
     for degraded_weight_share in [0.0, 0.5] {
@@ -308,7 +311,8 @@
     }
 }
 
-/// Two cores with the least survivable concurrency while warming up: as many requests as cores may run, and no more.
+/// Guards against running more requests than a server survives while it is warming up. Here that is as many
+/// as there are cores.
 #[test]
 fn two_cores_warming_up_run_no_more_than_they_survive() {
     let mut settings = default_settings();
@@ -324,14 +328,15 @@
     assert!((1..=2).contains(&running), "{running} run");
 }
 
-/// Guards a dependency that did not grow with the fleet: calls that hang keep a small share in the mean too.
+/// Guards against overloading a dependency that is small for its fleet: the deadline of a call keeps a quota
+/// under one call in the mean even if calls hang.
 #[test]
 fn the_deadline_of_a_call_respects_a_quota_under_one() {
     let mut settings = settings_with_classes(|c| c.calls_downstream = true);
     (settings.downstream, settings.call_quota) = (Downstream::Shared, 0.2);
     let mut controller = AdmissionController::new(0, settings).expect("sound settings");
     send(&mut controller, 0, &[("a", 0)]);
-    // The first call waits for a random time: all servers may have started at once.
+    // The first call is delayed by a random time, as all servers may have started at once.
     step(&mut controller, 0, vec![Event::NeedsCall(id("a"))]);
     let actions = step_until(&mut controller, 0, 2 * SEC);
     let call = |(now, action): &(Micros, Action)| match action {
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,4 +1,4 @@
-//! Health of the server itself, its readiness and its load hint.
+//! The health of the server itself, and the readiness and load hint that it publishes.
 
 mod common;
 use common::*;
@@ -75,8 +75,9 @@
     assert_eq!(admitted(&actions), ["a", "b"], "it takes work as usual");
 }
 
-/// Guards against a cascade at size: where the list follows readiness, servers that left it together because
-/// what they read had waited long overloaded the rest (results-jhb h6afac0, incident i45ed73).
+/// Guards against a cascade in a large fleet: where callers only use servers that are ready, servers that
+/// became not ready together because of a long read delay overloaded the others (results-jhb h6afac0,
+/// incident i45ed73).
 #[test]
 fn a_long_read_delay_does_not_change_readiness() {
     let mut controller = controller(default_settings());
@@ -106,7 +107,7 @@
         let mut published = Vec::new();
         for n in 0..60 {
             let now = n * 500 * MS;
-            // Failing runs make it unhealthy; then nothing arrives and the evidence decays.
+            // Failing runs make the server unhealthy; then nothing arrives and the evidence decays.
             let events = if n < 20 {
                 let failing = Event::RunEnded(id(&format!("r{}", n.max(1) - 1)), Outcome::Error, 10 * MS);
                 vec![Event::Arrived(arrival(&format!("r{n}"), 0, 3 * SEC)), failing, busy_timer()]
@@ -126,8 +127,9 @@
     }
 }
 
-/// Guards against checks that do real work on cores that are wanted (mapas-central i4f6bde: callers' checks
-/// took both cores of a server for the whole day): once overloaded it sets its readiness, and only then.
+/// Guards against health checks that do real work on cores that are in demand (mapas-central i4f6bde:
+/// callers' checks took both cores of a server for the whole day): the server publishes its readiness when
+/// its cores are overloaded, and only then.
 #[test]
 fn readiness_is_published_once_when_cores_are_overloaded() {
     let mut settings = default_settings();
--- a/tests/shared_dependency.rs
+++ b/tests/shared_dependency.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::*;
 use umberloom::AdmissionController;
 
-/// A controller with its quota of the calls that the dependency survives.
+/// A controller with its share of the concurrent calls that the dependency survives.
 fn controller(number: u32, servers: u32, capacity: f64) -> AdmissionController {
     let mut settings = default_settings();
     settings.classes.iter_mut().for_each(|c| {
@@ -19,7 +19,7 @@
     AdmissionController::new(0, settings).expect("sound settings")
 }
 
-/// A fleet of which each server always has requests at a call.
+/// A fleet in which each server always has requests that need a call.
 struct Fleet {
     all: Vec<AdmissionController>,
     /// Calls under way, in the order in which they end: when, whose, and which.
@@ -50,13 +50,14 @@
                 self.next += 1;
                 events.push(Event::Arrived(arrival(&format!("r{}", self.next), 0, 100 * SEC)));
             }
-            // Events that follow from actions come at once.
+            // Events that follow from actions are sent at the same time.
             while !events.is_empty() {
                 let actions = step(&mut self.all[n], now, std::mem::take(&mut events));
                 for action in actions {
                     match action {
                         Action::Admit(name) => events.push(Event::NeedsCall(name)),
-                        // A run that waits for a call ends with its request, a preempted one at once.
+                        // A run that waits for a call ends when its request fails, and a preempted run ends
+                        // at once.
                         Action::Preempt(name) | Action::Fail(name) => {
                             events.push(Event::RunEnded(name, Outcome::Aborted, 0));
                         }
@@ -73,9 +74,10 @@
     }
 }
 
-/// Before a call has come back, while what they call is down and when it returns, the sum of all servers stays within the N
-/// calls that it survives and 2 x root of N + 2 for chance, at 1 to 30 servers. Down is 3 s in which each call fails at once;
-/// then calls take 100 ms. Tries of 100 ms count together, as a call would last so long.
+/// Guards against a fleet that overloads its shared dependency at the start, while the dependency is down and
+/// when it recovers: for 1 to 30 servers the sum of their calls stays within the N calls that the dependency
+/// survives, plus 2 x root of N + 2 for chance. While it is down, for 3 s, each call fails at once; otherwise
+/// calls take 100 ms. Calls that start within 100 ms count together, as each would take so long.
 #[test]
 fn probes_and_first_calls_of_all_servers_stay_within_the_capacity() {
     for (servers, capacity) in [1, 2, 5, 12, 20, 24, 30]
@@ -96,7 +98,8 @@
             let together = if learns { 0 } else { fleet.begun.len() };
             assert!(together as f64 <= most, "{servers} servers, {together} of {capacity} at {now}");
         }
-        // A share so small that a single call that hangs would be more than it in the mean is not used at all.
+        // A share so small that a single call that hangs would be more than it in the mean is not used at
+        // all.
         let usable = capacity / f64::from(servers) > 0.2;
         assert!(!usable || fleet.last > 4 * SEC, "{servers} servers, {capacity}: calls are made again");
     }
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: which arrivals are rejected early, with which Retry-After, and when that is terminal.
+//! Load shedding: which requests are rejected early, with which Retry-After, and which rejections are
+//! terminal.
 
 mod common;
 use common::*;
@@ -8,7 +9,7 @@
 #[test]
 fn arrivals_with_too_long_a_wait_are_rejected_at_once() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
-    // Spare time is 1.4 s, a quarter of it 0.35 s; the first waits 0.3 s, the second 0.6 s.
+    // The spare time is 1.4 s, a quarter of it 0.35 s; the first would wait for 0.3 s, the second for 0.6 s.
     let actions = send(&mut controller, now, &[("first", 0), ("second", 0)]);
     assert_eq!(rejected(&actions), ["second"]);
     let (retry_after, terminal) = rejection(&actions, "second").expect("rejected");
@@ -45,7 +46,7 @@
     let mut seen = None;
     for tick in 1..120 {
         let at = now + tick * 20 * MS;
-        // Any event will do; a reading might raise the limit.
+        // Any event but a timer, which might raise the concurrency limit.
         let actions = step(&mut controller, at, vec![Event::Cancelled(id("nobody"))]);
         if rejected(&actions).contains(&"held".to_string()) {
             seen = Some(at - now);
@@ -70,7 +71,8 @@
 #[test]
 fn hung_runs_raise_the_expected_run_time() {
     let (mut controller, now) = saturated_controller(default_settings(), 200 * MS);
-    // Both running requests hang until they are abandoned at their objective, and so do their successors.
+    // Both running requests hang until they are abandoned at their objective, and so do the requests after
+    // them.
     for round in 0..4 {
         let at = now + round * 2 * SEC;
         for tick in 1..=100 {
@@ -106,8 +108,9 @@
     (controller, now)
 }
 
-/// Guards against rejecting for its wait a request that can start at once: a run expected to take about its
-/// objective has no spare time, which was taken for a wait (pack-sale on a quiet day of mapas-central).
+/// Guards against rejecting a request for its wait although it can start at once: a run that is expected to
+/// take about as long as its objective has no spare time, so any wait seemed too long (pack-sale on a quiet
+/// day of mapas-central).
 #[test]
 fn requests_that_can_start_at_once_are_not_rejected_for_their_wait() {
     let (mut controller, now) = controller_with_idle_cores(1_900 * MS);
@@ -116,8 +119,9 @@
     assert_eq!(admitted(&actions), ["x", "y"]);
 }
 
-/// Guards against runs that are late before they start: on a slow server what is expected to take longer than
-/// its objective goes elsewhere at once, though a core is free (mapas-central quiet: half of the servers are slow).
+/// Guards against runs that are known to end too late before they start: a slow server rejects a request that
+/// is expected to take longer than its objective at once, although a core is free (mapas-central quiet: half
+/// of the servers are slow).
 #[test]
 fn requests_that_would_end_too_late_are_rejected_though_a_core_is_free() {
     let (mut controller, now) = controller_with_idle_cores(2_100 * MS);
@@ -134,7 +138,7 @@
     );
 }
 
-/// Guards against early rejections where the next attempt would cost a connection.
+/// Guards against rejecting requests early where their next attempt would cost a connection.
 #[test]
 fn requests_of_new_callers_may_wait_while_they_can_meet_the_objective() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
@@ -144,7 +148,8 @@
         step(&mut controller, now, vec![run_ended(&format!("s{n}"), 600 * MS)]);
     }
     send(&mut controller, now, &[("a", 0), ("b", 1)]);
-    // They wait 0.3 s and 0.6 s of 1.4 s to spare; with known callers the second goes elsewhere.
+    // They would wait for 0.3 s and 0.6 s of the 1.4 s to spare; with known callers the second would be
+    // rejected.
     let actions = send(&mut controller, now, &[("first", 0), ("second", 0)]);
     assert!(rejected(&actions).is_empty(), "{actions:?}");
 }
@@ -162,7 +167,8 @@
     assert_eq!(rejection(&actions, "f29").map(|r| r.1), Some(false));
 }
 
-/// Guards against walks of which each step costs a new connection and is read once more.
+/// Guards against requests that go from server to server, where each attempt costs a new connection and is
+/// read again.
 #[test]
 fn rejections_of_new_callers_are_terminal_where_connections_cost() {
     let (mut priced, now) = saturated_controller(default_settings(), 600 * MS);
@@ -177,8 +183,8 @@
     assert_eq!(rejection(&actions, "s11").map(|r| r.1), Some(false));
 }
 
-/// What is kept of callers is bounded in time: one that stayed away for longer than connections stay
-/// open needs a new one.
+/// Guards against a caller that counts as known for ever: one that has been away for longer than connections
+/// stay open needs a new connection.
 #[test]
 fn callers_become_new_again_after_the_idle_timeout() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
@@ -199,16 +205,16 @@
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
     let actions = send(&mut controller, now, &[("a", 1), ("b", 1), ("c", 0)]);
     let (retry_after, _) = rejection(&actions, "c").expect("would wait too long");
-    // The wait queue takes 0.6 s to empty; of 2 s the run takes 0.6 s.
+    // The wait queue empties in 0.6 s. The spare time is 2 s less a run of 0.6 s, and a quarter of it 0.35 s.
     assert!((300 * MS..=350 * MS).contains(&retry_after), "{retry_after}");
-    // Without spare time the Retry-After is as long as the wait queue takes.
+    // Without spare time the Retry-After is the time in which the wait queue empties.
     let old = Event::Arrived(Arrival { read_delay: 1_900 * MS, ..arrival("d", 1, 6 * SEC) });
     let actions = step(&mut controller, now + MS, vec![old]);
     assert!(rejection(&actions, "d").expect("no time").0 >= 590 * MS, "{actions:?}");
 }
 
-/// Guards against a rejection without a Retry-After: with a short wait queue, the time by what is queued
-/// would be a few milliseconds or none, and callers that heed it come straight back.
+/// Guards against a rejection without a Retry-After: with a short wait queue it would be a few milliseconds
+/// or none, and callers that honour it would retry at once.
 #[test]
 fn every_rejection_has_a_retry_after() {
     let (mut controller, now) = saturated_controller(default_settings(), 50 * MS);
--- a/tests/tenant_quota.rs
+++ b/tests/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas: lower priority and terminal rejections beyond them.
+//! Tenant quotas: beyond them requests have a lower priority and rejections are terminal.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
     Event::Arrived(Arrival { tenant, ..arrival(name, class, 6 * SEC) })
 }
 
-/// A controller on which tenant 0 has used far more than its share of one start a second.
+/// A controller on which tenant 0 has used far more than its quota share of one start a second, and the time.
 fn controller_with_tenant_over_quota() -> (AdmissionController, Micros) {
     let mut controller = controller(two_tenants());
     for n in 0..40 {
@@ -61,7 +61,8 @@
     let mut settings = default_settings();
     settings.tenants = vec![Tenant { quota_per_s: 4.0 }; 3];
     let mut controller = controller(settings);
-    // Each tenant has ten starts a second here, ten times this server's part; one has three times that.
+    // Each tenant has ten starts a second here, ten times its share at this server; one tenant has three
+    // times as many.
     let mut now = 0;
     for n in 0..200 {
         now = n * 20 * MS;
