--- a/src/admission/downstream_calls.rs
+++ b/src/admission/downstream_calls.rs
@@ -177,12 +177,12 @@
         let lacks_time = now + typical + run_time_after_call >= due_at;
         calls.lacked_time |= lacks_time;
         let must_not_repeat = request.call_may_have_run && class.idempotency != Idempotency::Idempotent;
-        let is_hopeless =
+        let must_give_up =
             must_not_repeat || request.call_attempts >= MAX_CALL_ATTEMPTS || now + typical >= due_at;
-        if class.degraded_weight_share > 0.0 && (is_hopeless || is_breaker_open || lacks_time) {
+        if class.degraded_weight_share > 0.0 && (must_give_up || is_breaker_open || lacks_time) {
             request.stage = Stage::Running;
             out.push(Action::SkipCall(request.id.clone()));
-        } else if is_hopeless {
+        } else if must_give_up {
             self.abandon(now, sequence, out);
         } else if time_limit > typical
             && !is_breaker_open
