--- a/tests/abandonment.rs
+++ b/tests/abandonment.rs
@@ -4,10 +4,10 @@
 use common::*;
 use umberloom::interface::*;
 
-fn settings_with_idempotency(effect: Idempotency) -> Settings {
+fn settings_with_idempotency(idempotency: Idempotency) -> Settings {
     let mut settings = default_settings();
     settings.preemption = Preemption::Never;
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency;
     settings
 }
 
@@ -22,7 +22,7 @@
     assert!(rejection(&before_objective, "long").is_none(), "its objective is 2 s: {before_objective:?}");
     let past_objective = step(&mut controller, 2 * SEC, vec![busy_timer()]);
     let (retry_after, terminal) = rejection(&past_objective, "long").expect("answered at its objective");
-    assert!(retry_after > 0 && terminal, "a time to come back, and nowhere else: {past_objective:?}");
+    assert!(retry_after > 0 && terminal, "a Retry-After, and no other server: {past_objective:?}");
     assert!(past_objective.contains(&Action::Preempt(id("long"))));
 }
 
@@ -36,7 +36,7 @@
     let past_objective = step(&mut controller, 2 * SEC, vec![busy_timer()]);
     assert_eq!(failed(&past_objective), ["write"]);
     assert!(rejection(&past_objective, "write").is_none());
-    assert!(!past_objective.iter().any(|a| matches!(a, Action::Preempt(_))), "it can't be stopped here");
+    assert!(!past_objective.iter().any(|a| matches!(a, Action::Preempt(_))), "it can't be preempted here");
 }
 
 /// Guards against failing a write that is not idempotent while it runs, which invites a second one that can't
@@ -50,8 +50,8 @@
         failed(&past_objective).is_empty() && rejection(&past_objective, "sale").is_none(),
         "{past_objective:?}"
     );
-    let due = step(&mut controller, 6 * SEC - MS, vec![busy_timer()]);
-    assert_eq!(failed(&due), ["sale"]);
+    let at_deadline = step(&mut controller, 6 * SEC - MS, vec![busy_timer()]);
+    assert_eq!(failed(&at_deadline), ["sale"]);
 }
 
 /// Guards against a duplicate that waits until its deadline: past its objective an answer earns nothing, so
@@ -60,8 +60,8 @@
 fn a_duplicate_past_its_objective_is_failed_at_once() {
     let mut controller = controller(settings_with_idempotency(Idempotency::WithKey));
     send(&mut controller, 0, &[("a", 0)]);
-    let again = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
-    let actions = step(&mut controller, 10 * MS, vec![Event::Arrived(again)]);
+    let duplicate = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
+    let actions = step(&mut controller, 10 * MS, vec![Event::Arrived(duplicate)]);
     assert!(actions.contains(&Action::AwaitDuplicate(id("b"))), "{actions:?}");
     let before_objective = step(&mut controller, 2 * SEC - 20 * MS, vec![busy_timer()]);
     assert!(failed(&before_objective).is_empty(), "{before_objective:?}");
--- a/tests/caller_timeouts.rs
+++ b/tests/caller_timeouts.rs
@@ -27,8 +27,8 @@
     // 3.5 s of 6 s are left: the request is 2.5 s old and its objective of 2 s has passed.
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
     assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "{actions:?}");
-    let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("young", 0, 5_000 * MS))]);
-    assert_eq!(admitted(&actions), ["young"], "one second old");
+    let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("recent", 0, 5_000 * MS))]);
+    assert_eq!(admitted(&actions), ["recent"], "one second old");
 }
 
 #[test]
@@ -43,8 +43,8 @@
 fn a_shorter_timeout_than_usual_shows_earlier_attempts() {
     let mut controller = controller(default_settings());
     let now = serve_with_timeout(&mut controller, 0, 20, 5_000 * MS);
-    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("walked", 0, 2_900 * MS))]);
-    assert_eq!(rejection(&actions, "walked").map(|r| r.1), Some(true), "2.1 s old: {actions:?}");
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("retried", 0, 2_900 * MS))]);
+    assert_eq!(rejection(&actions, "retried").map(|r| r.1), Some(true), "2.1 s old: {actions:?}");
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let now = serve_with_timeout(&mut controller, 0, 40, 2_400 * MS);
     let now = serve_with_timeout(&mut controller, now, 80, 5_000 * MS);
     let actions = step(&mut controller, now, vec![Event::Arrived(arrival("first", 0, 5_000 * MS))]);
-    assert_eq!(admitted(&actions), ["first"], "old evidence does not stay");
+    assert_eq!(admitted(&actions), ["first"], "the earlier timeout is forgotten");
 }
 
 #[test]
@@ -61,12 +61,13 @@
     let mut controller = controller(default_settings());
     let mut now = 0;
     for n in 0..60 {
-        // The usual timeout of an attempt is 2.4 s; a third of the attempts have all of the client's 3 s.
+        // The usual timeout of an attempt is 2.4 s; a third of the attempts have the client's whole timeout
+        // of 3 s.
         let timeout = if n % 3 == 0 { 3_000 * MS } else { 2_400 * MS };
         now = serve_with_timeout(&mut controller, now, 1, timeout);
     }
-    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("whole", 0, 3_000 * MS))]);
-    assert_eq!(admitted(&actions), ["whole"], "not three seconds old: {actions:?}");
+    let actions = step(&mut controller, now, vec![Event::Arrived(arrival("client", 0, 3_000 * MS))]);
+    assert_eq!(admitted(&actions), ["client"], "not three seconds old: {actions:?}");
     let actions = step(&mut controller, now + MS, vec![Event::Arrived(arrival("old", 0, 3_500 * MS))]);
     assert_eq!(rejection(&actions, "old").map(|r| r.1), Some(true), "2.5 s old: {actions:?}");
 }
@@ -86,16 +87,15 @@
 #[test]
 fn retries_without_a_timeout_are_as_old_as_rejected_requests() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
-    let untold = |name: &str, queued: Micros, retry: bool| {
-        Event::Arrived(Arrival {
-            caller_timeout: None,
-            read_delay: queued,
-            is_retry: retry,
-            ..arrival(name, 1, 0)
-        })
+    let without_timeout = |name: &str, read_delay: Micros, is_retry: bool| {
+        Event::Arrived(Arrival { caller_timeout: None, read_delay, is_retry, ..arrival(name, 1, 0) })
     };
-    let old = (0..30).map(|n| untold(&format!("o{n}"), 1_900 * MS, false)).collect();
-    assert_eq!(rejected(&step(&mut controller, now, old)).len(), 30, "no time for any");
-    let actions = step(&mut controller, now + MS, vec![untold("again", 0, true), untold("fresh", 0, false)]);
-    assert_eq!(rejected(&actions), ["again"]);
+    let old = (0..30).map(|n| without_timeout(&format!("o{n}"), 1_900 * MS, false)).collect();
+    assert_eq!(rejected(&step(&mut controller, now, old)).len(), 30, "no request has time left");
+    let actions = step(
+        &mut controller,
+        now + MS,
+        vec![without_timeout("retry", 0, true), without_timeout("first", 0, false)],
+    );
+    assert_eq!(rejected(&actions), ["retry"]);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -95,7 +95,7 @@
 
 /// A controller that has learned run times of 1 ms from one run of each class.
 pub fn controller_with_short_runs(settings: Settings) -> AdmissionController {
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     for (name, class) in [("v", 0), ("w", 1)] {
         send(&mut controller, 0, &[(name, class)]);
         step(&mut controller, 0, vec![run_ended(name, MS)]);
@@ -103,16 +103,18 @@
     controller
 }
 
+/// A timer with gauges that show busy cores without excess demand.
 pub fn busy_timer() -> Event {
     Event::Timer(Gauges { cpu: Some(1.0), core_demand: Some(2.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
+/// A timer with gauges that show idle cores.
 pub fn idle_timer() -> Event {
     Event::Timer(Gauges { cpu: Some(0.2), core_demand: Some(0.0), memory: Some(0.1), connections: Some(3.0) })
 }
 
-pub fn run_ended(name: &str, took: Micros) -> Event {
-    Event::RunEnded(id(name), Outcome::Ok, took)
+pub fn run_ended(name: &str, run_time: Micros) -> Event {
+    Event::RunEnded(id(name), Outcome::Ok, run_time)
 }
 
 pub fn admitted(actions: &[Action]) -> Vec<String> {
@@ -136,9 +138,10 @@
 }
 
 pub fn controller(settings: Settings) -> AdmissionController {
-    AdmissionController::new(0, settings).expect("sound settings")
+    AdmissionController::new(0, settings).expect("valid settings")
 }
 
+/// The Retry-After of this request's rejection and whether it is terminal, if it was rejected.
 pub fn rejection(actions: &[Action], name: &str) -> Option<(Micros, bool)> {
     actions.iter().find_map(|a| match a {
         Action::Reject { id, retry_after, terminal } if **id == *name => Some((*retry_after, *terminal)),
@@ -147,19 +150,20 @@
 }
 
 /// A controller that has learned run times of `run_time`, and the time from which on both its cores are busy.
-pub fn saturated_controller(settings: Settings, run: Micros) -> (AdmissionController, Micros) {
+pub fn saturated_controller(settings: Settings, run_time: Micros) -> (AdmissionController, Micros) {
     let mut controller = controller(settings);
     let mut now = 0;
     for n in 0..8 {
         let (a, b) = (format!("a{n}"), format!("b{n}"));
         send(&mut controller, now, &[(&a, 0), (&b, 1)]);
-        now += run;
-        step(&mut controller, now, vec![run_ended(&a, run), run_ended(&b, run)]);
+        now += run_time;
+        step(&mut controller, now, vec![run_ended(&a, run_time), run_ended(&b, run_time)]);
     }
     send(&mut controller, now, &[("run0", 0), ("run1", 1)]);
     (controller, now)
 }
 
+/// The arrival of a request from a caller that sends no other.
 pub fn new_caller_arrival(n: u64) -> Event {
     Event::Arrived(Arrival { caller: 100 + n, ..arrival(&format!("s{n}"), 0, 6 * SEC) })
 }
@@ -201,17 +205,21 @@
     Calling,
 }
 
+/// What the host knows of a request.
 struct TrackedRequest {
     class: usize,
-    reached: Micros,
-    due: Micros,
-    kb: f64,
+    /// When it reached the machine.
+    received_at: Micros,
+    deadline: Micros,
+    /// Memory while queued, in kilobytes.
+    queued_kb: f64,
     stage: Stage,
     answered: bool,
+    /// Whether its run was started.
     ran: bool,
     cancelled: bool,
     call_may_have_run: bool,
-    started: Micros,
+    started_at: Micros,
 }
 
 /// Executes actions and checks each of the four guarantees after every step.
@@ -219,21 +227,25 @@
     pub settings: Settings,
     pub controller: AdmissionController,
     pub now: Micros,
+    /// Times of the drain notice and of the stop.
     pub drain: Option<(Micros, Micros)>,
     pub max_running: usize,
     pub max_calling: usize,
-    pub max_memory: f64,
+    /// The largest share of the memory that was in use.
+    pub max_memory_share: f64,
     pub served: usize,
     pub rejected: usize,
     pub failed: usize,
     requests: BTreeMap<RequestId, TrackedRequest>,
+    /// When the retained idempotency keys expire.
     keys: BTreeMap<RequestId, Micros>,
-    pub wake: Option<Micros>,
+    /// When the timer is due.
+    pub timer_at: Option<Micros>,
 }
 
 impl Host {
     pub fn new(settings: Settings) -> Host {
-        let controller = AdmissionController::new(0, settings.clone()).expect("the settings make sense");
+        let controller = AdmissionController::new(0, settings.clone()).expect("valid settings");
         Host {
             settings,
             controller,
@@ -241,17 +253,17 @@
             drain: None,
             max_running: 0,
             max_calling: 0,
-            max_memory: 0.0,
+            max_memory_share: 0.0,
             served: 0,
             rejected: 0,
             failed: 0,
             requests: BTreeMap::new(),
             keys: BTreeMap::new(),
-            wake: None,
+            timer_at: None,
         }
     }
 
-    /// Requests that run.
+    /// The requests that are running.
     pub fn running(&self) -> Vec<RequestId> {
         self.in_stage(Stage::Running)
     }
@@ -269,20 +281,22 @@
     }
 
     pub fn unanswered(&self) -> usize {
-        self.requests.values().filter(|i| !i.answered && !i.cancelled).count()
+        self.requests.values().filter(|request| !request.answered && !request.cancelled).count()
     }
 
     pub fn may_call(&self, id: &RequestId) -> bool {
-        self.requests.get(id).is_some_and(|i| self.settings.classes[i.class].calls_downstream && !i.answered)
+        self.requests
+            .get(id)
+            .is_some_and(|request| self.settings.classes[request.class].calls_downstream && !request.answered)
     }
 
     fn in_stage(&self, stage: Stage) -> Vec<RequestId> {
-        self.requests.iter().filter(|(_, i)| i.stage == stage).map(|(id, _)| id.clone()).collect()
+        self.requests.iter().filter(|(_, request)| request.stage == stage).map(|(id, _)| id.clone()).collect()
     }
 
     /// A request whose idempotency key is retained now, if there is one.
     pub fn retained_key(&self) -> Option<RequestId> {
-        self.keys.iter().find(|(_, end)| **end > self.now).map(|(id, _)| id.clone())
+        self.keys.iter().find(|(_, expires_at)| **expires_at > self.now).map(|(id, _)| id.clone())
     }
 
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
@@ -302,27 +316,31 @@
         match event {
             Event::Arrived(a) => {
                 let class = &self.settings.classes[a.class];
-                let reached = self.now - a.read_delay;
-                let due = a.caller_timeout.map_or((reached + class.deadline).max(self.now), |w| self.now + w);
+                let received_at = self.now - a.read_delay;
+                let class_deadline = (received_at + class.deadline).max(self.now);
+                let deadline = a.caller_timeout.map_or(class_deadline, |timeout| self.now + timeout);
                 let request = TrackedRequest {
                     class: a.class,
-                    reached,
-                    due,
-                    kb: a.queued_kb,
+                    received_at,
+                    deadline,
+                    queued_kb: a.queued_kb,
                     stage: Stage::Queued,
                     answered: false,
                     ran: false,
                     cancelled: false,
                     call_may_have_run: false,
-                    started: 0,
+                    started_at: 0,
                 };
-                assert!(self.requests.insert(a.id.clone(), request).is_none(), "ids are new");
+                assert!(self.requests.insert(a.id.clone(), request).is_none(), "request ids are unique");
             }
             Event::RunEnded(id, outcome, _) => {
                 if let Some(request) = self.requests.remove(id) {
-                    let answers = matches!(outcome, Outcome::Ok | Outcome::Error);
-                    assert!(answers || request.answered || request.cancelled, "{id} ended without an answer");
-                    self.served += usize::from(!request.answered && answers);
+                    let has_answer = matches!(outcome, Outcome::Ok | Outcome::Error);
+                    assert!(
+                        has_answer || request.answered || request.cancelled,
+                        "{id} ended without an answer"
+                    );
+                    self.served += usize::from(!request.answered && has_answer);
                 }
             }
             Event::NeedsCall(id) => self.set_stage(id, Stage::AwaitingCall),
@@ -334,18 +352,18 @@
                 self.set_stage(id, if ok { Stage::Running } else { Stage::AwaitingCall });
             }
             Event::Cancelled(id) => {
-                let drop = self.requests.get_mut(id).is_some_and(|request| {
+                let has_not_run = self.requests.get_mut(id).is_some_and(|request| {
                     request.cancelled = true;
                     matches!(request.stage, Stage::Queued | Stage::AwaitingDuplicate)
                 });
-                if drop {
+                if has_not_run {
                     self.requests.remove(id);
                 }
             }
-            Event::Drain { time_left: left, notified_ago: ago } => {
-                self.drain = Some((self.now - ago, self.now + left));
+            Event::Drain { time_left, notified_ago } => {
+                self.drain = Some((self.now - notified_ago, self.now + time_left));
             }
-            Event::Timer(_) => self.wake = None,
+            Event::Timer(_) => self.timer_at = None,
         }
     }
 
@@ -360,8 +378,9 @@
             Action::Admit(id) => self.admit(id),
             Action::Reject { id, .. } => {
                 let request = self.requests.get(id).expect("rejects a known request");
-                let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !request.ran, "rule 2: {id} ran and is rejected");
+                let is_idempotent =
+                    self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+                assert!(is_idempotent || !request.ran, "guarantee 2: {id} ran and is rejected");
                 self.rejected += 1;
                 self.record_answer(id);
             }
@@ -370,60 +389,67 @@
                 self.record_answer(id);
             }
             Action::Call(id, _) => {
-                let request = self.requests.get_mut(id).expect("calls for what is here");
+                let request = self.requests.get_mut(id).expect("makes calls of known requests");
                 assert_eq!(request.stage, Stage::AwaitingCall);
-                let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !request.call_may_have_run, "rule 2: the call of {id} is made again");
+                let is_idempotent =
+                    self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+                assert!(
+                    is_idempotent || !request.call_may_have_run,
+                    "guarantee 2: the call of {id} is made again"
+                );
                 request.stage = Stage::Calling;
             }
             Action::SkipCall(id) => {
-                let request = self.requests.get_mut(id).expect("skips for what is here");
+                let request = self.requests.get_mut(id).expect("skips calls of known requests");
                 assert!(
                     self.settings.classes[request.class].degraded_weight_share > 0.0,
-                    "that call can't be left out"
+                    "the call of {id} can't be skipped"
                 );
                 request.stage = Stage::Running;
             }
-            Action::RetainKey(id, span) => {
-                self.keys.insert(id.clone(), self.now + span);
+            Action::RetainKey(id, duration) => {
+                self.keys.insert(id.clone(), self.now + duration);
             }
             Action::ReleaseKey(id) => {
                 self.keys.remove(id);
             }
             Action::AwaitDuplicate(id) => self.set_stage(id, Stage::AwaitingDuplicate),
             Action::Preempt(id) => {
-                assert!(self.settings.preemption != Preemption::Never, "nothing can be stopped here");
+                assert!(self.settings.preemption != Preemption::Never, "no run can be preempted here");
                 assert!(
-                    self.requests.get(id).is_none_or(|i| i.answered || i.cancelled),
-                    "stops only what is over"
+                    self.requests.get(id).is_none_or(|request| request.answered || request.cancelled),
+                    "{id} is preempted while its caller waits"
                 );
             }
-            Action::WakeAfter(after) => self.wake = Some(self.now + after),
-            Action::SetLoadHint(x) => {
-                assert!(self.settings.load_hint != LoadHintKind::None && *x >= 0.0, "no value is sent here");
+            Action::WakeAfter(delay) => self.timer_at = Some(self.now + delay),
+            Action::SetLoadHint(value) => {
+                assert!(
+                    self.settings.load_hint != LoadHintKind::None && *value >= 0.0,
+                    "no load hint {value} here"
+                );
             }
             Action::SetReady(_) | Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
 
     fn admit(&mut self, id: &RequestId) {
-        let request = self.requests.get_mut(id).expect("admits what is here");
+        let request = self.requests.get_mut(id).expect("admits a known request");
         assert_eq!(request.stage, Stage::Queued, "{id} is not queued");
-        assert!(!request.ran, "rule 2: {id} runs twice");
-        if let Some((drain, _)) = self.drain {
+        assert!(!request.ran, "guarantee 2: {id} runs twice");
+        if let Some((notified_at, _)) = self.drain {
             assert!(
-                request.reached <= drain + self.settings.drain_grace,
-                "rule 3: {id} came too late to run"
+                request.received_at <= notified_at + self.settings.drain_grace,
+                "guarantee 3: {id} arrived after the drain grace and runs"
             );
         }
         request.stage = Stage::Running;
         request.ran = true;
-        request.started = self.now;
+        request.started_at = self.now;
     }
 
     fn record_answer(&mut self, id: &RequestId) {
-        let request = self.requests.get_mut(id).expect("answers what is here");
-        assert!(!request.answered, "rule 1: {id} is answered twice");
+        let request = self.requests.get_mut(id).expect("answers a known request");
+        assert!(!request.answered, "guarantee 1: {id} is answered twice");
         request.answered = true;
         if matches!(request.stage, Stage::Queued | Stage::AwaitingDuplicate) {
             self.requests.remove(id);
@@ -432,22 +458,23 @@
 
     fn check_invariants(&mut self) {
         let now = self.now;
-        self.keys.retain(|_, end| *end > now);
+        self.keys.retain(|_, expires_at| *expires_at > now);
         for (id, request) in &self.requests {
             let is_open = !request.answered && !request.cancelled;
-            assert!(!is_open || now <= request.due + self.settings.answer_slack, "rule 1: {id} is overdue");
+            let latest = request.deadline + self.settings.answer_slack;
+            assert!(!is_open || now <= latest, "guarantee 1: {id} is overdue");
             if let Some((_, stop)) = self.drain {
-                assert!(!is_open || now < stop, "rule 3: {id} is unanswered at the stop");
+                assert!(!is_open || now < stop, "guarantee 3: {id} is unanswered at the stop");
             }
         }
-        let kb = |i: &TrackedRequest| match i.stage {
-            Stage::Queued | Stage::AwaitingDuplicate => i.kb,
-            _ => i.kb * self.settings.run_memory_factor,
+        let memory_kb = |request: &TrackedRequest| match request.stage {
+            Stage::Queued | Stage::AwaitingDuplicate => request.queued_kb,
+            _ => request.queued_kb * self.settings.run_memory_factor,
         };
-        let memory =
-            self.requests.values().map(kb).sum::<f64>() + self.keys.len() as f64 * self.settings.key_kb;
-        assert!(memory <= self.settings.memory_kb, "rule 4: {memory} kB of {}", self.settings.memory_kb);
-        self.max_memory = self.max_memory.max(memory / self.settings.memory_kb);
+        let memory = self.requests.values().map(memory_kb).sum::<f64>()
+            + self.keys.len() as f64 * self.settings.key_kb;
+        assert!(memory <= self.settings.memory_kb, "guarantee 4: {memory} kB of {}", self.settings.memory_kb);
+        self.max_memory_share = self.max_memory_share.max(memory / self.settings.memory_kb);
         self.max_running = self.max_running.max(self.in_stage(Stage::Running).len());
         self.max_calling = self.max_calling.max(self.in_stage(Stage::Calling).len());
     }
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn the_limit_starts_at_the_cores() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     assert_eq!(admitted(&send(&mut controller, 0, &[("a", 0), ("b", 0), ("c", 0)])), ["a", "b"]);
 }
 
@@ -55,16 +55,16 @@
     assert!(admitted(&actions).is_empty(), "{actions:?}");
 }
 
-/// Completes `done` short requests, with a new arrival for each, then sends timers under full CPU use;
-/// returns how many run afterwards.
-fn run_interval(host: &mut Host, done: usize, core_demand: f64, tag: usize) -> usize {
+/// Completes `completions` short requests, with a new arrival for each, then sends timers under full CPU use;
+/// returns how many requests run afterwards. `interval` makes the names unique.
+fn run_interval(host: &mut Host, completions: usize, core_demand: f64, interval: usize) -> usize {
     let new_arrival = |name: String| Event::Arrived(arrival(&name, 0, 6 * SEC));
     for n in 0..10 {
-        host.step(vec![new_arrival(format!("{tag}-{n}"))]);
+        host.step(vec![new_arrival(format!("{interval}-{n}"))]);
     }
-    for n in 0..done {
+    for n in 0..completions {
         let first = host.running().first().cloned().expect("something runs");
-        host.step(vec![Event::RunEnded(first, Outcome::Ok, MS), new_arrival(format!("{tag}+{n}"))]);
+        host.step(vec![Event::RunEnded(first, Outcome::Ok, MS), new_arrival(format!("{interval}+{n}"))]);
     }
     host.now += 500 * MS;
     let gauges = Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() };
@@ -87,7 +87,7 @@
     host.now = 500 * MS;
     host.step(vec![idle_timer()]);
     // The first completion counts still rise from zero; after that they are equal.
-    let slots: Vec<usize> = (1..12).map(|tag| run_interval(&mut host, 40, 2.0, tag)).collect();
+    let slots: Vec<usize> = (1..12).map(|interval| run_interval(&mut host, 40, 2.0, interval)).collect();
     assert!(slots[2..].iter().all(|&s| s == slots[2]), "completions are flat: {slots:?}");
 }
 
@@ -97,8 +97,8 @@
     host.step(vec![Event::Arrived(arrival("a", 0, 6 * SEC)), Event::Arrived(arrival("b", 0, 6 * SEC))]);
     host.now = 500 * MS;
     host.step(vec![idle_timer()]);
-    let slots = (1..40).map(|tag| run_interval(&mut host, 40, 8.0, tag)).collect::<Vec<_>>();
-    assert_eq!(*slots.last().expect("some"), 2, "never below the cores: {slots:?}");
+    let slots = (1..40).map(|interval| run_interval(&mut host, 40, 8.0, interval)).collect::<Vec<_>>();
+    assert_eq!(*slots.last().expect("some"), 2, "the limit falls to the cores and no further: {slots:?}");
 }
 
 /// Guards against climbing under overload on completion counts that follow other work (reading, new
@@ -110,13 +110,16 @@
         host.step(vec![Event::Arrived(arrival("a", 0, 6 * SEC)), Event::Arrived(arrival("b", 0, 6 * SEC))]);
         host.now = 500 * MS;
         host.step(vec![idle_timer()]);
-        let count = |tag: usize| if tag.is_multiple_of(2) { low } else { high };
-        (1..24).map(|tag| run_interval(&mut host, count(tag), 8.0, tag)).skip(6).collect::<Vec<_>>()
+        let count = |interval: usize| if interval.is_multiple_of(2) { low } else { high };
+        (1..24)
+            .map(|interval| run_interval(&mut host, count(interval), 8.0, interval))
+            .skip(6)
+            .collect::<Vec<_>>()
     };
-    let chance = slots(24, 40);
-    assert!(chance.iter().all(|&s| s == 2), "16 apart, chance is 8: {chance:?}");
-    let proof = slots(10, 80);
-    assert!(proof.iter().any(|&s| s > 2), "70 apart, chance is under 10: {proof:?}");
+    let insignificant = slots(24, 40);
+    assert!(insignificant.iter().all(|&s| s == 2), "16 apart, standard deviation 8: {insignificant:?}");
+    let significant = slots(10, 80);
+    assert!(significant.iter().any(|&s| s > 2), "70 apart, standard deviation under 10: {significant:?}");
 }
 
 /// Runs `count` control intervals with this core demand, in which no run ends; returns the time after them.
@@ -126,9 +129,9 @@
     count: u64,
     core_demand: f64,
 ) -> Micros {
-    let look = Event::Timer(Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() });
+    let timer = Event::Timer(Gauges { cpu: Some(1.0), core_demand: Some(core_demand), ..Gauges::default() });
     for n in 1..=25 * count {
-        step(controller, from + n * 20 * MS, vec![look.clone()]);
+        step(controller, from + n * 20 * MS, vec![timer.clone()]);
     }
     from + 25 * count * 20 * MS
 }
@@ -149,8 +152,8 @@
         running += admitted(&step(&mut controller, now, vec![idle_timer()])).len();
     }
     now = overloaded_intervals(&mut controller, now, 6, running as f64);
-    // As many as end are started again, less what the limit came back by: one a reading would be 6.
-    let ends = names[..running].iter().map(|n| run_ended(n, MS)).collect();
-    let again = admitted(&step(&mut controller, now + MS, ends)).len();
-    assert!((4..running - 16).contains(&again), "{again} of {running}");
+    // As many requests start as end, less the fall of the limit: by one per reading it would be 6.
+    let run_ends = names[..running].iter().map(|n| run_ended(n, MS)).collect();
+    let started = admitted(&step(&mut controller, now + MS, run_ends)).len();
+    assert!((4..running - 16).contains(&started), "{started} of {running}");
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -19,8 +19,8 @@
     let mut controller = controller_with_two_running(default_settings());
     send(&mut controller, MS, &[("low", 0), ("high1", 1), ("low2", 0), ("high2", 1)]);
     let mut order = Vec::new();
-    for (at, done) in ["x", "y", "high1", "high2"].into_iter().enumerate() {
-        order.extend(admitted(&step(&mut controller, (at as u64 + 2) * MS, vec![run_ended(done, MS)])));
+    for (at, ended) in ["x", "y", "high1", "high2"].into_iter().enumerate() {
+        order.extend(admitted(&step(&mut controller, (at as u64 + 2) * MS, vec![run_ended(ended, MS)])));
     }
     assert_eq!(order, ["high1", "high2", "low", "low2"]);
 }
--- a/tests/downstream_calls.rs
+++ b/tests/downstream_calls.rs
@@ -5,12 +5,12 @@
 use umberloom::interface::*;
 use umberloom::AdmissionController;
 
-fn settings_with_calls(skip: f64) -> Settings {
+fn settings_with_calls(degraded_weight_share: f64) -> Settings {
     let mut settings = default_settings();
     settings.downstream = Downstream::Shared;
     settings.classes.iter_mut().for_each(|c| {
         c.calls_downstream = true;
-        c.degraded_weight_share = skip;
+        c.degraded_weight_share = degraded_weight_share;
     });
     settings
 }
@@ -38,11 +38,11 @@
         now + 302 * MS,
         vec![Event::CallEnded(id("probe"), Outcome::Ok, MS), run_ended("skips", MS)],
     );
-    send(&mut controller, now + 303 * MS, &[("well", 0)]);
-    let actions = step(&mut controller, now + 304 * MS, vec![Event::NeedsCall(id("well"))]);
+    send(&mut controller, now + 303 * MS, &[("next", 0)]);
+    let actions = step(&mut controller, now + 304 * MS, vec![Event::NeedsCall(id("next"))]);
     assert!(
         actions.iter().any(|a| matches!(a, Action::Call(_, _))),
-        "one success opens it again: {actions:?}"
+        "one success allows calls again: {actions:?}"
     );
 }
 
@@ -73,7 +73,7 @@
         .iter_mut()
         .for_each(|c| (c.latency_objective, c.idempotency) = (6 * SEC, Idempotency::NotIdempotent));
     let mut controller = controller(settings);
-    for (from, outcome, goes_on) in [(0, Outcome::Aborted, true), (10, Outcome::Error, false)] {
+    for (from, outcome, expects_call) in [(0, Outcome::Aborted, true), (10, Outcome::Error, false)] {
         for n in from..from + 4 {
             let name = format!("{outcome:?}{n}");
             step(&mut controller, n * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
@@ -84,7 +84,7 @@
         let name = format!("after {outcome:?}");
         step(&mut controller, (from + 5) * MS, vec![Event::Arrived(arrival(&name, 0, 6 * SEC))]);
         let actions = step(&mut controller, (from + 5) * MS, vec![Event::NeedsCall(id(&name))]);
-        assert_eq!(actions.iter().any(|a| matches!(a, Action::Call(..))), goes_on, "{outcome:?}");
+        assert_eq!(actions.iter().any(|a| matches!(a, Action::Call(..))), expects_call, "{outcome:?}");
         step(&mut controller, (from + 6) * MS, vec![Event::RunEnded(id(&name), Outcome::Aborted, MS)]);
     }
 }
@@ -94,15 +94,15 @@
     let mut controller = controller(settings_with_calls(0.4));
     send(&mut controller, 0, &[("a", 0)]);
     let actions = step(&mut controller, MS, vec![Event::NeedsCall(id("a"))]);
-    let until = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Call(_, t) = a { Some(*t) } else { None })
+    let call_deadline = |actions: &[Action]| {
+        actions.iter().find_map(|a| if let Action::Call(_, deadline) = a { Some(*deadline) } else { None })
     };
-    // Its objective is 2 s away.
-    let first = until(&actions).expect("a call");
+    // The latency objective is 2 s.
+    let first = call_deadline(&actions).expect("a call");
     assert!(first < SEC, "{first}");
     step(&mut controller, first, vec![Event::CallEnded(id("a"), Outcome::TimedOut, first)]);
     let actions = step(&mut controller, first + 100 * MS, vec![busy_timer()]);
-    assert!(until(&actions).is_some_and(|second| second < 1_600 * MS), "{actions:?}");
+    assert!(call_deadline(&actions).is_some_and(|second| second < 1_600 * MS), "{actions:?}");
 }
 
 #[test]
@@ -110,8 +110,8 @@
     let mut controller = controller(settings_with_calls(0.0));
     send(&mut controller, 0, &[("a", 0)]);
     step(&mut controller, MS, vec![Event::NeedsCall(id("a"))]);
-    let (mut calls, mut fails, mut now) = (1, 0, MS);
-    while now < 3 * SEC && fails == 0 {
+    let (mut calls, mut failures, mut now) = (1, 0, MS);
+    while now < 3 * SEC && failures == 0 {
         now += 20 * MS;
         let mut events = vec![busy_timer()];
         if calls > 0 {
@@ -119,9 +119,9 @@
         }
         let actions = step(&mut controller, now, events);
         calls += actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count();
-        fails += failed(&actions).len();
+        failures += failed(&actions).len();
     }
-    assert_eq!((calls, fails), (3, 1));
+    assert_eq!((calls, failures), (3, 1));
 }
 
 #[test]
@@ -136,10 +136,10 @@
         let actions = step(&mut controller, now + MS, vec![Event::NeedsCall(id(&name))]);
         let called = actions.iter().any(|a| matches!(a, Action::Call(..)));
         // For two seconds a call takes longer than any request has time for, then 20 ms.
-        let took = if now < 2 * SEC { 900 * MS } else { 20 * MS };
+        let call_time = if now < 2 * SEC { 900 * MS } else { 20 * MS };
         calls += u32::from(called && now >= 10 * SEC);
         if called {
-            step(&mut controller, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, took)]);
+            step(&mut controller, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, call_time)]);
         }
         step(&mut controller, now + 40 * MS, vec![run_ended(&name, 40 * MS)]);
     }
@@ -147,25 +147,25 @@
 }
 
 #[test]
-fn times_over_a_stall_are_not_learned() {
+fn call_times_that_span_a_stall_are_not_learned() {
     let mut settings = settings_with_calls(0.0);
     settings.classes.iter_mut().for_each(|c| c.latency_objective = 400 * MS);
     let mut controller = controller(settings);
-    let round = |controller: &mut AdmissionController, now: Micros, name: &str| {
+    let makes_call = |controller: &mut AdmissionController, now: Micros, name: &str| {
         step(controller, now, vec![Event::Arrived(arrival(name, 0, SEC))]);
         let actions = step(controller, now, vec![Event::NeedsCall(id(name))]);
         actions.iter().any(|a| matches!(a, Action::Call(..)))
     };
     for n in 0..20 {
         let (now, name) = (n * 100 * MS, format!("a{n}"));
-        assert!(round(&mut controller, now, &name));
+        assert!(makes_call(&mut controller, now, &name));
         step(&mut controller, now + 20 * MS, vec![Event::CallEnded(id(&name), Outcome::Ok, 20 * MS)]);
         step(&mut controller, now + 40 * MS, vec![run_ended(&name, 40 * MS)]);
     }
-    assert!(round(&mut controller, 2 * SEC, "stalled"));
-    let reply = Event::CallEnded(id("stalled"), Outcome::Ok, 10 * SEC);
-    step(&mut controller, 12 * SEC, vec![reply]);
-    assert!(round(&mut controller, 12 * SEC + 10 * MS, "next"), "a call is as quick as it was");
+    assert!(makes_call(&mut controller, 2 * SEC, "stalled"));
+    let call_ended = Event::CallEnded(id("stalled"), Outcome::Ok, 10 * SEC);
+    step(&mut controller, 12 * SEC, vec![call_ended]);
+    assert!(makes_call(&mut controller, 12 * SEC + 10 * MS, "next"), "the typical call time has not changed");
 }
 
 #[test]
@@ -176,15 +176,15 @@
     let mut controller = controller(settings);
     let mut now = 0;
     for round in 0..60 {
-        let took = if round < 10 { 20 * MS } else { 200 * MS };
+        let call_time = if round < 10 { 20 * MS } else { 200 * MS };
         let names: Vec<String> = (0..4).map(|i| format!("c{round}-{i}")).collect();
         step(&mut controller, now, names.iter().map(|n| Event::Arrived(arrival(n, 0, 6 * SEC))).collect());
         let actions = step(&mut controller, now, names.iter().map(|n| Event::NeedsCall(id(n))).collect());
         let calls = actions.iter().filter(|a| matches!(a, Action::Call(_, _))).count();
         assert_eq!(calls, 4, "round {round}");
-        now += took;
-        let called = |n: &String| [Event::CallEnded(id(n), Outcome::Ok, took), run_ended(n, took)];
-        step(&mut controller, now, names.iter().flat_map(called).collect());
+        now += call_time;
+        let ended = |n: &String| [Event::CallEnded(id(n), Outcome::Ok, call_time), run_ended(n, call_time)];
+        step(&mut controller, now, names.iter().flat_map(ended).collect());
     }
 }
 
@@ -195,15 +195,15 @@
     settings.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut controller = controller(settings);
     let (mut now, mut n) = (0, 0);
-    let mut round = |controller: &mut AdmissionController, took: Micros| {
+    let mut round = |controller: &mut AdmissionController, call_time: Micros| {
         let names: Vec<String> = (0..5).map(|i| format!("c{n}-{i}")).collect();
         n += 1;
         let events = names.iter().map(|name| Event::Arrived(arrival(name, 0, 6 * SEC))).collect();
         step(controller, now, events);
         let mut actions =
             step(controller, now, names.iter().map(|name| Event::NeedsCall(id(name))).collect());
-        let mut most = 0;
-        // Calls end one lot after another until all five are through.
+        let mut max_in_flight = 0;
+        // All calls in flight end together, until all five requests have made theirs.
         loop {
             let called: Vec<RequestId> = actions
                 .iter()
@@ -212,23 +212,23 @@
             if called.is_empty() {
                 break;
             }
-            most = most.max(called.len());
-            now += took;
+            max_in_flight = max_in_flight.max(called.len());
+            now += call_time;
             actions = step(
                 controller,
                 now,
-                called.into_iter().map(|r| Event::CallEnded(r, Outcome::Ok, took)).collect(),
+                called.into_iter().map(|r| Event::CallEnded(r, Outcome::Ok, call_time)).collect(),
             );
         }
         step(controller, now, names.iter().map(|name| run_ended(name, MS)).collect());
-        most
+        max_in_flight
     };
-    let at_best = (0..10).map(|_| round(&mut controller, 20 * MS)).max();
-    let slow = (0..20).map(|_| round(&mut controller, 200 * MS)).last();
-    let again = (0..80).map(|_| round(&mut controller, 20 * MS)).last();
-    assert_eq!(at_best, Some(5));
-    assert_eq!(slow, Some(1));
-    assert_eq!(again, Some(5));
+    let before = (0..10).map(|_| round(&mut controller, 20 * MS)).max();
+    let while_slow = (0..20).map(|_| round(&mut controller, 200 * MS)).last();
+    let after = (0..80).map(|_| round(&mut controller, 20 * MS)).last();
+    assert_eq!(before, Some(5));
+    assert_eq!(while_slow, Some(1));
+    assert_eq!(after, Some(5));
 }
 
 #[test]
@@ -244,7 +244,7 @@
         started.extend(admitted(&actions));
         step(&mut controller, n * MS, vec![Event::NeedsCall(id(&name))]);
     }
-    assert_eq!(started.len(), 8, "four times the cores stand at calls");
+    assert_eq!(started.len(), 8, "four requests per core are at calls");
     let actions = send(&mut controller, 30 * MS, &[("free", 1)]);
     assert_eq!(admitted(&actions), ["free"]);
 }
--- a/tests/generated_events.rs
+++ b/tests/generated_events.rs
@@ -71,7 +71,7 @@
         0 if random.chance(5) => Event::RunEnded(id, Outcome::Error, 50 * MS),
         0 => Event::RunEnded(id, Outcome::Ok, 50 * MS),
         1 => {
-            let ways = [
+            let outcomes = [
                 Outcome::Ok,
                 Outcome::Ok,
                 Outcome::Error,
@@ -79,35 +79,37 @@
                 Outcome::TimedOut,
                 Outcome::ConnectionLost,
             ];
-            Event::CallEnded(id, ways[random.below(6) as usize], 20 * MS)
+            Event::CallEnded(id, outcomes[random.below(6) as usize], 20 * MS)
         }
         _ => Event::RunEnded(id, Outcome::Ok, 5 * MS),
     })
 }
 
-fn play_sequence(seed: u64) -> Host {
+/// Runs the sequence of 1500 steps that this seed gives, with a drain after two thirds of it.
+fn run_sequence(seed: u64) -> Host {
     let mut random = Random(seed * 0x9e37_79b9 + 1);
     let settings = random_settings(&mut random);
     let mut host = Host::new(settings);
-    let (load, speed) = (random.below(5), 1 + random.below(4));
-    let hung = random.chance(20);
+    let (max_arrivals, max_completions) = (random.below(5), 1 + random.below(4));
+    let hangs_for_a_while = random.chance(20);
     for n in 0..1_500 {
         host.now += 5 * MS;
         let mut events = Vec::new();
-        if host.wake.is_some_and(|at| at <= host.now) {
+        if host.timer_at.is_some_and(|at| at <= host.now) {
             let cpu = Some([0.3, 0.9, 1.0][random.below(3) as usize]);
             events.push(Event::Timer(Gauges { cpu, core_demand: Some(3.0), ..Gauges::default() }));
         }
         if n == 1_000 {
             events.push(Event::Drain { time_left: 2_400 * MS, notified_ago: 0 });
         }
-        for extra in 0..random.below(1 + load) as usize {
+        for extra in 0..random.below(1 + max_arrivals) as usize {
             if host.drain.is_none_or(|(_, stop)| host.now < stop) {
                 events.push(random_arrival(&host, &mut random, n * 100 + extra));
             }
         }
         let mut used = Vec::new();
-        for _ in 0..if hung && (300..600).contains(&n) { 0 } else { random.below(1 + speed) } {
+        let is_hung = hangs_for_a_while && (300..600).contains(&n);
+        for _ in 0..if is_hung { 0 } else { random.below(1 + max_completions) } {
             events.extend(random_completion(&host, &mut random, &mut used));
         }
         if let Some(id) = host.queued().first().filter(|_| random.chance(2)) {
@@ -122,8 +124,8 @@
 fn invariants_hold_for_generated_events() {
     let (mut served, mut unserved) = (0, 0);
     for seed in 1..=80 {
-        let host = play_sequence(seed);
-        assert_eq!(host.unanswered(), 0, "seed {seed}: all is answered at the stop");
+        let host = run_sequence(seed);
+        assert_eq!(host.unanswered(), 0, "seed {seed}: all requests are answered at the stop");
         let survivable = f64::from(host.settings.cores) * host.settings.overload_per_core;
         assert!(host.max_running as f64 <= survivable, "seed {seed}: {} run", host.max_running);
         if host.settings.downstream == Downstream::Shared {
@@ -133,13 +135,13 @@
         served += host.served;
         unserved += host.rejected + host.failed;
     }
-    assert!(served > 5_000 && unserved > 5_000, "both happen: {served}, {unserved}");
+    assert!(served > 5_000 && unserved > 5_000, "served {served}, not served {unserved}");
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let (one, two) = (play_sequence(11), play_sequence(11));
-    assert_eq!((one.served, one.rejected, one.failed), (two.served, two.rejected, two.failed));
-    let other = play_sequence(12);
-    assert_ne!((one.served, one.rejected), (other.served, other.rejected));
+    let (first, second) = (run_sequence(11), run_sequence(11));
+    assert_eq!((first.served, first.rejected, first.failed), (second.served, second.rejected, second.failed));
+    let other = run_sequence(12);
+    assert_ne!((first.served, first.rejected), (other.served, other.rejected));
 }
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -23,20 +23,20 @@
     all
 }
 
-/// Whether it is a final answer to the named request.
+/// Whether this action is a final answer to the named request.
 fn is_answer(action: &Action, name: &str) -> bool {
-    matches!(action, Action::Fail(who) | Action::Reject { id: who, .. } if **who == *name)
+    matches!(action, Action::Fail(id) | Action::Reject { id, .. } if **id == *name)
 }
 
 #[test]
 fn running_requests_are_answered_by_the_deadline_and_preempted() {
     let settings = settings_with_classes(|c| c.latency_objective = 6 * SEC);
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     step(&mut controller, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let all = step_until(&mut controller, 20 * MS, 2 * SEC);
-    let fail = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
-    assert!((800 * MS..=960 * MS).contains(&fail), "answered at {fail}");
-    assert!(all.contains(&(fail, Action::Preempt(id("a")))));
+    let answered_at = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
+    assert!((800 * MS..=960 * MS).contains(&answered_at), "answered at {answered_at}");
+    assert!(all.contains(&(answered_at, Action::Preempt(id("a")))));
     assert_eq!(all.iter().filter(|(_, a)| is_answer(a, "a")).count(), 1, "one answer");
 }
 
@@ -44,7 +44,7 @@
 fn requests_are_answered_by_the_deadline_without_preemption() {
     let mut settings = default_settings();
     settings.preemption = Preemption::Never;
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     step(&mut controller, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let all = step_until(&mut controller, 20 * MS, 2 * SEC);
     assert_eq!(all.iter().filter(|(_, a)| is_answer(a, "a")).count(), 1);
@@ -55,29 +55,29 @@
 fn calling_requests_are_answered_by_the_deadline() {
     let mut settings = settings_with_classes(|c| c.calls_downstream = true);
     settings.downstream = Downstream::Shared;
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     step(&mut controller, 0, vec![Event::Arrived(arrival("a", 0, 900 * MS))]);
     let actions = step(&mut controller, 10 * MS, vec![Event::NeedsCall(id("a"))]);
     assert!(actions.iter().any(|a| matches!(a, Action::Call(_, _))));
     let all = step_until(&mut controller, 20 * MS, 2 * SEC);
-    let fail = all.iter().find(|(_, a)| *a == Action::Fail(id("a"))).expect("an answer").0;
-    assert!(fail <= 960 * MS);
+    let answered_at = all.iter().find(|(_, a)| *a == Action::Fail(id("a"))).expect("an answer").0;
+    assert!(answered_at <= 960 * MS);
 }
 
 #[test]
 fn without_a_caller_timeout_the_class_deadline_counts_from_the_arrival() {
     let settings = settings_with_classes(|c| c.latency_objective = c.deadline);
-    let mut controller = AdmissionController::new(10 * SEC, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(10 * SEC, settings).expect("valid settings");
     let late = Arrival { caller_timeout: None, read_delay: 5 * SEC, ..arrival("a", 0, 1) };
     step(&mut controller, 10 * SEC, vec![Event::Arrived(late)]);
     let all = step_until(&mut controller, 10 * SEC + 20 * MS, 12 * SEC);
-    let fail = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
-    assert!((10_900 * MS..=11_060 * MS).contains(&fail), "answered at {fail}");
+    let answered_at = all.iter().find(|(_, a)| is_answer(a, "a")).expect("an answer").0;
+    assert!((10_900 * MS..=11_060 * MS).contains(&answered_at), "answered at {answered_at}");
 }
 
 #[test]
 fn arrivals_after_the_drain_grace_never_run() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     step(&mut controller, 0, vec![Event::Drain { time_left: 20 * SEC, notified_ago: 0 }]);
     let early = Arrival { read_delay: 600 * MS, ..arrival("early", 0, 6 * SEC) };
     let actions = step(
@@ -93,7 +93,7 @@
 /// whose agent starts late reports it late.
 #[test]
 fn the_drain_grace_counts_from_the_notice() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     step(&mut controller, 10 * SEC, vec![Event::Drain { time_left: 20 * SEC, notified_ago: 2 * SEC }]);
     let early = Arrival { read_delay: 600 * MS, ..arrival("early", 0, 6 * SEC) };
     let late = arrival("late", 0, 6 * SEC);
@@ -103,7 +103,7 @@
 
 #[test]
 fn all_requests_are_answered_before_the_stop() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     send(&mut controller, 0, &[("a", 0), ("b", 1), ("c", 0)]);
     step(&mut controller, 10 * MS, vec![Event::Drain { time_left: SEC, notified_ago: 0 }]);
     let all: Vec<Action> = step_until(&mut controller, 20 * MS, SEC).into_iter().map(|(_, a)| a).collect();
@@ -112,27 +112,27 @@
     answered.sort();
     assert_eq!(answered, ["a", "b", "c"]);
     let actions = step(&mut controller, 1_005 * MS, vec![Event::Arrived(arrival("z", 0, 6 * SEC))]);
-    assert_eq!(rejected(&actions), ["z"], "and what is read in the last moment, at once");
+    assert_eq!(rejected(&actions), ["z"], "a request read just before the stop is rejected at once");
 }
 
 #[test]
 fn duplicates_of_a_keyed_request_wait_for_its_answer() {
     let settings = settings_with_classes(|c| c.idempotency = Idempotency::WithKey);
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     let actions = send(&mut controller, 0, &[("a", 0)]);
-    assert!(actions.contains(&Action::RetainKey(id("a"), 5 * SEC)), "kept while it is here: {actions:?}");
-    let again = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
-    let actions = step(&mut controller, 10 * MS, vec![Event::Arrived(again)]);
+    assert!(actions.contains(&Action::RetainKey(id("a"), 5 * SEC)), "its key is retained: {actions:?}");
+    let duplicate = Arrival { duplicate_of: Some(id("a")), ..arrival("b", 0, 6 * SEC) };
+    let actions = step(&mut controller, 10 * MS, vec![Event::Arrived(duplicate)]);
     assert!(actions.contains(&Action::AwaitDuplicate(id("b"))));
     let later: Vec<Action> =
         step_until(&mut controller, 20 * MS, 7 * SEC).into_iter().map(|(_, a)| a).collect();
     assert!(admitted(&later).is_empty());
-    assert!(rejected(&later).is_empty(), "it may share an effect, so it is never denied");
-    assert_eq!(failed(&later), ["a", "b"], "and both get their answer");
+    assert!(rejected(&later).is_empty(), "it may share the effect of the other, so it is never rejected");
+    assert_eq!(failed(&later), ["a", "b"], "both are answered");
 }
 
 #[test]
-fn the_key_of_a_request_that_was_rejected_unrun_is_released() {
+fn the_key_of_a_request_rejected_before_its_run_is_released() {
     let mut settings = settings_with_classes(|c| c.idempotency = Idempotency::WithKey);
     settings.cores = 1;
     let mut controller = controller_with_short_runs(settings);
@@ -141,8 +141,8 @@
         step_until(&mut controller, 20 * MS, 7 * SEC).into_iter().map(|(_, a)| a).collect();
     assert_eq!(rejected(&all), ["b"]);
     assert!(all.contains(&Action::ReleaseKey(id("b"))));
-    assert_eq!(failed(&all), ["a"], "what ran is failed, not denied");
-    assert!(!all.contains(&Action::ReleaseKey(id("a"))), "and stays known");
+    assert_eq!(failed(&all), ["a"], "a request that ran is failed, not rejected");
+    assert!(!all.contains(&Action::ReleaseKey(id("a"))), "its key is retained");
 }
 
 #[test]
@@ -155,13 +155,13 @@
     for outcome in
         [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Rejected, Outcome::Unreachable]
     {
-        let mut controller = AdmissionController::new(0, settings.clone()).expect("sound settings");
+        let mut controller = AdmissionController::new(0, settings.clone()).expect("valid settings");
         send(&mut controller, 0, &[("a", 0)]);
         step(&mut controller, 10 * MS, vec![Event::NeedsCall(id("a"))]);
         step(&mut controller, 20 * MS, vec![Event::CallEnded(id("a"), outcome, 10 * MS)]);
         let all = step_until(&mut controller, 40 * MS, SEC);
-        let again = all.iter().any(|(_, a)| matches!(a, Action::Call(_, _)));
-        assert_eq!(again, outcome.never_ran(), "{outcome:?}");
+        let is_retried = all.iter().any(|(_, a)| matches!(a, Action::Call(_, _)));
+        assert_eq!(is_retried, outcome.never_ran(), "{outcome:?}");
     }
 }
 
@@ -176,7 +176,7 @@
     let actions = send(&mut controller, 0, &all);
     let rejected_ids = rejected(&actions);
     assert!(!rejected_ids.is_empty());
-    assert_eq!(rejected_ids[0], "r118", "the newest of the low class goes first");
+    assert_eq!(rejected_ids[0], "r118", "the newest of the lower class is rejected first");
     let (running, queued) = (admitted(&actions).len(), 120 - rejected_ids.len() - admitted(&actions).len());
     assert!((running * 320 + queued * 20) as f64 <= 2_000.0);
 }
@@ -207,7 +207,7 @@
     settings.downstream = Downstream::Shared;
     settings.call_quota = 2.5;
     settings.cores = 6;
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     let names = ["a", "b", "c", "d", "e", "f"];
     send(&mut controller, 0, &names.map(|n| (n, 0)));
     let actions = step(&mut controller, MS, names.iter().map(|n| Event::NeedsCall(id(n))).collect());
@@ -224,8 +224,8 @@
     let mut settings = settings_with_classes(|c| c.calls_downstream = true);
     settings.downstream = Downstream::Shared;
     settings.call_quota = 0.5;
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
-    let mut busy_for = 0;
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
+    let mut time_in_calls = 0;
     let mut now = 0;
     // There is always one request that needs a call or is at one; each call takes 100 ms.
     for n in 0..400 {
@@ -242,18 +242,18 @@
         }
         if actions.iter().any(|a| matches!(a, Action::Call(_, _))) {
             now += 100 * MS;
-            busy_for += 100 * MS;
+            time_in_calls += 100 * MS;
             step(&mut controller, now, vec![Event::CallEnded(id(&name), Outcome::Ok, 100 * MS)]);
             step(&mut controller, now, vec![run_ended(&name, 100 * MS)]);
         }
     }
-    let mean = busy_for as f64 / now as f64;
-    assert!(mean > 0.15 && mean <= 0.5, "mean calls in hand {mean}");
+    let mean = time_in_calls as f64 / now as f64;
+    assert!(mean > 0.15 && mean <= 0.5, "mean calls in flight {mean}");
 }
 
 #[test]
 fn events_about_unknown_requests_are_ignored() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     send(&mut controller, 0, &[("a", 0)]);
     step(&mut controller, MS, vec![run_ended("a", MS)]);
     let stale = vec![
@@ -268,15 +268,15 @@
 }
 
 #[test]
-fn invalid_settings_are_refused() {
-    let spoil: [fn(&mut Settings); 5] = [
+fn invalid_settings_are_rejected() {
+    let invalid_changes: [fn(&mut Settings); 5] = [
         |s| s.cores = 0,
         |s| s.memory_kb = -1.0,
         |s| s.overload_per_core = -2.0,
         |s| s.classes.clear(),
         |s| s.call_quota = f64::NAN,
     ];
-    for change in spoil {
+    for change in invalid_changes {
         let mut settings = default_settings();
         change(&mut settings);
         assert!(AdmissionController::new(0, settings).is_err());
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_draining_server_is_not_ready() {
-    let mut controller = AdmissionController::new(0, default_settings()).expect("sound settings");
+    let mut controller = AdmissionController::new(0, default_settings()).expect("valid settings");
     let actions = step(&mut controller, SEC, vec![Event::Drain { time_left: 5 * SEC, notified_ago: 0 }]);
     assert!(actions.contains(&Action::SetReady(false)), "{actions:?}");
 }
@@ -299,7 +299,7 @@
             (c.calls_downstream, c.degraded_weight_share) = (true, degraded_weight_share);
         });
         (settings.downstream, settings.call_quota) = (Downstream::Shared, 0.0);
-        let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+        let mut controller = AdmissionController::new(0, settings).expect("valid settings");
         send(&mut controller, 0, &[("a", 0)]);
         let mut all = step(&mut controller, MS, vec![Event::NeedsCall(id("a"))]);
         all.extend(step_until(&mut controller, 20 * MS, 7 * SEC).into_iter().map(|(_, action)| action));
@@ -307,7 +307,7 @@
         let skipped = all.contains(&Action::SkipCall(id("a")));
         assert_eq!(skipped, degraded_weight_share > 0.0);
         let answers = all.iter().filter(|a| is_answer(a, "a")).count();
-        assert_eq!(answers, 1, "its run never ends here, so it is answered in time: {all:?}");
+        assert_eq!(answers, 1, "its run never ends, so it is answered by its deadline: {all:?}");
     }
 }
 
@@ -334,16 +334,17 @@
 fn the_deadline_of_a_call_respects_a_quota_under_one() {
     let mut settings = settings_with_classes(|c| c.calls_downstream = true);
     (settings.downstream, settings.call_quota) = (Downstream::Shared, 0.2);
-    let mut controller = AdmissionController::new(0, settings).expect("sound settings");
+    let mut controller = AdmissionController::new(0, settings).expect("valid settings");
     send(&mut controller, 0, &[("a", 0)]);
     // The first call is delayed by a random time, as all servers may have started at once.
     step(&mut controller, 0, vec![Event::NeedsCall(id("a"))]);
     let actions = step_until(&mut controller, 0, 2 * SEC);
-    let call = |(now, action): &(Micros, Action)| match action {
-        Action::Call(_, until) => Some(until - now),
+    let time_limit = |(now, action): &(Micros, Action)| match action {
+        Action::Call(_, deadline) => Some(deadline - now),
         _ => None,
     };
-    // Half of a fifth of 5 s, with some room, less the 0.2 s for which it may linger.
-    let lasts = actions.iter().find_map(call);
-    assert!(lasts.is_some_and(|lasts| (100 * MS..=300 * MS).contains(&lasts)), "{actions:?}");
+    // Half of a fifth of the window of 5 s, with a margin, less the 0.2 s for which an abandoned call may go
+    // on.
+    let first = actions.iter().find_map(time_limit);
+    assert!(first.is_some_and(|limit| (100 * MS..=300 * MS).contains(&limit)), "{actions:?}");
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -33,11 +33,11 @@
     };
     (0..6).for_each(|n| assert!(run(&mut controller, n, Outcome::Error) || n > 2));
     let probes = (6..16).filter(|&n| run(&mut controller, n, Outcome::Error)).count();
-    assert!(probes > 2, "it goes on probing: {probes}");
+    assert!(probes > 2, "it keeps probing: {probes}");
     (16..40).for_each(|n| {
         run(&mut controller, n, Outcome::Ok);
     });
-    assert_eq!(ready, [false, true], "and is ready again");
+    assert_eq!(ready, [false, true], "it becomes ready again");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     }
     let actions = send(&mut controller, SEC, &[("a", 0), ("b", 0), ("c", 0), ("d", 0)]);
     let last = rejection(&actions, "d").expect("rejected");
-    assert_eq!(last, (SEC, false), "elsewhere it may do well");
+    assert_eq!(last, (SEC, false), "another server may serve it");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     }
     assert_eq!(published, [false, true]);
     let actions = send(&mut controller, 30 * SEC, &[("a", 0), ("b", 0)]);
-    assert_eq!(admitted(&actions), ["a", "b"], "it takes work as usual");
+    assert_eq!(admitted(&actions), ["a", "b"], "it admits requests as usual");
 }
 
 /// Guards against a cascade in a large fleet: where callers only use servers that are ready, servers that
@@ -90,19 +90,19 @@
             vec![Event::Arrived(late), busy_timer()],
         )));
     }
-    assert_eq!(published, [], "arrivals are past any objective, yet readiness stays");
+    assert_eq!(published, [], "arrivals are past their objective, but readiness stays");
 }
 
 #[test]
 fn the_load_hint_follows_readiness_in_every_kind() {
-    let modes = [
+    let kinds = [
         (LoadHintKind::MinRank, [1.0, 0.0]),
         (LoadHintKind::Weight, [0.0, 1.0]),
         (LoadHintKind::Tokens, [1.0, 16.0]),
     ];
-    for (signal, expected) in modes {
+    for (load_hint, expected) in kinds {
         let mut settings = default_settings();
-        settings.load_hint = signal;
+        settings.load_hint = load_hint;
         let mut controller = controller(settings);
         let mut published = Vec::new();
         for n in 0..60 {
@@ -116,14 +116,14 @@
             };
             let actions = step(&mut controller, now + 3 * SEC, events);
             published.extend(actions.iter().filter_map(|a| {
-                if let Action::SetLoadHint(x) = a {
-                    Some(*x)
+                if let Action::SetLoadHint(value) = a {
+                    Some(*value)
                 } else {
                     None
                 }
             }));
         }
-        assert_eq!(published, expected, "{signal:?}");
+        assert_eq!(published, expected, "{load_hint:?}");
     }
 }
 
@@ -134,17 +134,21 @@
 fn readiness_is_published_once_when_cores_are_overloaded() {
     let mut settings = default_settings();
     settings.load_hint = LoadHintKind::MinRank;
-    let mut quiet = controller(settings.clone());
-    let quiet: Vec<bool> =
-        (1..100).flat_map(|n| readiness(&step(&mut quiet, n * 100 * MS, vec![busy_timer()]))).collect();
-    assert_eq!(quiet, [], "two want two cores: checks go on showing whether work gets done");
+    let mut busy = controller(settings.clone());
+    let published: Vec<bool> =
+        (1..100).flat_map(|n| readiness(&step(&mut busy, n * 100 * MS, vec![busy_timer()]))).collect();
+    assert_eq!(
+        published,
+        [],
+        "two tasks want two cores: health checks still show whether requests are served"
+    );
     let mut overloaded = controller(settings);
-    let wants = Gauges { cpu: Some(1.0), core_demand: Some(9.0), ..Gauges::default() };
-    let looks = (1..100).map(|n| step(&mut overloaded, n * 100 * MS, vec![Event::Timer(wants)]));
-    let published: Vec<Action> = looks.flatten().collect();
-    assert_eq!(readiness(&published), [true], "once");
+    let excess_demand = Gauges { cpu: Some(1.0), core_demand: Some(9.0), ..Gauges::default() };
+    let steps = (1..100).map(|n| step(&mut overloaded, n * 100 * MS, vec![Event::Timer(excess_demand)]));
+    let published: Vec<Action> = steps.flatten().collect();
+    assert_eq!(readiness(&published), [true], "published once");
     assert!(
         published.iter().any(|a| matches!(a, Action::SetLoadHint(value) if *value == 0.0)),
-        "nobody is kept away"
+        "the load hint keeps no request away"
     );
 }
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -20,7 +20,7 @@
 fn requests_wait_only_for_the_same_or_higher_levels() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
     let actions = send(&mut controller, now, &[("low", 0), ("high", 1)]);
-    assert_eq!(rejected(&actions), ["low"], "the low one would wait for the high one");
+    assert_eq!(rejected(&actions), ["low"], "the request of the lower level would wait for the other");
 }
 
 #[test]
@@ -40,32 +40,32 @@
 }
 
 #[test]
-fn queued_requests_are_rejected_before_the_objective_when_they_can_not_meet_it() {
+fn queued_requests_that_can_not_meet_the_objective_are_rejected_before_it() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
-    send(&mut controller, now, &[("held", 0)]);
-    let mut seen = None;
+    send(&mut controller, now, &[("queued", 0)]);
+    let mut rejected_after = None;
     for tick in 1..120 {
         let at = now + tick * 20 * MS;
         // Any event but a timer, which might raise the concurrency limit.
         let actions = step(&mut controller, at, vec![Event::Cancelled(id("nobody"))]);
-        if rejected(&actions).contains(&"held".to_string()) {
-            seen = Some(at - now);
+        if rejected(&actions).contains(&"queued".to_string()) {
+            rejected_after = Some(at - now);
             break;
         }
     }
-    let at = seen.expect("rejected");
-    assert!(at < 2 * SEC - 500 * MS, "at {at}, before the objective of 2 s less a run");
+    let after = rejected_after.expect("rejected");
+    assert!(after < 2 * SEC - 500 * MS, "rejected after {after}, not before the objective of 2 s less a run");
 }
 
 #[test]
-fn an_idle_server_runs_requests_that_look_hopeless() {
+fn an_idle_server_runs_requests_that_are_expected_to_end_too_late() {
     let mut settings = default_settings();
     settings.classes.iter_mut().for_each(|c| c.latency_objective = 6 * SEC);
     let mut controller = controller(settings);
     send(&mut controller, 0, &[("slow", 0)]);
     step(&mut controller, 5_900 * MS, vec![run_ended("slow", 5_900 * MS)]);
     let actions = step(&mut controller, 6 * SEC, vec![Event::Arrived(arrival("next", 0, SEC))]);
-    assert_eq!(admitted(&actions), ["next"], "or it would never learn that it is quick again");
+    assert_eq!(admitted(&actions), ["next"], "else it would never learn that it is fast again");
 }
 
 #[test]
@@ -82,7 +82,7 @@
         send(&mut controller, at + 2 * SEC, &[(&a, 0), (&b, 1)]);
     }
     let actions = send(&mut controller, now + 8_100 * MS, &[("x", 0), ("y", 0), ("z", 0)]);
-    assert_eq!(rejected(&actions).len(), 3, "nothing is taken in behind hung work: {actions:?}");
+    assert_eq!(rejected(&actions).len(), 3, "no request is admitted or queued behind hung runs: {actions:?}");
 }
 
 #[test]
@@ -96,14 +96,14 @@
     assert!((1..6).contains(&queued), "{queued} are queued");
 }
 
-/// A controller that knows run times of `run` for the low class, with idle cores.
-fn controller_with_idle_cores(run: Micros) -> (AdmissionController, Micros) {
+/// A controller that has learned run times of `run_time` for the lower class, with idle cores, and the time.
+fn controller_with_idle_cores(run_time: Micros) -> (AdmissionController, Micros) {
     let (mut controller, mut now) = (controller(default_settings()), 0);
     for n in 0..8 {
         let name = format!("a{n}");
         send(&mut controller, now, &[(&name, 0)]);
-        now += run;
-        step(&mut controller, now, vec![run_ended(&name, run), idle_timer()]);
+        now += run_time;
+        step(&mut controller, now, vec![run_ended(&name, run_time), idle_timer()]);
     }
     (controller, now)
 }
@@ -129,12 +129,12 @@
     assert_eq!(
         admitted(&actions),
         ["x"],
-        "an idle server tries one, or it would never learn that it is quick again"
+        "an idle server runs one, else it would never learn that it is fast again"
     );
     assert_eq!(
         rejection(&actions, "y").map(|(_, terminal)| terminal),
         Some(false),
-        "elsewhere it may be done in time"
+        "another server may serve it in time"
     );
 }
 
@@ -157,13 +157,13 @@
 #[test]
 fn rejections_are_terminal_while_many_arrivals_are_retries() {
     let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
-    let again =
+    let retry =
         |n: usize| Event::Arrived(Arrival { is_retry: true, ..arrival(&format!("t{n}"), 0, 6 * SEC) });
-    let actions = step(&mut controller, now, (0..12).map(again).collect());
+    let actions = step(&mut controller, now, (0..12).map(retry).collect());
     assert_eq!(rejection(&actions, "t11").map(|r| r.1), Some(true));
-    // First tries again: within some arrivals the sign is gone.
-    let first = |n: usize| Event::Arrived(arrival(&format!("f{n}"), 0, 6 * SEC));
-    let actions = step(&mut controller, now + MS, (0..30).map(first).collect());
+    // With first attempts the share of retries falls within some arrivals.
+    let first_attempt = |n: usize| Event::Arrived(arrival(&format!("f{n}"), 0, 6 * SEC));
+    let actions = step(&mut controller, now + MS, (0..30).map(first_attempt).collect());
     assert_eq!(rejection(&actions, "f29").map(|r| r.1), Some(false));
 }
 
@@ -171,15 +171,15 @@
 /// read again.
 #[test]
 fn rejections_of_new_callers_are_terminal_where_connections_cost() {
-    let (mut priced, now) = saturated_controller(default_settings(), 600 * MS);
-    let actions = step(&mut priced, now, (0..12).map(new_caller_arrival).collect());
+    let (mut controller, now) = saturated_controller(default_settings(), 600 * MS);
+    let actions = step(&mut controller, now, (0..12).map(new_caller_arrival).collect());
     assert_eq!(rejection(&actions, "s11").map(|r| r.1), Some(true));
-    let same = |n: u64| Event::Arrived(arrival(&format!("f{n}"), 0, 6 * SEC));
-    let actions = step(&mut priced, now + MS, (0..30).map(same).collect());
+    let known_caller_arrival = |n: u64| Event::Arrived(arrival(&format!("f{n}"), 0, 6 * SEC));
+    let actions = step(&mut controller, now + MS, (0..30).map(known_caller_arrival).collect());
     assert_eq!(rejection(&actions, "f29").map(|r| r.1), Some(false), "known callers have a connection");
-    let (mut free, now) =
+    let (mut controller, now) =
         saturated_controller(Settings { connection_cost: 0.0, ..default_settings() }, 600 * MS);
-    let actions = step(&mut free, now, (0..12).map(new_caller_arrival).collect());
+    let actions = step(&mut controller, now, (0..12).map(new_caller_arrival).collect());
     assert_eq!(rejection(&actions, "s11").map(|r| r.1), Some(false));
 }
 
--- a/tests/tenant_quota.rs
+++ b/tests/tenant_quota.rs
@@ -32,7 +32,7 @@
     step(&mut controller, now, vec![tenant_arrival(1, "x", 0), tenant_arrival(1, "y", 0)]);
     step(&mut controller, now + MS, vec![tenant_arrival(0, "over", 1), tenant_arrival(1, "within", 0)]);
     let actions = step(&mut controller, now + 2 * MS, vec![run_ended("x", MS)]);
-    assert_eq!(admitted(&actions), ["within"], "though the other is older and of a higher class");
+    assert_eq!(admitted(&actions), ["within"], "although the other is older and of a higher class");
     let later = now + 20 * SEC;
     step(
         &mut controller,
@@ -42,7 +42,7 @@
     step(&mut controller, later, vec![tenant_arrival(1, "p", 0), tenant_arrival(1, "q", 0)]);
     step(&mut controller, later + MS, vec![tenant_arrival(1, "low", 0), tenant_arrival(0, "high", 1)]);
     let actions = step(&mut controller, later + 2 * MS, vec![run_ended("p", MS)]);
-    assert_eq!(admitted(&actions), ["high"], "what was long ago is forgotten");
+    assert_eq!(admitted(&actions), ["high"], "the earlier use has decayed");
 }
 
 #[test]
@@ -53,7 +53,11 @@
     events.extend(names.iter().map(|n| tenant_arrival(0, n, 1)));
     let actions = step(&mut controller, now, events);
     let first = rejected(&actions).first().cloned().expect("some are rejected");
-    assert_eq!(rejection(&actions, &first), Some((0, true)), "the caller's other tenants are welcome");
+    assert_eq!(
+        rejection(&actions, &first),
+        Some((0, true)),
+        "a Retry-After would also stop the caller's other tenants"
+    );
 }
 
 #[test]
