--- a/tests/tenant_quota.rs
+++ b/tests/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas: lower priority and terminal rejections beyond them.
+//! Tenant quotas: beyond them requests have a lower priority and rejections are terminal.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
     Event::Arrived(Arrival { tenant, ..arrival(name, class, 6 * SEC) })
 }
 
-/// A controller on which tenant 0 has used far more than its share of one start a second.
+/// A controller on which tenant 0 has used far more than its quota share of one start a second, and the time.
 fn controller_with_tenant_over_quota() -> (AdmissionController, Micros) {
     let mut controller = controller(two_tenants());
     for n in 0..40 {
@@ -32,7 +32,7 @@
     step(&mut controller, now, vec![tenant_arrival(1, "x", 0), tenant_arrival(1, "y", 0)]);
     step(&mut controller, now + MS, vec![tenant_arrival(0, "over", 1), tenant_arrival(1, "within", 0)]);
     let actions = step(&mut controller, now + 2 * MS, vec![run_ended("x", MS)]);
-    assert_eq!(admitted(&actions), ["within"], "though the other is older and of a higher class");
+    assert_eq!(admitted(&actions), ["within"], "although the other is older and of a higher class");
     let later = now + 20 * SEC;
     step(
         &mut controller,
@@ -42,7 +42,7 @@
     step(&mut controller, later, vec![tenant_arrival(1, "p", 0), tenant_arrival(1, "q", 0)]);
     step(&mut controller, later + MS, vec![tenant_arrival(1, "low", 0), tenant_arrival(0, "high", 1)]);
     let actions = step(&mut controller, later + 2 * MS, vec![run_ended("p", MS)]);
-    assert_eq!(admitted(&actions), ["high"], "what was long ago is forgotten");
+    assert_eq!(admitted(&actions), ["high"], "the earlier use has decayed");
 }
 
 #[test]
@@ -53,7 +53,11 @@
     events.extend(names.iter().map(|n| tenant_arrival(0, n, 1)));
     let actions = step(&mut controller, now, events);
     let first = rejected(&actions).first().cloned().expect("some are rejected");
-    assert_eq!(rejection(&actions, &first), Some((0, true)), "the caller's other tenants are welcome");
+    assert_eq!(
+        rejection(&actions, &first),
+        Some((0, true)),
+        "a Retry-After would also stop the caller's other tenants"
+    );
 }
 
 #[test]
@@ -61,7 +65,8 @@
     let mut settings = default_settings();
     settings.tenants = vec![Tenant { quota_per_s: 4.0 }; 3];
     let mut controller = controller(settings);
-    // Each tenant has ten starts a second here, ten times this server's part; one has three times that.
+    // Each tenant has ten starts a second here, ten times its share at this server; one tenant has three
+    // times as many.
     let mut now = 0;
     for n in 0..200 {
         now = n * 20 * MS;
