--- a/crates/dependencies/src/dependency.rs
+++ b/crates/dependencies/src/dependency.rs
@@ -1,4 +1,4 @@
-//! Everything that is known of one dependency: its limits, breaker, endpoints, retry budget and queued calls.
+//! State of one dependency: its limit, circuit breaker, endpoints, retry budget and queued calls.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -15,58 +15,60 @@
 use crate::plan::CallRef;
 use crate::retry::RetryBudget;
 
-/// Calls that may be queued: far more than can start in the time that requests have.
+/// Maximum number of queued calls; far more than can start before the deadlines of their requests.
 const MAX_QUEUED_CALLS: usize = 1_024;
-/// An attempt that may be followed by a retry gets half of the time that is left, but at least this many times the
-/// typical latency where there is as much.
+/// Minimum time for an attempt that may be followed by a retry, as a multiple of the typical latency. Such an
+/// attempt gets half of the remaining time, but at least this where that much remains.
 const MIN_ATTEMPT_LATENCIES: f64 = 3.0;
 
-/// A call that waits for capacity, ordered by priority level (highest first) and then by age.
+/// A call that waits for capacity. Calls are ordered by priority level (highest first) and then by age
+/// (oldest first).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedCall {
     pub priority_level: Reverse<u16>,
-    /// Grows with each call that is queued.
+    /// Sequence number of the call; it increases with each call that is queued.
     pub ticket: u64,
     pub call: CallRef,
 }
 
-/// What is known of a dependency, for reports to people.
+/// Status of a dependency, for logs and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DependencyStatus {
-    /// Its name.
+    /// Name of the dependency.
     pub name: Rc<str>,
-    /// Its concurrency limit over all endpoints.
+    /// Concurrency limit over all endpoints.
     pub limit: LimitStatus,
-    /// Whether it is called at all.
+    /// State of the circuit breaker.
     pub breaker: BreakerState,
-    /// Retries that the budget allows now.
+    /// Number of retries that the retry budget currently allows.
     pub retry_budget: f64,
-    /// Calls that wait for capacity.
+    /// Number of calls that wait for capacity.
     pub queued: usize,
-    /// Its endpoints.
+    /// Status of each configured endpoint.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// The demand for a dependency.
+/// Current demand for a dependency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Calls that wait for capacity.
+    /// Number of calls that wait for capacity.
     pub queued: usize,
-    /// The highest priority level among them.
+    /// Highest priority level among the queued calls; 0 if there are none.
     pub max_priority_level: u16,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
 }
 
-/// An attempt that is over, as its dependency sees it.
+/// The end of an attempt, as reported to its dependency.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     /// Index of the endpoint.
     pub endpoint: usize,
-    /// The breaker let it through as a probe.
+    /// Whether the circuit breaker let it through as a probe.
     pub is_probe: bool,
     pub took: Micros,
-    /// `None` if it was cancelled because nobody waits for it, which shows nothing.
+    /// `None` if it was cancelled because its result was no longer needed, which says nothing about the
+    /// dependency.
     pub outcome: Option<Outcome>,
 }
 
@@ -80,11 +82,11 @@
     pub load_balancer: LoadBalancer,
     pub latency: LatencyWindow,
     pub queue: BTreeSet<QueuedCall>,
-    /// No longer configured: it is dropped once its last call has ended.
+    /// Whether it is no longer configured. Its index is reused after its last call has ended.
     pub retired: bool,
-    /// The largest burst that the retry budget ever had, for [`Dependency::check_invariants`].
+    /// Highest burst that was ever configured for the retry budget, for [`Dependency::check_invariants`].
     max_budget_burst: f64,
-    /// The largest ratio that it ever had.
+    /// Highest ratio that was ever configured for the retry budget, for [`Dependency::check_invariants`].
     max_budget_ratio: f64,
 }
 
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Applies a new configuration and keeps what was learned.
+    /// Applies a new configuration and keeps the learned state.
     pub fn reconfigure(&mut self, now: Micros, config: DependencyConfig) {
         self.retry_budget.set_policy(config.retry);
         self.max_budget_burst = self.max_budget_burst.max(config.retry.budget_burst);
@@ -134,12 +136,12 @@
         }
     }
 
-    /// Whether no call of it is queued or in flight.
+    /// Returns whether none of its calls is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.limit.in_flight() == 0 && self.queue.is_empty()
     }
 
-    /// Queues a call; `false` if the queue is full.
+    /// Queues a call; returns `false` if the queue is full.
     pub fn enqueue(&mut self, queued: QueuedCall) -> bool {
         let has_room = self.queue.len() < MAX_QUEUED_CALLS;
         if has_room {
@@ -148,7 +150,7 @@
         has_room
     }
 
-    /// The endpoint for one more attempt, if there is capacity.
+    /// Picks the endpoint for one more attempt, if there is capacity; see [`LoadBalancer::pick`].
     pub fn pick_endpoint(&self, now: Micros, avoid: &[usize], random: &mut impl Rng) -> Option<usize> {
         if !self.limit.has_capacity() {
             return None;
@@ -156,27 +158,28 @@
         self.load_balancer.pick(now, avoid, random)
     }
 
-    /// How much longer this queued call is expected to wait.
+    /// Estimates how much longer a queued call has to wait, in microseconds, from the number of calls before
+    /// it.
     pub fn expected_wait(&self, queued: &QueuedCall) -> Micros {
         let ahead = self.queue.range(..queued).count() + 1;
         (ahead as f64 * self.limit.typical_latency() / self.limit.value().max(1) as f64) as Micros
     }
 
-    /// An attempt starts; returns whether it is a probe of the breaker.
+    /// Records the start of an attempt; returns whether it is a probe of the circuit breaker.
     pub fn start(&mut self, now: Micros, endpoint: usize) -> bool {
         self.limit.start();
         self.load_balancer.start(endpoint);
         self.breaker.start(now)
     }
 
-    /// An attempt that was started is over.
+    /// Records the end of an attempt that was started.
     pub fn end(&mut self, now: Micros, attempt: EndedAttempt, random: &mut impl Rng) {
         let (sample, failed) = match attempt.outcome {
             Some(Outcome::Ok) => (CallSample::Answered(attempt.took), Some(false)),
-            // A rejection shows overload; it shows neither that the dependency is down nor that it is well.
+            // A rejection indicates overload, but neither that the dependency is down nor that it is healthy.
             Some(Outcome::Rejected) => (CallSample::Dropped, None),
             Some(Outcome::TimedOut) => (CallSample::Dropped, Some(true)),
-            // How fast it fails shows nothing about load.
+            // The time until a failure says nothing about load.
             Some(Outcome::Error | Outcome::Unreachable | Outcome::ConnectionLost) => {
                 (CallSample::Ignored, Some(true))
             }
@@ -191,7 +194,8 @@
         self.breaker.end(now, attempt.is_probe, failed, servers, random);
     }
 
-    /// The deadline of an attempt that starts now, of a call that must end at `call_deadline`.
+    /// Returns the deadline for an attempt that starts now, of a call that must end by `call_deadline`. An
+    /// attempt that may be retried gets only part of the remaining time.
     pub fn attempt_deadline(&self, now: Micros, call_deadline: Micros, may_be_retried: bool) -> Micros {
         if !may_be_retried {
             return call_deadline;
@@ -229,7 +233,8 @@
     }
 }
 
-/// The configured bounds of the concurrency limit, within this server's part of the dependency's capacity.
+/// Returns the configured bounds of the concurrency limit, capped at this server's share of the dependency's
+/// capacity.
 fn limit_bounds(config: &DependencyConfig) -> LimitBounds {
     let max = config.concurrency_ceiling();
     let configured = config.concurrency_limit;
--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine: all plans in flight and all dependencies. Events go in, actions come out.
+//! The engine, which holds all plans in flight and the state of all dependencies. It takes events and returns
+//! actions.
 
 mod attempts;
 mod dispatch;
@@ -25,7 +26,8 @@
 
 pub use interface::{Action, CallCounts, PlanRequest};
 
-/// Plans that may be in flight: more than any server survives.
+/// Maximum number of plans in flight; further ones are rejected. It is more than any server can handle at
+/// once.
 const MAX_PLANS: usize = 8_192;
 
 /// An attempt in flight.
@@ -37,40 +39,41 @@
     /// Index of the endpoint.
     endpoint: usize,
     started_at: Micros,
-    /// The breaker let it through as a probe.
+    /// Whether the circuit breaker let it through as a probe.
     is_probe: bool,
 }
 
 /// Decides about all downstream calls of one server.
 ///
-/// A host reports events by the `start_plan`, `cancel_plan` and `handle_…` methods, each with the current time, and
-/// carries out the [`Action`]s that they append to `out`, in that order.
+/// A host reports events by the `start_plan`, `cancel_plan` and `handle_…` methods, each with the current
+/// time, and carries out the [`Action`]s that they append to `out`, in that order.
 #[derive(Debug)]
 pub struct Engine {
     dependencies: Vec<Dependency>,
     /// Plan templates by the name of the class.
     templates: BTreeMap<Rc<str>, Rc<PlanTemplate>>,
-    /// How long requests go on after their calls, by the name of the class.
+    /// Estimate of the time that requests take after their calls have ended, by the name of the class.
     local_work: BTreeMap<Rc<str>, LocalWorkEstimate>,
     plans: BTreeMap<PlanId, ActivePlan>,
     attempts: BTreeMap<AttemptId, Attempt>,
+    /// Timers of all plans, by due time.
     timers: BTreeSet<(Micros, PlanId, Timer)>,
     fallback_cache: FallbackCache,
     random: ChaCha8Rng,
-    /// The last attempt ID or queue ticket that was given out.
+    /// The last attempt ID or queue ticket that was assigned.
     last_id: u64,
     counts: CallCounts,
-    /// Plans that must be looked at before the current event is done.
+    /// Plans that may be able to advance or end; processed before the current event is complete.
     changed_plans: Vec<PlanId>,
-    /// Dependencies that may have capacity for queued calls, to be looked at before the current event is done.
+    /// Dependencies that may have capacity for queued calls; processed before the current event is complete.
     freed_dependencies: BTreeSet<usize>,
 }
 
 impl Engine {
-    /// An engine without plans in flight.
+    /// Creates an engine without plans in flight. `seed` initializes its random number generator.
     ///
     /// # Errors
-    /// All mistakes of the configuration.
+    /// Returns all errors in the configuration.
     pub fn new(now: Micros, config: Config, seed: u64) -> Result<Engine, Vec<ConfigError>> {
         let mut engine = Engine {
             dependencies: Vec::new(),
@@ -90,11 +93,12 @@
         Ok(engine)
     }
 
-    /// Applies a new configuration. Plans in flight end as they began. What was learned of dependencies and endpoints
-    /// that stay is kept; those that are gone are dropped with their last call.
+    /// Applies a new configuration. Plans in flight continue with the template that they started with.
+    /// Dependencies and endpoints that are still configured keep their learned state; removed ones are
+    /// dropped after their last call.
     ///
     /// # Errors
-    /// All mistakes of the configuration; then nothing has changed.
+    /// Returns all errors in the configuration, which is then not applied.
     pub fn reconfigure(&mut self, now: Micros, config: Config) -> Result<(), Vec<ConfigError>> {
         let mistakes = config.validate();
         if !mistakes.is_empty() {
@@ -121,7 +125,8 @@
         Ok(())
     }
 
-    /// Reuses the index of a dependency that is gone, so that reconfigurations never make the list grow for ever.
+    /// Adds a dependency. It reuses the index of a removed one that has no calls and that no plan in flight
+    /// uses, so that the list does not grow with each reconfiguration.
     fn add_dependency(&mut self, now: Micros, config: DependencyConfig) {
         let is_used = |index: usize| self.plans.values().any(|p| p.template.uses_dependency(index));
         let is_free = |index: &usize| {
@@ -136,12 +141,12 @@
         }
     }
 
-    /// Whether requests of this class have a plan.
+    /// Returns whether a plan is configured for requests of this class.
     pub fn has_plan(&self, class: &str) -> bool {
         self.templates.contains_key(class)
     }
 
-    /// Starts the calls of a request. Without a plan for its class nothing happens.
+    /// Starts the plan of a request. Does nothing if no plan is configured for its class.
     pub fn start_plan(&mut self, now: Micros, request: &PlanRequest, out: &mut Vec<Action>) {
         self.cancel_plan(now, request.plan, out);
         let Some((class, template)) = self.templates.get_key_value(request.class) else { return };
@@ -173,7 +178,7 @@
         self.settle(now, out);
     }
 
-    /// An attempt is over. The end of an attempt that was cancelled changes nothing.
+    /// Handles the end of an attempt. The end of an attempt that was cancelled is ignored.
     pub fn handle_attempt_end(
         &mut self,
         now: Micros,
@@ -201,7 +206,7 @@
         self.settle(now, out);
     }
 
-    /// Nobody waits for this plan any more: its attempts are cancelled, and no `FinishPlan` follows.
+    /// Cancels a plan whose result is no longer needed, with its attempts. No `FinishPlan` action follows.
     pub fn cancel_plan(&mut self, now: Micros, plan: PlanId, out: &mut Vec<Action>) {
         if self.plans.contains_key(&plan) {
             self.remove_plan(now, plan, out);
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Does what is due by now. To be called at [`Engine::next_timeout`] or later.
+    /// Runs all timers that are due. To be called at [`Engine::next_timeout`] or later.
     pub fn handle_timeout(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some((plan, timer)) = self.pop_due_timer(now) {
             match timer {
@@ -223,20 +228,20 @@
         }
     }
 
-    /// When [`Engine::handle_timeout`] is to be called next.
+    /// Returns when [`Engine::handle_timeout`] is to be called next; `None` while no timer is set.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.timers.first().map(|(at, ..)| *at)
     }
 
-    /// A request of this class went on for `took` after its calls.
+    /// Records that a request of this class took `took` microseconds after its calls had ended.
     pub fn learn_local_work(&mut self, class: &str, took: Micros) {
         if let Some((class, _)) = self.templates.get_key_value(class) {
             self.local_work.entry(class.clone()).or_default().record(took);
         }
     }
 
-    /// Lets no more than `cap` calls be in flight at a dependency, whatever its limit has learned. A higher cap than
-    /// before lets queued calls start at once.
+    /// Caps the calls in flight at a dependency, on top of its adaptive concurrency limit. If the cap is
+    /// raised, queued calls for which there is now capacity start at once.
     pub fn set_concurrency_cap(&mut self, now: Micros, dependency: &str, cap: usize, out: &mut Vec<Action>) {
         let Some(index) = self.dependencies.iter().position(|d| *d.name == *dependency && !d.retired) else {
             return;
--- a/crates/dependencies/src/engine/attempts.rs
+++ b/crates/dependencies/src/engine/attempts.rs
@@ -14,19 +14,20 @@
 use crate::retry;
 use crate::AttemptId;
 
-/// An attempt about to be sent.
+/// An attempt that is about to be started.
 #[derive(Clone, Copy)]
 struct NewAttempt {
     call: CallRef,
     /// Index of the endpoint.
     endpoint: usize,
     deadline: Micros,
-    /// The breaker let it through as a probe.
+    /// Whether the circuit breaker let it through as a probe.
     is_probe: bool,
 }
 
 impl Engine {
-    /// Starts the first attempt or a retry of a call at this endpoint, and the timer of its hedged request.
+    /// Starts the first attempt or a retry of a call at this endpoint, and sets the timer for its hedged
+    /// request.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Records a new attempt and emits the action that starts it.
     fn send_attempt(&mut self, now: Micros, new: NewAttempt, out: &mut Vec<Action>) -> AttemptId {
         self.last_id += 1;
         let attempt = self.last_id;
@@ -88,8 +90,8 @@
         attempt
     }
 
-    /// The only attempt of a call has become slow: a hedged request goes to another endpoint, if the retry budget
-    /// allows it.
+    /// Sends a hedged request to another endpoint if `slow_attempt` is still the only attempt of the call,
+    /// the breaker is closed, an endpoint that was not tried has capacity, and the retry budget allows it.
     pub(super) fn start_hedged_request(
         &mut self,
         now: Micros,
@@ -118,8 +120,8 @@
         self.send_attempt(now, NewAttempt { call: call_ref, endpoint, deadline, is_probe }, out);
     }
 
-    /// An attempt of this call was answered: the result is cached where that is configured, and the other attempts are
-    /// cancelled.
+    /// Ends a call with the reply to one of its attempts. The reply is cached if a cached fallback is
+    /// configured, and the other attempts are cancelled.
     pub(super) fn finish_call(
         &mut self,
         now: Micros,
@@ -142,7 +144,8 @@
         }
     }
 
-    /// The last attempt of a call failed. It is retried where that is safe, within the retry budget and in time.
+    /// Handles the failure of the last attempt of a call. The call is retried if a retry is safe, the retry
+    /// budget allows it and it is expected to end before the deadline; otherwise the fallbacks are used.
     pub(super) fn retry_or_fall_back(&mut self, now: Micros, call_ref: CallRef, outcome: Outcome) {
         let Some(plan) = self.plans.get_mut(&call_ref.plan) else { return };
         let call_deadline = plan.call_deadline(&plan.calls[call_ref.index]);
@@ -152,7 +155,7 @@
         let never_ran = outcome.never_ran() && outcome != Outcome::NotStarted;
         let is_safe = never_ran || dependency.config.idempotent;
         let is_allowed = is_safe && call.retries < policy.max_retries && dependency.breaker.allows(now);
-        // Drawn whether or not it is used, so that the sequence of draws depends on the events only.
+        // Drawn even if it is not used, so that the sequence of random numbers depends only on the events.
         let backoff = retry::backoff(&policy, call.retries, &mut self.random);
         let expected_end = now + backoff + (dependency.limit.typical_latency() as Micros);
         let is_in_time = expected_end < call_deadline;
@@ -166,7 +169,8 @@
         self.set_timer(call_ref.plan, now + backoff, Timer::BackoffEnd { call: call_ref.index });
     }
 
-    /// Cancels an attempt in flight. It may have had its effect.
+    /// Cancels an attempt in flight. The plan is marked as possibly having had an effect, as the call may
+    /// have run.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -182,7 +186,7 @@
         out.push(Action::CancelAttempt(id));
     }
 
-    /// Gives back the capacity that an attempt took. `outcome` is `None` if nobody waits for it any more.
+    /// Releases the capacity that an attempt used. `outcome` is `None` if its result is no longer needed.
     pub(super) fn release_attempt(&mut self, now: Micros, attempt: &Attempt, outcome: Option<Outcome>) {
         let ended = EndedAttempt {
             endpoint: attempt.endpoint,
--- a/crates/dependencies/src/engine/dispatch.rs
+++ b/crates/dependencies/src/engine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for capacity, and which of them gets it.
+//! Queues calls that wait for capacity, and dispatches them.
 
 use std::cmp::Reverse;
 
@@ -10,11 +10,12 @@
 use crate::plan::{CallRef, CallState};
 
 impl Engine {
-    /// Begins a call of the current stage.
+    /// Starts a call of the current stage by queueing its first attempt.
     pub(super) fn begin_call(&mut self, now: Micros, call_ref: CallRef) {
         let Some(plan) = self.plans.get_mut(&call_ref.plan) else { return };
         let call = &mut plan.calls[call_ref.index];
-        // A request that comes a second time pays for every call: its first attempts were made before.
+        // For a retried request every call counts as a retry: its first attempts were made by the earlier
+        // plan.
         if plan.is_retry {
             if !self.dependencies[call.dependency].retry_budget.try_withdraw() {
                 return self.fall_back(now, call_ref, MissingReason::RetryBudgetEmpty);
@@ -24,7 +25,8 @@
         self.enqueue_call(now, call_ref);
     }
 
-    /// Queues a call for capacity of its dependency; falls back at once where none is expected in time.
+    /// Queues a call until its dependency has capacity. Uses the fallbacks at once if the breaker is open,
+    /// the queue is full or the call is not expected to start before its deadline.
     pub(super) fn enqueue_call(&mut self, now: Micros, call_ref: CallRef) {
         let Some(plan) = self.plans.get_mut(&call_ref.plan) else { return };
         let call = plan.calls.get(call_ref.index).filter(|call| call.state == CallState::BackingOff);
@@ -50,8 +52,8 @@
         self.freed_dependencies.insert(call.dependency);
     }
 
-    /// Starts queued calls as far as there is capacity, those of the highest priority level first and of these the
-    /// oldest.
+    /// Starts queued calls while there is capacity: the highest priority level first, and within a level the
+    /// oldest. While the breaker rejects calls, the queued ones use their fallbacks.
     pub(super) fn dispatch_queue(&mut self, now: Micros, index: usize, out: &mut Vec<Action>) {
         while let Some(&queued) = self.dependencies[index].queue.first() {
             let call_ref = queued.call;
--- a/crates/dependencies/src/engine/fallbacks.rs
+++ b/crates/dependencies/src/engine/fallbacks.rs
@@ -1,4 +1,4 @@
-//! What stands in for the result of a call.
+//! Fallbacks for calls that have no result of their own.
 
 use std::cmp::Reverse;
 
@@ -12,7 +12,8 @@
 use crate::plan::{CallRef, CallState};
 
 impl Engine {
-    /// Ends a call without a result of its own, by the first configured fallback that has one.
+    /// Ends a call that has no result of its own, with the first configured fallback that yields one; if none
+    /// does, the part is missing for this reason. A retry token that the call holds is refunded.
     pub(super) fn fall_back(&mut self, now: Micros, call_ref: CallRef, reason: MissingReason) {
         let Some(plan) = self.plans.get_mut(&call_ref.plan) else { return };
         let call = &mut plan.calls[call_ref.index];
--- a/crates/dependencies/src/engine/interface.rs
+++ b/crates/dependencies/src/engine/interface.rs
@@ -1,4 +1,4 @@
-//! What the engine takes and returns.
+//! Requests, actions and counters of the engine's interface.
 
 use std::rc::Rc;
 
@@ -7,31 +7,33 @@
 use crate::aggregation::AggregateResponse;
 use crate::{AttemptId, PlanId};
 
-/// A request that waits for the calls of its plan.
+/// A request whose call plan is to be run.
 #[derive(Clone, Debug)]
 pub struct PlanRequest<'a> {
-    /// The host's name for the plan. A plan in flight under the same name is cancelled.
+    /// ID of the plan, chosen by the host. A plan in flight with the same ID is cancelled.
     pub plan: PlanId,
     /// Name of the class of the request.
     pub class: &'a str,
-    /// Priority of the request: calls of higher levels get scarce capacity first.
+    /// Priority level of the request. Calls of higher levels get capacity first when it is scarce.
     pub priority_level: u16,
-    /// What the request is about, where results for the same key may stand in for each other.
+    /// Key of the resource that the request is about. An earlier result for the same key may serve as a
+    /// fallback; `None` if no cached results may be used.
     pub resource_key: Option<&'a str>,
-    /// Until when the admission controller lets the request make calls.
+    /// Time until which the admission controller lets the request make calls.
     pub call_deadline: Micros,
-    /// When the request must be answered. Time for its own work after the calls is reserved before that.
+    /// Time by which the request must be answered. Time for its own work after the calls is reserved before
+    /// that.
     pub request_deadline: Micros,
-    /// The request has begun a plan before, so that all its calls are retries.
+    /// Whether an earlier plan was started for the request, so that all of its calls count as retries.
     pub is_retry: bool,
 }
 
-/// What the host is to do.
+/// An action that the host is to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Make a call, and report its end by [`Engine::handle_attempt_end`](crate::Engine::handle_attempt_end).
     StartAttempt {
-        /// Its name.
+        /// ID of the attempt.
         attempt: AttemptId,
         /// The plan that it belongs to.
         plan: PlanId,
@@ -39,34 +41,34 @@
         dependency: Rc<str>,
         /// Address of the endpoint.
         address: Rc<str>,
-        /// When it is to be given up and reported as [`Outcome::TimedOut`].
+        /// Time at which the host must abort it and report [`Outcome::TimedOut`].
         deadline: Micros,
     },
     /// Abort an attempt. Its end need not be reported.
     CancelAttempt(AttemptId),
-    /// A plan is over.
+    /// Complete the request of a plan that has ended.
     FinishPlan {
-        /// The plan.
+        /// ID of the plan.
         plan: PlanId,
-        /// How it ended: `Ok`; `Rejected`, only where nothing can have had an effect; else `Aborted`.
+        /// Outcome of the plan: `Ok`; `Rejected` only if no call can have had an effect; otherwise `Aborted`.
         outcome: Outcome,
-        /// What the request gets, where the outcome is `Ok`.
+        /// The response for the request, if the outcome is `Ok`.
         response: Option<AggregateResponse>,
     },
 }
 
-/// Counts since the start, for logs and measurements.
+/// Counters since the engine was created, for logs and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// First attempts of calls.
     pub first_attempts: u64,
-    /// Attempts after the first, without hedged requests.
+    /// Attempts that were paid for by the retry budget, without hedged requests.
     pub retries: u64,
     /// Hedged requests.
     pub hedged_requests: u64,
-    /// Plans that ended with a complete response: every part fresh.
+    /// Plans that ended with a complete response, in which every part is fresh.
     pub complete: u64,
-    /// Plans that ended with a partial response: some part missing or not fresh.
+    /// Plans that ended with a partial response, in which a part is missing or not fresh.
     pub partial: u64,
     /// Plans that failed.
     pub failed: u64,
--- a/crates/dependencies/src/engine/invariants.rs
+++ b/crates/dependencies/src/engine/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold between any two events.
+//! Invariants of the engine between two events.
 
 use super::Engine;
 use crate::dependency::Dependency;
@@ -6,10 +6,10 @@
 use crate::PlanId;
 
 impl Engine {
-    /// Checks what must hold between any two events; tests call it after each.
+    /// Checks the invariants that hold between any two events. Tests call it after each event.
     ///
     /// # Errors
-    /// The first thing that does not hold.
+    /// Returns the first invariant that is violated.
     pub fn check_invariants(&self) -> Result<(), String> {
         for (index, dependency) in self.dependencies.iter().enumerate() {
             self.check_dependency(index, dependency)?;
--- a/crates/dependencies/src/engine/plan_lifecycle.rs
+++ b/crates/dependencies/src/engine/plan_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The stages of a plan, from its start to its end.
+//! Lifecycle of a plan: starting and ending its stages, and ending the plan.
 
 use std::cmp::Reverse;
 
@@ -12,7 +12,8 @@
 use crate::PlanId;
 
 impl Engine {
-    /// Starts the calls of the current stage, or falls back for all of them where there is no time for the stage.
+    /// Starts the calls of the current stage, or uses the fallbacks for all of them if there is no time for
+    /// the stage.
     pub(super) fn begin_stage(&mut self, now: Micros, id: PlanId) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
         let stage_index = plan.stage_index;
@@ -39,7 +40,7 @@
         self.changed_plans.push(id);
     }
 
-    /// The stage timer of this plan is due. A timer of an earlier stage changes nothing.
+    /// Handles the stage timer of a plan. A timer of an earlier stage is ignored.
     pub(super) fn end_stage_if_current(
         &mut self,
         now: Micros,
@@ -52,7 +53,8 @@
         }
     }
 
-    /// The time of the stage is up: calls in flight are cancelled, but for required ones that may go on.
+    /// Ends the current stage when its time is up. Calls that have not ended are cancelled and use their
+    /// fallbacks; required ones may continue until the plan's `required_deadline`.
     fn end_stage(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
         let is_extended = now < plan.required_deadline && plan.awaits_required_call();
@@ -81,7 +83,8 @@
         self.changed_plans.push(id);
     }
 
-    /// Works through everything that the current event changed: queued calls get free capacity, plans go on or end.
+    /// Processes all follow-up work of the current event: dispatches queued calls to freed capacity, and
+    /// advances or ends the plans that changed.
     pub(super) fn settle(&mut self, now: Micros, out: &mut Vec<Action>) {
         loop {
             if let Some(dependency) = self.freed_dependencies.pop_first() {
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Fails the plan, or goes on to its next stage or its end, if the calls of the current stage are that far.
+    /// Fails the plan if a required call has no result; otherwise, once all calls of the current stage have
+    /// ended, starts the next stage or finishes the plan.
     fn advance_plan(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         let Some(plan) = self.plans.get_mut(&id) else { return };
         if plan.calls.iter().any(ActiveCall::fails_plan) {
@@ -123,7 +127,8 @@
         out.push(Action::FinishPlan { plan: id, outcome: Outcome::Ok, response: Some(response) });
     }
 
-    /// Ends a plan without a required part. `Rejected` promises that nothing ran, so it needs certainty about each call.
+    /// Fails a plan that lacks a required part. `Rejected` promises that nothing ran, so it is used only if
+    /// that is certain for each call.
     fn fail_plan(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) {
         self.counts.failed += 1;
         let may_have_had_effect = self.remove_plan(now, id, out);
@@ -131,7 +136,8 @@
         out.push(Action::FinishPlan { plan: id, outcome, response: None });
     }
 
-    /// Drops a plan with its timers, queued calls and attempts; returns whether any of it may have had an effect.
+    /// Removes a plan with its timers, queued calls and attempts. Returns whether any of its calls may have
+    /// had an effect.
     pub(super) fn remove_plan(&mut self, now: Micros, id: PlanId, out: &mut Vec<Action>) -> bool {
         let Some(plan) = self.plans.remove(&id) else { return false };
         for (at, timer) in &plan.timers {
@@ -159,7 +165,8 @@
     }
 }
 
-/// The time that stages after this one typically take for their required calls.
+/// Returns the time in microseconds that the required calls of later stages typically take, at least the
+/// minimum times of these stages.
 fn typical_time_of_later_stages(
     dependencies: &[Dependency],
     template: &PlanTemplate,
--- a/crates/dependencies/src/engine/status.rs
+++ b/crates/dependencies/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What the engine reports of itself.
+//! Status and counters of the engine.
 
 use umberloom::interface::Micros;
 
@@ -6,24 +6,24 @@
 use crate::dependency::{Demand, Dependency, DependencyStatus};
 
 impl Engine {
-    /// The demand for a dependency; none if it is not configured.
+    /// Returns the demand for a dependency, which is zero if it is not configured.
     pub fn demand(&self, dependency: &str) -> Demand {
         let found = self.dependencies.iter().find(|d| *d.name == *dependency && !d.retired);
         found.map(Dependency::demand).unwrap_or_default()
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the engine was created.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    /// What is known of each configured dependency, and what its limits last changed for.
+    /// Returns the status of each configured dependency, with the causes of the last changes of its limits.
     pub fn status(&self, now: Micros) -> Vec<DependencyStatus> {
         let configured = self.dependencies.iter().filter(|d| !d.retired);
         configured.map(|dependency| dependency.status(now)).collect()
     }
 
-    /// How many plans and how many attempts are in flight.
+    /// Returns the number of plans and the number of attempts in flight.
     pub fn in_flight(&self) -> (usize, usize) {
         (self.plans.len(), self.attempts.len())
     }
--- a/crates/dependencies/src/plan.rs
+++ b/crates/dependencies/src/plan.rs
@@ -1,4 +1,4 @@
-//! A call plan in flight, and the template that it is made from.
+//! Call plans in flight, and the templates from which they are created.
 
 use std::rc::Rc;
 
@@ -9,8 +9,8 @@
 use crate::time_budget::StageClaim;
 use crate::{AttemptId, PlanId};
 
-/// A configured plan whose calls name dependencies by index. It is never changed, so that a plan in flight ends as it
-/// began when the configuration is replaced.
+/// A configured plan whose calls refer to dependencies by index. It is immutable, so that a plan in flight is
+/// not affected when the configuration is replaced.
 #[derive(Debug)]
 pub(crate) struct PlanTemplate {
     pub stages: Vec<StageTemplate>,
@@ -19,7 +19,7 @@
 /// A stage of a [`PlanTemplate`].
 #[derive(Debug)]
 pub(crate) struct StageTemplate {
-    /// What the stage asks of the time that is left.
+    /// The claim of the stage on the remaining time.
     pub claim: StageClaim,
     pub calls: Vec<CallTemplate>,
 }
@@ -33,19 +33,19 @@
 }
 
 impl PlanTemplate {
-    /// From a validated configuration. `find_dependency` gives the index of a dependency by its name; `None` if one is
-    /// not known.
+    /// Creates a template from a validated configuration. `find_dependency` returns the index of a dependency
+    /// by its name. Returns `None` if a dependency is unknown.
     pub fn new(plan: &PlanConfig, find_dependency: impl Fn(&str) -> Option<usize>) -> Option<PlanTemplate> {
         let stages = plan.stages.iter().map(|stage| StageTemplate::new(stage, &find_dependency));
         Some(PlanTemplate { stages: stages.collect::<Option<_>>()? })
     }
 
-    /// Whether any of its calls goes to this dependency.
+    /// Returns whether any of its calls goes to this dependency.
     pub fn uses_dependency(&self, dependency: usize) -> bool {
         self.stages.iter().flat_map(|stage| &stage.calls).any(|call| call.dependency == dependency)
     }
 
-    /// Claims of the stages from this one on.
+    /// Returns the claims of the stages from `stage_index` on.
     pub fn claims_from(&self, stage_index: usize) -> Vec<StageClaim> {
         self.stages[stage_index..].iter().map(|stage| stage.claim).collect()
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Names a call of the current stage of a plan in flight.
+/// Identifies a call of the current stage of a plan in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallRef {
     pub plan: PlanId,
@@ -76,16 +76,16 @@
     pub index: usize,
 }
 
-/// What a call of the current stage is doing.
+/// State of a call of the current stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallState {
-    /// Waits in the queue of its dependency, under this ticket.
+    /// The call waits in the queue of its dependency, under this ticket.
     Queued(u64),
     /// One or two attempts are in flight.
     InFlight,
-    /// Waits before the next attempt.
+    /// The call waits before its next attempt, or has not been queued yet.
     BackingOff,
-    /// Ended with this part of the response.
+    /// The call has ended with this part of the response.
     Finished(Part),
 }
 
@@ -96,11 +96,11 @@
     pub dependency: usize,
     pub required: bool,
     pub state: CallState,
-    /// Retries that were started or are planned, without hedged requests.
+    /// Number of retries that were started or are planned, without hedged requests.
     pub retries: u32,
-    /// The next attempt has been paid for out of the retry budget.
+    /// Whether a retry was withdrawn from the retry budget for the next attempt.
     pub holds_retry_token: bool,
-    /// Endpoints that got an attempt of this call.
+    /// Indices of the endpoints to which an attempt of this call was sent.
     pub tried_endpoints: Vec<usize>,
     /// Attempts in flight.
     pub in_flight: Vec<AttemptId>,
@@ -126,20 +126,20 @@
         matches!(self.state, CallState::Finished(_))
     }
 
-    /// Whether it ended without the result that the request needs.
+    /// Returns whether it is required and ended without a result, which fails the plan.
     pub fn fails_plan(&self) -> bool {
         self.required && matches!(&self.state, CallState::Finished(part) if !part.has_body())
     }
 }
 
-/// What a timer of a plan is for.
+/// Purpose of a timer of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The time of this stage is up.
+    /// Ends the stage when its time is up.
     StageEnd { stage_index: usize },
-    /// The wait of this call before its next attempt is over.
+    /// Ends the backoff of a call before its next attempt.
     BackoffEnd { call: usize },
-    /// This attempt has become slow.
+    /// Sends a hedged request if this attempt, which has become slow, is still in flight.
     Hedge { call: usize, attempt: AttemptId },
 }
 
@@ -151,28 +151,28 @@
     pub class: Rc<str>,
     pub priority_level: u16,
     pub resource_key: Option<Rc<str>>,
-    /// All of it ends by then.
+    /// Time by which all calls of the plan must have ended.
     pub deadline: Micros,
-    /// The request began a plan before, so that all its calls are retries.
+    /// Whether an earlier plan was started for the request, so that all of its calls count as retries.
     pub is_retry: bool,
     /// Index of the current stage.
     pub stage_index: usize,
-    /// When the current stage ends.
+    /// Time at which the current stage ends.
     pub stage_deadline: Micros,
-    /// Until when required calls of the current stage may go on.
+    /// Time until which required calls of the current stage may continue.
     pub required_deadline: Micros,
     /// Calls of the current stage.
     pub calls: Vec<ActiveCall>,
     /// Parts of earlier stages, in order.
     pub finished_parts: Vec<NamedPart>,
-    /// An attempt was made of which it is not certain that nothing ran.
+    /// Whether an attempt was made for which it is not certain that nothing ran.
     pub may_have_had_effect: bool,
-    /// All timers of this plan.
+    /// All timers of this plan, with their due times.
     pub timers: Vec<(Micros, Timer)>,
 }
 
 impl ActivePlan {
-    /// When a call of the current stage must have ended.
+    /// Returns the time by which a call of the current stage must have ended.
     pub fn call_deadline(&self, call: &ActiveCall) -> Micros {
         if call.required {
             self.required_deadline
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Whether the current stage has a required call that has not ended.
+    /// Returns whether the current stage has a required call that has not ended.
     pub fn awaits_required_call(&self) -> bool {
         self.calls.iter().any(|call| call.required && !call.is_finished())
     }
