--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -15,35 +15,39 @@
 pub use ejection::{Ejection, EjectionReason};
 pub use endpoint::{EndpointState, EndpointStatus};
 
-/// An endpoint that comes back starts with this part of its full weight.
+/// Share of its full weight with which a readmitted endpoint starts its recovery ramp.
 const INITIAL_WEIGHT: f64 = 0.1;
-/// Of the weight that an endpoint has while it comes back this part is used; the rest is left for chance, as many
-/// servers draw independently.
+/// Share of its current weight that a recovering endpoint is actually given. The rest is a margin for chance,
+/// because many servers draw independently.
 const RAMP_USED_SHARE: f64 = 0.5;
-/// A failed call counts as this many times the median latency: an endpoint that fails fast must not attract calls.
+/// Latency that a failed call counts as, as a multiple of the median latency, so that an endpoint that fails
+/// fast does not attract calls.
 const FAILURE_LATENCY_FACTOR: f64 = 10.0;
-/// The median latency while none is known, in microseconds: a tenth of a second.
+/// Median latency that is assumed while none is known, in microseconds.
 const DEFAULT_LATENCY: f64 = 100_000.0;
 
-/// All endpoints of one dependency. They are named by their indices, which never change.
+/// Chooses among the endpoints of one dependency. Endpoints are identified by their indices, which never
+/// change.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     config: LoadBalancerConfig,
     endpoints: Vec<Endpoint>,
-    /// How many were ejected at the last reconfiguration, which may allow fewer than that.
+    /// Number of endpoints that were ejected at the last reconfiguration; the new configuration may allow
+    /// fewer.
     ejected_at_reconfigure: usize,
 }
 
 impl LoadBalancer {
-    /// All of the endpoints at these addresses are active.
+    /// Creates a load balancer whose endpoints are all active. `bounds` limits the calls in flight at each
+    /// endpoint.
     pub fn new(config: LoadBalancerConfig, addresses: &[String], bounds: LimitBounds) -> LoadBalancer {
         let mut balancer = LoadBalancer { config, endpoints: Vec::new(), ejected_at_reconfigure: 0 };
         balancer.reconfigure(0, config, addresses, bounds);
         balancer
     }
 
-    /// Applies a new configuration: what is known of addresses that stay is kept, and those that are gone get no new
-    /// calls.
+    /// Applies a new configuration. Endpoints that are still configured keep their learned state; removed
+    /// ones get no new calls.
     pub fn reconfigure(
         &mut self,
         now: Micros,
@@ -64,7 +68,8 @@
         self.ejected_at_reconfigure = self.ejected_count();
     }
 
-    /// Reuses the index of an endpoint that is gone, so that reconfigurations never make the list grow for ever.
+    /// Adds an endpoint. It reuses the index of a removed one without calls in flight, so that the list does
+    /// not grow with each reconfiguration.
     fn add_endpoint(&mut self, endpoint: Endpoint) {
         match self.endpoints.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
             Some(gone) => *gone = endpoint,
@@ -72,18 +77,20 @@
         }
     }
 
-    /// The address of an endpoint.
+    /// Returns the address of an endpoint.
     pub fn address(&self, index: usize) -> Rc<str> {
         self.endpoints[index].address.clone()
     }
 
-    /// The endpoint for a call, other than those in `avoid` as long as there is another; `None` if none has capacity.
+    /// Picks the endpoint for a call; one of those in `avoid` only if no other has capacity. Returns `None`
+    /// if no endpoint has capacity.
     ///
-    /// An endpoint whose ejection is over is probed first. Otherwise two are drawn, and the better of them by calls in
-    /// flight and recent latency gets the call (power of two choices). An endpoint that comes back is drawn for its part
-    /// of its full weight only: a server with few calls has no smaller step than one, and thirty of them with one call
-    /// each would be all that it is to get later. Where no endpoint is active, all are used: calls that may fail show
-    /// more than calls that are not made.
+    /// An endpoint whose ejection is over is probed first. Otherwise two endpoints are drawn, and the one
+    /// with the lower cost by calls in flight and recent latency gets the call (power of two choices). A
+    /// recovering endpoint that is drawn first gets the call with a probability in proportion to its current
+    /// weight, whatever its cost: a server with few calls cannot send less than one, and one call from each
+    /// of thirty servers may already be all that the endpoint gets at its full weight. If no endpoint is
+    /// active, all are used: calls that may fail show more about the endpoints than calls that are not made.
     pub fn pick(&self, now: Micros, avoid: &[usize], random: &mut impl Rng) -> Option<usize> {
         if let Some(probe) = self.due_probe(now, avoid) {
             return Some(probe);
@@ -108,7 +115,7 @@
         Some(if takes_first { first } else { second })
     }
 
-    /// An endpoint whose ejection is over, for a probe.
+    /// Returns an endpoint that is due for a probe because its ejection is over.
     fn due_probe(&self, now: Micros, avoid: &[usize]) -> Option<usize> {
         let is_due = |endpoint: &Endpoint| match endpoint.state {
             EndpointState::Ejected { until } => now >= until && endpoint.is_usable(),
@@ -117,8 +124,8 @@
         (0..self.endpoints.len()).find(|index| is_due(&self.endpoints[*index]) && !avoid.contains(index))
     }
 
-    /// Endpoints that may get a call: active ones, or all where none is active; without those to avoid as long as there
-    /// are others.
+    /// Returns the endpoints that may get a call: the active ones, or all if none is active. Those in `avoid`
+    /// are left out if there are others.
     fn candidates(&self, avoid: &[usize]) -> Vec<usize> {
         let none_active = !self.endpoints.iter().any(|e| !e.retired && e.is_active());
         let is_candidate = |index: &usize| {
@@ -132,14 +139,14 @@
         candidates
     }
 
-    /// Whether an endpoint that is none of these has capacity.
+    /// Returns whether an endpoint that is not in `avoid` has capacity.
     pub fn has_alternative(&self, avoid: &[usize]) -> bool {
         let is_alternative =
             |(index, endpoint): (usize, &Endpoint)| endpoint.is_usable() && !avoid.contains(&index);
         self.endpoints.iter().enumerate().any(is_alternative)
     }
 
-    /// What one more call is expected to cost: calls in flight times latency.
+    /// Returns the expected cost of one more call: the calls in flight, with this one, times the latency.
     fn cost(&self, index: usize) -> f64 {
         let endpoint = &self.endpoints[index];
         let known = endpoint.answer_latency.value().max(endpoint.penalized_latency.value());
@@ -147,7 +154,8 @@
         (endpoint.limit.in_flight() + 1) as f64 * latency
     }
 
-    /// The part of its full weight that an endpoint has: it grows while it comes back.
+    /// Returns the weight of an endpoint as a share of its full weight. It rises linearly during the recovery
+    /// ramp.
     fn weight(&self, now: Micros, index: usize) -> f64 {
         let EndpointState::Active { full_weight_at } = self.endpoints[index].state else {
             return INITIAL_WEIGHT;
@@ -156,7 +164,7 @@
         1.0 - (1.0 - INITIAL_WEIGHT) * left.min(1.0)
     }
 
-    /// The median of the latencies of all endpoints but `excluded`.
+    /// Returns the median latency of all endpoints but `excluded`, in microseconds.
     fn median_latency(&self, excluded: Option<usize>) -> f64 {
         let is_known =
             |(index, e): &(usize, &Endpoint)| Some(*index) != excluded && !e.retired && e.answered > 0;
@@ -167,7 +175,7 @@
         latencies.get(middle).copied().unwrap_or(DEFAULT_LATENCY)
     }
 
-    /// A call to this endpoint starts.
+    /// Records the start of a call to this endpoint.
     pub fn start(&mut self, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.limit.start();
@@ -176,7 +184,8 @@
         }
     }
 
-    /// A call to this endpoint is over. `failed` is `None` where that shows nothing of the endpoint's health.
+    /// Records the end of a call to this endpoint. `failed` is `None` if the outcome says nothing about the
+    /// endpoint's health.
     pub fn end(
         &mut self,
         now: Micros,
@@ -199,25 +208,25 @@
         match failed {
             Some(false) => self.readmit(now, index),
             Some(true) => self.eject(now, index, EjectionReason::ConsecutiveFailures, random),
-            // It proved nothing: the next call may try.
+            // The probe was inconclusive, so the next call may be another probe.
             None => endpoint.state = EndpointState::Ejected { until: now },
         }
     }
 
-    /// Calls in flight at all endpoints.
+    /// Returns the number of calls in flight at all endpoints.
     pub fn in_flight(&self) -> usize {
         self.endpoints.iter().map(|endpoint| endpoint.limit.in_flight()).sum()
     }
 
-    /// What is known of each configured endpoint.
+    /// Returns the status of each configured endpoint.
     pub fn status(&self) -> Vec<EndpointStatus> {
         self.endpoints.iter().filter(|e| !e.retired).map(Endpoint::status).collect()
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants of the load balancer.
     ///
     /// # Errors
-    /// The first thing that does not hold.
+    /// Returns the first invariant that is violated.
     pub fn check_invariants(&self) -> Result<(), String> {
         let ejected = self.ejected_count();
         let max_ejected = (self.config.max_ejected_share * self.configured_count() as f64) as usize;
--- a/crates/dependencies/src/load_balancer/ejection.rs
+++ b/crates/dependencies/src/load_balancer/ejection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are ejected as outliers, for how long, and how they come back.
+//! Ejection of outlier endpoints, and their readmission.
 
 use rand::Rng;
 use umberloom::interface::Micros;
@@ -8,31 +8,33 @@
 use crate::latency::PeakLatency;
 use crate::probe_pacing;
 
-/// Ejected again, an endpoint stays so for twice as long, up to this many times the configured time.
+/// Maximum ejection time as a multiple of the configured time. Each further ejection in a row doubles the
+/// time up to this.
 const MAX_EJECTION_FACTOR: u32 = 4;
-/// Calls that an endpoint must have answered before its latency is compared with that of others.
+/// Number of calls that an endpoint must have answered before its latency is compared with that of others.
 const MIN_ANSWERS: u32 = 10;
 
 /// Why an endpoint was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// It failed too often in a row.
+    /// Too many calls failed in a row.
     ConsecutiveFailures,
-    /// Its latency was many times the median of the others.
+    /// The latency exceeded the median of the other endpoints by the configured factor.
     HighLatency,
 }
 
 /// An ejection of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ejection {
-    /// Why it was ejected.
+    /// Why the endpoint was ejected.
     pub reason: EjectionReason,
-    /// How often in a row it has been ejected by now.
+    /// Number of ejections in a row, this one included.
     pub consecutive: u32,
 }
 
 impl LoadBalancer {
-    /// Ejects an active endpoint that fails or lags, as far as so many may be ejected.
+    /// Ejects an active endpoint that fails or has a high latency, unless too many endpoints are ejected
+    /// already.
     pub(super) fn eject_if_outlier(&mut self, now: Micros, index: usize, random: &mut impl Rng) {
         let EndpointState::Active { full_weight_at } = self.endpoints[index].state else { return };
         match self.outlier_reason(index) {
@@ -41,7 +43,8 @@
             None => {
                 let endpoint = &mut self.endpoints[index];
                 endpoint.ejection_withheld = false;
-                // Well for as long again as it took to come back: its past is forgotten.
+                // Earlier ejections are forgotten once the endpoint has been healthy at its full weight for
+                // as long as its recovery ramp took.
                 if endpoint.last_ejection.is_some() && now > full_weight_at + self.config.recovery_ramp {
                     endpoint.last_ejection = None;
                 }
@@ -49,6 +52,7 @@
         }
     }
 
+    /// Returns why an endpoint is to be ejected; `None` if it is not an outlier.
     fn outlier_reason(&self, index: usize) -> Option<EjectionReason> {
         let endpoint = &self.endpoints[index];
         if endpoint.consecutive_failures >= self.config.consecutive_failures {
@@ -68,7 +72,7 @@
         (self.ejected_count() + 1) as f64 <= max_ejected
     }
 
-    /// How many configured endpoints are not active.
+    /// Returns the number of configured endpoints that are not active.
     pub(super) fn ejected_count(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| !endpoint.retired && !endpoint.is_active()).count()
     }
@@ -79,13 +83,13 @@
         let factor = (1 << before.min(16)).min(MAX_EJECTION_FACTOR);
         let ejection_time = self.config.base_ejection_time * Micros::from(factor);
         endpoint.last_ejection = Some(Ejection { reason, consecutive: before + 1 });
-        // Servers that saw it fail at one moment must not all probe it at one moment.
+        // Servers that saw the endpoint fail at the same time must not all probe it at the same time.
         let until = now + probe_pacing::spread_delay(self.config.servers, ejection_time, random);
         endpoint.state = EndpointState::Ejected { until };
         endpoint.ejection_withheld = false;
     }
 
-    /// Brings an endpoint back after a probe that succeeded. What was learned of it is forgotten.
+    /// Readmits an endpoint after a successful probe and resets its failure count and latencies.
     pub(super) fn readmit(&mut self, now: Micros, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.state = EndpointState::Active { full_weight_at: now + self.config.recovery_ramp };
@@ -95,7 +99,7 @@
         endpoint.penalized_latency = PeakLatency::default();
     }
 
-    /// When the next ejected endpoint may be probed.
+    /// Returns the earliest time at which an ejected endpoint may be probed.
     pub fn next_probe_at(&self) -> Option<Micros> {
         let probe_at = |endpoint: &Endpoint| match endpoint.state {
             EndpointState::Ejected { until } if !endpoint.retired => Some(until),
--- a/crates/dependencies/src/load_balancer/endpoint.rs
+++ b/crates/dependencies/src/load_balancer/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint, as this server sees it.
+//! State of one endpoint, as observed by this server.
 
 use std::rc::Rc;
 
@@ -13,32 +13,32 @@
 /// Whether an endpoint is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It is.
+    /// The endpoint gets calls.
     Active {
-        /// From when on it has its full weight.
+        /// Time at which its recovery ramp ends and it has its full weight.
         full_weight_at: Micros,
     },
-    /// It gets no calls.
+    /// The endpoint gets no calls, unless no endpoint is active.
     Ejected {
-        /// When it may be probed.
+        /// Time from which it may be probed.
         until: Micros,
     },
-    /// A single call shows whether it is back.
+    /// A single call is in flight that shows whether the endpoint has recovered.
     Probing,
 }
 
-/// What is known of an endpoint, for reports to people.
+/// Status of an endpoint, for logs and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// Its address.
+    /// Address of the endpoint.
     pub address: Rc<str>,
     /// Whether it is in use.
     pub state: EndpointState,
-    /// Its last ejection, until it has been well for long enough.
+    /// Last ejection of the endpoint; `None` once it has been healthy for long enough afterwards.
     pub last_ejection: Option<Ejection>,
-    /// It would be ejected, but too many are.
+    /// Whether it is an outlier that was not ejected because too many endpoints are.
     pub ejection_withheld: bool,
-    /// Its concurrency limit.
+    /// Concurrency limit of the endpoint.
     pub limit: LimitStatus,
 }
 
@@ -47,17 +47,18 @@
     pub address: Rc<str>,
     pub state: EndpointState,
     pub limit: ConcurrencyLimit,
-    /// Latency of calls that were answered.
+    /// Latency of answered calls.
     pub answer_latency: PeakLatency,
-    /// The same with what failed calls count as.
+    /// Latency of all calls, with a penalty as the latency of failed ones.
     pub penalized_latency: PeakLatency,
-    /// Calls answered since it came into use.
+    /// Number of calls answered since it was added or readmitted.
     pub answered: u32,
     pub consecutive_failures: u32,
     pub last_ejection: Option<Ejection>,
-    /// It would be ejected, but too many are.
+    /// Whether it is an outlier that was not ejected because too many endpoints are.
     pub ejection_withheld: bool,
-    /// No longer configured: it gets no new calls, and is dropped once its last call has ended.
+    /// Whether it is no longer configured. It gets no new calls, and its index is reused after its last call
+    /// has ended.
     pub retired: bool,
 }
 
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether it may get a call as far as its limit goes.
+    /// Returns whether it is configured and its concurrency limit allows another call.
     pub fn is_usable(&self) -> bool {
         !self.retired && self.limit.has_capacity()
     }
@@ -86,7 +87,8 @@
         matches!(self.state, EndpointState::Active { .. })
     }
 
-    /// `median` is the median latency of the other endpoints.
+    /// Records a failed call, with a latency penalty. `median` is the median latency of the other endpoints,
+    /// in microseconds.
     pub fn record_failure(&mut self, now: Micros, median: f64) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let usual = median.max(self.answer_latency.value()).min(median * FAILURE_LATENCY_FACTOR);
