--- a/crates/dependencies/src/breaker.rs
+++ b/crates/dependencies/src/breaker.rs
@@ -8,48 +8,50 @@
 use crate::config::BreakerConfig;
 use crate::probe_pacing;
 
-/// Probes in a row that must succeed before it closes.
+/// Number of successful probes in a row that close the breaker.
 const PROBES_TO_CLOSE: u32 = 3;
-/// Each time that a probe fails it stays open twice as long, up to this many times the configured time: after a long
-/// outage service is to be back within seconds.
+/// Maximum open time as a multiple of the configured time. Each failed probe doubles the open time up to
+/// this, so that service is restored within seconds even after a long outage.
 const MAX_OPEN_TIME_FACTOR: u32 = 4;
-/// Fewer calls than this show nothing, or the whole window where that is smaller.
+/// Minimum number of calls in the window before the breaker may open, or the whole window if that is smaller.
+/// Fewer calls say nothing about the failure ratio.
 const MIN_CALLS: usize = 5;
 
-/// Whether calls may be made.
+/// State of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerState {
-    /// They may.
+    /// Calls may be made.
     Closed,
-    /// Not now.
+    /// No calls may be made.
     Open {
-        /// When the first probe may be made.
+        /// Time from which a probe may be made.
         until: Micros,
     },
-    /// Single probes only.
+    /// One probe at a time may be made.
     HalfOpen {
-        /// Probes in a row that succeeded.
+        /// Number of probes in a row that succeeded.
         successes: u32,
     },
 }
 
-/// Opens when too many of the last calls failed. It is for dependencies that are down: rejections by one that is
-/// overloaded lower the concurrency limit instead.
+/// A circuit breaker, which opens when too many of the last calls failed. It protects against dependencies
+/// that are down; rejections by an overloaded dependency lower the concurrency limit instead.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
-    /// `None`: it never opens.
+    /// `None` if the breaker never opens.
     config: Option<BreakerConfig>,
     state: BreakerState,
-    /// Whether each of the last calls failed.
+    /// Window of the last calls, oldest first: `true` for each that failed.
     recent_failures: VecDeque<bool>,
+    /// Number of failed calls in the window.
     failed_count: usize,
-    /// How often it has opened without closing in between.
+    /// Number of times that it has opened since it was last closed.
     consecutive_opens: u32,
     probes_in_flight: usize,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker; without a configuration it stays so.
+    /// Creates a closed breaker; without a configuration it stays closed.
     pub fn new(config: Option<BreakerConfig>) -> CircuitBreaker {
         CircuitBreaker {
             config,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Applies a new configuration.
+    /// Applies a new configuration; without one the breaker closes.
     pub fn reconfigure(&mut self, config: Option<BreakerConfig>) {
         self.config = config;
         match config {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Its state now.
+    /// Returns the current state.
     pub fn state(&self, now: Micros) -> BreakerState {
         match self.state {
             BreakerState::Open { until } if now >= until => BreakerState::HalfOpen { successes: 0 },
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Whether a call may start now.
+    /// Returns whether a call may start now.
     pub fn allows(&self, now: Micros) -> bool {
         match self.state(now) {
             BreakerState::Closed => true,
@@ -90,7 +92,8 @@
         }
     }
 
-    /// A call that is allowed starts; returns whether it is a probe, which [`CircuitBreaker::end`] must be passed.
+    /// Records the start of a call that is allowed. Returns whether it is a probe, which is to be passed to
+    /// [`CircuitBreaker::end`].
     pub fn start(&mut self, now: Micros) -> bool {
         self.state = self.state(now);
         let is_probe = matches!(self.state, BreakerState::HalfOpen { .. });
@@ -98,8 +101,9 @@
         is_probe
     }
 
-    /// A call is over. `failed` is `None` where it shows nothing, as when nobody waited for it any more. `servers` is
-    /// the number of servers that call the same dependency.
+    /// Records the end of a call. `failed` is `None` if the call says nothing about the dependency's health,
+    /// for example because its result was no longer needed. `servers` is the number of servers that call the
+    /// same dependency.
     pub fn end(
         &mut self,
         now: Micros,
@@ -112,11 +116,11 @@
         let Some(failed) = failed else { return };
         match self.state(now) {
             BreakerState::Closed => self.record(now, failed, servers, random),
-            // Calls from before it opened show nothing about now.
             BreakerState::HalfOpen { successes } if is_probe && !failed => {
                 self.count_success(successes + 1);
             }
             BreakerState::HalfOpen { .. } if is_probe => self.open(now, servers, random),
+            // Calls that started before the breaker opened say nothing about the dependency's present state.
             BreakerState::HalfOpen { .. } | BreakerState::Open { .. } => {}
         }
     }
@@ -143,7 +147,8 @@
         }
     }
 
-    /// Servers that saw the dependency fail at one moment must not all probe it at one moment.
+    /// Opens the breaker. The open time is spread at random: servers that saw the dependency fail at the same
+    /// time must not all probe it at the same time.
     fn open(&mut self, now: Micros, servers: u32, random: &mut impl Rng) {
         let Some(config) = self.config else { return };
         let factor = (1 << self.consecutive_opens.min(16)).min(MAX_OPEN_TIME_FACTOR);
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -1,39 +1,42 @@
-//! An adaptive limit on calls in flight: it rises while latency is low, and falls when latency or losses show overload
-//! (additive increase, multiplicative decrease, as in Netflix's concurrency-limits).
+//! An adaptive limit on calls in flight. It rises while latency is low, and falls when high latency,
+//! rejections or timeouts indicate overload (additive increase, multiplicative decrease, as in Netflix's
+//! concurrency-limits).
 
 use umberloom::interface::Micros;
 
 use crate::config::LimitBounds;
 
-/// Calls are slow when they typically take this many times their best latency; the admission controller has the same.
+/// Calls count as slow when their typical latency exceeds the best latency by this factor. The admission
+/// controller uses the same factor.
 const SLOW_FACTOR: f64 = 3.0;
-/// The best latency is forgotten at this rate a call, so that a dependency that has become slower for good is no
-/// longer compared with what it once was.
+/// Factor by which the best latency grows with each call, so that a dependency that has become slower for
+/// good is no longer compared with its earlier latency.
 const BEST_LATENCY_GROWTH: f64 = 1.001;
 /// Weight of the newest call in the typical latency.
 const LATENCY_GAIN: f64 = 0.1;
-/// What one decrease leaves of the limit.
+/// Factor by which one decrease multiplies the limit.
 const DECREASE_FACTOR: f64 = 0.9;
 
-/// What a call that is over shows about load.
+/// Information about load from a call that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSample {
-    /// It was answered after this time, in microseconds.
+    /// The call was answered after this time, in microseconds.
     Answered(Micros),
-    /// It was rejected or timed out: there was too much load.
+    /// The call was rejected or timed out, which indicates overload.
     Dropped,
-    /// Nothing: a connection that was lost, a call that nobody waits for any more.
+    /// The call says nothing about load, for example because its connection was lost or its result no longer
+    /// needed.
     Ignored,
 }
 
 /// Why a limit changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChangeCause {
-    /// It is new, or has new bounds.
+    /// The limit is new, or its bounds were changed.
     Configured,
-    /// Calls were quick and the limit was made use of.
+    /// Latency was low and at least half of the limit was used.
     LowLatency,
-    /// Calls took many times their best latency.
+    /// The typical latency was many times the best latency.
     HighLatency,
     /// A call was rejected or timed out.
     Dropped,
@@ -42,48 +45,49 @@
 /// A change of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitChange {
-    /// Why it changed.
+    /// Why the limit changed.
     pub cause: LimitChangeCause,
-    /// When.
+    /// When the limit changed.
     pub at: Micros,
 }
 
-/// A limit and why it has its value, for reports to people.
+/// Status of a limit, with the cause of its last change, for logs and operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitStatus {
-    /// Calls that may be in flight.
+    /// Number of calls that may be in flight, without the cap.
     pub value: usize,
-    /// Calls that are.
+    /// Number of calls in flight.
     pub in_flight: usize,
-    /// The least value that is configured.
+    /// Lower bound of the limit.
     pub min: usize,
-    /// The highest value that is allowed.
+    /// Upper bound of the limit.
     pub max: usize,
-    /// Its last change.
+    /// Last change of the limit.
     pub last_change: LimitChange,
-    /// The typical latency of a call, in microseconds; 0 while unknown.
+    /// Typical latency of a call, in microseconds; 0 while unknown.
     pub typical_latency: f64,
-    /// The best latency, slowly forgotten, in microseconds; 0 while unknown.
+    /// Best latency, which grows slowly with each call, in microseconds; 0 while unknown.
     pub best_latency: f64,
 }
 
-/// The limit, with the number of calls in flight.
+/// An adaptive concurrency limit, with the number of calls in flight.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     bounds: LimitBounds,
-    /// What is allowed from outside, whatever was learned: this server's share of a distributed quota.
+    /// Cap on calls in flight that applies in addition to the learned limit: this server's share of a
+    /// distributed quota.
     cap: usize,
     value: f64,
     in_flight: usize,
     typical_latency: Option<f64>,
     best_latency: f64,
     last_change: LimitChange,
-    /// No second decrease before the first can have had an effect.
+    /// Earliest time of the next decrease, so that the last one can take effect first.
     next_decrease_at: Micros,
 }
 
 impl ConcurrencyLimit {
-    /// A limit at the initial value of its bounds.
+    /// Creates a limit at the initial value of its bounds.
     pub fn new(bounds: LimitBounds) -> ConcurrencyLimit {
         ConcurrencyLimit {
             bounds,
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Applies new bounds; what was learned stays.
+    /// Applies new bounds and keeps the learned state; the value is clamped to them.
     pub fn set_bounds(&mut self, now: Micros, bounds: LimitBounds) {
         if self.bounds != bounds {
             self.bounds = bounds;
@@ -106,38 +110,38 @@
         }
     }
 
-    /// Lets no more calls than `cap` be in flight; returns whether that is more than before.
+    /// Sets the cap on calls in flight; returns whether it was raised.
     pub fn set_cap(&mut self, cap: usize) -> bool {
         let before = std::mem::replace(&mut self.cap, cap);
         cap > before
     }
 
-    /// Calls that may be in flight as far as was learned, without the cap.
+    /// Returns the learned number of calls that may be in flight, without the cap.
     pub fn value(&self) -> usize {
         self.value as usize
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Whether one more call may start.
+    /// Returns whether one more call may start.
     pub fn has_capacity(&self) -> bool {
         self.in_flight < self.value().min(self.cap)
     }
 
-    /// The typical latency of a call in microseconds, 0 while unknown.
+    /// Returns the typical latency of a call in microseconds; 0 while unknown.
     pub fn typical_latency(&self) -> f64 {
         self.typical_latency.unwrap_or(0.0)
     }
 
-    /// A call starts.
+    /// Records the start of a call.
     pub fn start(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A call that was started is over.
+    /// Records the end of a call that was started, and adjusts the limit.
     pub fn end(&mut self, now: Micros, sample: CallSample) {
         let was_used = 2 * self.in_flight >= self.value();
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Returns the typical latency.
+    /// Updates the typical and the best latency; returns the typical latency in microseconds.
     fn record_latency(&mut self, latency: Micros) -> f64 {
         let latency = latency.max(1) as f64;
         let Some(before) = self.typical_latency else {
@@ -169,7 +173,8 @@
         typical
     }
 
-    /// By one for as many calls as the limit lets be in flight.
+    /// Raises the limit by the inverse of its value: by about one once as many calls have been answered as it
+    /// allows in flight.
     fn increase(&mut self, now: Micros) {
         let value = (self.value + 1.0 / self.value).min(self.bounds.max as f64);
         self.set_value(now, value, LimitChangeCause::LowLatency);
@@ -191,7 +196,7 @@
         self.value = value;
     }
 
-    /// Its value and why it has it.
+    /// Returns the status of the limit.
     pub fn status(&self) -> LimitStatus {
         LimitStatus {
             value: self.value(),
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Whether its value is within its bounds.
+    /// Returns whether the value is within its bounds.
     pub fn is_within_bounds(&self) -> bool {
         (self.bounds.min..=self.bounds.max).contains(&self.value())
     }
--- a/crates/dependencies/src/time_budget.rs
+++ b/crates/dependencies/src/time_budget.rs
@@ -1,40 +1,42 @@
-//! How the time that is left is shared among stages, and what is reserved for a request's own work after its calls.
+//! Divides the remaining time among the stages of a plan, and reserves time for a request's own work after
+//! its calls.
 
 use umberloom::interface::Micros;
 
-/// Required calls may take this many times the time of their stage.
+/// Maximum time for required calls, as a multiple of the time of their stage.
 const MAX_EXTENSION_FACTOR: Micros = 2;
 /// Weight of the newest sample in the mean (RFC 6298).
 const MEAN_GAIN: f64 = 0.125;
 /// Weight of the newest sample in the deviation (RFC 6298).
 const DEVIATION_GAIN: f64 = 0.25;
-/// Deviations that are reserved on top of the mean.
+/// Number of mean deviations that are reserved in addition to the mean.
 const DEVIATIONS: f64 = 2.0;
-/// Part of the time that is left which is reserved while nothing is known.
+/// Share of the remaining time that is reserved while there are no samples.
 const DEFAULT_RESERVE_SHARE: f64 = 0.25;
-/// Part of it which is left to the calls whatever was learned. Samples come only from requests that made their calls:
-/// with no time for these, what a stall of the process had taught would never be unlearned
-/// (docs/incidents/rest-after-standstill.md).
+/// Minimum share of the remaining time that is left for the calls, whatever the estimate. Samples come only
+/// from requests that made their calls: without time for calls, an estimate inflated by a stall of the
+/// process would never be corrected (docs/incidents/rest-after-standstill.md).
 const MIN_CALLS_SHARE: f64 = 0.25;
 
-/// What a stage asks of the time that is left.
+/// Claim of a stage on the remaining time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageClaim {
-    /// Its weight among the stages that are left.
+    /// Weight of the stage among the remaining stages.
     pub weight: f64,
-    /// With less time than this, in microseconds, it is not begun.
+    /// Minimum time for the stage, in microseconds; it is not started with less.
     pub min_time: Micros,
-    /// More time than this, in microseconds, it never gets.
+    /// Maximum time for the stage, in microseconds.
     pub max_time: Micros,
-    /// The request fails without it.
+    /// Whether the request fails without the stage.
     pub required: bool,
 }
 
-/// The time for the first of these stages, with `left` for all of them; `None` if that is too little.
+/// Returns the time for the first of these stages, with `left` microseconds for all of them; `None` if that
+/// is too little.
 ///
-/// It gets its share by weight of what is left now, so that what earlier stages left unspent has passed to it. The
-/// minimum times of later stages stay theirs. Where not all minimum times fit, an optional stage gives way to the
-/// required ones.
+/// The stage gets its share by weight of the time that remains now, so that time which earlier stages did not
+/// use passes to later ones. The minimum times of later stages are reserved. If not all minimum times fit, an
+/// optional stage is skipped in favor of the required ones.
 pub fn first_stage_time(left: Micros, claims: &[StageClaim]) -> Option<Micros> {
     let (first, later) = claims.split_first()?;
     let total_weight: f64 = claims.iter().map(|claim| claim.weight).sum();
@@ -42,7 +44,8 @@
     let later_min: Micros = later.iter().map(|claim| claim.min_time).sum();
     let later_required_min: Micros =
         later.iter().filter(|claim| claim.required).map(|claim| claim.min_time).sum();
-    // Its own minimum comes before those of later stages only as far as it is required as much as they are.
+    // A required stage takes precedence over the minimum times of all later stages, an optional one only over
+    // those of later optional stages.
     let kept_for_required = if first.required { 0 } else { later_required_min };
     let own_min = first.min_time.min(left.saturating_sub(kept_for_required));
     let available = left.saturating_sub(later_min).max(own_min);
@@ -50,16 +53,17 @@
     (time >= first.min_time && time > 0).then_some(time)
 }
 
-/// How long the required calls of a stage may go on that has `time` of what is `left`. Without them the request fails,
-/// and what was saved for later stages is lost with it: so they may have as much again, but for what later required
-/// stages are to have (`reserved`), and up to the maximum of the claim.
+/// Returns how long the required calls of a stage may take in all, in microseconds, if the stage has `time`
+/// of the `left` microseconds. The request fails without these calls, and the time saved for later stages is
+/// then of no use. So they may take up to twice the time of the stage, but not the time `reserved` for later
+/// required stages, and not more than the maximum of the claim.
 pub fn extended_time(left: Micros, time: Micros, reserved: Micros, claim: &StageClaim) -> Micros {
     let extended = time * MAX_EXTENSION_FACTOR;
     extended.min(left.saturating_sub(reserved)).min(claim.max_time).max(time)
 }
 
-/// How long requests go on after their calls, learned from requests that ended: mean and mean deviation, as in the
-/// retransmission timer of TCP (RFC 6298, section 2).
+/// Estimate of the time that requests take after their calls, learned from requests that ended: mean and mean
+/// deviation, as in the retransmission timer of TCP (RFC 6298, section 2).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalWorkEstimate {
     mean: Option<f64>,
@@ -67,7 +71,7 @@
 }
 
 impl LocalWorkEstimate {
-    /// A request went on for `took` microseconds after its calls.
+    /// Records that a request took `took` microseconds after its calls.
     pub fn record(&mut self, took: Micros) {
         let took = took as f64;
         match self.mean {
@@ -82,7 +86,7 @@
         }
     }
 
-    /// What to reserve of the time that is left, never so much that no call could be made.
+    /// Returns how many of the `left` microseconds to reserve. A minimum share is always left for the calls.
     pub fn reserve(&self, left: Micros) -> Micros {
         let left = left as f64;
         let estimate = self.mean.map(|mean| mean + DEVIATIONS * self.deviation);
