--- a/crates/dependencies/src/aggregation.rs
+++ b/crates/dependencies/src/aggregation.rs
@@ -1,16 +1,16 @@
-//! The one response that a request gets for all the calls of its plan.
+//! The aggregated response, which a request gets for all calls of its plan.
 //!
-//! It is sent as JSON, one object: `version` is 1, and `parts` are in the order of the plan. Each part has `name`,
-//! `state` and, by its state:
+//! It is sent as a JSON object: `version` is 1, and `parts` are in the order of the plan. Each part has the
+//! fields `name` and `state`, and more fields by its state:
 //!
 //! | state | more fields |
 //! | --- | --- |
 //! | `fresh` | `body`: the reply, in base64 |
-//! | `kept` | `body`, and `age_ms`: how long ago it was given, rounded up |
+//! | `kept` | `body`, and `age_ms`: time since the cached reply was received, rounded up |
 //! | `constant` | `body`: the configured constant |
 //! | `left-out` | `why`: one of the words of [`MissingReason`] |
 //!
-//! A plan of which a required part has no body has no response: the request fails.
+//! If a required part has no body, there is no response, and the request fails.
 
 mod json;
 
@@ -21,7 +21,7 @@
 
 pub use json::{DecodeError, FORMAT_VERSION};
 
-/// All parts of a plan.
+/// The aggregated response for a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AggregateResponse {
     /// The parts, in the order of the plan.
@@ -29,13 +29,13 @@
 }
 
 impl AggregateResponse {
-    /// Whether every part is fresh.
+    /// Returns whether every part is fresh.
     pub fn is_complete(&self) -> bool {
         self.parts.iter().all(|named| matches!(named.part, Part::Fresh(_)))
     }
 }
 
-/// What one call came to.
+/// The part of the response for one call, with the name of its dependency.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedPart {
     /// Name of the dependency.
@@ -47,23 +47,23 @@
 /// A part of the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// The reply to this very call.
+    /// The reply to this call.
     Fresh(Rc<[u8]>),
-    /// An earlier reply about the same resource.
+    /// A cached reply to an earlier call for the same resource.
     Cached {
-        /// The reply.
+        /// Body of the cached reply.
         body: Rc<[u8]>,
-        /// How long ago it was given, in microseconds.
+        /// Time since the reply was received, in microseconds.
         age: Micros,
     },
     /// The configured constant.
     Constant(Rc<[u8]>),
-    /// Nothing.
+    /// No body, for this reason.
     Missing(MissingReason),
 }
 
 impl Part {
-    /// Whether it has a body.
+    /// Returns whether the part has a body.
     pub fn has_body(&self) -> bool {
         !matches!(self, Part::Missing(_))
     }
@@ -73,23 +73,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MissingReason {
-    /// The time of the call was up first.
+    /// The deadline of the call passed before it ended.
     #[serde(rename = "out-of-time")]
     DeadlineExceeded,
-    /// There was no time to begin it.
+    /// There was no time left to start the call.
     #[serde(rename = "no-time")]
     NoTimeLeft,
-    /// The concurrency limit was reached, for longer than there was time.
+    /// The concurrency limit left no capacity for the call in its time, or the queue was full.
     #[serde(rename = "no-place")]
     NoCapacity,
     /// The circuit breaker was open.
     BreakerOpen,
-    /// The dependency rejected it.
+    /// The dependency rejected the call.
     #[serde(rename = "refused")]
     Rejected,
-    /// No endpoint could be reached.
+    /// The endpoint could not be reached.
     Unreachable,
-    /// It failed.
+    /// The call failed.
     Failed,
     /// The retry budget was empty.
     #[serde(rename = "no-budget")]
@@ -99,7 +99,7 @@
     ConnectionLost,
 }
 
-/// The reason that a failed attempt leaves.
+/// Maps the outcome of a failed attempt to the reason why the part is missing.
 impl From<Outcome> for MissingReason {
     fn from(outcome: Outcome) -> MissingReason {
         match outcome {
--- a/crates/dependencies/src/aggregation/json.rs
+++ b/crates/dependencies/src/aggregation/json.rs
@@ -9,13 +9,13 @@
 
 use super::{AggregateResponse, MissingReason, NamedPart, Part};
 
-/// Version of the form.
+/// Version of the JSON format.
 pub const FORMAT_VERSION: u32 = 1;
 
 /// Microseconds in a millisecond.
 const MILLISECOND: Micros = 1_000;
 
-/// Bytes that are no aggregated response, and why.
+/// Reason why bytes could not be decoded as an aggregated response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(pub String);
@@ -40,17 +40,17 @@
 }
 
 impl AggregateResponse {
-    /// Its JSON.
+    /// Encodes the response as JSON.
     pub fn encode(&self) -> Vec<u8> {
         let parts = self.parts.iter().map(PartJson::from).collect();
-        // Strings and numbers can always be written.
+        // Serialization cannot fail: the document has only strings and numbers.
         serde_json::to_vec(&ResponseJson { version: FORMAT_VERSION, parts }).unwrap_or_default()
     }
 
-    /// Reads what [`AggregateResponse::encode`] wrote.
+    /// Decodes a response from the JSON of [`AggregateResponse::encode`].
     ///
     /// # Errors
-    /// Bytes that are no JSON of this version, or a part whose fields don't fit its state.
+    /// The bytes are not JSON of this version, or the fields of a part do not match its state.
     pub fn decode(bytes: &[u8]) -> Result<AggregateResponse, DecodeError> {
         let json: ResponseJson =
             serde_json::from_slice(bytes).map_err(|error| DecodeError(error.to_string()))?;
--- a/crates/dependencies/src/config.rs
+++ b/crates/dependencies/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator configures about dependencies and call plans.
+//! Configuration of dependencies and call plans by the operator.
 
 mod validation;
 
@@ -6,7 +6,7 @@
 
 pub use validation::{ConfigError, ConfigLocation};
 
-/// One millisecond, in the unit of all times here.
+/// One millisecond, in microseconds as all times of the configuration.
 const MS: Micros = 1_000;
 
 /// All dependencies and plans.
@@ -23,32 +23,33 @@
 /// One service, behind one or more endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DependencyConfig {
-    /// Its name, different from all others.
+    /// Unique name of the dependency.
     pub name: String,
-    /// Addresses of its endpoints. Here they are only names.
+    /// Addresses of the endpoints. This package does not interpret them.
     pub endpoints: Vec<String>,
-    /// A call may take effect more than once, so that an attempt that may have run is retried.
+    /// Whether a call may safely run more than once, so that an attempt that may have run can be retried.
     pub idempotent: bool,
-    /// Retries of a call.
+    /// Policy for retries of calls.
     pub retry: RetryPolicy,
-    /// When a slow call gets a hedged request; only for idempotent calls.
+    /// When a slow call gets a hedged request, for idempotent calls only; `None` if never.
     pub hedge: Option<HedgePolicy>,
     /// Bounds on calls in flight.
     pub concurrency_limit: LimitBounds,
     /// Bounds on calls in flight at one endpoint.
     pub endpoint_concurrency_limit: LimitBounds,
-    /// What the dependency survives from all servers together; this server's part of it is a ceiling on its limit.
+    /// Capacity of the dependency for calls from all servers together. This server's share is a ceiling on
+    /// its concurrency limit; `None` if only `concurrency_limit` applies.
     pub capacity: Option<SharedCapacity>,
-    /// When calls stop for a while; `None`: never.
+    /// Configuration of the circuit breaker; `None` if there is none.
     pub breaker: Option<BreakerConfig>,
     /// How endpoints are chosen and ejected.
     pub load_balancing: LoadBalancerConfig,
-    /// What stands in for a missing result, in this order.
+    /// Fallbacks for a missing result, in the order in which they are tried.
     pub fallbacks: Vec<Fallback>,
 }
 
 impl DependencyConfig {
-    /// A dependency with this name and these endpoints, and defaults for all else.
+    /// Creates a configuration with this name and these endpoints, and defaults for everything else.
     pub fn new(name: &str, endpoints: &[&str]) -> DependencyConfig {
         let default_limit = LimitBounds { initial: 8, min: 1, max: 64 };
         DependencyConfig {
@@ -66,20 +67,21 @@
         }
     }
 
-    /// The most calls in flight that this server is allowed.
+    /// Returns the maximum number of calls in flight from this server.
     pub fn concurrency_ceiling(&self) -> usize {
         let capacity_share = self.capacity.map_or(f64::MAX, SharedCapacity::per_server);
         self.concurrency_limit.max.min(capacity_share.max(1.0) as usize)
     }
 }
 
-/// Concurrent calls that a dependency survives, and how many servers share them equally. One server stands for all
-/// where they share by quota leases, which [`crate::Engine::set_concurrency_cap`] brings in.
+/// Number of concurrent calls that a dependency can handle, shared equally by a number of servers. If the
+/// servers share it by quota leases, `servers` is 1 and each server's share is applied by
+/// [`crate::Engine::set_concurrency_cap`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedCapacity {
-    /// Concurrent calls from all servers.
+    /// Number of concurrent calls from all servers together.
     pub calls: f64,
-    /// The number of servers.
+    /// Number of servers that share the capacity.
     pub servers: u32,
 }
 
@@ -89,16 +91,16 @@
     }
 }
 
-/// Retries of a call, out of a retry budget.
+/// Policy for retries of calls, which are limited by a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Attempts that may follow the first one.
+    /// Maximum number of retries of one call.
     pub max_retries: u32,
-    /// Retries for each first attempt, over all calls.
+    /// Number of retries that each first attempt adds to the budget, from 0 to 1.
     pub budget_ratio: f64,
-    /// Retries that can be saved up.
+    /// Maximum number of retries that the budget can accumulate.
     pub budget_burst: f64,
-    /// Mean wait before the first retry, in microseconds; it doubles with each.
+    /// Mean wait before the first retry, in microseconds; it doubles with each further retry.
     pub base_backoff: Micros,
 }
 
@@ -111,31 +113,31 @@
 /// When a hedged request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgePolicy {
-    /// Once the call has taken longer than this share of calls.
+    /// Quantile of the recent latencies after which the hedged request is sent, from 0.5 to below 1.
     pub quantile: f64,
-    /// But not sooner than this, in microseconds.
+    /// Minimum delay before the hedged request, in microseconds.
     pub min_delay: Micros,
 }
 
 /// Bounds of an adaptive concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitBounds {
-    /// Where it starts.
+    /// Initial value of the limit.
     pub initial: usize,
-    /// It never falls below this.
+    /// Minimum value of the limit.
     pub min: usize,
-    /// It never rises above this.
+    /// Maximum value of the limit.
     pub max: usize,
 }
 
 /// When the circuit breaker of a dependency opens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerConfig {
-    /// Share of failed calls at which it opens.
+    /// Share of failed calls at which the breaker opens.
     pub failure_ratio: f64,
-    /// The number of last calls that the share is taken of.
+    /// Number of last calls over which the share is computed.
     pub window_calls: u32,
-    /// How long it stays open at first, in microseconds.
+    /// Time for which the breaker first stays open, in microseconds; it doubles with each failed probe.
     pub open_time: Micros,
 }
 
@@ -145,21 +147,22 @@
     }
 }
 
-/// How endpoints are chosen, ejected and taken back.
+/// How endpoints are ejected and readmitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBalancerConfig {
-    /// Failures in a row after which an endpoint is ejected.
+    /// Number of failures in a row after which an endpoint is ejected.
     pub consecutive_failures: u32,
-    /// An endpoint is ejected when it takes this many times the median latency of the others.
+    /// Factor by which the latency of an endpoint must exceed the median of the others for it to be ejected.
     pub latency_factor: f64,
-    /// How long it is ejected at first, in microseconds.
+    /// Time for which an endpoint is first ejected, in microseconds; it doubles with further ejections in a
+    /// row.
     pub base_ejection_time: Micros,
-    /// Share of the endpoints that may be ejected at once.
+    /// Maximum share of the endpoints that may be ejected at the same time.
     pub max_ejected_share: f64,
-    /// Time over which an endpoint that comes back gets its full weight again, in microseconds.
+    /// Time until a readmitted endpoint has its full weight again, in microseconds.
     pub recovery_ramp: Micros,
-    /// Servers that call the same endpoints, this one included; probes are spread by it. It comes from the platform's
-    /// settings, not from the operator's file.
+    /// Number of servers that call the same endpoints, this one included, by which probes are spread. It
+    /// comes from the platform's settings, not from the operator's file.
     pub servers: u32,
 }
 
@@ -176,23 +179,23 @@
     }
 }
 
-/// What stands in for a missing result.
+/// Fallback for a missing result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fallback {
-    /// An earlier result about the same resource, no older than this in microseconds.
+    /// A cached result for the same resource that is no older than this, in microseconds.
     Cached(Micros),
-    /// Always the same.
+    /// A constant body.
     Constant(Vec<u8>),
-    /// Nothing; the response says why the part is missing.
+    /// No body; the response says why the part is missing.
     Omit,
 }
 
 /// Bounds on cached results, over all dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FallbackCacheLimits {
-    /// Results.
+    /// Maximum number of results.
     pub max_entries: usize,
-    /// Bytes, keys included.
+    /// Maximum size of all results in bytes, including their keys and overhead.
     pub max_bytes: usize,
 }
 
@@ -207,20 +210,20 @@
 pub struct PlanConfig {
     /// Name of the class.
     pub class: String,
-    /// One after the other.
+    /// Stages of the plan, which run one after the other.
     pub stages: Vec<StageConfig>,
 }
 
-/// Calls that are made side by side.
+/// A stage of a plan, whose calls are made in parallel.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageConfig {
-    /// Its weight among the stages that are left when it starts.
+    /// Weight of the stage among the stages that remain when it starts.
     pub weight: f64,
-    /// With less time than this, in microseconds, it is not begun.
+    /// Minimum time for the stage, in microseconds; it is not started with less.
     pub min_time: Micros,
-    /// More time than this, in microseconds, it never gets.
+    /// Maximum time for the stage, in microseconds.
     pub max_time: Micros,
-    /// The calls.
+    /// Calls of the stage.
     pub calls: Vec<CallConfig>,
 }
 
@@ -229,7 +232,7 @@
 pub struct CallConfig {
     /// Name of the dependency.
     pub dependency: String,
-    /// Without it the request fails; without an optional one the response is partial.
+    /// Whether the request fails without a result of this call; otherwise the response is then partial.
     pub required: bool,
 }
 
--- a/crates/dependencies/src/config/validation.rs
+++ b/crates/dependencies/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Mistakes in a configuration.
+//! Validation of the configuration.
 
 use std::collections::BTreeSet;
 
@@ -7,19 +7,20 @@
     StageConfig, MS,
 };
 
-/// The most dependencies, endpoints, stages or calls: enough for any site, and few enough to search in each step.
+/// Maximum number of dependencies, of endpoints, of stages and of calls. It is enough for any site, and few
+/// enough for the linear searches of the engine.
 const MAX_NAMED_ITEMS: usize = 64;
-/// The longest constant, as the longest reply.
+/// Maximum length of a constant in bytes; the same as for a reply.
 const MAX_CONSTANT_BYTES: usize = 4 * 1024;
-/// The most results that the fallback cache may be set to.
+/// Maximum number of results that may be configured for the fallback cache.
 const MAX_CACHE_ENTRIES: usize = 1 << 20;
-/// The most retries of one call.
+/// Maximum number of retries that may be configured for one call.
 const MAX_RETRIES: u32 = 10;
 
-/// Where a mistake is.
+/// Location of an error in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConfigLocation {
-    /// In the bounds on cached results.
+    /// In the limits of the fallback cache.
     FallbackCache,
     /// In the dependency at this index.
     Dependency {
@@ -49,18 +50,18 @@
     },
 }
 
-/// One mistake, and what would be right.
+/// An error in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct ConfigError {
-    /// Where it is.
+    /// Where the error is.
     pub location: ConfigLocation,
     /// What was found and what was expected.
     pub reason: String,
 }
 
 impl Config {
-    /// All mistakes, in the order of the file.
+    /// Returns all errors: first those of the fallback cache, then of the dependencies, then of the plans.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         if self.fallback_cache.max_entries > MAX_CACHE_ENTRIES {
@@ -75,7 +76,7 @@
         errors
     }
 
-    /// Returns the names of all dependencies.
+    /// Validates the dependencies and returns their names.
     fn validate_dependencies(&self, errors: &mut Vec<ConfigError>) -> BTreeSet<&str> {
         let mut names = BTreeSet::new();
         for (index, dependency) in self.dependencies.iter().enumerate() {
@@ -197,7 +198,7 @@
 
 impl LoadBalancerConfig {
     fn is_valid(&self) -> bool {
-        // Written so that a NaN is not valid.
+        // The comparisons are written so that NaN is invalid.
         self.consecutive_failures > 0
             && self.latency_factor > 1.0
             && (0.0..=1.0).contains(&self.max_ejected_share)
--- a/crates/dependencies/src/fallback_cache.rs
+++ b/crates/dependencies/src/fallback_cache.rs
@@ -1,4 +1,5 @@
-//! Results that are cached to stand in for later ones, within bounds; the least recently used goes first.
+//! Bounded cache of results that serve as fallbacks for later calls. The least recently used result is
+//! evicted first.
 
 use std::rc::Rc;
 
@@ -7,17 +8,17 @@
 
 use crate::config::FallbackCacheLimits;
 
-/// What an entry takes besides key and result: the entry of the map and its links.
+/// Estimated size of an entry besides its key and result: the map entry and its links.
 const ENTRY_OVERHEAD_BYTES: usize = 128;
 
-/// What a cached result is about.
+/// Key of a cached result.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CacheKey {
     /// Name of the dependency.
     pub dependency: Rc<str>,
     /// Name of the class of the request.
     pub class: Rc<str>,
-    /// Key of the resource, as the caller stated it.
+    /// Key of the resource, as given by the caller.
     pub key: Rc<str>,
 }
 
@@ -27,12 +28,12 @@
     }
 }
 
-/// A result out of the cache.
+/// A result from the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedResult {
-    /// The result.
+    /// Body of the result.
     pub body: Rc<[u8]>,
-    /// How long ago it was given, in microseconds.
+    /// Time since the result was received, in microseconds.
     pub age: Micros,
 }
 
@@ -51,18 +52,19 @@
 }
 
 impl FallbackCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(limits: FallbackCacheLimits) -> FallbackCache {
         FallbackCache { limits, entries: LruCache::unbounded(), bytes: 0 }
     }
 
-    /// Applies new bounds.
+    /// Applies new limits and evicts results that exceed them.
     pub fn set_limits(&mut self, limits: FallbackCacheLimits) {
         self.limits = limits;
         self.evict_excess();
     }
 
-    /// Caches a result that was given now.
+    /// Caches a result that was received now. A result that is larger than the whole cache may be is not
+    /// cached.
     pub fn put(&mut self, now: Micros, key: CacheKey, body: Rc<[u8]>) {
         let size = key.entry_size(&body);
         if size > self.limits.max_bytes || self.limits.max_entries == 0 {
@@ -75,24 +77,24 @@
         self.evict_excess();
     }
 
-    /// A result no older than `max_age` microseconds.
+    /// Returns the result for this key if it is no older than `max_age` microseconds.
     pub fn get(&mut self, now: Micros, key: &CacheKey, max_age: Micros) -> Option<CachedResult> {
         let entry = self.entries.get(key)?;
         let age = now.saturating_sub(entry.stored_at);
         (age <= max_age).then(|| CachedResult { body: entry.body.clone(), age })
     }
 
-    /// How many results there are.
+    /// Returns the number of cached results.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The bytes that all results take, with their keys and the overhead of their entries.
+    /// Returns the size of all results in bytes, with their keys and the overhead of their entries.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -104,10 +106,10 @@
         }
     }
 
-    /// Checks what must always hold.
+    /// Checks that the counted size is right and that the cache is within its limits.
     ///
     /// # Errors
-    /// What does not hold.
+    /// Returns the number and the sizes of the results if it is not.
     pub fn check_invariants(&self) -> Result<(), String> {
         let bytes: usize = self.entries.iter().map(|(key, entry)| key.entry_size(&entry.body)).sum();
         let fits = self.entries.len() <= self.limits.max_entries && self.bytes <= self.limits.max_bytes;
--- a/crates/dependencies/src/latency.rs
+++ b/crates/dependencies/src/latency.rs
@@ -1,29 +1,30 @@
-//! Recent latencies of calls: quantiles over a window, and a peak that decays.
+//! Recent latencies of calls: quantiles over a window, and a decaying peak.
 
 use hdrhistogram::Histogram;
 use umberloom::interface::Micros;
 
-/// Calls are counted by windows of this length; quantiles look back over one to two of them.
+/// Length of a window in which latencies are collected, in microseconds. Quantiles are of the current window
+/// or, until it has enough samples, of the previous one.
 const WINDOW: Micros = 10_000_000;
-/// Calls that a window must have seen before quantiles are taken of it alone.
+/// Minimum number of samples in a window for its quantiles to be used.
 const MIN_SAMPLES: u64 = 20;
-/// Calls after which a quantile is computed anew.
+/// Number of calls after which a quantile is computed again.
 const QUANTILE_REFRESH_CALLS: u32 = 32;
-/// The longest latency that is told apart, in microseconds: a minute.
+/// Highest recorded latency, in microseconds; longer ones are recorded as this.
 const MAX_RECORDED: u64 = 60_000_000;
-/// Time over which a peak decays, in microseconds.
+/// Time constant of the exponential decay of a peak, in microseconds.
 const DECAY_TIME: f64 = 5_000_000.0;
-/// What one call leaves of a peak at most.
+/// Maximum weight that a peak keeps when a call is recorded, however short the time since the last one.
 const MAX_PEAK_WEIGHT: f64 = 0.9;
 
-/// A quantile that was computed.
+/// The last quantile that was computed.
 #[derive(Clone, Copy, Debug)]
 struct CachedQuantile {
     quantile: f64,
     latency: Micros,
 }
 
-/// Latencies over the last 10 to 20 s, to two digits.
+/// Histogram of the latencies of the last 10 to 20 s, with two significant digits.
 #[derive(Clone, Debug)]
 pub struct LatencyWindow {
     current: Histogram<u32>,
@@ -34,9 +35,9 @@
 }
 
 impl LatencyWindow {
-    /// Without samples.
+    /// Creates a histogram without samples.
     pub fn new(now: Micros) -> LatencyWindow {
-        // Bounds that are in order are always accepted.
+        // Constant bounds in ascending order are always accepted.
         let empty = Histogram::new_with_bounds(1, MAX_RECORDED, 2).expect("valid bounds");
         LatencyWindow {
             current: empty.clone(),
@@ -47,17 +48,18 @@
         }
     }
 
-    /// A call ended after this time, in microseconds.
+    /// Records the latency of a call, in microseconds.
     pub fn record(&mut self, now: Micros, latency: Micros) {
         self.rotate_windows(now);
         self.current.saturating_record(latency.max(1));
         self.calls_since_cached += 1;
     }
 
-    /// The time within which this share of the calls ended, in microseconds; `None` before enough have.
+    /// Returns the latency within which this share of the calls ended, in microseconds; `None` with too few
+    /// samples. The value may be some calls old.
     pub fn quantile(&mut self, now: Micros, quantile: f64) -> Option<Micros> {
         self.rotate_windows(now);
-        // To compute it passes over the whole histogram; some calls more or less hardly move it.
+        // Computing a quantile scans the whole histogram, and a few more calls hardly change it.
         let is_fresh = self.calls_since_cached < QUANTILE_REFRESH_CALLS;
         if let Some(cached) = self.cached_quantile.filter(|c| c.quantile == quantile && is_fresh) {
             return Some(cached.latency);
@@ -75,7 +77,7 @@
         }
         std::mem::swap(&mut self.current, &mut self.previous);
         self.current.reset();
-        // After a long silence both are old.
+        // After a long time without calls both windows are outdated.
         if now >= self.window_start + 2 * WINDOW {
             self.previous.reset();
         }
@@ -84,7 +86,7 @@
     }
 }
 
-/// A latency that rises at once with a slow call and sinks over seconds (peak EWMA, as in Finagle).
+/// A latency estimate that rises at once with a slow call and decays over seconds (peak EWMA, as in Finagle).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeakLatency {
     value: f64,
@@ -92,7 +94,7 @@
 }
 
 impl PeakLatency {
-    /// A call ended after this time, in microseconds.
+    /// Records the latency of a call, in microseconds.
     pub fn record(&mut self, now: Micros, latency: Micros) {
         let latency = latency as f64;
         if latency >= self.value {
@@ -105,7 +107,7 @@
         self.updated_at = now;
     }
 
-    /// The peak in microseconds, 0 while nothing is known.
+    /// Returns the estimate in microseconds; 0 while there are no samples.
     pub fn value(&self) -> f64 {
         self.value
     }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,23 +1,24 @@
-//! Decides how the downstream calls of a request are spread over the services that it depends on.
+//! Schedules the downstream calls of a request to the services that it depends on.
 //!
-//! For each class of requests the operator configures a *call plan*: stages that follow each other, and in each stage
-//! calls that are made side by side. A *required* call fails the request when it has no result; without an optional
-//! one the response is partial. For every call the package decides
+//! For each class of requests the operator configures a *call plan*: a sequence of stages, each with calls
+//! that are made in parallel. If a *required* call has no result, the request fails; if an optional one has
+//! none, the response is partial. For every call this package decides
 //!
-//! - how much time it has ([`time_budget`]): a part of what is left by the weight of its stage, after the time for the
-//!   request's own work has been reserved;
-//! - whether a failed attempt is retried and when ([`retry`]), out of a retry budget that an outage empties, and
-//!   whether a slow one gets a hedged request;
+//! - how much time it has ([`time_budget`]): a share of the remaining time by the weight of its stage, after
+//!   time for the request's own work has been reserved;
+//! - whether and when a failed attempt is retried ([`retry`]), within a retry budget that an outage empties,
+//!   and whether a slow attempt gets a hedged request;
 //! - which endpoint it goes to, and which endpoints are ejected as outliers ([`load_balancer`]);
-//! - how many calls are in flight ([`limit`]), and which queued call is dispatched next;
-//! - when a dependency is not called at all ([`breaker`]), and how far apart the probes of many servers are
+//! - how many calls may be in flight ([`limit`]), and which queued call is dispatched next;
+//! - when a dependency is not called at all ([`breaker`]), and how the probes of many servers are spaced
 //!   ([`probe_pacing`]);
-//! - what stands in for a missing result ([`fallback_cache`], [`config::Fallback`]), and what the request gets
-//!   ([`aggregation`]).
+//! - which fallback replaces a missing result ([`fallback_cache`], [`config::Fallback`]), and which response
+//!   the request gets ([`aggregation`]).
 //!
-//! There is no I/O, no clock and no entropy: [`Engine`] takes events with their times, returns actions, and draws from
-//! a generator with a given seed. Times are in microseconds on any clock that does not go back. Whether a request may
-//! make calls at all, and until when, is decided by the admission controller ([`PlanRequest::call_deadline`]).
+//! The package does no I/O, reads no clock and uses no entropy: [`Engine`] takes events with their times and
+//! returns actions, and its random number generator is seeded by the host. Times are in microseconds on any
+//! clock that does not go back. The admission controller decides whether a request may make calls, and until
+//! when ([`PlanRequest::call_deadline`]).
 //!
 //! ```
 //! use umberloom::interface::Outcome;
@@ -70,7 +71,7 @@
 pub use dependency::{Demand, DependencyStatus};
 pub use engine::{Action, CallCounts, Engine, PlanRequest};
 
-/// Names a plan in flight; chosen by the host.
+/// ID of a plan in flight, chosen by the host.
 pub type PlanId = u64;
-/// Names an attempt; chosen by the engine.
+/// ID of an attempt, chosen by the engine.
 pub type AttemptId = u64;
--- a/crates/dependencies/src/probe_pacing.rs
+++ b/crates/dependencies/src/probe_pacing.rs
@@ -1,8 +1,8 @@
-//! How far apart the probes are that many servers make of something that is down or coming back, without talking to
-//! each other.
+//! Spaces the probes that many servers make of something that is down or recovering, without communication
+//! between them.
 //!
-//! Each server knows how many they are, and no more. Its own probes are as far apart as that number asks, by draws of
-//! its own: where all servers lost something at one moment they must not come back to it at one moment.
+//! Each server knows only the number of servers. It spaces its own probes by that number, with random delays:
+//! servers that lost something at the same time must not all return to it at the same time.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -10,22 +10,22 @@
 use rand_chacha::ChaCha8Rng;
 use umberloom::interface::Micros;
 
-/// Of the probes that all servers may make this part is used; the rest is left for chance.
+/// Share of the allowed probe rate that is used on average. The rest is a margin for random variation.
 const USED_SHARE: f64 = 0.5;
-/// From this number of servers on, a delay is spread over as long again.
+/// Number of servers from which a delay is spread over its full length again; fewer servers need less spread.
 const FULL_SPREAD_SERVERS: u32 = 10;
 
-/// How many probes all servers may make together.
+/// Maximum rate of the probes of all servers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbeRate {
-    /// In microseconds.
+    /// Length of a window, in microseconds.
     pub window: Micros,
-    /// Probes in each window.
+    /// Maximum number of probes in each window.
     pub max_probes: f64,
 }
 
-/// The time until this server's next probe, so that `servers` of them stay under `rate` together; never less than half
-/// of the window, and never more than `max_delay`.
+/// Returns the time until this server's next probe, in microseconds, so that `servers` servers together stay
+/// within `rate`. It is at least half of the window, and at most `max_delay` if that is 1.5 windows or more.
 pub fn probe_delay(servers: u32, rate: ProbeRate, max_delay: Micros, random: &mut impl Rng) -> Micros {
     let window = rate.window as f64;
     let mean = window * f64::from(servers.max(1)) / (rate.max_probes * USED_SHARE);
@@ -33,7 +33,7 @@
     (mean * random.random_range(0.5..1.5)) as Micros
 }
 
-/// Paces the probes of one of several servers, with draws of its own.
+/// Paces the probes of one of several servers, with its own random number generator.
 #[derive(Clone, Debug)]
 pub struct ProbePacer {
     servers: u32,
@@ -41,20 +41,21 @@
 }
 
 impl ProbePacer {
-    /// For the server of this name; the seed may be the same for all of them.
+    /// Creates the pacer of the server with this name. All servers may have the same seed.
     pub fn new(servers: u32, seed: u64, name: &str) -> ProbePacer {
         let mut hasher = DefaultHasher::new();
         (seed, name).hash(&mut hasher);
         ProbePacer { servers, random: ChaCha8Rng::seed_from_u64(hasher.finish()) }
     }
 
-    /// See [`probe_delay`].
+    /// Returns the time until the next probe, see [`probe_delay`].
     pub fn next_delay(&mut self, rate: ProbeRate, max_delay: Micros) -> Micros {
         probe_delay(self.servers, rate, max_delay, &mut self.random)
     }
 }
 
-/// A time from `delay` on, later by up to as long again where there are ten servers or more.
+/// Returns a random delay from `delay` up to twice as long with ten servers or more; the spread is smaller
+/// with fewer servers, and a single server gets `delay`.
 pub fn spread_delay(servers: u32, delay: Micros, random: &mut impl Rng) -> Micros {
     let full = FULL_SPREAD_SERVERS - 1;
     let max_extra = delay as f64 * f64::from(servers.saturating_sub(1).min(full)) / f64::from(full);
