--- a/crates/dependencies/src/config/validation.rs
+++ b/crates/dependencies/src/config/validation.rs
@@ -120,11 +120,14 @@
         self.validate_attempts(report);
         self.validate_limits(report);
         if !self.breaker.is_none_or(BreakerConfig::is_valid) {
-            report("the breaker opens at a share over 0 up to 1, of 1 to 1000 calls".to_owned());
+            report(
+                "the breaker opens at a failure share over 0 and up to 1, of the last 1 to 1000 calls"
+                    .to_owned(),
+            );
         }
         if !self.load_balancing.is_valid() {
             report(
-                "an endpoint is out after 1 failure or more or a lag over 1, and a share from 0 to 1 may be"
+                "endpoints are ejected at 1 or more failures or a lag over 1, a share from 0 to 1 at most"
                     .to_owned(),
             );
         }
@@ -171,8 +174,7 @@
         let Some(capacity) = self.capacity else { return };
         if !capacity.calls.is_finite() || capacity.calls < 1.0 || capacity.servers == 0 {
             report(
-                "what the dependency survives is a number of calls from 1, over one or more servers"
-                    .to_owned(),
+                "what a dependency survives must be at least 1 call, shared by 1 or more servers".to_owned(),
             );
         }
     }
@@ -184,7 +186,7 @@
         }
         let last_used = self.fallbacks.iter().position(|f| !matches!(f, Fallback::Cached(_)));
         if last_used.is_some_and(|last| last + 1 < self.fallbacks.len()) {
-            report("what comes behind a constant or a part left out is never reached".to_owned());
+            report("a fallback after a constant or a part left out is never used".to_owned());
         }
     }
 }
@@ -238,7 +240,8 @@
             report(format!("a share of {}, over 0 is expected", self.weight));
         }
         if self.min_time > self.max_time {
-            report(format!("at least {} ms and at most {} ms", self.min_time / MS, self.max_time / MS));
+            let (min_ms, max_ms) = (self.min_time / MS, self.max_time / MS);
+            report(format!("at least {min_ms} ms and at most {max_ms} ms: the minimum exceeds the maximum"));
         }
         if self.calls.is_empty() || self.calls.len() > MAX_NAMED_ITEMS {
             report(format!("{} calls, 1 to {MAX_NAMED_ITEMS} are expected", self.calls.len()));
