--- a/crates/dependencies/src/dependency.rs
+++ b/crates/dependencies/src/dependency.rs
@@ -200,9 +200,9 @@
         if !may_be_retried {
             return call_deadline;
         }
-        let left = call_deadline.saturating_sub(now);
+        let remaining = call_deadline.saturating_sub(now);
         let min_time = (self.limit.typical_latency() * MIN_ATTEMPT_LATENCIES) as Micros;
-        now + (left / 2).max(min_time).min(left)
+        now + (remaining / 2).max(min_time).min(remaining)
     }
 
     pub fn status(&self, now: Micros) -> DependencyStatus {
--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -100,9 +100,9 @@
     /// # Errors
     /// Returns all errors in the configuration, which is then not applied.
     pub fn reconfigure(&mut self, now: Micros, config: Config) -> Result<(), Vec<ConfigError>> {
-        let mistakes = config.validate();
-        if !mistakes.is_empty() {
-            return Err(mistakes);
+        let errors = config.validate();
+        if !errors.is_empty() {
+            return Err(errors);
         }
         self.fallback_cache.set_limits(config.fallback_cache);
         for (index, dependency) in self.dependencies.iter_mut().enumerate() {
@@ -155,8 +155,8 @@
             out.push(Action::FinishPlan { plan: request.plan, outcome: Outcome::Rejected, response: None });
             return;
         }
-        let left = request.request_deadline.saturating_sub(now);
-        let reserve = self.local_work.get(&class).copied().unwrap_or_default().reserve(left);
+        let remaining = request.request_deadline.saturating_sub(now);
+        let reserve = self.local_work.get(&class).copied().unwrap_or_default().reserve(remaining);
         let calls_end = request.request_deadline.saturating_sub(reserve);
         let plan = ActivePlan {
             template,
--- a/crates/dependencies/src/engine/attempts.rs
+++ b/crates/dependencies/src/engine/attempts.rs
@@ -52,8 +52,8 @@
             && dependency.retry_budget.available() >= 1.0;
         let deadline = dependency.attempt_deadline(now, call_deadline, may_be_retried);
         let hedge_at = config.hedge.filter(|_| config.idempotent).and_then(|hedge| {
-            let usual = dependency.latency.quantile(now, hedge.quantile)?;
-            Some(now + usual.max(hedge.min_delay))
+            let quantile_latency = dependency.latency.quantile(now, hedge.quantile)?;
+            Some(now + quantile_latency.max(hedge.min_delay))
         });
         let attempt =
             self.send_attempt(now, NewAttempt { call: call_ref, endpoint, deadline, is_probe }, out);
--- a/crates/dependencies/src/engine/dispatch.rs
+++ b/crates/dependencies/src/engine/dispatch.rs
@@ -44,9 +44,9 @@
             return self.fall_back(now, call_ref, MissingReason::NoCapacity);
         }
         call.state = CallState::Queued(queued.ticket);
-        let is_late = now + dependency.expected_wait(&queued) >= deadline;
+        let exceeds_deadline = now + dependency.expected_wait(&queued) >= deadline;
         let starts_at_once = dependency.limit.has_capacity() && dependency.queue.first() == Some(&queued);
-        if is_late && !starts_at_once {
+        if exceeds_deadline && !starts_at_once {
             return self.fall_back(now, call_ref, MissingReason::NoCapacity);
         }
         self.freed_dependencies.insert(call.dependency);
--- a/crates/dependencies/src/engine/plan_lifecycle.rs
+++ b/crates/dependencies/src/engine/plan_lifecycle.rs
@@ -18,14 +18,15 @@
         let Some(plan) = self.plans.get_mut(&id) else { return };
         let stage_index = plan.stage_index;
         let claims = plan.template.claims_from(stage_index);
-        let left = plan.deadline.saturating_sub(now);
+        let remaining = plan.deadline.saturating_sub(now);
         plan.calls = plan.template.stages[stage_index].calls.iter().map(ActiveCall::new).collect();
         let call_count = plan.calls.len();
-        match time_budget::first_stage_time(left, &claims) {
+        match time_budget::first_stage_time(remaining, &claims) {
             Some(time) => {
                 let reserved = typical_time_of_later_stages(&self.dependencies, &plan.template, stage_index);
                 plan.stage_deadline = now + time;
-                plan.required_deadline = now + time_budget::extended_time(left, time, reserved, &claims[0]);
+                plan.required_deadline =
+                    now + time_budget::extended_time(remaining, time, reserved, &claims[0]);
                 self.set_timer(id, now + time, Timer::StageEnd { stage_index });
                 for index in 0..call_count {
                     self.begin_call(now, CallRef { plan: id, index });
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -112,8 +112,8 @@
 
     /// Sets the cap on calls in flight; returns whether it was raised.
     pub fn set_cap(&mut self, cap: usize) -> bool {
-        let before = std::mem::replace(&mut self.cap, cap);
-        cap > before
+        let previous_cap = std::mem::replace(&mut self.cap, cap);
+        cap > previous_cap
     }
 
     /// Returns the learned number of calls that may be in flight, without the cap.
@@ -162,12 +162,12 @@
     /// Updates the typical and the best latency; returns the typical latency in microseconds.
     fn record_latency(&mut self, latency: Micros) -> f64 {
         let latency = latency.max(1) as f64;
-        let Some(before) = self.typical_latency else {
+        let Some(previous) = self.typical_latency else {
             self.typical_latency = Some(latency);
             self.best_latency = latency;
             return latency;
         };
-        let typical = before + LATENCY_GAIN * (latency - before);
+        let typical = previous + LATENCY_GAIN * (latency - previous);
         self.typical_latency = Some(typical);
         self.best_latency = typical.min(self.best_latency * BEST_LATENCY_GROWTH);
         typical
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -72,7 +72,7 @@
     /// not grow with each reconfiguration.
     fn add_endpoint(&mut self, endpoint: Endpoint) {
         match self.endpoints.iter_mut().find(|e| e.retired && e.limit.in_flight() == 0) {
-            Some(gone) => *gone = endpoint,
+            Some(reusable) => *reusable = endpoint,
             None => self.endpoints.push(endpoint),
         }
     }
@@ -107,12 +107,12 @@
             return Some(first);
         }
         let second = others[random.random_range(0..others.len())];
-        let takes_first = if first_weight < 1.0 {
+        let picks_first = if first_weight < 1.0 {
             random.random_bool(first_weight * RAMP_USED_SHARE)
         } else {
             self.cost(second) >= self.cost(first)
         };
-        Some(if takes_first { first } else { second })
+        Some(if picks_first { first } else { second })
     }
 
     /// Returns an endpoint that is due for a probe because its ejection is over.
@@ -160,8 +160,9 @@
         let EndpointState::Active { full_weight_at } = self.endpoints[index].state else {
             return INITIAL_WEIGHT;
         };
-        let left = full_weight_at.saturating_sub(now) as f64 / self.config.recovery_ramp.max(1) as f64;
-        1.0 - (1.0 - INITIAL_WEIGHT) * left.min(1.0)
+        let remaining_ramp_share =
+            full_weight_at.saturating_sub(now) as f64 / self.config.recovery_ramp.max(1) as f64;
+        1.0 - (1.0 - INITIAL_WEIGHT) * remaining_ramp_share.min(1.0)
     }
 
     /// Returns the median latency of all endpoints but `excluded`, in microseconds.
--- a/crates/dependencies/src/load_balancer/ejection.rs
+++ b/crates/dependencies/src/load_balancer/ejection.rs
@@ -79,10 +79,10 @@
 
     pub(super) fn eject(&mut self, now: Micros, index: usize, reason: EjectionReason, random: &mut impl Rng) {
         let endpoint = &mut self.endpoints[index];
-        let before = endpoint.last_ejection.map_or(0, |ejection| ejection.consecutive);
-        let factor = (1 << before.min(16)).min(MAX_EJECTION_FACTOR);
+        let earlier_ejections = endpoint.last_ejection.map_or(0, |ejection| ejection.consecutive);
+        let factor = (1 << earlier_ejections.min(16)).min(MAX_EJECTION_FACTOR);
         let ejection_time = self.config.base_ejection_time * Micros::from(factor);
-        endpoint.last_ejection = Some(Ejection { reason, consecutive: before + 1 });
+        endpoint.last_ejection = Some(Ejection { reason, consecutive: earlier_ejections + 1 });
         // Servers that saw the endpoint fail at the same time must not all probe it at the same time.
         let until = now + probe_pacing::spread_delay(self.config.servers, ejection_time, random);
         endpoint.state = EndpointState::Ejected { until };
--- a/crates/dependencies/src/load_balancer/endpoint.rs
+++ b/crates/dependencies/src/load_balancer/endpoint.rs
@@ -91,8 +91,8 @@
     /// in microseconds.
     pub fn record_failure(&mut self, now: Micros, median: f64) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        let usual = median.max(self.answer_latency.value()).min(median * FAILURE_LATENCY_FACTOR);
-        let penalty = usual * FAILURE_LATENCY_FACTOR;
+        let base_latency = median.max(self.answer_latency.value()).min(median * FAILURE_LATENCY_FACTOR);
+        let penalty = base_latency * FAILURE_LATENCY_FACTOR;
         self.penalized_latency.record(now, penalty as Micros);
     }
 
--- a/crates/dependencies/src/time_budget.rs
+++ b/crates/dependencies/src/time_budget.rs
@@ -31,35 +31,35 @@
     pub required: bool,
 }
 
-/// Returns the time for the first of these stages, with `left` microseconds for all of them; `None` if that
-/// is too little.
+/// Returns the time for the first of these stages, with `remaining` microseconds for all of them; `None` if
+/// that is too little.
 ///
 /// The stage gets its share by weight of the time that remains now, so that time which earlier stages did not
 /// use passes to later ones. The minimum times of later stages are reserved. If not all minimum times fit, an
 /// optional stage is skipped in favor of the required ones.
-pub fn first_stage_time(left: Micros, claims: &[StageClaim]) -> Option<Micros> {
+pub fn first_stage_time(remaining: Micros, claims: &[StageClaim]) -> Option<Micros> {
     let (first, later) = claims.split_first()?;
     let total_weight: f64 = claims.iter().map(|claim| claim.weight).sum();
-    let by_weight = (left as f64 * (first.weight / total_weight)) as Micros;
+    let by_weight = (remaining as f64 * (first.weight / total_weight)) as Micros;
     let later_min: Micros = later.iter().map(|claim| claim.min_time).sum();
     let later_required_min: Micros =
         later.iter().filter(|claim| claim.required).map(|claim| claim.min_time).sum();
     // A required stage takes precedence over the minimum times of all later stages, an optional one only over
     // those of later optional stages.
-    let kept_for_required = if first.required { 0 } else { later_required_min };
-    let own_min = first.min_time.min(left.saturating_sub(kept_for_required));
-    let available = left.saturating_sub(later_min).max(own_min);
+    let reserved_for_required = if first.required { 0 } else { later_required_min };
+    let own_min = first.min_time.min(remaining.saturating_sub(reserved_for_required));
+    let available = remaining.saturating_sub(later_min).max(own_min);
     let time = by_weight.clamp(first.min_time, first.max_time.max(first.min_time)).min(available);
     (time >= first.min_time && time > 0).then_some(time)
 }
 
 /// Returns how long the required calls of a stage may take in all, in microseconds, if the stage has `time`
-/// of the `left` microseconds. The request fails without these calls, and the time saved for later stages is
-/// then of no use. So they may take up to twice the time of the stage, but not the time `reserved` for later
-/// required stages, and not more than the maximum of the claim.
-pub fn extended_time(left: Micros, time: Micros, reserved: Micros, claim: &StageClaim) -> Micros {
+/// of the `remaining` microseconds. The request fails without these calls, and the time saved for later
+/// stages is then of no use. So they may take up to twice the time of the stage, but not the time `reserved`
+/// for later required stages, and not more than the maximum of the claim.
+pub fn extended_time(remaining: Micros, time: Micros, reserved: Micros, claim: &StageClaim) -> Micros {
     let extended = time * MAX_EXTENSION_FACTOR;
-    extended.min(left.saturating_sub(reserved)).min(claim.max_time).max(time)
+    extended.min(remaining.saturating_sub(reserved)).min(claim.max_time).max(time)
 }
 
 /// Estimate of the time that requests take after their calls, learned from requests that ended: mean and mean
@@ -86,12 +86,13 @@
         }
     }
 
-    /// Returns how many of the `left` microseconds to reserve. A minimum share is always left for the calls.
-    pub fn reserve(&self, left: Micros) -> Micros {
-        let left = left as f64;
+    /// Returns how many of the `remaining` microseconds to reserve. A minimum share is always left for the
+    /// calls.
+    pub fn reserve(&self, remaining: Micros) -> Micros {
+        let remaining = remaining as f64;
         let estimate = self.mean.map(|mean| mean + DEVIATIONS * self.deviation);
-        let max_reserve = left * (1.0 - MIN_CALLS_SHARE);
-        estimate.unwrap_or(left * DEFAULT_RESERVE_SHARE).min(max_reserve) as Micros
+        let max_reserve = remaining * (1.0 - MIN_CALLS_SHARE);
+        estimate.unwrap_or(remaining * DEFAULT_RESERVE_SHARE).min(max_reserve) as Micros
     }
 }
 
