--- a/crates/dependencies/benches/decision.rs
+++ b/crates/dependencies/benches/decision.rs
@@ -1,4 +1,5 @@
-//! What a decision costs: a plan of one call from its beginning to its end, with 8 dependencies of 8 endpoints each.
+//! Measures the cost of a decision: a plan from its start to its end, with 8 dependencies of 8 endpoints
+//! each.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,7 +13,7 @@
     divan::main();
 }
 
-/// One class for each number of calls in one stage.
+/// Creates an engine with a class for each measured number of calls, all in one stage.
 fn engine() -> Engine {
     let limit = LimitBounds { initial: 64, min: 8, max: 512 };
     let dependency = |d: usize| {
@@ -44,7 +45,8 @@
     Engine::new(0, config, 1).expect("a valid configuration")
 }
 
-/// Plans of so many calls, each call answered after 20 ms, with 32 plans in flight.
+/// Runs plans of `calls` calls each. A plan starts every millisecond, and its calls are answered once 32 more
+/// plans have started.
 #[divan::bench(args = [1, 8])]
 fn plan_from_start_to_end(bencher: divan::Bencher, calls: usize) {
     let class = format!("c{calls}");
--- a/crates/dependencies/src/aggregation/tests.rs
+++ b/crates/dependencies/src/aggregation/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(decoded, response);
 }
 
-/// The bytes that runs get for each reason, written down before any variant was renamed.
+/// The words are part of the format that runs receive, so they must not change when a variant is renamed.
 #[test]
 fn every_missing_reason_keeps_its_word_in_the_json() {
     let words = [
--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -2,13 +2,14 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The end of a call at the only server there is.
+/// Ends a call of a dependency that is called by a single server.
 fn end(breaker: &mut CircuitBreaker, now: Micros, probe: bool, failed: Option<bool>) {
     breaker.end(now, probe, failed, 1, &mut ChaCha8Rng::seed_from_u64(1));
 }
 
 const CONFIG: BreakerConfig = BreakerConfig { failure_ratio: 0.5, window_calls: 20, open_time: 1_000 };
 
+/// Makes a call if the breaker allows it; returns whether it did.
 fn call(breaker: &mut CircuitBreaker, now: Micros, failed: bool) -> bool {
     let allowed = breaker.allows(now);
     if allowed {
@@ -65,10 +66,11 @@
     assert_eq!(breaker.state(500), BreakerState::Open { until: 1_000 });
     let probe = breaker.start(1_000);
     end(&mut breaker, 1_100, probe, None);
-    assert!(breaker.allows(1_100), "its place is free for another probe");
+    assert!(breaker.allows(1_100), "another probe may be made after one without an outcome");
 }
 
-/// Guards against thirty servers that probe at one moment because they opened at one moment.
+/// Guards against thirty servers that all probe at the same time because their breakers opened at the same
+/// time.
 #[test]
 fn probes_of_servers_that_opened_together_are_spread() {
     let mut probe_times: Vec<Micros> = (0..30)
--- a/crates/dependencies/src/config/tests.rs
+++ b/crates/dependencies/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Changes a valid configuration.
+/// Makes a valid configuration invalid.
 type Mistake = fn(&mut Config);
 
 fn valid_config() -> Config {
--- a/crates/dependencies/src/fallback_cache/tests.rs
+++ b/crates/dependencies/src/fallback_cache/tests.rs
@@ -22,7 +22,7 @@
     let mut cache = FallbackCache::new(limits);
     for n in 0..10_000 {
         cache.put(n as u64, cache_key(n), vec![0; n % 300].into());
-        // The first one is asked for again and again, and so it stays.
+        // The first result is used again and again, so that it is not evicted.
         assert!(n > 400 || cache.get(0, &cache_key(0), u64::MAX).is_some(), "{n}");
         assert_eq!(cache.check_invariants(), Ok(()));
     }
--- a/crates/dependencies/src/latency/tests.rs
+++ b/crates/dependencies/src/latency/tests.rs
@@ -10,11 +10,11 @@
         found.is_some_and(|f| f.abs_diff(expected) <= expected / 50)
     };
     assert!(near(latency.quantile(1, 0.5), 1_000) && near(latency.quantile(1, 1.0), 100_000));
-    // In the next span the old counts until there is enough that is new.
+    // In the next window the previous one is used until the new one has enough samples.
     latency.record(WINDOW, 5_000);
     assert!(near(latency.quantile(WINDOW, 0.5), 1_000));
     (0..20).for_each(|_| latency.record(WINDOW, 5_000));
-    // A figure may be some calls old.
+    // A cached quantile is computed again only after some calls.
     (0..QUANTILE_REFRESH_CALLS).for_each(|_| latency.record(WINDOW, 5_000));
     assert!(near(latency.quantile(WINDOW, 0.5), 5_000));
     assert_eq!(latency.quantile(4 * WINDOW, 0.5), None);
--- a/crates/dependencies/src/limit/tests.rs
+++ b/crates/dependencies/src/limit/tests.rs
@@ -3,7 +3,8 @@
 
 const BOUNDS: LimitBounds = LimitBounds { initial: 4, min: 2, max: 20 };
 
-/// As many calls as fit, each taking `took(in flight)`; returns the limit at the end.
+/// In each round starts as many calls as the limit allows and ends each with the latency `took(calls in
+/// flight)`. Returns the final limit.
 fn run_rounds(limit: &mut ConcurrencyLimit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
     for round in 0..rounds {
         while limit.has_capacity() {
@@ -35,7 +36,7 @@
 #[test]
 fn settles_below_the_load_that_slows_the_dependency() {
     let mut limit = ConcurrencyLimit::new(BOUNDS);
-    // Over 8 at once each takes longer in step with the square of the load.
+    // With more than 8 calls at the same time the latency grows with the square of the load.
     let took = |load: usize| if load <= 8 { 1_000 } else { 1_000 * (load * load) as u64 / 16 };
     let end = run_rounds(&mut limit, 400, took);
     assert!((6..=11).contains(&end), "{end}");
--- a/crates/dependencies/src/load_balancer/tests.rs
+++ b/crates/dependencies/src/load_balancer/tests.rs
@@ -17,7 +17,8 @@
     (LoadBalancer::new(CONFIG, &addresses, BOUNDS), ChaCha8Rng::seed_from_u64(7))
 }
 
-/// One call after the other, each 1 ms later; how many went to each endpoint.
+/// Makes `calls` calls one after the other, each 1 ms later, that end by `ends(endpoint)` with a latency and
+/// whether they failed. Returns the number of calls to each endpoint.
 fn run_calls(
     balancer: &mut LoadBalancer,
     random: &mut ChaCha8Rng,
@@ -37,7 +38,7 @@
     got
 }
 
-/// As many failures in a row as it takes.
+/// Makes as many calls fail in a row as it takes to eject the endpoint.
 fn fail_repeatedly(balancer: &mut LoadBalancer, endpoint: usize, now: Micros, random: &mut ChaCha8Rng) {
     for _ in 0..CONFIG.consecutive_failures {
         balancer.start(endpoint);
@@ -67,7 +68,7 @@
             (20_000, false)
         }
     });
-    // It need not even be left out: one failure counts as ten times what the others take.
+    // It need not even be ejected, because a failure counts as ten times the latency of the others.
     assert!(got[2] <= 5, "{got:?}");
 }
 
@@ -92,9 +93,9 @@
     fail_repeatedly(&mut balancer, 0, 200_000, &mut random);
     assert!(matches!(balancer.status()[0].state, EndpointState::Ejected { .. }));
     let at = balancer.next_probe_at().expect("a probe");
-    assert_eq!(balancer.pick(at, &[], &mut random), Some(0), "a probe comes first");
+    assert_eq!(balancer.pick(at, &[], &mut random), Some(0), "a due probe is made first");
     balancer.start(0);
-    assert_eq!(balancer.pick(at, &[], &mut random), Some(1), "one at a time");
+    assert_eq!(balancer.pick(at, &[], &mut random), Some(1), "only one probe at a time is made");
     balancer.end(at, 0, CallSample::Answered(1_000), Some(false), &mut random);
     let first = run_calls(&mut balancer, &mut random, (at, 500), |_| (1_000, false));
     let later = run_calls(&mut balancer, &mut random, (at + 6_000_000, 500), |_| (1_000, false));
@@ -129,7 +130,7 @@
     let views = balancer.status();
     assert_eq!(views.iter().filter(|v| matches!(v.state, EndpointState::Ejected { .. })).count(), 2);
     assert_eq!(views.iter().filter(|v| v.ejection_withheld).count(), 2);
-    // They still get calls.
+    // The endpoints that are not ejected still get calls.
     assert!(balancer.pick(900_000, &[], &mut random).is_some());
 }
 
@@ -160,7 +161,10 @@
     let (balancer, mut random) = balancer(2);
     assert!((0..50).all(|_| balancer.pick(0, &[0], &mut random) == Some(1)));
     assert!(balancer.has_alternative(&[0]) && !balancer.has_alternative(&[0, 1]));
-    assert!(balancer.pick(0, &[0, 1], &mut random).is_some(), "one that was tried is better than none");
+    assert!(
+        balancer.pick(0, &[0, 1], &mut random).is_some(),
+        "a tried endpoint is used if there is no other"
+    );
 }
 
 #[test]
@@ -189,7 +193,8 @@
     assert_eq!(names, ["e3", "e1"]);
 }
 
-/// A draw by which `servers` of them route to four endpoints, of which the last has just come back to all at one moment.
+/// The load balancers of `servers` servers over the same four endpoints, each with its own random numbers.
+/// All of them have just readmitted the last endpoint at the same time.
 fn fleet_with_returning_endpoint(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
     let addresses: Vec<String> = (0..4).map(|n| format!("e{n}")).collect();
     let one = |n: u32| {
@@ -201,15 +206,17 @@
     (0..servers).map(one).collect()
 }
 
-/// The ramp holds for the sum of all servers, which know of each other only how many they are: at each moment of it the
-/// endpoint has N calls in hand at most that its part of the full share allows, and 2 x root of N + 2 by chance.
+/// Servers know only the number of the others, yet the recovery ramp must hold for the sum of their calls: at
+/// each time the endpoint has at most the N calls in flight that its current weight allows, plus a random
+/// excess of up to 2 * sqrt(N) + 2.
 #[test]
 fn recovery_ramp_holds_for_the_sum_of_all_servers() {
     for (servers, full, seed) in
         (0..120).map(|n: u32| (1 + n * 29 / 119, [1, 2, 4, 10, 25, 60, 100][n as usize % 7], u64::from(n)))
     {
         let mut all = fleet_with_returning_endpoint(servers, seed);
-        // So many calls in hand over four endpoints that the full share of each is `full`; each lasts 100 ms.
+        // Each call takes 100 ms, and calls start at such intervals that the full share of each endpoint is
+        // `full` calls in flight.
         let (took, gap) = (100_000, 100_000 / (4 * full));
         let mut in_hand: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
         let mut there = 0u64;
@@ -220,7 +227,7 @@
                 balancer.end(now, endpoint, CallSample::Answered(took), Some(false), random);
                 there -= u64::from(endpoint == 3);
             }
-            // Whose call it is has nothing to do with where calls are: it is drawn, too.
+            // The calling server is chosen by a hash of the time, independently of the calls in flight.
             let server = (now / gap).wrapping_mul(0x9e37_79b9_7f4a_7c15) as usize % all.len();
             let (balancer, random) = &mut all[server];
             let endpoint = balancer.pick(now, &[], random).expect("an endpoint with capacity");
@@ -242,11 +249,12 @@
         let (balancer, random) = &mut all[0];
         let got =
             (0..400).filter(|_| balancer.pick(2 * CONFIG.recovery_ramp, &[], random) == Some(3)).count();
-        assert!(got > 40, "it has its full share in the end: {got} of 400");
+        assert!(got > 40, "after the ramp it must get its full share: {got} of 400");
     }
 }
 
-/// Servers that see an endpoint fail at one moment probe it one after the other, not at once.
+/// Guards against many servers that probe an endpoint at the same time because they all saw it fail at the
+/// same time.
 #[test]
 fn probes_of_many_servers_are_spread() {
     for servers in [1, 2, 5, 10, 20, 30] {
@@ -256,7 +264,8 @@
             fail_repeatedly(balancer, 0, 200_000, random);
             at.push(balancer.next_probe_at().expect("a probe"));
         }
-        // A probe takes 50 ms; so many may be under way at once, where the endpoint survives two.
+        // A probe takes 50 ms, and the endpoint can handle two calls at once. The other four are the random
+        // excess that is allowed.
         let most =
             at.iter().map(|from| at.iter().filter(|to| (*from..*from + 50_000).contains(*to)).count()).max();
         assert!(most <= Some(2 + 2 + 2), "{servers}: {most:?}");
--- a/crates/dependencies/src/probe_pacing/tests.rs
+++ b/crates/dependencies/src/probe_pacing/tests.rs
@@ -6,7 +6,8 @@
 
 const WINDOW: Micros = 100_000;
 
-/// Most probes of all servers within one window, over a minute after all of them lost it at one moment.
+/// Returns the maximum number of probes of all servers within one window, over the minute after all of them
+/// lost the target at the same time.
 fn max_probes_in_a_window(servers: u32, most: f64, seed: u64) -> usize {
     let mut probes: Vec<Micros> = Vec::new();
     for server in 0..servers {
@@ -35,7 +36,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
-    /// Whatever the budget and however many servers: never more than N + 2 x root of N + 2 in a window.
+    /// For any rate N and number of servers, a window has at most N + 2 * sqrt(N) + 2 probes.
     #[test]
     fn probes_of_all_servers_stay_within_the_rate(servers in 1u32..=30, most in 1u32..=100, seed in 0u64..1_000) {
         let (found, most) = (max_probes_in_a_window(servers, f64::from(most), seed), f64::from(most));
--- a/crates/dependencies/src/retry/tests.rs
+++ b/crates/dependencies/src/retry/tests.rs
@@ -13,7 +13,7 @@
         budget.record_first_attempt();
         budget.try_withdraw()
     });
-    // Three saved up, and one for ten.
+    // Three from the initial balance, and one for each ten first attempts.
     assert_eq!(withdrawn.count(), 102);
 }
 
--- a/crates/dependencies/src/time_budget/tests.rs
+++ b/crates/dependencies/src/time_budget/tests.rs
@@ -9,7 +9,7 @@
 fn unspent_time_passes_to_later_stages() {
     let claims = [claim(1.0, 0, 1_000, true), claim(1.0, 0, 1_000, true), claim(2.0, 0, 1_000, true)];
     assert_eq!(first_stage_time(400, &claims), Some(100));
-    // It took 20 only.
+    // The first stage took only 20 of its 100, so that 380 remain for the others.
     assert_eq!(first_stage_time(380, &claims[1..]), Some(126));
     assert_eq!(first_stage_time(254, &claims[2..]), Some(254));
 }
@@ -41,8 +41,12 @@
 fn required_calls_may_take_twice_the_time_of_their_stage() {
     let plain = claim(1.0, 0, 1_000, true);
     assert_eq!(extended_time(300, 100, 0, &plain), 200);
-    assert_eq!(extended_time(300, 100, 150, &plain), 150, "what later stages need stays theirs");
-    assert_eq!(extended_time(300, 100, 280, &plain), 100, "but its own share is its own");
+    assert_eq!(
+        extended_time(300, 100, 150, &plain),
+        150,
+        "the time for later required stages stays reserved"
+    );
+    assert_eq!(extended_time(300, 100, 280, &plain), 100, "the stage keeps at least its own share");
     assert_eq!(extended_time(300, 100, 0, &claim(1.0, 0, 120, true)), 120);
 }
 
@@ -61,9 +65,9 @@
 fn samples_from_a_stall_are_unlearned() {
     let mut estimate = LocalWorkEstimate::default();
     (0..20).for_each(|_| estimate.record(4_000));
-    // Requests in flight during a stall of the process seem to have taken seconds.
+    // Requests in flight during a stall of the process appear to have taken seconds.
     (0..10).for_each(|_| estimate.record(5_000_000));
-    // As long as calls get some time, runs end and teach again.
+    // As long as calls get some time, requests end and provide new samples.
     let mut rounds = 0;
     while estimate.reserve(1_000_000) > 100_000 {
         assert!(estimate.reserve(1_000_000) <= 750_000 && rounds < 200, "{estimate:?}");
@@ -73,8 +77,9 @@
 }
 
 proptest! {
-    /// Every stage in turn, whatever each spends: none gets more than is left or than its ceiling, and the
-    /// minimum times of required stages are left to them by optional ones.
+    /// Runs through all stages, each of which spends a random share of its time. No stage may get more than
+    /// the remaining time or its maximum, and optional stages must leave the minimum times of later required
+    /// stages.
     #[test]
     fn stage_times_never_exceed_what_is_left(
         left in 0u64..10_000_000,
--- a/crates/dependencies/tests/engine/fault_scenarios.rs
+++ b/crates/dependencies/tests/engine/fault_scenarios.rs
@@ -1,4 +1,4 @@
-//! Faults of dependencies, one by one; each test fails without the defence that it is about.
+//! Scenarios of faults in dependencies. Each test fails without the protection that it covers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,8 @@
 
 const NEVER: Micros = Micros::MAX;
 
-/// Three dependencies with an endpoint each, in three stages: the first two required, the last optional.
+/// Creates a host with three dependencies of one endpoint each, which are called in three stages: the first
+/// two are required, the last is optional.
 fn three_stages(script: impl FnMut(&StartedAttempt) -> (Micros, Outcome) + 'static) -> SimulatedHost {
     let dependencies = ["a", "b", "c"].map(|name| DependencyConfig::new(name, &[&format!("{name}1")]));
     let stages = ["a", "b", "c"].map(|name| stage(vec![call(name, name != "c")]));
@@ -31,7 +32,7 @@
         host.start_plan(1, "book", 300 * MS);
         let end = host.run_until_end_of(1);
         let expected = match slow {
-            // Required: it may take twice the time of its stage, and fails with that.
+            // A required call may take twice the time of its stage, after which the plan fails.
             "a" => (200 * MS, "Aborted"),
             "b" => (300 * MS, "Aborted"),
             _ => (300 * MS, "a: fresh, b: fresh, c: DeadlineExceeded"),
@@ -51,7 +52,7 @@
     });
     host.start_plan(1, "book", 600 * MS);
     assert_eq!(describe_parts(&host.run_until_end_of(1)), "a: fresh, b: fresh, c: fresh");
-    // The second stage is known to take 120 ms by now, which the first may not have.
+    // The second stage has been seen to take 120 ms, which the first stage must leave to it.
     slow.set(true);
     let from = host.now;
     host.start_plan(2, "book", 300 * MS);
@@ -71,7 +72,7 @@
     let dependencies = ["a", "b", "c"].map(|name| DependencyConfig::new(name, &[&format!("{name}1")]));
     let calls = vec![call("a", true), call("b", false), call("c", false)];
     let all = config(dependencies.into(), vec![plan("book", vec![stage(calls)])]);
-    // Both are optional: the response is partial, and no later than the slower of them allows.
+    // Two optional calls fail: the response is partial, and comes as soon as the slower of them has ended.
     let fails = |call: &StartedAttempt, which: &str| which.contains(call.dependency.as_str());
     let mut host = SimulatedHost::new(all.clone(), move |call| match fails(call, "bc") {
         true => (30 * MS, Outcome::Error),
@@ -80,7 +81,7 @@
     host.start_plan(1, "book", 300 * MS);
     let end = host.run_until_end_of(1);
     assert_eq!((end.at, describe_parts(&end).as_str()), (30 * MS, "a: fresh, b: Failed, c: Failed"));
-    // A required one with an optional one: the plan fails at once, and the call in flight is cancelled.
+    // A required and an optional call fail: the plan fails at once, and the calls in flight are cancelled.
     let mut host = SimulatedHost::new(all, move |call| match call.dependency.as_str() {
         "a" => (5 * MS, Outcome::Error),
         "b" => (30 * MS, Outcome::Error),
@@ -110,7 +111,7 @@
 
 #[test]
 fn reply_just_after_the_stage_deadline_changes_nothing() {
-    // The host reports the end of an attempt that was cancelled a microsecond before.
+    // The host reports the end of an attempt that was cancelled a microsecond earlier.
     let mut host = three_stages(|call| (if call.dependency == "a" { 200 * MS + 1 } else { MS }, Outcome::Ok));
     host.start_plan(1, "book", 300 * MS);
     let end = host.run_until_end_of(1);
@@ -164,7 +165,7 @@
 
 #[test]
 fn plan_with_a_possible_effect_is_not_rejected() {
-    // The first stage's call went well, the second's never ran.
+    // The call of the first stage succeeded, and the call of the second never ran.
     let mut host = three_stages(|call| match call.dependency.as_str() {
         "a" => (MS, Outcome::Ok),
         _ => (MS, Outcome::Rejected),
@@ -187,7 +188,7 @@
         host.run_until_end_of(id);
         assert!(host.started.iter().filter(|c| c.plan == id).count() <= calls);
     }
-    // The first attempt, and the one that was saved up.
+    // The first attempt, and the one retry of the initial balance.
     assert_eq!(host.started.len(), 2);
 }
 
@@ -240,7 +241,7 @@
         host.start_plan(id, "book", 200 * MS);
         host.run_until(host.now + 5 * MS);
     }
-    // While it is down nearly all plans are rejected at once.
+    // During the outage nearly all plans are rejected.
     let at_once = host.ended_plans().filter(|(_, e)| e.outcome == Outcome::Rejected).count();
     assert!(at_once as u64 > id * 9 / 10, "{at_once} of {id}");
     assert!(host.started.len() < 120, "{} calls", host.started.len());
@@ -274,7 +275,7 @@
     }
     host.run_until(host.now + 500 * MS);
     let failed = host.ended_plans().filter(|(_, e)| e.outcome != Outcome::Ok).count();
-    // A few at first, and single ones over eight seconds.
+    // A few calls fail at first, and single ones over the eight seconds.
     assert!(failed <= 10, "{failed}");
 }
 
@@ -347,10 +348,10 @@
     fails.set(true);
     host.run_until(40 * MS);
     assert_eq!(parts_for(&mut host, Some("k")), "notes: kept 40, photos: kept 40");
-    // Another resource, and none.
+    // Neither a request for another resource nor one without a key gets the cached result.
     assert_eq!(parts_for(&mut host, Some("other")), "notes: constant, photos: Failed");
     assert_eq!(parts_for(&mut host, None), "notes: constant, photos: Failed");
-    // Too old by a millisecond.
+    // Now the cached result is a millisecond older than its maximum age.
     host.run_until(51 * MS);
     assert_eq!(parts_for(&mut host, Some("k")), "notes: constant, photos: Failed");
 }
@@ -366,8 +367,8 @@
     let mut host = SimulatedHost::new(all(&["a", "b"]), |_| (10 * MS, Outcome::Ok));
     host.start_plan(1, "book", 300 * MS);
     host.run_until(5 * MS);
-    // The plan in flight ends as it began: its second stage still calls what is no longer configured. The
-    // simulated host knows the new configuration only, so the end is checked here.
+    // The plan in flight keeps its template: its second stage still calls a dependency that is no longer
+    // configured. The simulated host does not know both configurations, so the end is checked here.
     let mut actions = Vec::new();
     host.engine.reconfigure(host.now, all(&["b", "c"])).expect("a valid configuration");
     assert_eq!(
@@ -382,7 +383,7 @@
     assert_eq!(&*dependency, "b");
     host.engine.handle_attempt_end(20 * MS, attempt, Outcome::Ok, vec![], &mut actions);
     assert!(matches!(actions[..], [Action::FinishPlan { outcome: Outcome::Ok, .. }]));
-    // New plans go by the new configuration, and the index of a dependency that is gone is reused.
+    // New plans use the new configuration, and the indices of removed dependencies are reused.
     for round in 0..50 {
         let names = [["b", "c"], ["c", "d"], ["d", "b"]][round % 3];
         host.engine.reconfigure(host.now, all(&names)).expect("a valid configuration");
@@ -416,7 +417,7 @@
         is_retry: false,
     };
     host.engine.start_plan(0, &request, &mut actions);
-    // A third of the 160 ms that are left, twice over.
+    // A third of the remaining 160 ms, doubled because the call is required.
     let Some(Action::StartAttempt { deadline, .. }) = actions.pop() else { panic!("an attempt is started") };
     assert!((104 * MS..108 * MS).contains(&deadline), "{deadline}");
 }
@@ -436,7 +437,7 @@
     assert_eq!(host.ended_plan(50).map(|e| describe_parts(&e)).as_deref(), Some("a: BreakerOpen"));
     assert_eq!(host.started.len(), calls);
     host.run_until(host.now + 1_100 * MS);
-    // One probe; a call that comes meanwhile does not wait for it.
+    // One probe is made; a call that starts meanwhile does not wait for it.
     host.start_plan(51, "book", 100 * MS);
     host.start_plan(52, "book", 100 * MS);
     assert_eq!(host.started.len(), calls + 1);
--- a/crates/dependencies/tests/engine/main.rs
+++ b/crates/dependencies/tests/engine/main.rs
@@ -1,4 +1,5 @@
-//! The engine in a host of scripted dependencies, with its rules checked after every event.
+//! Tests of the engine with a simulated host and scripted dependencies. Invariants are checked after every
+//! event.
 
 mod fault_scenarios;
 mod outage;
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -1,4 +1,4 @@
-//! An outage of 30 s under full load, with the retry budget and without it.
+//! An outage of a dependency for 30 s under full load, with and without the retry budget.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,14 +14,15 @@
 const END: Micros = 50_000 * MS;
 
 struct OutageResult {
-    /// Attempts for each request that asked while it was down.
+    /// Attempts per request that was made during the outage.
     attempts: f64,
-    /// When nineteen of twenty were served again, after it came back.
+    /// Time from the end of the outage until 95 % of the requests succeed again, in microseconds; `None` if
+    /// they never do.
     back: Option<Micros>,
 }
 
-/// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and fails
-/// each call while it is down, after the time that it needs to fail.
+/// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and
+/// fails each call while it is down, after the time that it needs to fail.
 fn outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> OutageResult {
     let limit = LimitBounds { initial: 16, min: 4, max: 64 };
     let dependency = DependencyConfig {
@@ -69,7 +70,7 @@
 
 #[test]
 fn retry_budget_bounds_attempts_in_an_outage() {
-    // Without a breaker, so that the budget is seen by itself.
+    // Without a breaker, so that only the budget limits retries.
     let with_budget = outage(RetryPolicy::default(), None);
     let all = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
     let without = outage(all, None);
@@ -80,7 +81,7 @@
 #[test]
 fn service_recovers_within_five_seconds_of_an_outage() {
     let result = outage(RetryPolicy::default(), Some(BreakerConfig::default()));
-    // Only probes are made while it is down, a few in ten seconds.
+    // During the outage only probes are made, a few in ten seconds.
     assert!(result.attempts < 0.02, "{} attempts for each request", result.attempts);
     let recovery = result.back.expect("served again");
     assert!(recovery <= 5_000 * MS, "back after {} ms", recovery / MS);
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -1,4 +1,4 @@
-//! Many random plans and behaviours. `SimulatedHost` checks every step.
+//! Property tests with random configurations, plans and outcomes. `SimulatedHost` checks every step.
 
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -57,10 +57,11 @@
     }
 }
 
-/// Stage of each call and whether it is required; weight, minimum time and range of times of each stage.
+/// A drawn plan: for each call its stage and whether it is required, and for each stage its weight, minimum
+/// time and the difference between its maximum and minimum time.
 type Drawn = (Vec<(usize, bool)>, Vec<(f64, u64, u64)>);
 
-/// Every plan calls some of the five dependencies, each once.
+/// Draws plans that each call every one of the five dependencies once, in one of three stages.
 fn plans() -> impl Strategy<Value = Vec<PlanConfig>> {
     let call = (0usize..3, any::<bool>());
     let one = (
@@ -97,7 +98,8 @@
     })
 }
 
-/// How attempts end: each dependency changes its mode now and then, so that outages and quiet times occur.
+/// Draws how attempts end. Each dependency changes its mode at random, so that there are outages and healthy
+/// periods.
 fn random_outcomes(seed: u64) -> impl FnMut(&super::simulated_host::StartedAttempt) -> (Micros, Outcome) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut modes = [0u8; 5];
@@ -154,7 +156,7 @@
         let started = requests.iter().filter(|r| host.engine.has_plan(&format!("c{}", r.1))).count();
         prop_assert_eq!(host.ended_plans().count() + cancelled, started);
         prop_assert_eq!(host.engine.in_flight(), (0, 0));
-        // And with another configuration, on what was learned.
+        // The engine must also work with another configuration on top of the learned state.
         host.reconfigure(other);
         for id in 1_000..1_040 {
             if host.engine.has_plan("c0") {
--- a/crates/dependencies/tests/engine/simulated_host.rs
+++ b/crates/dependencies/tests/engine/simulated_host.rs
@@ -1,4 +1,4 @@
-//! A host without sockets: attempts end as a script says, and every action of the engine is checked.
+//! A host without sockets. Attempts end as a script decides, and every action of the engine is checked.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,8 @@
     pub deadline: Micros,
 }
 
-/// How long an attempt takes, and how it ends. One that goes on beyond its deadline is reported as timed out then.
+/// Decides how long an attempt takes and how it ends. An attempt that would take longer than until its
+/// deadline is reported as timed out at the deadline.
 pub type Script = Box<dyn FnMut(&StartedAttempt) -> (Micros, Outcome)>;
 
 /// How a plan ended.
@@ -30,14 +31,14 @@
     pub response: Option<AggregateResponse>,
 }
 
-/// A plan as the host knows it.
+/// What the host knows about a plan, to check the engine's actions.
 #[derive(Default)]
 struct HostPlan {
     class: String,
     key: Option<String>,
     deadline: Micros,
     cancelled: bool,
-    /// An attempt was made of which it is not certain that nothing ran.
+    /// Whether an attempt was made for which it is not certain that nothing ran.
     may_have_had_effect: bool,
     /// Replies of attempts that succeeded, by dependency.
     replies: BTreeMap<String, Vec<u8>>,
@@ -56,10 +57,10 @@
     pub started: Vec<StartedAttempt>,
     config: Config,
     in_flight: BTreeMap<AttemptId, StartedAttempt>,
-    /// Ends of attempts, by their time.
+    /// Outcomes of attempts in flight, by the time at which they end.
     replies_due: BTreeMap<(Micros, AttemptId), Outcome>,
     plans: BTreeMap<PlanId, HostPlan>,
-    /// Replies that the engine may answer with later, with their times.
+    /// Replies that the engine may use as cached fallbacks later, with the times at which they were received.
     cacheable_replies: BTreeMap<CacheKey, Vec<(Micros, Vec<u8>)>>,
 }
 
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Starts a plan with this much time for its calls.
+    /// Starts a plan whose calls have `time` microseconds.
     pub fn start_plan(&mut self, id: PlanId, class: &str, time: Micros) {
         self.start_plan_as(id, class, time, 1, None, false);
     }
@@ -112,7 +113,7 @@
         is_retry: bool,
     ) {
         let call_deadline = self.now + time;
-        // The reserve for local work has a test of its own: here none is needed.
+        // The deadline is so late that the reserve for local work has no effect, which has a test of its own.
         let request_deadline = call_deadline + 1_000_000_000_000;
         let request = PlanRequest {
             plan: id,
@@ -154,7 +155,8 @@
             let timer = self.engine.next_timeout();
             let reply = self.replies_due.first_key_value().map(|(&(at, id), _)| (at, id));
             match (timer, reply) {
-                // A reply at the very time of a timer comes before it where that time is even.
+                // If a reply and a timer are due at the same time, the reply is handled first at even times
+                // and the timer at odd ones, so that both orders are tested.
                 (Some(at), reply)
                     if at <= end && reply.is_none_or(|(r, _)| at < r || (at == r && at % 2 == 1)) =>
                 {
@@ -173,7 +175,7 @@
         self.now = end;
     }
 
-    /// Runs on until the plan is over.
+    /// Runs until the plan has ended.
     pub fn run_until_end_of(&mut self, id: PlanId) -> EndedPlan {
         while self.plans[&id].ended.is_none() {
             let next = self
@@ -199,7 +201,7 @@
     fn handle_reply(&mut self, at: Micros, id: AttemptId) {
         let outcome = self.replies_due.remove(&(at, id)).expect("a reply");
         let Some(call) = self.in_flight.remove(&id) else {
-            // A reply to what was cancelled may still come; it must change nothing.
+            // A reply to a cancelled attempt may still arrive and must have no effect.
             let mut actions = Vec::new();
             self.engine.handle_attempt_end(self.now, id, outcome, b"late".to_vec(), &mut actions);
             assert_eq!(actions, []);
@@ -276,7 +278,7 @@
     fn finish_plan(&mut self, id: PlanId, end: EndedPlan) {
         let config = &self.config;
         let plan = self.plans.get_mut(&id).expect("a started plan");
-        assert!(plan.ended.is_none() && !plan.cancelled, "a second end");
+        assert!(plan.ended.is_none() && !plan.cancelled, "a plan that has ended or was cancelled ends again");
         assert!(self.now <= plan.deadline, "ended at {}, its deadline was {}", self.now, plan.deadline);
         assert!(!self.in_flight.values().any(|f| f.plan == id), "an attempt of it is still in flight");
         assert_eq!(end.outcome == Outcome::Ok, end.response.is_some());
