--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -50,19 +50,19 @@
     let mut breaker = CircuitBreaker::new(Some(CONFIG));
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
     let mut at = 1_000;
-    for span in [2_000, 4_000, 4_000, 4_000] {
+    for open_time in [2_000, 4_000, 4_000, 4_000] {
         assert!(call(&mut breaker, at, true));
-        assert_eq!(breaker.state(at), BreakerState::Open { until: at + span });
-        at += span;
+        assert_eq!(breaker.state(at), BreakerState::Open { until: at + open_time });
+        at += open_time;
     }
 }
 
 #[test]
-fn old_calls_and_calls_without_a_verdict_do_not_count() {
+fn calls_from_before_it_opened_and_calls_without_an_outcome_do_not_count() {
     let mut breaker = CircuitBreaker::new(Some(CONFIG));
-    let old = breaker.start(0);
+    let earlier_call = breaker.start(0);
     (0..5).for_each(|_| assert!(call(&mut breaker, 0, true)));
-    end(&mut breaker, 500, old, Some(false));
+    end(&mut breaker, 500, earlier_call, Some(false));
     assert_eq!(breaker.state(500), BreakerState::Open { until: 1_000 });
     let probe = breaker.start(1_000);
     end(&mut breaker, 1_100, probe, None);
@@ -86,11 +86,11 @@
         })
         .collect();
     probe_times.sort_unstable();
-    let span = CONFIG.open_time;
-    assert!(probe_times.iter().all(|at| (1_000 + span..=1_000 + 2 * span).contains(at)));
-    let most = probe_times
+    let open_time = CONFIG.open_time;
+    assert!(probe_times.iter().all(|at| (1_000 + open_time..=1_000 + 2 * open_time).contains(at)));
+    let max_in_tenth = probe_times
         .iter()
-        .map(|from| probe_times.iter().filter(|at| (*from..*from + span / 10).contains(*at)).count())
+        .map(|from| probe_times.iter().filter(|at| (*from..*from + open_time / 10).contains(*at)).count())
         .max();
-    assert!(most <= Some(3 + 3 + 2), "{most:?}");
+    assert!(max_in_tenth <= Some(3 + 3 + 2), "{max_in_tenth:?}");
 }
--- a/crates/dependencies/src/config/tests.rs
+++ b/crates/dependencies/src/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Makes a valid configuration invalid.
-type Mistake = fn(&mut Config);
+type MakeInvalid = fn(&mut Config);
 
 fn valid_config() -> Config {
     let call = |name: &str, required| CallConfig { dependency: name.to_owned(), required };
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn valid_configuration_has_no_mistakes() {
+fn valid_configuration_has_no_errors() {
     assert_eq!(valid_config().validate(), []);
 }
 
-/// Makes one mistake in a valid configuration, and expects an error at this location with this text.
-fn assert_reported(make_mistake: Mistake, location: ConfigLocation, text: &str) {
+/// Makes a valid configuration invalid, and expects an error at this location with this text.
+fn assert_reported(make_invalid: MakeInvalid, location: ConfigLocation, text: &str) {
     let mut config = valid_config();
-    make_mistake(&mut config);
+    make_invalid(&mut config);
     let found = config.validate();
     assert!(
         found.iter().any(|error| error.location == location && error.reason.contains(text)),
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn mistake_in_the_cache_limits_is_reported_with_its_location() {
+fn error_in_the_cache_limits_is_reported_with_its_location() {
     let location = ConfigLocation::FallbackCache;
     assert_reported(|c| c.fallback_cache.max_entries = usize::MAX, location, "kept results");
 }
 
 #[test]
-fn mistakes_in_a_dependency_are_reported_with_its_location() {
+fn errors_in_a_dependency_are_reported_with_its_location() {
     let first = ConfigLocation::Dependency { dependency: 0 };
     let second = ConfigLocation::Dependency { dependency: 1 };
-    let cases: [(Mistake, ConfigLocation, &str); 10] = [
+    let cases: [(MakeInvalid, ConfigLocation, &str); 10] = [
         (|c| c.dependencies[1].name = "a".to_owned(), second, "a second dependency"),
         (|c| c.dependencies[0].endpoints.clear(), first, "0 endpoints"),
         (|c| c.dependencies[0].endpoints[1] = "x".to_owned(), first, "twice"),
@@ -63,34 +63,34 @@
         ),
         (|c| c.dependencies[0].load_balancing.latency_factor = f64::NAN, first, "lag"),
     ];
-    for (make_mistake, location, text) in cases {
-        assert_reported(make_mistake, location, text);
+    for (make_invalid, location, text) in cases {
+        assert_reported(make_invalid, location, text);
     }
 }
 
 #[test]
-fn mistakes_in_a_plan_are_reported_with_their_location() {
+fn errors_in_a_plan_are_reported_with_their_location() {
     let stage = ConfigLocation::Stage { plan: 0, stage: 0 };
     let second_call = ConfigLocation::Call { plan: 0, stage: 0, call: 1 };
-    let cases: [(Mistake, ConfigLocation, &str); 3] = [
+    let cases: [(MakeInvalid, ConfigLocation, &str); 3] = [
         (|c| c.plans[0].stages[0].weight = 0.0, stage, "a share of 0"),
         (|c| c.plans[0].stages[0].min_time = 2_000_000, stage, "at least 2000 ms"),
         (|c| c.plans[0].stages[0].calls[1].dependency = "c".to_owned(), second_call, "no dependency"),
     ];
-    for (make_mistake, location, text) in cases {
-        assert_reported(make_mistake, location, text);
+    for (make_invalid, location, text) in cases {
+        assert_reported(make_invalid, location, text);
     }
 }
 
 #[test]
-fn all_mistakes_are_reported_together() {
+fn all_errors_are_reported_together() {
     let mut config = valid_config();
     config.dependencies[0].fallbacks = vec![Fallback::Omit, Fallback::Cached(1)];
     config.plans[0].stages[0].calls[1].dependency = "a".to_owned();
     config.plans.push(PlanConfig { class: "book".to_owned(), stages: vec![] });
-    let places: Vec<ConfigLocation> = config.validate().iter().map(|m| m.location).collect();
+    let locations: Vec<ConfigLocation> = config.validate().iter().map(|error| error.location).collect();
     assert_eq!(
-        places,
+        locations,
         [
             ConfigLocation::Dependency { dependency: 0 },
             ConfigLocation::Call { plan: 0, stage: 0, call: 1 },
--- a/crates/dependencies/src/limit/tests.rs
+++ b/crates/dependencies/src/limit/tests.rs
@@ -75,14 +75,15 @@
 proptest! {
     #[test]
     fn never_leaves_its_bounds(
-        least in 1usize..10, start in 0usize..10, most in 0usize..40,
+        min in 1usize..10, initial_above_min in 0usize..10, max_above_initial in 0usize..40,
         steps in prop::collection::vec((0u64..100_000, 0u8..4, 1u64..10_000_000), 0..400),
     ) {
-        let bounds = LimitBounds { min: least, initial: least + start, max: least + start + most };
+        let initial = min + initial_above_min;
+        let bounds = LimitBounds { min, initial, max: initial + max_above_initial };
         let (mut limit, mut now, mut in_flight) = (ConcurrencyLimit::new(bounds), 0, 0usize);
-        for (after, what, took) in steps {
+        for (after, choice, took) in steps {
             now += after;
-            if limit.has_capacity() && what != 3 {
+            if limit.has_capacity() && choice != 3 {
                 limit.start();
                 in_flight += 1;
             } else if in_flight > 0 {
--- a/crates/dependencies/src/load_balancer/tests.rs
+++ b/crates/dependencies/src/load_balancer/tests.rs
@@ -51,8 +51,8 @@
     let (mut balancer, mut random) = balancer(4);
     let even = run_calls(&mut balancer, &mut random, (0, 4_000), |_| (1_000, false));
     assert!(even.iter().all(|&n| (800..1_200).contains(&n)), "{even:?}");
-    let uneven = run_calls(&mut balancer, &mut random, (4_000_000, 4_000), |p| {
-        (if p == 0 { 3_000 } else { 1_000 }, false)
+    let uneven = run_calls(&mut balancer, &mut random, (4_000_000, 4_000), |endpoint| {
+        (if endpoint == 0 { 3_000 } else { 1_000 }, false)
     });
     assert!(uneven[0] < even[0] / 2, "{uneven:?}");
 }
@@ -61,8 +61,8 @@
 fn endpoint_that_fails_fast_does_not_attract_calls() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 400), |_| (20_000, false));
-    let got = run_calls(&mut balancer, &mut random, (400_000, 1_000), |p| {
-        if p == 2 {
+    let got = run_calls(&mut balancer, &mut random, (400_000, 1_000), |endpoint| {
+        if endpoint == 2 {
             (10, true)
         } else {
             (20_000, false)
@@ -76,8 +76,8 @@
 fn endpoint_with_high_latency_is_ejected() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 400), |_| (1_000, false));
-    let got = run_calls(&mut balancer, &mut random, (400_000, 400), |p| {
-        (if p == 1 { 9_000 } else { 1_000 }, false)
+    let got = run_calls(&mut balancer, &mut random, (400_000, 400), |endpoint| {
+        (if endpoint == 1 { 9_000 } else { 1_000 }, false)
     });
     assert!(got[1] <= 3, "{got:?}");
     assert_eq!(
@@ -111,25 +111,28 @@
         balancer.status()[0].last_ejection,
         Some(Ejection { reason: EjectionReason::ConsecutiveFailures, consecutive: 1 })
     );
-    let mut spans = Vec::new();
+    let mut ejection_factors = Vec::new();
     let mut at = balancer.next_probe_at().expect("a probe");
     for _ in 0..5 {
         balancer.start(0);
         balancer.end(at, 0, CallSample::Answered(10), Some(true), &mut random);
         let next = balancer.next_probe_at().expect("a probe");
-        spans.push((next - at) / CONFIG.base_ejection_time);
+        ejection_factors.push((next - at) / CONFIG.base_ejection_time);
         at = next;
     }
-    assert_eq!(spans, [2, 4, 4, 4, 4]);
+    assert_eq!(ejection_factors, [2, 4, 4, 4, 4]);
 }
 
 #[test]
 fn no_more_endpoints_are_ejected_than_allowed() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 900), |_| (1_000, true));
-    let views = balancer.status();
-    assert_eq!(views.iter().filter(|v| matches!(v.state, EndpointState::Ejected { .. })).count(), 2);
-    assert_eq!(views.iter().filter(|v| v.ejection_withheld).count(), 2);
+    let statuses = balancer.status();
+    assert_eq!(
+        statuses.iter().filter(|status| matches!(status.state, EndpointState::Ejected { .. })).count(),
+        2
+    );
+    assert_eq!(statuses.iter().filter(|status| status.ejection_withheld).count(), 2);
     // The endpoints that are not ejected still get calls.
     assert!(balancer.pick(900_000, &[], &mut random).is_some());
 }
@@ -149,7 +152,7 @@
             balancer.end(0, endpoint, CallSample::Answered(10), Some(true), &mut random);
         });
     }
-    assert!(balancer.status().iter().all(|v| matches!(v.state, EndpointState::Ejected { .. })));
+    assert!(balancer.status().iter().all(|status| matches!(status.state, EndpointState::Ejected { .. })));
     let mut seen: Vec<usize> = (0..50).filter_map(|_| balancer.pick(1, &[], &mut random)).collect();
     seen.sort_unstable();
     seen.dedup();
@@ -189,21 +192,21 @@
     balancer.end(6, 0, CallSample::Answered(5), Some(false), &mut random);
     balancer.reconfigure(7, CONFIG, &["e1".into(), "e3".into()], BOUNDS);
     assert_eq!(balancer.endpoints.len(), 3);
-    let names: Vec<_> = balancer.status().iter().map(|v| v.address.to_string()).collect();
+    let names: Vec<_> = balancer.status().iter().map(|status| status.address.to_string()).collect();
     assert_eq!(names, ["e3", "e1"]);
 }
 
 /// The load balancers of `servers` servers over the same four endpoints, each with its own random numbers.
 /// All of them have just readmitted the last endpoint at the same time.
-fn fleet_with_returning_endpoint(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
+fn fleet_with_readmitted_endpoint(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
     let addresses: Vec<String> = (0..4).map(|n| format!("e{n}")).collect();
-    let one = |n: u32| {
+    let new_balancer = |n: u32| {
         let bounds = LimitBounds { initial: 500, min: 1, max: 500 };
         let mut balancer = LoadBalancer::new(LoadBalancerConfig { servers, ..CONFIG }, &addresses, bounds);
         balancer.readmit(0, 3);
         (balancer, ChaCha8Rng::seed_from_u64(seed * 1_000 + u64::from(n)))
     };
-    (0..servers).map(one).collect()
+    (0..servers).map(new_balancer).collect()
 }
 
 /// Servers know only the number of the others, yet the recovery ramp must hold for the sum of their calls: at
@@ -214,39 +217,39 @@
     for (servers, full, seed) in
         (0..120).map(|n: u32| (1 + n * 29 / 119, [1, 2, 4, 10, 25, 60, 100][n as usize % 7], u64::from(n)))
     {
-        let mut all = fleet_with_returning_endpoint(servers, seed);
+        let mut fleet = fleet_with_readmitted_endpoint(servers, seed);
         // Each call takes 100 ms, and calls start at such intervals that the full share of each endpoint is
         // `full` calls in flight.
         let (took, gap) = (100_000, 100_000 / (4 * full));
-        let mut in_hand: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
-        let mut there = 0u64;
+        let mut in_flight: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
+        let mut at_readmitted = 0u64;
         for now in (0..CONFIG.recovery_ramp).step_by(gap as usize) {
-            while in_hand.front().is_some_and(|(until, ..)| *until <= now) {
-                let (_, server, endpoint) = in_hand.pop_front().expect("one");
-                let (balancer, random) = &mut all[server];
+            while in_flight.front().is_some_and(|(until, ..)| *until <= now) {
+                let (_, server, endpoint) = in_flight.pop_front().expect("a call in flight");
+                let (balancer, random) = &mut fleet[server];
                 balancer.end(now, endpoint, CallSample::Answered(took), Some(false), random);
-                there -= u64::from(endpoint == 3);
+                at_readmitted -= u64::from(endpoint == 3);
             }
             // The calling server is chosen by a hash of the time, independently of the calls in flight.
-            let server = (now / gap).wrapping_mul(0x9e37_79b9_7f4a_7c15) as usize % all.len();
-            let (balancer, random) = &mut all[server];
+            let server = (now / gap).wrapping_mul(0x9e37_79b9_7f4a_7c15) as usize % fleet.len();
+            let (balancer, random) = &mut fleet[server];
             let endpoint = balancer.pick(now, &[], random).expect("an endpoint with capacity");
             balancer.start(endpoint);
-            in_hand.push_back((now + took, server, endpoint));
-            there += u64::from(endpoint == 3);
+            in_flight.push_back((now + took, server, endpoint));
+            at_readmitted += u64::from(endpoint == 3);
             let budget = full as f64
                 * (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * now as f64 / CONFIG.recovery_ramp as f64);
-            let most = budget + 2.0 * budget.sqrt() + 2.0;
+            let max_allowed = budget + 2.0 * budget.sqrt() + 2.0;
             assert!(
-                there as f64 <= most,
-                "{servers} servers, {there} calls of {budget:.1} at {now}, seed {seed}"
+                at_readmitted as f64 <= max_allowed,
+                "{servers} servers, {at_readmitted} calls of {budget:.1} at {now}, seed {seed}"
             );
         }
-        for (until, server, endpoint) in in_hand {
-            let (balancer, random) = &mut all[server];
+        for (until, server, endpoint) in in_flight {
+            let (balancer, random) = &mut fleet[server];
             balancer.end(until, endpoint, CallSample::Answered(took), Some(false), random);
         }
-        let (balancer, random) = &mut all[0];
+        let (balancer, random) = &mut fleet[0];
         let got =
             (0..400).filter(|_| balancer.pick(2 * CONFIG.recovery_ramp, &[], random) == Some(3)).count();
         assert!(got > 40, "after the ramp it must get its full share: {got} of 400");
@@ -258,17 +261,19 @@
 #[test]
 fn probes_of_many_servers_are_spread() {
     for servers in [1, 2, 5, 10, 20, 30] {
-        let mut all = fleet_with_returning_endpoint(servers, 3);
-        let mut at: Vec<Micros> = Vec::new();
-        for (balancer, random) in &mut all {
+        let mut fleet = fleet_with_readmitted_endpoint(servers, 3);
+        let mut probe_times: Vec<Micros> = Vec::new();
+        for (balancer, random) in &mut fleet {
             fail_repeatedly(balancer, 0, 200_000, random);
-            at.push(balancer.next_probe_at().expect("a probe"));
+            probe_times.push(balancer.next_probe_at().expect("a probe"));
         }
         // A probe takes 50 ms, and the endpoint can handle two calls at once. The other four are the random
         // excess that is allowed.
-        let most =
-            at.iter().map(|from| at.iter().filter(|to| (*from..*from + 50_000).contains(*to)).count()).max();
-        assert!(most <= Some(2 + 2 + 2), "{servers}: {most:?}");
-        assert!(at.iter().all(|at| (1_200_000..=2_200_000).contains(at)), "{at:?}");
+        let max_concurrent = probe_times
+            .iter()
+            .map(|from| probe_times.iter().filter(|to| (*from..*from + 50_000).contains(*to)).count())
+            .max();
+        assert!(max_concurrent <= Some(2 + 2 + 2), "{servers}: {max_concurrent:?}");
+        assert!(probe_times.iter().all(|at| (1_200_000..=2_200_000).contains(at)), "{probe_times:?}");
     }
 }
--- a/crates/dependencies/src/retry/tests.rs
+++ b/crates/dependencies/src/retry/tests.rs
@@ -42,18 +42,18 @@
         assert!((mean / expected - 1.0).abs() < 0.05, "{retries}: {mean}");
         assert!(waits.iter().all(|&w| w <= 2_000 << retries));
     }
-    let far = backoff(&POLICY, 40, &mut random);
-    assert!(far <= 2_000 << MAX_DOUBLINGS);
+    let capped = backoff(&POLICY, 40, &mut random);
+    assert!(capped <= 2_000 << MAX_DOUBLINGS);
 }
 
 proptest! {
     #[test]
-    fn budget_is_never_overdrawn(share in 0.0f64..=1.0, burst in 0.0f64..20.0,
+    fn budget_is_never_overdrawn(ratio in 0.0f64..=1.0, burst in 0.0f64..20.0,
         steps in prop::collection::vec(any::<bool>(), 0..500)) {
-        let mut budget = RetryBudget::new(RetryPolicy { budget_ratio: share, budget_burst: burst, ..POLICY });
-        for first in steps {
-            if first { budget.record_first_attempt() } else { budget.try_withdraw(); }
-            prop_assert!(budget.is_not_overdrawn(burst, share));
+        let mut budget = RetryBudget::new(RetryPolicy { budget_ratio: ratio, budget_burst: burst, ..POLICY });
+        for is_first_attempt in steps {
+            if is_first_attempt { budget.record_first_attempt() } else { budget.try_withdraw(); }
+            prop_assert!(budget.is_not_overdrawn(burst, ratio));
         }
     }
 }
--- a/crates/dependencies/src/time_budget/tests.rs
+++ b/crates/dependencies/src/time_budget/tests.rs
@@ -82,21 +82,22 @@
     /// stages.
     #[test]
     fn stage_times_never_exceed_what_is_left(
-        left in 0u64..10_000_000,
+        remaining in 0u64..10_000_000,
         stages in prop::collection::vec(
             (0.01f64..100.0, 0u64..1_000_000, 0u64..5_000_000, any::<bool>(), 0.0f64..=1.0), 1..8),
     ) {
         let claims: Vec<StageClaim> =
             stages.iter().map(|&(weight, min, range, required, _)| claim(weight, min, min + range, required)).collect();
-        let mut left = left;
-        for (place, stage) in stages.iter().enumerate() {
-            let Some(time) = first_stage_time(left, &claims[place..]) else { continue };
-            prop_assert!(time <= left && time >= claims[place].min_time && time <= claims[place].max_time);
-            let required: u64 = claims[place + 1..].iter().filter(|c| c.required).map(|c| c.min_time).sum();
-            if !claims[place].required && left >= required {
-                prop_assert!(left - time >= required);
+        let mut remaining = remaining;
+        for (index, stage) in stages.iter().enumerate() {
+            let Some(time) = first_stage_time(remaining, &claims[index..]) else { continue };
+            prop_assert!(time <= remaining);
+            prop_assert!(time >= claims[index].min_time && time <= claims[index].max_time);
+            let required: u64 = claims[index + 1..].iter().filter(|c| c.required).map(|c| c.min_time).sum();
+            if !claims[index].required && remaining >= required {
+                prop_assert!(remaining - time >= required);
             }
-            left -= (time as f64 * stage.4) as u64;
+            remaining -= (time as f64 * stage.4) as u64;
         }
     }
 }
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -18,12 +18,12 @@
     attempts: f64,
     /// Time from the end of the outage until 95 % of the requests succeed again, in microseconds; `None` if
     /// they never do.
-    back: Option<Micros>,
+    recovery: Option<Micros>,
 }
 
 /// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and
 /// fails each call while it is down, after the time that it needs to fail.
-fn outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> OutageResult {
+fn run_outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> OutageResult {
     let limit = LimitBounds { initial: 16, min: 4, max: 64 };
     let dependency = DependencyConfig {
         idempotent: true,
@@ -33,12 +33,12 @@
         endpoint_concurrency_limit: limit,
         ..DependencyConfig::new("a", &["x", "y"])
     };
-    let all = config(vec![dependency], vec![plan("book", vec![stage(vec![call("a", true)])])]);
+    let config = config(vec![dependency], vec![plan("book", vec![stage(vec![call("a", true)])])]);
     let clock = Rc::new(Cell::new(0));
-    let at = clock.clone();
+    let clock_of_script = clock.clone();
     let mut random = ChaCha8Rng::seed_from_u64(3);
-    let mut host = SimulatedHost::new(all, move |_| {
-        let down = at.get() >= DOWN.0 && at.get() < DOWN.1;
+    let mut host = SimulatedHost::new(config, move |_| {
+        let down = clock_of_script.get() >= DOWN.0 && clock_of_script.get() < DOWN.1;
         let took = random.random_range(15 * MS..25 * MS);
         (took, if down { Outcome::Error } else { Outcome::Ok })
     });
@@ -56,33 +56,37 @@
         host.run_until(host.now + 5 * MS);
         clock.set(host.now);
     }
-    let all = |c: &umberloom_dependencies::CallCounts| c.first_attempts + c.retries + c.hedged_requests;
+    let total_attempts =
+        |c: &umberloom_dependencies::CallCounts| c.first_attempts + c.retries + c.hedged_requests;
     let requests = (DOWN.1 - DOWN.0) / (5 * MS);
     let served = |from: Micros| {
-        let ends: Vec<_> =
+        let ended: Vec<_> =
             host.ended_plans().filter(|(_, e)| (from..from + 500 * MS).contains(&e.at)).collect();
-        let good = ends.iter().filter(|(_, e)| e.outcome == Outcome::Ok).count();
-        !ends.is_empty() && good * 20 >= ends.len() * 19
+        let succeeded = ended.iter().filter(|(_, e)| e.outcome == Outcome::Ok).count();
+        !ended.is_empty() && succeeded * 20 >= ended.len() * 19
     };
-    let back = (0..100).map(|n| n * 100 * MS).find(|after| served(DOWN.1 + after));
-    OutageResult { attempts: (all(&during) - all(&before)) as f64 / requests as f64, back }
+    let recovery = (0..100).map(|n| n * 100 * MS).find(|after| served(DOWN.1 + after));
+    OutageResult {
+        attempts: (total_attempts(&during) - total_attempts(&before)) as f64 / requests as f64,
+        recovery,
+    }
 }
 
 #[test]
 fn retry_budget_bounds_attempts_in_an_outage() {
     // Without a breaker, so that only the budget limits retries.
-    let with_budget = outage(RetryPolicy::default(), None);
-    let all = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
-    let without = outage(all, None);
+    let with_budget = run_outage(RetryPolicy::default(), None);
+    let unlimited = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
+    let without = run_outage(unlimited, None);
     assert!(with_budget.attempts < 1.1 + 0.01, "{} attempts for each first one", with_budget.attempts);
     assert!(without.attempts > 1.8, "{} without the budget", without.attempts);
 }
 
 #[test]
 fn service_recovers_within_five_seconds_of_an_outage() {
-    let result = outage(RetryPolicy::default(), Some(BreakerConfig::default()));
+    let result = run_outage(RetryPolicy::default(), Some(BreakerConfig::default()));
     // During the outage only probes are made, a few in ten seconds.
     assert!(result.attempts < 0.02, "{} attempts for each request", result.attempts);
-    let recovery = result.back.expect("served again");
+    let recovery = result.recovery.expect("served again");
     assert!(recovery <= 5_000 * MS, "back after {} ms", recovery / MS);
 }
--- a/crates/dependencies/tests/engine/properties.rs
+++ b/crates/dependencies/tests/engine/properties.rs
@@ -12,10 +12,10 @@
 use super::simulated_host::{SimulatedHost, MS};
 
 fn bounds() -> impl Strategy<Value = LimitBounds> {
-    (1usize..3, 0usize..4, 0usize..8).prop_map(|(least, start, most)| LimitBounds {
-        min: least,
-        initial: least + start,
-        max: least + start + most,
+    (1usize..3, 0usize..4, 0usize..8).prop_map(|(min, initial_above_min, max_above_initial)| LimitBounds {
+        min,
+        initial: min + initial_above_min,
+        max: min + initial_above_min + max_above_initial,
     })
 }
 
@@ -33,16 +33,16 @@
 }
 
 prop_compose! {
-    fn dependency(place: usize)(
+    fn dependency(index: usize)(
         endpoints in 1usize..4, idempotent in any::<bool>(), hedge in any::<bool>(),
         max_retries in 0u32..4, budget_ratio in 0.0f64..0.5, budget_burst in 0.0f64..5.0, base_backoff in 0u64..20 * MS,
         concurrency_limit in bounds(), endpoint_concurrency_limit in bounds(), capacity in prop::option::of(shared_capacity()),
         failure_ratio in 0.1f64..=1.0, window_calls in 1u32..30, consecutive_failures in 1u32..6, max_ejected_share in 0.0f64..=1.0,
         fallbacks in fallbacks(),
     ) -> DependencyConfig {
-        let endpoints = (0..endpoints).map(|n| format!("d{place}e{n}")).collect();
+        let endpoints = (0..endpoints).map(|n| format!("d{index}e{n}")).collect();
         DependencyConfig {
-            name: format!("d{place}"),
+            name: format!("d{index}"),
             endpoints,
             idempotent,
             retry: RetryPolicy { max_retries, budget_ratio, budget_burst, base_backoff },
@@ -59,7 +59,7 @@
 
 /// A drawn plan: for each call its stage and whether it is required, and for each stage its weight, minimum
 /// time and the difference between its maximum and minimum time.
-type Drawn = (Vec<(usize, bool)>, Vec<(f64, u64, u64)>);
+type DrawnPlan = (Vec<(usize, bool)>, Vec<(f64, u64, u64)>);
 
 /// Draws plans that each call every one of the five dependencies once, in one of three stages.
 fn plans() -> impl Strategy<Value = Vec<PlanConfig>> {
@@ -69,11 +69,11 @@
         prop::collection::vec((0.1f64..4.0, 0u64..20 * MS, 0u64..200 * MS), 3),
     );
     prop::collection::vec(one, 1..4).prop_map(|all| {
-        let plan = |(number, (calls, times)): (usize, Drawn)| {
-            let stage = |(which, (weight, min_time, range)): (usize, (f64, u64, u64))| {
-                let here = calls.iter().enumerate().filter(|(_, (stage, _))| *stage == which);
-                let calls: Vec<CallConfig> = here
-                    .map(|(d, (_, needed))| CallConfig { dependency: format!("d{d}"), required: *needed })
+        let plan = |(number, (calls, times)): (usize, DrawnPlan)| {
+            let stage = |(stage_index, (weight, min_time, range)): (usize, (f64, u64, u64))| {
+                let in_stage = calls.iter().enumerate().filter(|(_, (stage, _))| *stage == stage_index);
+                let calls: Vec<CallConfig> = in_stage
+                    .map(|(d, (_, required))| CallConfig { dependency: format!("d{d}"), required: *required })
                     .collect();
                 (!calls.is_empty()).then_some(StageConfig {
                     weight,
@@ -104,9 +104,9 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut modes = [0u8; 5];
     move |call| {
-        let place = usize::from(call.dependency.as_bytes()[1] - b'0');
+        let index = usize::from(call.dependency.as_bytes()[1] - b'0');
         if random.random_bool(0.05) {
-            modes[place] = random.random_range(0..5);
+            modes[index] = random.random_range(0..5);
         }
         let outcomes = [
             Outcome::Error,
@@ -116,14 +116,14 @@
             Outcome::NotStarted,
             Outcome::TimedOut,
         ];
-        let outcome = match modes[place] {
+        let outcome = match modes[index] {
             0 | 1 => Outcome::Ok,
             2 => outcomes[random.random_range(0..outcomes.len())],
-            3 => outcomes[place],
+            3 => outcomes[index],
             _ if random.random_bool(0.5) => Outcome::Ok,
             _ => outcomes[random.random_range(0..outcomes.len())],
         };
-        let slow = modes[place] == 1 || random.random_bool(0.1);
+        let slow = modes[index] == 1 || random.random_bool(0.1);
         (if slow { random.random_range(0..400 * MS) } else { random.random_range(0..20 * MS) }, outcome)
     }
 }
@@ -132,22 +132,23 @@
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_plan_ends_in_time_and_all_checks_hold(
-        all in configs(), other in configs(), seed in any::<u64>(),
+    fn every_plan_ends_by_its_deadline_and_invariants_hold(
+        config in configs(), other in configs(), seed in any::<u64>(),
         requests in prop::collection::vec((0u64..15 * MS, 0usize..4, 0u64..400 * MS, 0u16..4, 0u8..8), 1..150),
     ) {
-        prop_assert_eq!(all.validate(), []);
-        let mut host = SimulatedHost::new(all.clone(), random_outcomes(seed));
+        prop_assert_eq!(config.validate(), []);
+        let mut host = SimulatedHost::new(config.clone(), random_outcomes(seed));
         let mut cancelled = 0;
-        for (id, &(after, class, time, level, what)) in requests.iter().enumerate() {
+        for (id, &(after, class, time, level, choice)) in requests.iter().enumerate() {
             let class = format!("c{class}");
             let has_plan = host.engine.has_plan(&class);
             if has_plan {
                 let key = ["x", "y"][id % 2];
-                host.start_plan_as(id as u64, &class, time, level, (what % 2 == 0).then_some(key), what == 7);
+                let key = (choice % 2 == 0).then_some(key);
+                host.start_plan_as(id as u64, &class, time, level, key, choice == 7);
             }
             host.run_until(host.now + after);
-            if has_plan && what == 5 && host.ended_plan(id as u64).is_none() {
+            if has_plan && choice == 5 && host.ended_plan(id as u64).is_none() {
                 cancelled += 1;
                 host.cancel_plan(id as u64);
             }
