--- a/crates/dependencies/src/aggregation/json.rs
+++ b/crates/dependencies/src/aggregation/json.rs
@@ -1,4 +1,4 @@
-//! The JSON form of an aggregated response.
+//! JSON format of an aggregated response.
 
 use std::rc::Rc;
 
--- a/crates/dependencies/src/aggregation/tests.rs
+++ b/crates/dependencies/src/aggregation/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn json_has_the_documented_form() {
+fn json_has_the_documented_format() {
     let parts = vec![
         part("billing", Part::Fresh(b"ok"[..].into())),
         part("notes", Part::Cached { body: b"n"[..].into(), age: 1_001 }),
@@ -21,7 +21,7 @@
     );
     assert_eq!(String::from_utf8(response.encode()).as_deref(), Ok(text));
     assert!(!response.is_complete());
-    let mut decoded = AggregateResponse::decode(text.as_bytes()).expect("its own form");
+    let mut decoded = AggregateResponse::decode(text.as_bytes()).expect("the documented format");
     assert_eq!(decoded.parts[1].part, Part::Cached { body: b"n"[..].into(), age: 2_000 });
     decoded.parts[1] = response.parts[1].clone();
     assert_eq!(decoded, response);
--- a/crates/dependencies/src/config/validation.rs
+++ b/crates/dependencies/src/config/validation.rs
@@ -174,7 +174,8 @@
         let Some(capacity) = self.capacity else { return };
         if !capacity.calls.is_finite() || capacity.calls < 1.0 || capacity.servers == 0 {
             report(
-                "what a dependency survives must be at least 1 call, shared by 1 or more servers".to_owned(),
+                "the calls that a dependency survives must be 1 or more, shared by 1 or more servers"
+                    .to_owned(),
             );
         }
     }
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -83,7 +83,7 @@
     }
 
     /// Picks the endpoint for a call; one of those in `avoid` only if no other has capacity. Returns `None`
-    /// if no endpoint has capacity.
+    /// if no endpoint that may be used has capacity.
     ///
     /// An endpoint whose ejection is over is probed first. Otherwise two endpoints are drawn, and the one
     /// with the lower cost by calls in flight and recent latency gets the call (power of two choices). A
--- a/crates/dependencies/src/time_budget.rs
+++ b/crates/dependencies/src/time_budget.rs
@@ -56,7 +56,7 @@
 /// Returns how long the required calls of a stage may take in all, in microseconds, if the stage has `time`
 /// of the `remaining` microseconds. The request fails without these calls, and the time saved for later
 /// stages is then of no use. So they may take up to twice the time of the stage, but not the time `reserved`
-/// for later required stages, and not more than the maximum of the claim.
+/// for later required stages, and not more than the maximum of the claim; in any case they get `time`.
 pub fn extended_time(remaining: Micros, time: Micros, reserved: Micros, claim: &StageClaim) -> Micros {
     let extended = time * MAX_EXTENSION_FACTOR;
     extended.min(remaining.saturating_sub(reserved)).min(claim.max_time).max(time)
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -87,6 +87,6 @@
     let result = run_outage(RetryPolicy::default(), Some(BreakerConfig::default()));
     // During the outage only probes are made, a few in ten seconds.
     assert!(result.attempts < 0.02, "{} attempts for each request", result.attempts);
-    let recovery = result.recovery.expect("served again");
+    let recovery = result.recovery.expect("requests succeed again");
     assert!(recovery <= 5_000 * MS, "back after {} ms", recovery / MS);
 }
--- a/crates/dependencies/tests/engine/simulated_host.rs
+++ b/crates/dependencies/tests/engine/simulated_host.rs
@@ -186,7 +186,7 @@
                 .min();
             self.run_until(next.expect("a plan in flight waits for something"));
         }
-        self.ended_plan(id).expect("just seen")
+        self.ended_plan(id).expect("a plan that has ended")
     }
 
     pub fn ended_plan(&self, id: PlanId) -> Option<EndedPlan> {
@@ -301,7 +301,11 @@
                     assert_eq!(reply, None);
                     let key = plan.key.clone().expect("a key");
                     let cached = &self.cacheable_replies[&(name.to_string(), plan.class.clone(), key)];
-                    let found = cached.iter().rev().find(|(_, b)| b[..] == body[..]).expect("once given");
+                    let found = cached
+                        .iter()
+                        .rev()
+                        .find(|(_, b)| b[..] == body[..])
+                        .expect("a reply that was received");
                     assert!(*age >= self.now.saturating_sub(found.0).min(*age) && found.0 + age <= self.now);
                 }
                 Part::Constant(_) | Part::Missing(_) => assert_eq!(reply, None, "{name} has a reply"),
