--- a/crates/dependencies/src/limit/tests.rs
+++ b/crates/dependencies/src/limit/tests.rs
@@ -3,7 +3,8 @@
 
 const BOUNDS: LimitBounds = LimitBounds { initial: 4, min: 2, max: 20 };
 
-/// As many calls as fit, each taking `took(in flight)`; returns the limit at the end.
+/// In each round starts as many calls as the limit allows and ends each with the latency `took(calls in
+/// flight)`. Returns the final limit.
 fn run_rounds(limit: &mut ConcurrencyLimit, rounds: u64, took: impl Fn(usize) -> Micros) -> usize {
     for round in 0..rounds {
         while limit.has_capacity() {
@@ -35,7 +36,7 @@
 #[test]
 fn settles_below_the_load_that_slows_the_dependency() {
     let mut limit = ConcurrencyLimit::new(BOUNDS);
-    // Over 8 at once each takes longer in step with the square of the load.
+    // With more than 8 calls at the same time the latency grows with the square of the load.
     let took = |load: usize| if load <= 8 { 1_000 } else { 1_000 * (load * load) as u64 / 16 };
     let end = run_rounds(&mut limit, 400, took);
     assert!((6..=11).contains(&end), "{end}");
@@ -74,14 +75,15 @@
 proptest! {
     #[test]
     fn never_leaves_its_bounds(
-        least in 1usize..10, start in 0usize..10, most in 0usize..40,
+        min in 1usize..10, initial_above_min in 0usize..10, max_above_initial in 0usize..40,
         steps in prop::collection::vec((0u64..100_000, 0u8..4, 1u64..10_000_000), 0..400),
     ) {
-        let bounds = LimitBounds { min: least, initial: least + start, max: least + start + most };
+        let initial = min + initial_above_min;
+        let bounds = LimitBounds { min, initial, max: initial + max_above_initial };
         let (mut limit, mut now, mut in_flight) = (ConcurrencyLimit::new(bounds), 0, 0usize);
-        for (after, what, took) in steps {
+        for (after, choice, took) in steps {
             now += after;
-            if limit.has_capacity() && what != 3 {
+            if limit.has_capacity() && choice != 3 {
                 limit.start();
                 in_flight += 1;
             } else if in_flight > 0 {
--- a/crates/dependencies/src/load_balancer/tests.rs
+++ b/crates/dependencies/src/load_balancer/tests.rs
@@ -17,7 +17,8 @@
     (LoadBalancer::new(CONFIG, &addresses, BOUNDS), ChaCha8Rng::seed_from_u64(7))
 }
 
-/// One call after the other, each 1 ms later; how many went to each endpoint.
+/// Makes `calls` calls one after the other, each 1 ms later, that end by `ends(endpoint)` with a latency and
+/// whether they failed. Returns the number of calls to each endpoint.
 fn run_calls(
     balancer: &mut LoadBalancer,
     random: &mut ChaCha8Rng,
@@ -37,7 +38,7 @@
     got
 }
 
-/// As many failures in a row as it takes.
+/// Makes as many calls fail in a row as it takes to eject the endpoint.
 fn fail_repeatedly(balancer: &mut LoadBalancer, endpoint: usize, now: Micros, random: &mut ChaCha8Rng) {
     for _ in 0..CONFIG.consecutive_failures {
         balancer.start(endpoint);
@@ -50,8 +51,8 @@
     let (mut balancer, mut random) = balancer(4);
     let even = run_calls(&mut balancer, &mut random, (0, 4_000), |_| (1_000, false));
     assert!(even.iter().all(|&n| (800..1_200).contains(&n)), "{even:?}");
-    let uneven = run_calls(&mut balancer, &mut random, (4_000_000, 4_000), |p| {
-        (if p == 0 { 3_000 } else { 1_000 }, false)
+    let uneven = run_calls(&mut balancer, &mut random, (4_000_000, 4_000), |endpoint| {
+        (if endpoint == 0 { 3_000 } else { 1_000 }, false)
     });
     assert!(uneven[0] < even[0] / 2, "{uneven:?}");
 }
@@ -60,14 +61,14 @@
 fn endpoint_that_fails_fast_does_not_attract_calls() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 400), |_| (20_000, false));
-    let got = run_calls(&mut balancer, &mut random, (400_000, 1_000), |p| {
-        if p == 2 {
+    let got = run_calls(&mut balancer, &mut random, (400_000, 1_000), |endpoint| {
+        if endpoint == 2 {
             (10, true)
         } else {
             (20_000, false)
         }
     });
-    // It need not even be left out: one failure counts as ten times what the others take.
+    // It need not even be ejected, because a failure counts as ten times the latency of the others.
     assert!(got[2] <= 5, "{got:?}");
 }
 
@@ -75,8 +76,8 @@
 fn endpoint_with_high_latency_is_ejected() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 400), |_| (1_000, false));
-    let got = run_calls(&mut balancer, &mut random, (400_000, 400), |p| {
-        (if p == 1 { 9_000 } else { 1_000 }, false)
+    let got = run_calls(&mut balancer, &mut random, (400_000, 400), |endpoint| {
+        (if endpoint == 1 { 9_000 } else { 1_000 }, false)
     });
     assert!(got[1] <= 3, "{got:?}");
     assert_eq!(
@@ -92,9 +93,9 @@
     fail_repeatedly(&mut balancer, 0, 200_000, &mut random);
     assert!(matches!(balancer.status()[0].state, EndpointState::Ejected { .. }));
     let at = balancer.next_probe_at().expect("a probe");
-    assert_eq!(balancer.pick(at, &[], &mut random), Some(0), "a probe comes first");
+    assert_eq!(balancer.pick(at, &[], &mut random), Some(0), "a due probe is made first");
     balancer.start(0);
-    assert_eq!(balancer.pick(at, &[], &mut random), Some(1), "one at a time");
+    assert_eq!(balancer.pick(at, &[], &mut random), Some(1), "only one probe at a time is made");
     balancer.end(at, 0, CallSample::Answered(1_000), Some(false), &mut random);
     let first = run_calls(&mut balancer, &mut random, (at, 500), |_| (1_000, false));
     let later = run_calls(&mut balancer, &mut random, (at + 6_000_000, 500), |_| (1_000, false));
@@ -110,26 +111,29 @@
         balancer.status()[0].last_ejection,
         Some(Ejection { reason: EjectionReason::ConsecutiveFailures, consecutive: 1 })
     );
-    let mut spans = Vec::new();
+    let mut ejection_factors = Vec::new();
     let mut at = balancer.next_probe_at().expect("a probe");
     for _ in 0..5 {
         balancer.start(0);
         balancer.end(at, 0, CallSample::Answered(10), Some(true), &mut random);
         let next = balancer.next_probe_at().expect("a probe");
-        spans.push((next - at) / CONFIG.base_ejection_time);
+        ejection_factors.push((next - at) / CONFIG.base_ejection_time);
         at = next;
     }
-    assert_eq!(spans, [2, 4, 4, 4, 4]);
+    assert_eq!(ejection_factors, [2, 4, 4, 4, 4]);
 }
 
 #[test]
 fn no_more_endpoints_are_ejected_than_allowed() {
     let (mut balancer, mut random) = balancer(4);
     run_calls(&mut balancer, &mut random, (0, 900), |_| (1_000, true));
-    let views = balancer.status();
-    assert_eq!(views.iter().filter(|v| matches!(v.state, EndpointState::Ejected { .. })).count(), 2);
-    assert_eq!(views.iter().filter(|v| v.ejection_withheld).count(), 2);
-    // They still get calls.
+    let statuses = balancer.status();
+    assert_eq!(
+        statuses.iter().filter(|status| matches!(status.state, EndpointState::Ejected { .. })).count(),
+        2
+    );
+    assert_eq!(statuses.iter().filter(|status| status.ejection_withheld).count(), 2);
+    // The endpoints that are not ejected still get calls.
     assert!(balancer.pick(900_000, &[], &mut random).is_some());
 }
 
@@ -148,7 +152,7 @@
             balancer.end(0, endpoint, CallSample::Answered(10), Some(true), &mut random);
         });
     }
-    assert!(balancer.status().iter().all(|v| matches!(v.state, EndpointState::Ejected { .. })));
+    assert!(balancer.status().iter().all(|status| matches!(status.state, EndpointState::Ejected { .. })));
     let mut seen: Vec<usize> = (0..50).filter_map(|_| balancer.pick(1, &[], &mut random)).collect();
     seen.sort_unstable();
     seen.dedup();
@@ -160,7 +164,10 @@
     let (balancer, mut random) = balancer(2);
     assert!((0..50).all(|_| balancer.pick(0, &[0], &mut random) == Some(1)));
     assert!(balancer.has_alternative(&[0]) && !balancer.has_alternative(&[0, 1]));
-    assert!(balancer.pick(0, &[0, 1], &mut random).is_some(), "one that was tried is better than none");
+    assert!(
+        balancer.pick(0, &[0, 1], &mut random).is_some(),
+        "a tried endpoint is used if there is no other"
+    );
 }
 
 #[test]
@@ -185,81 +192,88 @@
     balancer.end(6, 0, CallSample::Answered(5), Some(false), &mut random);
     balancer.reconfigure(7, CONFIG, &["e1".into(), "e3".into()], BOUNDS);
     assert_eq!(balancer.endpoints.len(), 3);
-    let names: Vec<_> = balancer.status().iter().map(|v| v.address.to_string()).collect();
+    let names: Vec<_> = balancer.status().iter().map(|status| status.address.to_string()).collect();
     assert_eq!(names, ["e3", "e1"]);
 }
 
-/// A draw by which `servers` of them route to four endpoints, of which the last has just come back to all at one moment.
-fn fleet_with_returning_endpoint(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
+/// The load balancers of `servers` servers over the same four endpoints, each with its own random numbers.
+/// All of them have just readmitted the last endpoint at the same time.
+fn fleet_with_readmitted_endpoint(servers: u32, seed: u64) -> Vec<(LoadBalancer, ChaCha8Rng)> {
     let addresses: Vec<String> = (0..4).map(|n| format!("e{n}")).collect();
-    let one = |n: u32| {
+    let new_balancer = |n: u32| {
         let bounds = LimitBounds { initial: 500, min: 1, max: 500 };
         let mut balancer = LoadBalancer::new(LoadBalancerConfig { servers, ..CONFIG }, &addresses, bounds);
         balancer.readmit(0, 3);
         (balancer, ChaCha8Rng::seed_from_u64(seed * 1_000 + u64::from(n)))
     };
-    (0..servers).map(one).collect()
+    (0..servers).map(new_balancer).collect()
 }
 
-/// The ramp holds for the sum of all servers, which know of each other only how many they are: at each moment of it the
-/// endpoint has N calls in hand at most that its part of the full share allows, and 2 x root of N + 2 by chance.
+/// Servers know only the number of the others, yet the recovery ramp must hold for the sum of their calls: at
+/// each time the endpoint has at most the N calls in flight that its current weight allows, plus a random
+/// excess of up to 2 * sqrt(N) + 2.
 #[test]
 fn recovery_ramp_holds_for_the_sum_of_all_servers() {
     for (servers, full, seed) in
         (0..120).map(|n: u32| (1 + n * 29 / 119, [1, 2, 4, 10, 25, 60, 100][n as usize % 7], u64::from(n)))
     {
-        let mut all = fleet_with_returning_endpoint(servers, seed);
-        // So many calls in hand over four endpoints that the full share of each is `full`; each lasts 100 ms.
+        let mut fleet = fleet_with_readmitted_endpoint(servers, seed);
+        // Each call takes 100 ms, and calls start at such intervals that the full share of each endpoint is
+        // `full` calls in flight.
         let (took, gap) = (100_000, 100_000 / (4 * full));
-        let mut in_hand: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
-        let mut there = 0u64;
+        let mut in_flight: std::collections::VecDeque<(Micros, usize, usize)> = Default::default();
+        let mut at_readmitted = 0u64;
         for now in (0..CONFIG.recovery_ramp).step_by(gap as usize) {
-            while in_hand.front().is_some_and(|(until, ..)| *until <= now) {
-                let (_, server, endpoint) = in_hand.pop_front().expect("one");
-                let (balancer, random) = &mut all[server];
+            while in_flight.front().is_some_and(|(until, ..)| *until <= now) {
+                let (_, server, endpoint) = in_flight.pop_front().expect("a call in flight");
+                let (balancer, random) = &mut fleet[server];
                 balancer.end(now, endpoint, CallSample::Answered(took), Some(false), random);
-                there -= u64::from(endpoint == 3);
+                at_readmitted -= u64::from(endpoint == 3);
             }
-            // Whose call it is has nothing to do with where calls are: it is drawn, too.
-            let server = (now / gap).wrapping_mul(0x9e37_79b9_7f4a_7c15) as usize % all.len();
-            let (balancer, random) = &mut all[server];
+            // The calling server is chosen by a hash of the time, independently of the calls in flight.
+            let server = (now / gap).wrapping_mul(0x9e37_79b9_7f4a_7c15) as usize % fleet.len();
+            let (balancer, random) = &mut fleet[server];
             let endpoint = balancer.pick(now, &[], random).expect("an endpoint with capacity");
             balancer.start(endpoint);
-            in_hand.push_back((now + took, server, endpoint));
-            there += u64::from(endpoint == 3);
+            in_flight.push_back((now + took, server, endpoint));
+            at_readmitted += u64::from(endpoint == 3);
             let budget = full as f64
                 * (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * now as f64 / CONFIG.recovery_ramp as f64);
-            let most = budget + 2.0 * budget.sqrt() + 2.0;
+            let max_allowed = budget + 2.0 * budget.sqrt() + 2.0;
             assert!(
-                there as f64 <= most,
-                "{servers} servers, {there} calls of {budget:.1} at {now}, seed {seed}"
+                at_readmitted as f64 <= max_allowed,
+                "{servers} servers, {at_readmitted} calls of {budget:.1} at {now}, seed {seed}"
             );
         }
-        for (until, server, endpoint) in in_hand {
-            let (balancer, random) = &mut all[server];
+        for (until, server, endpoint) in in_flight {
+            let (balancer, random) = &mut fleet[server];
             balancer.end(until, endpoint, CallSample::Answered(took), Some(false), random);
         }
-        let (balancer, random) = &mut all[0];
+        let (balancer, random) = &mut fleet[0];
         let got =
             (0..400).filter(|_| balancer.pick(2 * CONFIG.recovery_ramp, &[], random) == Some(3)).count();
-        assert!(got > 40, "it has its full share in the end: {got} of 400");
+        assert!(got > 40, "after the ramp it must get its full share: {got} of 400");
     }
 }
 
-/// Servers that see an endpoint fail at one moment probe it one after the other, not at once.
+/// Guards against many servers that probe an endpoint at the same time because they all saw it fail at the
+/// same time.
 #[test]
 fn probes_of_many_servers_are_spread() {
     for servers in [1, 2, 5, 10, 20, 30] {
-        let mut all = fleet_with_returning_endpoint(servers, 3);
-        let mut at: Vec<Micros> = Vec::new();
-        for (balancer, random) in &mut all {
+        let mut fleet = fleet_with_readmitted_endpoint(servers, 3);
+        let mut probe_times: Vec<Micros> = Vec::new();
+        for (balancer, random) in &mut fleet {
             fail_repeatedly(balancer, 0, 200_000, random);
-            at.push(balancer.next_probe_at().expect("a probe"));
+            probe_times.push(balancer.next_probe_at().expect("a probe"));
         }
-        // A probe takes 50 ms; so many may be under way at once, where the endpoint survives two.
-        let most =
-            at.iter().map(|from| at.iter().filter(|to| (*from..*from + 50_000).contains(*to)).count()).max();
-        assert!(most <= Some(2 + 2 + 2), "{servers}: {most:?}");
-        assert!(at.iter().all(|at| (1_200_000..=2_200_000).contains(at)), "{at:?}");
+        // A probe takes 50 ms, and the endpoint can handle two calls at once. The other four are the random
+        // excess that is allowed.
+        let max_concurrent = probe_times
+            .iter()
+            .map(|from| probe_times.iter().filter(|to| (*from..*from + 50_000).contains(*to)).count())
+            .max();
+        assert!(max_concurrent <= Some(2 + 2 + 2), "{servers}: {max_concurrent:?}");
+        assert!(probe_times.iter().all(|at| (1_200_000..=2_200_000).contains(at)), "{probe_times:?}");
     }
 }
