--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,4 +1,4 @@
-//! What is shared, by whom, and by which times.
+//! Configuration of a shared quota: its total, the servers that share it, and its durations.
 
 #[cfg(test)]
 mod tests;
@@ -9,66 +9,68 @@
 
 const MS: Micros = 1_000;
 
-/// A lease is long beside the time to request it (some ms) and short beside an outage.
+/// Long compared with the time to request a lease (a few ms), short compared with an outage.
 const DEFAULT_LEASE_DURATION: Micros = 2_000 * MS;
-/// Calls of a request have about a second at most on the sites that we know.
+/// On the known sites, the calls of a request have about one second at most.
 const DEFAULT_MAX_CALL_DURATION: Micros = 1_000 * MS;
-/// On its way: a connection, a full send queue, a reader that has to wait for a core.
+/// Covers connection setup, a full send queue, and a receiver that has to wait for a core.
 const DEFAULT_MAX_DELIVERY_DELAY: Micros = 50 * MS;
-/// Quartz is within 0.02 %, a guest whose clock is slewed by its host within 0.05 %; this is twenty times that.
+/// As a fraction. A quartz clock drifts by at most 0.02 %, the clock of a guest that its host slews by at
+/// most 0.05 %; this is twenty times that.
 const DEFAULT_CLOCK_DRIFT: f64 = 0.01;
-/// The greatest drift that may be configured.
+/// The largest drift that can be configured, as a fraction.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
-/// Bounds on the durations of leases and calls.
+/// The shortest duration of a lease or a call that can be configured.
 const MIN_DURATION: Micros = 20 * MS;
+/// The longest duration of a lease or a call that can be configured.
 const MAX_DURATION: Micros = 60_000 * MS;
 
 /// The configuration of one quota on one server. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Calls at once that the dependency survives from all servers.
+    /// Concurrent calls, from all servers together, that the dependency can serve.
     pub total: u32,
-    /// All servers that own a share, this one included.
+    /// All servers that own a share, including this one.
     pub roster: Vec<MemberName>,
-    /// This server.
+    /// The name of this server.
     pub own_name: MemberName,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease_duration: Micros,
-    /// The longest time that a call may state.
+    /// The longest time that a call can state.
     pub max_call_duration: Micros,
-    /// How long a call may be on its way before the dependency begins to count its time.
+    /// The longest time from sending a call until the dependency starts to count its stated time.
     pub max_delivery_delay: Micros,
-    /// How far the rate of a server's clock may be off, as a fraction.
+    /// The largest error in the rate of a server's clock, as a fraction.
     pub clock_drift: f64,
 }
 
-/// One thing that is wrong with a [`Config`].
+/// A fault in a [`Config`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The roster is empty, names a server twice, or does not name this one.
-    #[error("a roster names everyone once, this server too")]
+    #[error("the roster must name each server once, including this one")]
     InvalidRoster,
-    /// Some server would own no permit.
-    #[error("{total} calls over {servers} servers: each needs a part of one call at least")]
+    /// The total is less than one permit for each server.
+    #[error("{total} calls over {servers} servers: each server needs at least one")]
     TotalTooSmall {
-        /// Calls at once that are configured.
+        /// The configured total of concurrent calls.
         total: u32,
-        /// Servers that share them.
+        /// The number of servers that share it.
         servers: usize,
     },
-    /// A lease or a call is too short or too long.
-    #[error("loans and calls last from 20 ms to a minute")]
+    /// The duration of a lease or a call is too short or too long.
+    #[error("loans and calls must last from 20 ms to one minute")]
     DurationOutOfRange,
-    /// The durations of leases, calls and deliveries do not fit each other.
+    /// The lease is too short for the configured call duration or delivery delay.
     #[error("a loan lasts for a quarter of a call at least, and for four times a delivery")]
     LeaseTooShort,
-    /// The drift is negative, too great or not a number.
-    #[error("clocks drift by a share from 0 to 0.1")]
+    /// The clock drift is negative, too large or not a number.
+    #[error("the clock drift must be a fraction from 0 to 0.1")]
     ClockDriftOutOfRange,
 }
 
 impl Config {
-    /// A quota with the default times.
+    /// A configuration with the default durations and clock drift.
     pub fn new(total: u32, roster: &[&str], own_name: &str) -> Config {
         Config {
             total,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Permits of this server's share.
+    /// The number of permits in this server's share.
     pub fn own_share(&self) -> u32 {
         quota_shares(self.total, &self.roster)
             .into_iter()
@@ -99,14 +101,14 @@
         (span as f64 * (1.0 - 2.0 * self.clock_drift)) as Micros
     }
 
-    /// For how long an earlier process under this name may still use the share: by calls that it began, and by its
-    /// leases with the calls that they serve, which end before they do.
+    /// How long an earlier process with this name may still use the share, by calls that it started and by
+    /// leases that it granted. Calls that a lease serves end before the lease does, so they add nothing.
     pub fn quarantine(&self) -> Micros {
         self.scale_up_for_drift(self.lease_duration + self.max_call_duration + 2 * self.max_delivery_delay)
     }
 
-    /// A text by which two servers can tell whether they go by the same shares. It is hashed, and the hashes are
-    /// compared between servers of different versions: its form must not change.
+    /// A text that is equal on two servers if they use the same shares and durations. It is hashed, and
+    /// servers of different versions compare the hashes, so its format must not change.
     pub fn basis(&self) -> String {
         let mut roster: Vec<&str> = self.roster.iter().map(|name| &**name).collect();
         roster.sort_unstable();
@@ -114,7 +116,7 @@
         format!("{total} {roster:?} {lease_duration} {max_call_duration} {max_delivery_delay} {clock_drift}")
     }
 
-    /// All that is wrong with the configuration.
+    /// Returns all faults in the configuration; empty if it is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         let distinct: BTreeSet<&MemberName> = self.roster.iter().collect();
@@ -141,16 +143,17 @@
     }
 }
 
-/// What one server owns of a quota.
+/// The share of a quota that one server owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaShare {
-    /// The server.
+    /// The name of the server.
     pub owner: MemberName,
-    /// Its permits.
+    /// The number of permits that it owns.
     pub permits: u32,
 }
 
-/// The shares of all servers: the same for all, and the rest by the order of names.
+/// The shares of all servers, in the order of their names. Each gets an equal number of permits; the first
+/// servers in that order get one more each until the remainder is used up.
 pub fn quota_shares(total: u32, roster: &[MemberName]) -> Vec<QuotaShare> {
     let mut owners: Vec<MemberName> = roster.to_vec();
     owners.sort();
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,80 +1,83 @@
-//! Calls in use, leases granted and leases held, and until when.
+//! The ledger of a quota: calls in use, leases granted and leases held, each with its end.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberName, Micros};
 
-/// The host's number of a call; each call in use has a number of its own.
+/// The host's number for a call, unique among the calls in use.
 pub type CallId = u64;
 
-/// Names one lease in the whole fleet.
+/// Identifies a lease within the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseId {
-    /// The server that lends.
+    /// The server that granted the lease.
     pub lender: MemberName,
-    /// The start of its process.
+    /// The boot id of the lender's process.
     pub lender_boot_id: u64,
-    /// The number that this process gave it.
+    /// The lender's number for the lease, unique within that process.
     pub number: u64,
 }
 
-/// A lease of our own permits to another server.
+/// A lease of own permits to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct GrantedLease {
     pub borrower: MemberName,
     pub borrower_boot_id: u64,
     pub permits: u32,
+    /// When the permits may be used here again.
     pub until: Micros,
 }
 
-/// A lease of another server's permits to us.
+/// A lease of another server's permits to this server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HeldLease {
     pub permits: u32,
+    /// When the permits may no longer be used here.
     pub until: Micros,
-    /// When it last served a call.
+    /// When it last served a call, or when it was granted if it has served none.
     pub last_used_at: Micros,
 }
 
 /// The permit of a call in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallPermit {
-    /// By then the call's stated time, and the time on its way, have run out.
+    /// When the call's stated time plus the maximum delivery delay has run out.
     pub until: Micros,
-    /// The lease that the permit is of; `None` is the own share.
+    /// The lease that the permit belongs to; `None` if it is of the own share.
     pub lease: Option<LeaseId>,
 }
 
 /// All calls and leases of one quota on one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger {
-    /// Leases that we granted, by our own number.
+    /// Leases granted to other servers, by lease number.
     pub granted: BTreeMap<u64, GrantedLease>,
-    /// Leases that we hold.
+    /// Leases held from other servers.
     pub held: BTreeMap<LeaseId, HeldLease>,
+    /// Calls in use, with their permits.
     pub calls: BTreeMap<CallId, CallPermit>,
 }
 
 impl Ledger {
-    /// Forgets what has run out by now.
+    /// Removes the calls and leases that have ended by `now`.
     pub fn expire(&mut self, now: Micros) {
         self.calls.retain(|_, call| now < call.until);
         self.granted.retain(|_, lease| now < lease.until);
-        // Calls of a lease end before it does.
+        // A call that uses a lease ends before the lease does, so no call is left without its lease.
         self.held.retain(|_, lease| now < lease.until);
     }
 
-    /// Permits lent to others.
+    /// The number of permits lent to other servers.
     pub fn lent(&self) -> u32 {
         self.granted.values().map(|lease| lease.permits).sum()
     }
 
-    /// Permits borrowed from others.
+    /// The number of permits borrowed from other servers.
     pub fn borrowed(&self) -> u32 {
         self.held.values().map(|lease| lease.permits).sum()
     }
 
-    /// Calls that use permits of the own share.
+    /// The number of calls that use permits of the own share.
     pub fn used_of_own_share(&self) -> u32 {
         self.calls.values().filter(|call| call.lease.is_none()).count() as u32
     }
@@ -84,7 +87,7 @@
         self.calls.values().filter(|call| call.lease.as_ref() == Some(id)).count() as u32
     }
 
-    /// Permits of leases that are free, where the lease lasts until `needed_until` at least.
+    /// The number of free permits of the leases that last at least until `needed_until`.
     pub fn free_of_leases(&self, needed_until: Micros) -> u32 {
         self.held
             .iter()
@@ -93,7 +96,7 @@
             .sum()
     }
 
-    /// The lease with a free permit that lasts longest, and its end.
+    /// Of the leases with a free permit, the one that lasts longest, and its end.
     pub fn longest_free_lease(&self) -> Option<(LeaseId, Micros)> {
         self.held
             .iter()
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,31 +1,34 @@
-//! A distributed quota with leases: how several servers share the calls at once that a dependency survives, without
-//! agreeing on anything.
+//! A distributed quota with leases: several servers share the concurrent calls that a dependency can serve,
+//! without a consensus protocol.
 //!
-//! A dependency survives so many calls at once from all servers together (the *total*). Each server that the operator
-//! named owns a *quota share* of it, by a rule that all of them can work out alone, and may lend permits that it does
-//! not need to another server that does, by a *lease* for a stated time (Gray and Cheriton, "Leases"). What must hold,
-//! whatever is cut, paused, killed, duplicated or reordered:
+//! The *total* is the number of concurrent calls, from all servers together, that the dependency can serve.
+//! Each server of the configured roster owns a *quota share* of it, which every server computes by itself
+//! with the same rule. A server can lend permits that it does not need to another server, by a *lease* with a
+//! limited duration (Gray and Cheriton, "Leases"). One invariant must hold under partitions, pauses, crashes,
+//! and duplicated or reordered messages:
 //!
 //! > at no instant do the calls in use of all processes together exceed the total.
 //!
-//! A call is *in use* from its sending until it has ended, or the time that it stated has run out. It holds by four
-//! rules that each server keeps alone:
+//! A call is *in use* from when it is sent until it has ended or its stated time has run out. Four rules,
+//! which each server follows without coordination, maintain the invariant:
 //!
-//! 1. What is lent is not used. The lender counts a lease from when it granted it, for its duration and a bound on
-//!    clock drift on top; the borrower from before it requested it, for its duration less that bound. So the borrower's
-//!    time ends first on any two clocks whose rates are within the bound ([`Config::clock_drift`]).
-//! 2. A borrowed permit serves only calls whose stated time, and [`Config::max_delivery_delay`] on top, ends before the
-//!    lease does. A call that is given up keeps its permit until its stated time has run out.
-//! 3. A process that starts uses nothing of its own share for as long as leases and calls of an earlier process under
-//!    its name may still be in use ([`Config::quarantine`]). It may borrow meanwhile.
-//! 4. A share grows only once all servers have said that they go by the same shares, and after that time; it shrinks at
-//!    once.
+//! 1. A permit that is lent is not used by its owner. The lender counts a lease from the time of the grant,
+//!    for its duration plus a bound on clock drift. The borrower counts it from a time before the request,
+//!    for its duration minus that bound. The borrower's lease therefore ends first on any two clocks whose
+//!    rates are within the bound ([`Config::clock_drift`]).
+//! 2. A borrowed permit serves only calls whose stated time plus [`Config::max_delivery_delay`] ends before
+//!    the lease does. An abandoned call keeps its permit until its stated time has run out.
+//! 3. A process that has just started uses nothing of its own share while leases and calls of an earlier
+//!    process with the same name may still be in use ([`Config::quarantine`]). It can borrow during that
+//!    time.
+//! 4. A share grows only once all servers have reported that they use the same shares, and the quarantine has
+//!    passed since; it shrinks at once.
 //!
-//! Liveness is promised less: a server that is cut off falls back to its own share within one lease, and one with
-//! demand gets what others can spare while they hear each other.
+//! Liveness is guaranteed only in part: a server that is cut off falls back to its own share within one lease
+//! duration, and a server with demand gets what others can spare as long as they can exchange messages.
 //!
-//! There is no I/O and no clock: [`SharedQuota`] takes events with their times, on a monotonic clock, and gives messages
-//! for other servers.
+//! The crate does no I/O and reads no clock: [`SharedQuota`] takes events with their times, on a monotonic
+//! clock, and returns messages for other servers.
 //!
 //! ```
 //! use umberloom_quota::{Config, SharedQuota};
@@ -55,7 +58,7 @@
 pub use quota::{InvariantViolation, SharedQuota};
 pub use status::{ChangeCause, QuotaStatus};
 
-/// Microseconds, on a clock that goes forward only and at the rate of time within [`Config::clock_drift`].
+/// Microseconds on a monotonic clock whose rate is accurate within [`Config::clock_drift`].
 pub type Micros = u64;
 /// The name of a server.
 pub type MemberName = std::rc::Rc<str>;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,40 +1,41 @@
-//! Messages between servers. `postcard` encodes them by position: neither variants nor fields may be moved.
+//! Messages between servers. `postcard` encodes them by position, so variants and fields must not be
+//! reordered.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// What servers send each other about one quota.
+/// A message from one server to another about one quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for a lease.
     Request {
-        /// The sender's number of this request.
+        /// The borrower's number for this request.
         request_number: u64,
-        /// Permits that are wanted.
+        /// The number of permits requested.
         permits: u32,
-        /// The highest priority level among the sender's waiting calls.
+        /// The highest priority level among the borrower's waiting calls.
         priority_level: u16,
     },
     /// Grants a lease.
     Grant {
-        /// The request that is answered.
+        /// The number of the request that this answers.
         request_number: u64,
-        /// The lender's number of the lease.
+        /// The lender's number for the lease.
         lease_number: u64,
-        /// Permits that are lent.
+        /// The number of permits lent.
         permits: u32,
-        /// For how long, in microseconds.
+        /// Duration of the lease in microseconds.
         duration: Micros,
     },
-    /// Nothing can be lent now.
+    /// Denies a lease: the lender has nothing to lend at the moment.
     Deny {
-        /// The request that is answered.
+        /// The number of the request that this answers.
         request_number: u64,
     },
-    /// The borrower does not use a lease any more.
+    /// Returns a lease that the borrower no longer uses.
     Return {
-        /// The lender's number of the lease.
+        /// The lender's number for the lease.
         lease_number: u64,
     },
 }
--- a/crates/quota/src/quota/borrowing.rs
+++ b/crates/quota/src/quota/borrowing.rs
@@ -8,14 +8,15 @@
 use crate::status::ChangeCause;
 use crate::{MemberName, Micros};
 
-/// Least time between two rounds of requests: some round trips.
+/// Minimum time between two rounds of requests: a few round trips.
 pub(super) const REQUEST_INTERVAL: Micros = 20_000;
-/// A server that had nothing to lend is not asked again for so long.
+/// How long a server that denied a lease is not asked again.
 const DENIED_BACKOFF: Micros = 200_000;
-/// Servers asked in one round, so that one that is slow does not hold up the demand (power of two choices).
+/// Servers asked in one round. More than one, so that a slow server does not delay the waiting calls (power
+/// of two choices).
 const REQUESTS_PER_ROUND: usize = 2;
 
-/// A request that has not been answered.
+/// A request that has not been answered yet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PendingRequest {
     lender: MemberName,
@@ -23,14 +24,14 @@
 }
 
 impl SharedQuota {
-    /// Forgets requests whose leases would be over, and denials that are old.
+    /// Removes requests whose lease would have ended by now, and denials whose backoff is over.
     pub(super) fn expire_requests(&mut self, now: Micros) {
         let lifetime = self.config.lease_duration;
         self.pending_requests.retain(|_, sent_at| now < *sent_at + lifetime);
         self.denied_until.retain(|_, until| now < *until);
     }
 
-    /// Requests leases while calls wait and no permit is free, or a lease that is used is about to end.
+    /// Requests leases if calls wait and no permit is free, or if a lease in use is about to end.
     pub(super) fn request_leases(&mut self, now: Micros) {
         let too_early = now < self.last_request_at + REQUEST_INTERVAL;
         if self.fenced || too_early || !self.needs_leases(now) {
@@ -62,7 +63,7 @@
         self.ledger.held.iter().any(is_ending)
     }
 
-    /// Servers to ask, drawn at random from those that have neither denied of late nor still to answer.
+    /// Chooses servers to ask, at random among those that have no unanswered request and no recent denial.
     fn choose_lenders(&mut self) -> Vec<MemberName> {
         let mut lenders = self.reachable.clone();
         lenders.retain(|name| {
@@ -75,7 +76,8 @@
         lenders
     }
 
-    /// Returns leases that serve nothing while nothing waits.
+    /// Returns leases that have served no call for a quarter of the lease duration, unless calls wait for a
+    /// permit.
     pub(super) fn return_unused_leases(&mut self, now: Micros) {
         if self.demand.waiting > 0 {
             return;
@@ -92,6 +94,8 @@
         }
     }
 
+    /// Adds a granted lease. Ignores it if it answers no pending request, has ended already, would exceed
+    /// [`MAX_LEASES`], or if this server is fenced.
     pub(super) fn handle_grant(
         &mut self,
         now: Micros,
@@ -102,7 +106,7 @@
     ) {
         let pending = PendingRequest { lender: id.lender.clone(), request_number };
         let Some(requested_at) = self.pending_requests.remove(&pending) else { return };
-        // From before it was requested, and by a clock that may run slow.
+        // Counted from before the request was sent, on a clock that may run slow.
         let duration = duration.min(self.config.lease_duration);
         let until = requested_at + self.config.scale_down_for_drift(duration);
         if now < until && self.ledger.held.len() < MAX_LEASES && !self.fenced {
@@ -111,6 +115,7 @@
         }
     }
 
+    /// Handles a denial: the lender is not asked again for [`DENIED_BACKOFF`].
     pub(super) fn handle_deny(&mut self, now: Micros, lender: &MemberName, request_number: u64) {
         let pending = PendingRequest { lender: lender.clone(), request_number };
         if self.pending_requests.remove(&pending).is_some() {
--- a/crates/quota/src/quota/lending.rs
+++ b/crates/quota/src/quota/lending.rs
@@ -1,4 +1,4 @@
-//! The lender's side: what can be spared is lent to servers with more demand.
+//! The lender's side: permits that this server does not need are lent to servers with more demand.
 
 use super::{SharedQuota, MAX_LEASES};
 use crate::ledger::GrantedLease;
@@ -6,20 +6,20 @@
 use crate::status::ChangeCause;
 use crate::{MemberName, Micros};
 
-/// A lender keeps one permit in so many of its share beyond its recent use, and one at least.
+/// Beyond its recent use, a lender keeps one permit per this many permits of its share, and at least one.
 const SHARE_PER_RESERVED_PERMIT: u32 = 8;
 
-/// A borrower's request that has been answered. In ascending order of the borrower's processes and their requests.
+/// A borrower's request that has been answered. Ordered by the borrower's boot id, then by request number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AnsweredRequest {
-    /// The start of the borrower's process.
+    /// The boot id of the borrower's process.
     pub boot_id: u64,
-    /// That process's number of the request.
+    /// The borrower's number for the request.
     pub request_number: u64,
 }
 
 impl SharedQuota {
-    /// Grants a lease, or denies it.
+    /// Answers a request for a lease with a grant or a denial.
     pub(super) fn handle_request(
         &mut self,
         now: Micros,
@@ -28,14 +28,14 @@
         permits: u32,
         priority_level: u16,
     ) {
-        // A request that comes twice gets one answer: a second lease would be wasted.
+        // A duplicate of a request is ignored: a second lease would be wasted.
         if self.answered_requests.get(borrower).is_some_and(|last| *last >= request) {
             return;
         }
         self.answered_requests.insert(borrower.clone(), request);
         self.answered_requests.retain(|name, _| self.config.roster.contains(name));
         let AnsweredRequest { boot_id, request_number } = request;
-        // Half of what can be spared, so that the next one with demand finds something too.
+        // Lends at most half of the spare permits, so that the next borrower can get some too.
         let permits = permits.min(self.spare_permits(priority_level).div_ceil(2));
         if permits == 0 || self.ledger.granted.len() >= MAX_LEASES {
             self.outbox.push((borrower.clone(), Message::Deny { request_number }));
@@ -55,7 +55,8 @@
         self.outbox.push((borrower.clone(), grant));
     }
 
-    /// What can be spared: nothing while our own calls wait, unless theirs are of a higher priority level.
+    /// Permits that can be lent to a borrower whose waiting calls have this priority level: none while own
+    /// calls of the same or a higher level wait.
     fn spare_permits(&self, priority_level: u16) -> u32 {
         let own_calls_first = self.demand.waiting > 0 && self.demand.priority_level >= priority_level;
         if self.fenced || own_calls_first {
@@ -66,7 +67,8 @@
         self.share.saturating_sub(self.ledger.lent() + reserved)
     }
 
-    /// A lease comes back early. The borrower stopped using it before it said so.
+    /// Removes a lease that the borrower returned early; the borrower stopped using it before it sent the
+    /// message.
     pub(super) fn handle_return(
         &mut self,
         now: Micros,
--- a/crates/quota/src/quota/mod.rs
+++ b/crates/quota/src/quota/mod.rs
@@ -1,4 +1,5 @@
-//! One server's side of one distributed quota. `borrowing` and `lending` have the two sides of a lease.
+//! One server's side of one distributed quota. The modules `borrowing` and `lending` implement the two sides
+//! of a lease.
 
 mod borrowing;
 mod lending;
@@ -17,11 +18,11 @@
 use crate::usage::RecentPeak;
 use crate::{MemberName, Micros};
 
-/// Requests that may be without an answer: two rounds to everyone in a large fleet.
+/// Maximum number of unanswered requests: two rounds to every server of a large fleet.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// Leases that may be granted, and that may be held; more would be of a permit or two each.
+/// Maximum number of leases granted, and of leases held. More leases would be of one or two permits each.
 const MAX_LEASES: usize = 256;
-/// A call that would get less time than this of a lease does not take a permit of it.
+/// Minimum time that a lease must leave for a call to use a permit of it.
 const MIN_CALL_DURATION: Micros = 20_000;
 
 /// Calls that wait for a permit.
@@ -32,7 +33,7 @@
     priority_level: u16,
 }
 
-/// What changed the permits last.
+/// The last change in the number of permits.
 #[derive(Clone, Copy, Debug)]
 struct LastChange {
     cause: ChangeCause,
@@ -43,23 +44,24 @@
 #[derive(Debug)]
 pub struct SharedQuota {
     config: Config,
-    /// Permits of the own share that may be used or lent: none in quarantine, and never more than all have agreed on.
+    /// Permits of the own share that may be used or lent: none in quarantine, and never more than all servers
+    /// have agreed on.
     share: u32,
-    /// From then on a greater share may be used, if all go by the same shares.
+    /// When the share may grow to the configured one, if all servers use the same shares by then.
     share_grows_at: Option<Micros>,
-    /// The quarantine after the start, or after being fenced, is over. Growing out of it takes nothing from others, so
-    /// that being cut off does not hinder it.
+    /// Whether the quarantine after the start, or after being fenced, is over. Taking up the own share after
+    /// it takes nothing from other servers, so a server that is cut off can do so too.
     settled: bool,
     fenced: bool,
     ledger: Ledger,
     /// Servers that can be asked for a lease.
     reachable: Vec<MemberName>,
     pending_requests: BTreeMap<PendingRequest, Micros>,
-    /// Servers that had nothing to lend, and until when they are not asked again.
+    /// Servers that denied a lease, and until when they are not asked again.
     denied_until: BTreeMap<MemberName, Micros>,
-    /// The last request of each borrower that was answered.
+    /// The last answered request of each borrower.
     answered_requests: BTreeMap<MemberName, AnsweredRequest>,
-    /// The last number that was given to a request or a lease.
+    /// The last number assigned to a request or a lease.
     last_number: u64,
     last_request_at: Micros,
     demand: Demand,
@@ -70,11 +72,12 @@
 }
 
 impl SharedQuota {
-    /// The side of a process that starts now. `seed` is for the choice of servers that are asked for a lease.
+    /// Creates the quota of a process that starts at `now`. `seed` determines the random choice of servers
+    /// that are asked for a lease.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the configuration.
+    /// All faults in the configuration.
     pub fn new(now: Micros, config: Config, seed: u64) -> Result<SharedQuota, Vec<ConfigError>> {
         let errors = config.validate();
         if !errors.is_empty() {
@@ -101,11 +104,12 @@
         })
     }
 
-    /// Takes up another configuration. A smaller share holds at once, a larger one by [`SharedQuota::set_reachable`].
+    /// Replaces the configuration. A smaller share applies at once, a larger one once
+    /// [`SharedQuota::set_reachable`] allows it.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the configuration; then the one before stays.
+    /// All faults in the configuration; the previous one then stays in effect.
     pub fn reconfigure(&mut self, now: Micros, config: Config) -> Result<(), Vec<ConfigError>> {
         let errors = config.validate();
         if !errors.is_empty() {
@@ -114,7 +118,8 @@
         if config == self.config {
             return Ok(());
         }
-        // What runs by the longer of the old and the new times has run out after the longer quarantine.
+        // Calls and leases may have either the old or the new durations; both have ended after the longer
+        // quarantine.
         let quarantine = config.quarantine().max(self.config.quarantine());
         self.config = config;
         let new_share = self.config.own_share();
@@ -128,9 +133,9 @@
         Ok(())
     }
 
-    /// Which servers can be asked for a lease, with the starts of their processes, and whether all that own a share go
-    /// by the same shares: `any_differs` says that a reachable one does not, `all_agree` that everyone is reachable and
-    /// does.
+    /// Sets the servers that can be asked for a lease, with their boot ids, and whether the servers that own
+    /// a share use the same shares: `any_differs` is set if a reachable server uses others, `all_agree` if
+    /// every server is reachable and uses the same ones.
     pub fn set_reachable(
         &mut self,
         now: Micros,
@@ -140,8 +145,8 @@
     ) {
         self.reachable = reachable.into_iter().map(|(name, _)| name).collect();
         let Some(grows_at) = self.share_grows_at else { return };
-        // A share that grows takes from others: not before all have shrunk theirs. After the start nobody has to have
-        // heard of this process for its share to be its own.
+        // A share grows at the expense of other servers, so all of them must have shrunk theirs first. After
+        // a start the configured share is this server's own, whether or not others know of this process yet.
         if self.settled && !all_agree {
             self.share_grows_at = Some(now + self.config.quarantine());
         }
@@ -150,10 +155,11 @@
         }
     }
 
-    /// Another process has this server's name, or no longer has. What is in use runs out; nothing new begins.
+    /// Sets whether this server is fenced, as another process has its name. While it is, calls in use go on
+    /// until they end, and no new ones start.
     pub fn set_fenced(&mut self, now: Micros, fenced: bool) {
         if self.fenced && !fenced {
-            // As after a start: the other process may still use what it had.
+            // The quarantine applies as after a start: the other process may still use the share.
             self.share = 0;
             self.settled = false;
             self.share_grows_at = Some(now + self.config.quarantine());
@@ -164,12 +170,13 @@
         self.fenced = fenced;
     }
 
-    /// Calls that wait for a permit, and the highest priority level among them.
+    /// Sets the number of calls that wait for a permit, and the highest priority level among them.
     pub fn set_demand(&mut self, waiting: u32, priority_level: u16) {
         self.demand = Demand { waiting, priority_level };
     }
 
-    /// Does what is due by now.
+    /// Does the work that is due at `now`: ends calls and leases, grows the share, requests and returns
+    /// leases.
     pub fn handle_timeout(&mut self, now: Micros) {
         self.expire_leases(now);
         self.grow_share(now);
@@ -201,7 +208,7 @@
         self.settled = true;
     }
 
-    /// When [`SharedQuota::handle_timeout`] is to be called next.
+    /// The time at which [`SharedQuota::handle_timeout`] must be called next.
     pub fn next_timeout(&self, now: Micros) -> Micros {
         let calls = self.ledger.calls.values().map(|call| call.until);
         let granted = self.ledger.granted.values().map(|lease| lease.until);
@@ -216,7 +223,7 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Calls that may begin now. A permit of a lease that is nearly over serves none.
+    /// The number of calls that may start at `now`. Permits of a lease that is about to end are not counted.
     pub fn available(&self, now: Micros) -> u32 {
         if self.fenced {
             return 0;
@@ -229,9 +236,9 @@
         self.share.saturating_sub(self.ledger.lent() + self.ledger.used_of_own_share())
     }
 
-    /// A permit for a call that would like to state a time up to `until`. The result is the time that it may state,
-    /// `None` if there is no permit. The own share goes first, as it does not run out; a lease where that takes nothing
-    /// from the call, or nothing else is there.
+    /// Acquires a permit for a call that requests time until `until`. Returns the end of the time that the
+    /// call may state, `None` if there is no permit. A lease that lasts for all of the call is preferred.
+    /// Otherwise the own share is used, as it does not expire, and after that a lease that shortens the call.
     pub fn acquire(&mut self, now: Micros, call: CallId, until: Micros) -> Option<Micros> {
         self.ledger.expire(now);
         if self.fenced || self.ledger.calls.contains_key(&call) {
@@ -248,7 +255,7 @@
         Some(stated)
     }
 
-    /// The permit for a call, until the time that the call may state.
+    /// Chooses the permit for a call; its `until` is the end of the time that the call may state.
     fn choose_permit(&self, now: Micros, until: Micros) -> Option<CallPermit> {
         let own_share = (self.free_of_own_share() > 0).then_some(CallPermit { until, lease: None });
         let Some((id, lease_ends)) = self.ledger.longest_free_lease() else { return own_share };
@@ -262,13 +269,13 @@
         own_share.or(of_lease)
     }
 
-    /// A call has ended, and the dependency has confirmed it. A call that was given up is not released: it may go on
-    /// there until its stated time has run out.
+    /// Releases the permit of a call whose end the dependency has confirmed. An abandoned call must not be
+    /// released: the dependency may go on with it until its stated time has run out.
     pub fn release(&mut self, call: CallId) {
         self.ledger.calls.remove(&call);
     }
 
-    /// Takes in a message of another server; `boot_id` is the start of its process.
+    /// Handles a message from another server; `boot_id` is the boot id of that server's process.
     pub fn handle_message(&mut self, now: Micros, from: &MemberName, boot_id: u64, message: &Message) {
         self.ledger.expire(now);
         match *message {
@@ -295,12 +302,12 @@
         self.last_number
     }
 
-    /// Messages for other servers, with their receivers.
+    /// Removes and returns the messages to send, each with the name of its receiver.
     pub fn take_messages(&mut self) -> Vec<(MemberName, Message)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The state of the quota here, and what changed it last.
+    /// The status of the quota on this server.
     pub fn status(&self, now: Micros) -> QuotaStatus {
         let LastChange { cause, at } = self.last_change;
         QuotaStatus {
@@ -316,15 +323,15 @@
         }
     }
 
-    /// Checks what must hold between any two calls; for tests.
+    /// Checks the invariants that hold between any two calls of this type's methods; for tests.
     ///
     /// # Errors
     ///
-    /// The first condition that does not hold.
+    /// The first invariant that is violated.
     pub fn check_invariants(&self, now: Micros) -> Result<(), InvariantViolation> {
         let ledger = &self.ledger;
         let (used, lent) = (ledger.used_of_own_share(), ledger.lent());
-        // A share that has just shrunk may still be in use beyond it, but nothing begins then.
+        // After a share has shrunk, more than the share may still be in use, but no new call may start on it.
         if used + lent > self.share && self.available(now) > ledger.borrowed() {
             return Err(InvariantViolation::ShareExceeded { used, lent, share: self.share });
         }
@@ -343,33 +350,33 @@
     }
 }
 
-/// A condition that must hold between any two calls does not: a fault of this package.
+/// A violated invariant, which is a bug in this crate.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// More of the own share is used and lent than there is, and calls could still begin.
-    #[error("{used} used and {lent} lent of a share of {share}")]
+    /// More permits of the own share are used and lent than it has, and calls could still start.
+    #[error("{used} permits used and {lent} lent of a share of {share}")]
     ShareExceeded {
         /// Calls that use permits of the own share.
         used: u32,
-        /// Permits that are lent.
+        /// Permits lent to other servers.
         lent: u32,
         /// Permits of the own share.
         share: u32,
     },
     /// A lease serves more calls than it has permits, or calls that end after it.
-    #[error("the lease {lease:?} serves more than it may")]
+    #[error("lease {lease:?} serves too many calls, or calls that end after it")]
     LeaseExceeded {
         /// The lease.
         lease: LeaseId,
     },
-    /// A table has grown beyond its bound.
-    #[error("{granted} leases granted, {held} held, {requests} requests: more than there may be")]
+    /// A table has grown beyond its limit.
+    #[error("{granted} leases granted, {held} held, {requests} requests pending: a limit is exceeded")]
     BoundExceeded {
-        /// Leases granted.
+        /// The number of leases granted.
         granted: usize,
-        /// Leases held.
+        /// The number of leases held.
         held: usize,
-        /// Requests without an answer.
+        /// The number of unanswered requests.
         requests: usize,
     },
 }
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -1,17 +1,19 @@
-//! The most permits of the own share that were used of late: what a lender should keep for itself.
+//! The recent peak use of the own share: permits that a lender keeps for itself.
 
 use crate::Micros;
 
-/// Length of one window. Use is remembered for one to two of them.
+/// Length of one window. A peak is remembered for one to two windows.
 const WINDOW: Micros = 1_000_000;
 
+/// The peak use in one window.
 #[derive(Clone, Copy, Debug)]
 struct PeakWindow {
+    /// When the window started.
     since: Micros,
     peak: u32,
 }
 
-/// The peaks of the current window and of the one before.
+/// The highest use in the current and the previous window.
 #[derive(Debug)]
 pub(crate) struct RecentPeak {
     current: PeakWindow,
@@ -24,7 +26,7 @@
         RecentPeak { current: empty, previous: empty }
     }
 
-    /// Takes in how many permits are used now.
+    /// Records the number of permits in use at `now`.
     pub fn record(&mut self, now: Micros, used: u32) {
         if now >= self.current.since + WINDOW {
             self.previous = self.current;
@@ -33,6 +35,7 @@
         self.current.peak = self.current.peak.max(used);
     }
 
+    /// The highest use that is remembered.
     pub fn get(&self) -> u32 {
         self.current.peak.max(self.previous.peak)
     }
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -1,5 +1,6 @@
-//! Several servers with clocks of their own, on a network that loses, doubles, delays and reorders, with processes
-//! that stall, go on and restart: at no instant do they use more than the total.
+//! Simulates several servers, each with its own clock, on a network that loses, duplicates, delays and
+//! reorders messages. Processes stall, resume and restart. At no instant may the servers together use more
+//! than the total.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,28 +10,29 @@
 use umberloom_quota::{Config, MemberName, Message, Micros, SharedQuota};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
-/// One step of true time.
+/// True time that passes in one step of the simulation.
 const STEP: Micros = 5_000;
 
 struct Server {
     quota: Option<SharedQuota>,
     boot_id: u64,
-    /// Rate of its clock beside true time.
+    /// The rate of its clock relative to true time.
     clock_rate: f64,
     /// What its clock shows at true time 0.
     clock_offset: Micros,
-    /// Stalled until then, in true time.
+    /// The process is stalled until this true time.
     stalled_until: Micros,
+    /// The number of calls that wait for a permit.
     waiting: u32,
 }
 
-/// A call as the dependency sees it.
+/// A call as the dependency sees it; times are in true time.
 struct Call {
     caller: usize,
     id: u64,
-    /// It ends by itself then.
+    /// When the call ends by itself.
     ends_at: Micros,
-    /// It ends then in any case: its stated time has run out.
+    /// When the call ends at the latest, as its stated time has run out.
     deadline: Micros,
 }
 
@@ -53,10 +55,10 @@
     cut: BTreeSet<(usize, usize)>,
     random: ChaCha8Rng,
     last_number: u64,
-    /// The most calls that were in use at once.
+    /// The largest number of calls that were in use at once.
     peak_calls: usize,
     served: u64,
-    /// Whether servers reach each other for leases; if not, each is on its own.
+    /// Whether servers can ask each other for leases; if not, each has only its own share.
     leases_enabled: bool,
 }
 
@@ -111,6 +113,7 @@
         self.cut.contains(&(from, to))
     }
 
+    /// Advances true time by one step: delivers messages, runs the servers and checks the total.
     fn step(&mut self) -> Result<(), String> {
         self.now += STEP;
         let now = self.now;
@@ -242,7 +245,7 @@
     }
 }
 
-/// What comes of a run in which one server has all the demand.
+/// The result of a run in which one server has all the demand.
 struct UnevenRun {
     served: u64,
     peak_calls: usize,
@@ -283,7 +286,7 @@
         world.cut.insert((0, other));
         world.cut.insert((other, 0));
     }
-    // A lease, and what was under way when the cut came.
+    // The duration of a lease, and the delay of messages in flight at the time of the cut.
     for _ in 0..(2_000_000 + 50_000) / STEP {
         world.servers[0].waiting = 60;
         world.step().expect("within the total");
--- a/crates/quota/tests/wire_format.rs
+++ b/crates/quota/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of message about leases, as written by commit 604394b: servers of that version and of this one
-//! share one quota while a new version is rolled out.
+//! Compares the encoding of each message type with the bytes written by commit 604394b: servers of that
+//! version and of this one share a quota while a new version is rolled out.
 
 use umberloom_fault_harness::golden::{assert_decoded, assert_encoded};
 use umberloom_quota::Message;
