--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -1,30 +1,35 @@
-//! Which connections a server accepts, and which it closes for others.
+//! Decides which connections a server accepts, and which it closes to make room for others.
 
 use umberloom::interface::Micros;
 
-/// One descriptor in so many is for overflow: connections beyond the table, on which every request is rejected. Without
-/// them the accept queue would carry requests that nobody reads until their time is up.
+/// One in this many descriptors is reserved for overflow connections: connections beyond the table, on which
+/// every request is rejected. Without them, requests would stay unread in the accept queue until their
+/// deadline.
 const OVERFLOW_DIVISOR: usize = 16;
-/// One place of the table in so many is kept free for new connections.
+/// One in this many slots of the table is kept free for new connections.
 const FREE_DIVISOR: usize = 5;
-/// One place of a listener's guaranteed quota in so many is never lent: a surge starts there.
+/// One in this many slots of a listener's guaranteed quota is never lent, so that the listener can accept the
+/// start of a surge.
 const UNLENT_DIVISOR: usize = 16;
-/// A connection that carried something within this time may be about to carry more, in microseconds.
+/// Time in microseconds without activity after which a connection counts as settled; before that it may be
+/// about to carry more data.
 pub const SETTLE_TIME: Micros = 100_000;
-/// A connection that was asked to close is gone within this time, if it closes at all, in microseconds.
+/// Time in microseconds within which a connection that was asked to close is gone, if it closes at all.
 const CLOSE_TIMEOUT: Micros = 300_000;
 
-/// The places of one server and how its listeners share them.
+/// The connection slots of one server, and how its listeners share them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionTable {
+    /// The number of slots in the table.
     capacity: usize,
+    /// The number of slots for overflow connections.
     overflow_capacity: usize,
-    /// By listener.
+    /// The number of guaranteed slots of each listener.
     guaranteed_quotas: Vec<usize>,
 }
 
 impl ConnectionTable {
-    /// Divides this number of descriptors among listeners with these weights.
+    /// Divides a number of file descriptors among listeners by weight.
     pub fn new(descriptors: usize, weights: &[u32]) -> ConnectionTable {
         let overflow_capacity = descriptors.div_ceil(OVERFLOW_DIVISOR).min(descriptors / 2);
         let capacity = descriptors - overflow_capacity;
@@ -34,26 +39,27 @@
         ConnectionTable { capacity, overflow_capacity, guaranteed_quotas }
     }
 
-    /// Places in the table.
+    /// The number of slots in the table.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Places in all, those for overflow included.
+    /// The number of slots in the table and for overflow together.
     pub fn total_capacity(&self) -> usize {
         self.capacity + self.overflow_capacity
     }
 
-    /// Places that a listener can always get back.
+    /// The number of slots of a listener that it can always get back after they were lent.
     pub fn guaranteed_quota(&self, listener: usize) -> usize {
         self.guaranteed_quotas.get(listener).copied().unwrap_or(0)
     }
 
-    /// What becomes of a new connection of `listener`, given all that are there.
+    /// Decides about a new connection of `listener`, given all connections that exist.
     ///
-    /// A connection that never sent a request gives up its place to a new one: peers connect when they have something to
-    /// send, so one that has sent nothing is likely to go on so. Within its quota a listener takes the place of any
-    /// listener that is over its own; beyond it only of its own.
+    /// A connection that has never sent a request is closed for a new one: peers connect when they have
+    /// something to send, so a connection without a request is likely to stay silent. A listener under its
+    /// quota may replace such a connection of a listener that is over its quota; otherwise it may only
+    /// replace one of its own.
     pub fn admit(&self, now: Micros, listener: usize, connections: &[ConnectionState]) -> AdmissionDecision {
         let decide = |admission, close_first| AdmissionDecision { admission, close_first };
         if self.has_capacity(now, listener, connections) {
@@ -68,7 +74,7 @@
         }
     }
 
-    /// A connection that never sent a request and may be closed for a new one of `listener`.
+    /// Finds a connection that has never sent a request and may be closed for a new one of `listener`.
     fn replaceable_connection(
         &self,
         now: Micros,
@@ -85,7 +91,8 @@
         borrowed.or_else(own).map(|c| c.id)
     }
 
-    /// Whether there is a place that this listener may take: of its own quota, or one that the others leave idle.
+    /// Whether there is a slot that this listener may take: within its own quota, or one that the others
+    /// leave idle.
     fn has_capacity(&self, now: Micros, listener: usize, connections: &[ConnectionState]) -> bool {
         let closing = connections.iter().filter(|c| c.is_closing(now)).count();
         let accepted = self.accepted_by_listener(connections);
@@ -98,7 +105,7 @@
         own < self.guaranteed_quota(listener) || free > self.reserved_for_others(listener, &accepted)
     }
 
-    /// Free places that must stay for the other listeners.
+    /// The number of free slots that must be left for the other listeners.
     fn reserved_for_others(&self, listener: usize, accepted: &[usize]) -> usize {
         let reserved = |other: usize| {
             let quota = self.guaranteed_quotas[other];
@@ -109,7 +116,7 @@
         others.map(reserved).sum()
     }
 
-    /// Connections in the table, by listener.
+    /// The number of connections in the table, by listener.
     fn accepted_by_listener(&self, connections: &[ConnectionState]) -> Vec<usize> {
         let mut accepted = vec![0; self.guaranteed_quotas.len()];
         for connection in connections.iter().filter(|c| !c.in_overflow) {
@@ -120,17 +127,19 @@
         accepted
     }
 
-    /// Whether to accept nothing for now, as a place is about to be free: a peer that waits in the accept queue for it
-    /// is read within 0.3 s. Where nothing is closing, nobody is made to wait.
+    /// Whether the host should accept nothing for now, because the table is full and a slot is about to
+    /// become free. A peer in the accept queue waits at most 0.3 s for it. If no connection is closing,
+    /// accepting never pauses.
     pub fn should_pause_accept(&self, now: Micros, connections: &[ConnectionState]) -> bool {
         connections.len() >= self.capacity && connections.iter().any(|c| c.is_closing(now))
     }
 
-    /// Idle connections to close: those idle for the timeout of their listener (in microseconds), and as many more as
-    /// are needed for a fifth of the places to be free.
+    /// Idle connections to close: those that have been idle for the timeout of their listener (in
+    /// microseconds), and as many more as needed to keep a fifth of the slots free.
     ///
-    /// Of the latter those that never sent a request come first, then those of listeners over their quota, then those
-    /// idle longest; none that has only just carried something.
+    /// The latter are chosen in this order: connections that have never sent a request, those of listeners
+    /// over their quota, those that have been idle longest. Connections active within [`SETTLE_TIME`] are not
+    /// among them.
     pub fn idle_connections_to_close(
         &self,
         now: Micros,
@@ -153,9 +162,9 @@
             idle.iter().copied().filter(|c| is_settled(c) && !to_close.contains(&c.id)).collect();
         candidates.sort_by_key(|c| (c.has_sent_request, is_within_quota(c), c.last_active));
 
-        // Free places are for connections that have just come. A crowd beyond them that has sent nothing goes once it
-        // has settled; until then no connection that has sent a request is closed for it, and none of the crowd before
-        // it could send one.
+        // The free slots are for new connections. New silent connections beyond their number are closed only
+        // after they have settled, as earlier they could not have sent a request. Until then, no connection
+        // that has sent a request is closed to make room for them.
         let new_silent = idle.iter().filter(|c| !is_settled(c) && !c.has_sent_request).count();
         let crowd = new_silent.saturating_sub(kept_free);
         let settled_silent = candidates.iter().filter(|c| !c.has_sent_request).count();
@@ -164,8 +173,9 @@
         to_close
     }
 
-    /// Connections to close after the requests on them, so that listeners under their quota get back the places that
-    /// were lent: as many as are missing, of listeners over their quota, the latest first.
+    /// Connections to close once the requests on them have ended, so that listeners under their quota get
+    /// back the slots that they lent. They are connections of listeners over their quota, the latest first,
+    /// as many as are missing. Empty while the table has free slots.
     pub fn borrowed_connections_to_close(&self, connections: &[ConnectionState]) -> Vec<u64> {
         let mut accepted = self.accepted_by_listener(connections);
         let in_table: usize = accepted.iter().sum();
@@ -188,27 +198,27 @@
     }
 }
 
-/// What the host sees of a connection.
+/// The state of a connection as the host sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Its number; later ones have higher ones.
+    /// The number of the connection; later connections have higher numbers.
     pub id: u64,
-    /// The listener that accepted it.
+    /// The index of the listener that accepted it.
     pub listener: usize,
-    /// Complete requests on it that have no answer yet.
+    /// The number of complete requests on it that have no answer yet.
     pub requests_in_flight: usize,
-    /// It has carried a complete request.
+    /// Whether it has ever carried a complete request.
     pub has_sent_request: bool,
-    /// When it last carried something.
+    /// When it last carried data.
     pub last_active: Micros,
-    /// When it was asked to close.
+    /// When it was asked to close, if it was.
     pub close_requested_at: Option<Micros>,
-    /// It is beyond the table: all its requests are rejected.
+    /// Whether it is an overflow connection: all requests on it are rejected.
     pub in_overflow: bool,
 }
 
 impl ConnectionState {
-    /// A connection that has just been accepted.
+    /// The state of a connection that was accepted at `now`.
     pub fn new(id: u64, listener: usize, now: Micros) -> ConnectionState {
         ConnectionState {
             id,
@@ -221,34 +231,36 @@
         }
     }
 
-    /// Whether it was asked to close, has carried nothing since, and may yet close.
+    /// Whether it was asked to close within [`CLOSE_TIMEOUT`] and has carried nothing since.
     fn is_closing(&self, now: Micros) -> bool {
         let is_expected = |asked_at: Micros| asked_at >= self.last_active && now < asked_at + CLOSE_TIMEOUT;
         !self.in_overflow && self.close_requested_at.is_some_and(is_expected)
     }
 
+    /// Whether it is in the table and has no request without an answer.
     fn is_idle(&self) -> bool {
         !self.in_overflow && self.requests_in_flight == 0
     }
 }
 
-/// What becomes of a new connection.
+/// How a new connection is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served.
+    /// The connection is served.
     Accept,
-    /// It is kept in overflow: its requests are read and rejected, with the advice to go elsewhere.
+    /// The connection becomes an overflow connection: its requests are read and rejected, with the advice to
+    /// try another server.
     RejectRequests,
-    /// It is closed at once, with nothing run.
+    /// The connection is closed at once, without running a request.
     Close,
 }
 
-/// What becomes of a new connection, and which other one is closed for it.
+/// How a new connection is handled, and which other connection is closed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionDecision {
-    /// What becomes of the new connection.
+    /// How the new connection is handled.
     pub admission: Admission,
-    /// The connection that is closed at once, so that the new one gets its place.
+    /// The connection to close at once, so that the new one gets its slot.
     pub close_first: Option<u64>,
 }
 
--- a/crates/connection-admission/src/connection_table/tests.rs
+++ b/crates/connection-admission/src/connection_table/tests.rs
@@ -87,8 +87,9 @@
     assert_eq!(table.idle_connections_to_close(now, &[SETTLE_TIME + 70], &all), [0, 1]);
 }
 
-/// Guards against closing a caller that has asked before, for a crowd of silent ones that has only just
-/// come (bad_clients: peers that connect and say nothing), and against closing who could not ask yet.
+/// Guards against two faults when many silent connections arrive at once (bad_clients: peers that connect and
+/// send nothing): closing a connection that has sent a request to make room for them, and closing new
+/// connections that could not have sent a request yet.
 #[test]
 fn new_silent_crowd_is_closed_once_settled_and_no_other_for_it() {
     let table = ConnectionTable::new(11, &[1]);
@@ -99,7 +100,8 @@
     assert_eq!(table.idle_connections_to_close(2 * SETTLE_TIME, &[Micros::MAX], &all), [1, 2]);
 }
 
-/// Guards the other side: who has just come into the free table is no crowd, and idle ones make room again.
+/// Guards against the opposite fault: new silent connections that fit the free slots must not keep idle
+/// connections from being closed.
 #[test]
 fn idle_connections_are_closed_for_new_ones_in_the_free_places() {
     let table = ConnectionTable::new(11, &[1]);
@@ -120,8 +122,8 @@
 }
 
 proptest! {
-    /// Whatever comes: never more connections than table, and a listener under its part is served as soon as
-    /// what was lent has been given back.
+    /// For any sequence of connections, the table never exceeds its capacity, and a listener under its quota
+    /// is served as soon as the borrowed slots have been given back.
     #[test]
     fn capacity_is_kept_and_borrowed_places_are_given_back(
         descriptors in 8usize..100, weights in prop::collection::vec(1u32..5, 1..4), steps in connections(3),
--- a/crates/connection-admission/src/read_scheduler.rs
+++ b/crates/connection-admission/src/read_scheduler.rs
@@ -1,41 +1,45 @@
-//! Whose request is read next, where more wait than the server reads at once.
+//! Decides whose request is read next when more callers wait than the server reads concurrently.
 
 use std::collections::VecDeque;
 
-/// Bounds the requests that are being read and not yet handed on, and shares them among listeners.
+/// Limits the number of requests that are being read and not yet handed on, and shares it among listeners.
 ///
-/// Where more callers wait, the listeners take turns by weight (deficit round robin, Shreedhar and Varghese 1995, with
-/// one request as the unit), and what one leaves idle the others use.
+/// While callers wait, the listeners take turns by weight (deficit round robin, Shreedhar and Varghese 1995,
+/// with one request as the unit). Capacity that one listener leaves idle is available to the others.
 #[derive(Clone, Debug)]
 pub struct ReadScheduler {
+    /// The maximum number of reads in flight.
     max_in_flight: usize,
     listeners: Vec<Listener>,
+    /// Reads in flight, over all listeners.
     in_flight: usize,
-    /// The listener whose turn it is.
+    /// The index of the listener whose turn it is.
     current_listener: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Listener {
     weight: u32,
-    /// Reads that it may still start in this turn.
+    /// The number of reads that it may still start in this turn.
     credit: u32,
-    /// Callers that wait, in order of arrival.
+    /// Waiting callers, in order of arrival.
     waiting: VecDeque<u64>,
+    /// Reads in flight.
     in_flight: usize,
 }
 
-/// A caller whose request is read next.
+/// The caller whose request is to be read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextRead {
-    /// Its listener.
+    /// The index of the caller's listener.
     pub listener: usize,
-    /// The caller.
+    /// The host's number for the caller.
     pub caller: u64,
 }
 
 impl ReadScheduler {
-    /// At most `max_in_flight` reads at once, shared by these weights, each counted as at least 1.
+    /// Creates a scheduler for at most `max_in_flight` concurrent reads, and one listener for each weight.
+    /// The limit and the weights are raised to 1 where they are 0.
     pub fn new(max_in_flight: usize, weights: &[u32]) -> ReadScheduler {
         let listener = |&weight: &u32| Listener {
             weight: weight.max(1),
@@ -51,8 +55,8 @@
         }
     }
 
-    /// A caller has a request to read; returns whether it may be read at once. Else [`ReadScheduler::next_read`] names
-    /// the caller when it may.
+    /// Requests a read for a caller. Returns whether the read starts at once; otherwise the caller waits
+    /// until [`ReadScheduler::next_read`] returns it.
     pub fn request_read(&mut self, listener: usize, caller: u64) -> bool {
         if !self.has_waiting() && self.in_flight < self.max_in_flight {
             self.start_read(listener);
@@ -64,7 +68,7 @@
         false
     }
 
-    /// A request of this listener has been read and handed on.
+    /// Ends a read of this listener: the request has been read and handed on.
     pub fn handle_read_end(&mut self, listener: usize) {
         if let Some(listener) = self.listeners.get_mut(listener).filter(|l| l.in_flight > 0) {
             listener.in_flight -= 1;
@@ -72,14 +76,14 @@
         }
     }
 
-    /// A caller that waits is gone.
+    /// Removes a waiting caller, whose connection is gone.
     pub fn cancel_read(&mut self, listener: usize, caller: u64) {
         if let Some(listener) = self.listeners.get_mut(listener) {
             listener.waiting.retain(|&other| other != caller);
         }
     }
 
-    /// The next read that may start; to be called until there is none.
+    /// Starts the next read that the limit allows. The host calls it until it returns `None`.
     pub fn next_read(&mut self) -> Option<NextRead> {
         if self.in_flight >= self.max_in_flight || !self.has_waiting() {
             return None;
@@ -99,7 +103,7 @@
     }
 
     fn next_turn(&mut self) {
-        // Credit that nobody makes use of is not saved up.
+        // Unused credit does not carry over to later turns.
         self.listeners[self.current_listener].credit = 0;
         self.current_listener = (self.current_listener + 1) % self.listeners.len();
         let next = &mut self.listeners[self.current_listener];
@@ -117,20 +121,20 @@
         self.listeners.iter().any(|listener| !listener.waiting.is_empty())
     }
 
-    /// Reads in flight.
+    /// The number of reads in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Callers that wait.
+    /// The number of waiting callers.
     pub fn waiting(&self) -> usize {
         self.listeners.iter().map(|listener| listener.waiting.len()).sum()
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariant: the reads in flight are counted correctly and are within the limit.
     ///
     /// # Errors
-    /// What does not hold.
+    /// A description of the violation.
     pub fn check_invariants(&self) -> Result<(), String> {
         let sum: usize = self.listeners.iter().map(|listener| listener.in_flight).sum();
         if sum != self.in_flight || sum > self.max_in_flight {
--- a/crates/connection-admission/src/read_scheduler/tests.rs
+++ b/crates/connection-admission/src/read_scheduler/tests.rs
@@ -54,7 +54,8 @@
 }
 
 proptest! {
-    /// Everybody who waits passes in the end, in turn within a listener, and never too many at once.
+    /// Every requested read starts eventually, in order of arrival within a listener, and the limit is never
+    /// exceeded.
     #[test]
     fn every_read_starts_and_never_too_many_at_once(
         most in 1usize..5, weights in prop::collection::vec(0u32..4, 1..4),
