--- a/crates/store/src/backend.rs
+++ b/crates/store/src/backend.rs
@@ -1,4 +1,4 @@
-//! Storage backends for `redb`: the store's file, and a view of it that writes nothing.
+//! Storage backends for `redb`: one that writes to the store's file, and one that keeps all writes in memory.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::io;
@@ -8,7 +8,7 @@
 
 use crate::disk::DiskFile;
 
-/// The store's file.
+/// A backend that reads and writes the store's file.
 #[derive(Debug)]
 pub struct FileBackend(pub Arc<dyn DiskFile>);
 
@@ -34,34 +34,38 @@
     }
 }
 
-/// The size of the pages that an overlay keeps.
+/// Size in bytes of the pages of an overlay.
 const PAGE_BYTES: u64 = 4_096;
 
-/// A file with all writes kept in memory: it can be checked without being changed, so that a damaged file stays for whoever
-/// wants to read it.
+/// A backend that reads a file and keeps all writes in memory. With it a file is checked without being
+/// changed, so that a damaged file stays as it is for later analysis.
 #[derive(Debug)]
 pub struct OverlayBackend {
     file: Arc<dyn DiskFile>,
     overlay: Mutex<Overlay>,
 }
 
-/// What has been written over the file.
+/// The changes to a file that are kept in memory.
 #[derive(Debug)]
 struct Overlay {
+    /// The length of the file in bytes, with the changes.
     len: u64,
+    /// The pages that were written to, by page number.
     pages: BTreeMap<u64, Vec<u8>>,
 }
 
-/// The part of a read or write that lies in one page.
+/// The bytes of a read or write that lie in one page.
 struct PageRange {
+    /// The page number.
     page: u64,
-    /// Where it starts within the page.
+    /// The offset in bytes within the page.
     start: usize,
+    /// The length in bytes.
     len: usize,
 }
 
 impl PageRange {
-    /// The first part of `remaining` bytes from this offset.
+    /// The range in the first page of `remaining` bytes from this offset.
     fn first(offset: u64, remaining: usize) -> PageRange {
         let start = (offset % PAGE_BYTES) as usize;
         PageRange { page: offset / PAGE_BYTES, start, len: remaining.min(PAGE_BYTES as usize - start) }
@@ -82,7 +86,7 @@
         self.overlay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A page of the file itself, with zeros after the file's end.
+    /// Reads a page of the file itself, with zeros after the file's end.
     fn read_page(&self, page: u64) -> io::Result<Vec<u8>> {
         let offset = page * PAGE_BYTES;
         let mut bytes = vec![0; PAGE_BYTES as usize];
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,15 +1,15 @@
-//! Write batches: changes of rows that happen together or not at all.
+//! Write batches: changes of rows that are applied atomically.
 
-/// The smallest space of an owner; space 0 is the store's own.
+/// The lowest space that users of the store can write to; space 0 holds the store's own metadata.
 const FIRST_SPACE: u8 = 1;
 
-/// Changes that happen together or not at all, in their order.
+/// A sequence of changes that is applied atomically, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
     changes: Vec<Change>,
 }
 
-/// One change; keys have their space before the name.
+/// One change. Each key consists of the space, as one byte, and the name of the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
     Put {
@@ -19,14 +19,15 @@
     Remove {
         key: Vec<u8>,
     },
-    /// `end` is not included.
+    /// Removes the rows from `start` up to, but not including, `end`.
     RemoveRange {
         start: Vec<u8>,
         end: Vec<u8>,
     },
 }
 
-/// The key of a row. Space 0 is the store's own, so that no owner can write over its format version.
+/// The key of a row. Space 0 is raised to 1, so that no user of the store can overwrite its metadata, such as
+/// the format version.
 pub(crate) fn row_key(space: u8, name: &[u8]) -> Vec<u8> {
     let mut key = Vec::with_capacity(name.len() + 1);
     key.push(space.max(FIRST_SPACE));
@@ -34,7 +35,7 @@
     key
 }
 
-/// The key after all rows of a space.
+/// The end key of a range that covers all rows of a space.
 pub(crate) fn end_of_space(space: u8) -> Vec<u8> {
     vec![space.max(FIRST_SPACE).saturating_add(1)]
 }
@@ -59,21 +60,21 @@
         self
     }
 
-    /// Removes the rows from `start` up to `end`, that one not included.
+    /// Removes the rows from `start` up to, but not including, `end`.
     #[must_use]
     pub fn remove_range(mut self, space: u8, start: &[u8], end: &[u8]) -> WriteBatch {
         self.changes.push(Change::RemoveRange { start: row_key(space, start), end: row_key(space, end) });
         self
     }
 
-    /// Appends another batch.
+    /// Appends the changes of another batch.
     #[must_use]
     pub fn then(mut self, other: WriteBatch) -> WriteBatch {
         self.changes.extend(other.changes);
         self
     }
 
-    /// Whether it changes nothing.
+    /// Whether the batch has no changes.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,4 +1,4 @@
-//! The embedded database beneath a store: its files, its errors, and rows with digests.
+//! The embedded database of a store: its files, its errors, and rows with digests.
 
 use std::io::{self, ErrorKind};
 use std::path::Path;
@@ -13,14 +13,15 @@
 use crate::panic_guard::catch_panic;
 use crate::store::Config;
 
-/// Memory for pages: what a store of some MiB reads again and again.
+/// Size of the page cache in bytes: enough for the pages that a store of a few MiB reads repeatedly.
 const CACHE_BYTES: usize = 4 << 20;
-/// Bytes of the digest before each value.
+/// Size in bytes of the digest that precedes each value.
 pub(crate) const DIGEST_BYTES: usize = 16;
 
+/// The table of all rows: the value of each key is preceded by its digest.
 pub(crate) const ROWS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("rows");
 
-/// Turns an error of the embedded database into this crate's.
+/// Converts an error of the embedded database into this crate's.
 pub(crate) fn store_error(file: &Path, operation: &'static str, error: impl Into<redb::Error>) -> StoreError {
     match error.into() {
         redb::Error::Io(source) if source.kind() == ErrorKind::InvalidData => {
@@ -38,7 +39,8 @@
     }
 }
 
-/// Reading a damaged file may fail an assertion of the database; that is damage found, not a reason to end the process.
+/// Runs an operation on the database and reports a panic as damage. Reading a damaged file may fail an
+/// assertion of the database, which must not end the process.
 pub(crate) fn catch_damage<T>(
     file: &Path,
     act: impl FnOnce() -> Result<T, StoreError>,
@@ -46,7 +48,7 @@
     catch_panic(act).unwrap_or_else(|message| Err(StoreError::damaged_file(file, message)))
 }
 
-/// Opens the database of a file that was checked.
+/// Opens the database in a file that has passed [`check_file`].
 pub(crate) fn open(file: &Path, disk_file: Arc<dyn DiskFile>) -> Result<Database, StoreError> {
     catch_damage(file, || {
         let backend = FileBackend(disk_file);
@@ -55,7 +57,8 @@
     })
 }
 
-/// Creates an empty database, under another name first: one that a power cut has left half made would look like damage.
+/// Creates an empty database under a temporary name and renames it, as a file that a power cut has left
+/// incomplete would be taken for damage.
 pub(crate) fn create(disk: &dyn Disk, config: &Config) -> Result<(), StoreError> {
     let new_file = config.directory.join("rows.new");
     let disk_file = disk.open(&new_file, true).map_err(StoreError::io("make", &new_file))?;
@@ -81,8 +84,8 @@
     })
 }
 
-/// Compares all digests of the database itself. One that could be brought back to an earlier commit is damaged too: that
-/// would lose commits that were reported as durable.
+/// Checks the database's own digests. A database that could only be repaired by going back to an earlier
+/// commit counts as damaged too, as the repair would lose commits that were reported as durable.
 pub(crate) fn check_integrity(database: &mut Database, file: &Path) -> Result<(), StoreError> {
     match database.check_integrity() {
         Ok(true) => Ok(()),
@@ -91,7 +94,8 @@
     }
 }
 
-/// The digest of a row. The key is part of it, so that a value in another's place is detected as well.
+/// The digest of a row. It covers the key, so that a value that is stored under another key is detected as
+/// well.
 fn digest(key: &[u8], value: &[u8]) -> [u8; DIGEST_BYTES] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u32).to_le_bytes()).update(key).update(value);
@@ -100,7 +104,7 @@
     first
 }
 
-/// The value of a row without its digest; an error if that does not match.
+/// Returns the value of a row without its digest; an error if the digest does not match.
 pub(crate) fn check_row<'r>(file: &Path, key: &[u8], row: &'r [u8]) -> Result<&'r [u8], StoreError> {
     match row.split_at_checked(DIGEST_BYTES) {
         Some((stored_digest, value)) if *stored_digest == digest(key, value) => Ok(value),
@@ -112,11 +116,12 @@
     }
 }
 
+/// The size of a row in bytes, as it counts towards the store's limit.
 fn row_bytes(key: &[u8], row: &[u8]) -> i64 {
     (key.len() + row.len()) as i64
 }
 
-/// Writes rows in a transaction, and counts the bytes that they add.
+/// Writes rows in a transaction and counts by how many bytes the table grows; negative if it shrinks.
 pub(crate) struct RowWriter<'t> {
     pub(crate) table: Table<'t, &'static [u8], &'static [u8]>,
     pub(crate) added_bytes: i64,
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The interface between a store and the system: every operation on files is one method here.
+//! The interface between a store and the file system: every file operation is a method here.
 
 use std::any::Any;
 use std::fmt::Debug;
@@ -10,39 +10,41 @@
 
 /// An open file.
 pub trait DiskFile: Debug + Send + Sync {
-    /// Its length in bytes.
+    /// The length of the file in bytes.
     fn len(&self) -> io::Result<u64>;
-    /// Whether it has no bytes.
+    /// Whether the file has no bytes.
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
-    /// Fills `out` from this offset; an error if the file ends before.
+    /// Fills `out` with the bytes at this offset; an error if the file ends before `out` is full.
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()>;
-    /// Truncates it or extends it with zeros.
+    /// Truncates the file, or extends it with zeros.
     fn set_len(&self, len: u64) -> io::Result<()>;
     /// Writes all of `data` at this offset.
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()>;
-    /// Returns once all that was written is durable.
+    /// Returns once all earlier writes are durable.
     fn sync(&self) -> io::Result<()>;
 }
 
 /// The file operations that a store needs.
 pub trait Disk {
-    /// Creates a directory and its parents; an existing one is fine, a file there is an error.
+    /// Creates a directory and its parents. Succeeds if the directory exists; fails if there is a file at its
+    /// path.
     fn create_directory(&self, directory: &Path) -> io::Result<()>;
-    /// Takes a lock that ends with what is returned, or with the process however it ends. `WouldBlock`: it is taken.
+    /// Locks a file. The lock is released when the returned value is dropped or the process ends in any way.
+    /// Fails with `WouldBlock` if the file is locked already.
     fn lock(&self, file: &Path) -> io::Result<Box<dyn Any + Send>>;
-    /// Opens a file for reading and writing; with `create` it is created if it is not there.
+    /// Opens a file for reading and writing; with `create` a missing file is created.
     fn open(&self, file: &Path, create: bool) -> io::Result<Arc<dyn DiskFile>>;
-    /// Whether there is anything with this name.
+    /// Whether a file or directory with this path exists.
     fn exists(&self, file: &Path) -> bool;
     /// Renames a file.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Returns once the names in a directory are durable.
+    /// Returns once the entries of a directory are durable.
     fn sync_directory(&self, directory: &Path) -> io::Result<()>;
 }
 
-/// The system's files.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,29 +1,29 @@
-//! Errors of a store, and what whoever meets them should do.
+//! Errors of a store, and how to handle them.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-/// The location of damage that is not that of one row.
+/// The reported location of damage that can't be attributed to a single row.
 pub(crate) const WHOLE_FILE: &str = "whole";
 
-/// Why a store can't be opened or written.
+/// Why a store can't be opened, read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process has it open. Wait for its end, or configure another directory.
+    /// Another process has the store open. Wait until that process ends, or configure another directory.
     #[error("{}: another process has it open", .file.display())]
     Locked {
         /// The lock file.
         file: PathBuf,
     },
-    /// What should be a directory is none.
+    /// The path of the store's directory is not a directory.
     #[error("{}: expected a folder", .path.display())]
     NotADirectory {
         /// The path.
         path: PathBuf,
     },
-    /// It was written by a newer program. Start that program.
+    /// The store was written by a newer version of the program. Start that version.
     #[error("{}: form {found}, this program knows up to {known}", .file.display())]
     UnsupportedFormat {
         /// The file.
@@ -33,30 +33,31 @@
         /// The newest format version known.
         known: u32,
     },
-    /// What is there is not what was written. Quarantine it ([`crate::Store::quarantine`]).
+    /// The file does not contain what was written. Quarantine it ([`crate::Store::quarantine`]).
     #[error("{}: damaged at {location}: {reason}", .file.display())]
     Damaged {
         /// The file.
         file: PathBuf,
-        /// Which row, or `whole`.
+        /// The damaged row, or `whole` if the damage can't be attributed to a single row.
         location: String,
-        /// What was found.
+        /// What is wrong with it.
         reason: String,
     },
-    /// The batch does not fit under the store's limit. Remove rows first.
+    /// The batch would exceed the store's size limit. Remove rows first.
     #[error("{bytes} bytes would be kept, {max_bytes} are allowed")]
     Full {
-        /// Bytes that the store would hold.
+        /// Bytes that the store would hold with the batch.
         bytes: u64,
-        /// The limit.
+        /// The limit in bytes.
         max_bytes: u64,
     },
-    /// The system refused an operation. A commit may or may not be there; open the store again to see.
+    /// A file operation failed. Whether a commit has been written is unknown; open the store again to find
+    /// out.
     #[error("{}: {operation}: {source}", .file.display())]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         operation: &'static str,
-        /// With which file or directory.
+        /// The file or directory that it was done on.
         file: PathBuf,
         /// The system's error.
         source: io::Error,
@@ -64,17 +65,17 @@
 }
 
 impl StoreError {
-    /// Whether the files are to be quarantined: nothing that this program does will make them readable.
+    /// Whether the file is damaged and has to be quarantined: the program can't make it readable again.
     pub fn is_damage(&self) -> bool {
         matches!(self, StoreError::Damaged { .. })
     }
 
-    /// Damage that is not that of one row.
+    /// Damage that can't be attributed to a single row.
     pub(crate) fn damaged_file(file: &Path, reason: impl Into<String>) -> StoreError {
         StoreError::Damaged { file: file.to_owned(), location: WHOLE_FILE.to_owned(), reason: reason.into() }
     }
 
-    /// Turns the system's error of an operation on a file into this type.
+    /// Converts the system's error of an operation on a file into this type.
     pub(crate) fn io(operation: &'static str, file: &Path) -> impl FnOnce(io::Error) -> StoreError {
         let file = file.to_owned();
         move |source| StoreError::Io { operation, file, source }
--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -1,7 +1,9 @@
-//! A fault-injecting disk in memory: an operation fails, is cut short, or is the last before a power cut; of what was written
-//! since the last sync any part survives, in any order; a sync may do nothing; bits may be flipped.
+//! A fault-injecting disk in memory. An operation can fail, be cut short, or be hit by a power cut. Of the
+//! data written since the last sync, any subset survives a power cut, in any order. A sync can do nothing,
+//! and bits can be flipped.
 //!
-//! The same seed and the same operations give the same disk, so that a failure found once is a test.
+//! The same seed and the same operations lead to the same disk, so that a failure found once can be
+//! reproduced in a test.
 
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,15 +22,16 @@
 /// Faults to inject. Operations are numbered from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// At this operation the power is cut: it and all after it fail, until [`FaultInjectingDisk::cut_power`].
+    /// The power is cut at this operation: it and all later ones fail, until
+    /// [`FaultInjectingDisk::cut_power`].
     pub power_cut_at: Option<u64>,
-    /// One operation fails and does nothing.
+    /// This operation fails without doing anything.
     pub failure: Option<OperationFailure>,
-    /// This write writes its first half only, and fails.
+    /// If this operation is a write, it writes only the first half of its data and fails.
     pub short_write_at: Option<u64>,
-    /// All operations that write fail, with this kind of error.
+    /// All operations that write fail with this kind of error.
     pub fail_writes: Option<ErrorKind>,
-    /// Syncs return and do nothing.
+    /// Syncs report success without doing anything.
     pub ignore_syncs: bool,
 }
 
@@ -41,6 +44,7 @@
     pub kind: ErrorKind,
 }
 
+/// A change to the contents of a file.
 enum FileChange {
     Write { offset: u64, data: Vec<u8> },
     SetLength(u64),
@@ -61,7 +65,7 @@
         }
     }
 
-    /// The parts that survive a power cut independently.
+    /// Splits the change into parts that survive a power cut independently.
     fn into_sectors(self) -> Vec<FileChange> {
         match self {
             FileChange::Write { offset, data } => {
@@ -78,21 +82,21 @@
 
 #[derive(Default)]
 struct FileState {
-    /// What a power cut leaves.
+    /// The contents that survive a power cut in any case.
     durable: Vec<u8>,
-    /// What has been written since, in order.
+    /// The changes since the last sync, in order.
     unsynced: Vec<FileChange>,
-    /// What a running process reads.
+    /// The contents that a running process reads.
     current: Vec<u8>,
 }
 
 impl FileState {
-    /// A file of which all is durable.
+    /// A file whose contents are durable.
     fn synced(bytes: Vec<u8>) -> FileState {
         FileState { durable: bytes.clone(), unsynced: Vec::new(), current: bytes }
     }
 
-    /// Leaves what a power cut leaves: some of what was not synced, in any order.
+    /// Simulates a power cut: some of the unsynced changes survive, in any order.
     fn cut_power(&mut self, random: &mut ChaCha8Rng) {
         let mut surviving: Vec<FileChange> =
             self.unsynced.drain(..).flat_map(FileChange::into_sectors).collect();
@@ -112,13 +116,14 @@
 struct DiskState {
     files: BTreeMap<PathBuf, FileState>,
     directories: BTreeSet<PathBuf>,
-    /// Renames since the directory was synced: from, to.
+    /// Renames since the last sync of the directory, each as old and new path.
     renamed: Vec<(PathBuf, PathBuf)>,
     locks: BTreeSet<PathBuf>,
     faults: Faults,
+    /// The number of operations so far.
     operations: u64,
     power_off: bool,
-    /// Counts power cuts: what was opened before one is gone.
+    /// The number of power cuts so far. Files and locks from before a power cut are invalid after it.
     power_cuts: u64,
     bytes_written: u64,
     syncs: u64,
@@ -126,7 +131,7 @@
 }
 
 impl DiskState {
-    /// Counts an operation and injects the faults that are due at it.
+    /// Counts an operation and injects the faults configured for it.
     fn begin_operation(&mut self, writes: bool) -> io::Result<()> {
         self.operations += 1;
         if self.power_off || self.faults.power_cut_at.is_some_and(|at| self.operations >= at) {
@@ -143,12 +148,12 @@
     }
 }
 
-/// A fault-injecting disk; clones are the same disk.
+/// A fault-injecting disk; clones share the same disk.
 #[derive(Clone)]
 pub struct FaultInjectingDisk(Arc<Mutex<DiskState>>);
 
 impl FaultInjectingDisk {
-    /// An empty disk; the seed chooses what survives power cuts.
+    /// An empty disk; the seed determines what survives power cuts.
     pub fn new(seed: u64) -> FaultInjectingDisk {
         FaultInjectingDisk(Arc::new(Mutex::new(DiskState {
             files: BTreeMap::new(),
@@ -174,22 +179,23 @@
         self.state().faults = faults;
     }
 
-    /// Operations so far.
+    /// The number of operations so far.
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// Bytes written so far.
+    /// The number of bytes written so far.
     pub fn bytes_written(&self) -> u64 {
         self.state().bytes_written
     }
 
-    /// Syncs so far.
+    /// The number of file syncs so far.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// Cuts the power and restores it: of what was not synced some survives. No more faults are injected.
+    /// Cuts the power and restores it: some of the unsynced changes survive. No more faults are injected
+    /// afterwards.
     pub fn cut_power(&self) {
         let mut state = self.state();
         let state = &mut *state;
@@ -197,7 +203,7 @@
         state.faults = Faults::default();
         state.locks.clear();
         state.power_cuts += 1;
-        // Renames that were not synced may be undone, the later ones first.
+        // Unsynced renames may be undone, the latest first.
         let surviving = state.random.random_range(0..=state.renamed.len());
         for (from, to) in state.renamed.drain(..).skip(surviving).rev() {
             if let Some(file) = state.files.remove(&to) {
@@ -209,18 +215,18 @@
         }
     }
 
-    /// All files as they are now, as for a backup.
+    /// A copy of all files with their current contents.
     pub fn image(&self) -> BTreeMap<PathBuf, Vec<u8>> {
         self.state().files.iter().map(|(path, file)| (path.clone(), file.current.clone())).collect()
     }
 
-    /// Replaces all files by an image.
+    /// Replaces all files with those of an image.
     pub fn restore(&self, image: BTreeMap<PathBuf, Vec<u8>>) {
         self.state().files =
             image.into_iter().map(|(path, bytes)| (path, FileState::synced(bytes))).collect();
     }
 
-    /// Flips a bit, on the disk and for all who read.
+    /// Flips a bit of a file, in both its durable and its current contents.
     pub fn flip_bit(&self, file: &Path, byte: usize, bit: u8) {
         if let Some(file) = self.state().files.get_mut(file) {
             for bytes in [&mut file.durable, &mut file.current] {
@@ -231,7 +237,7 @@
         }
     }
 
-    /// Length of a file in bytes; 0 if it is not there.
+    /// The length of a file in bytes; 0 if it does not exist.
     pub fn file_length(&self, file: &Path) -> usize {
         self.state().files.get(file).map_or(0, |file| file.current.len())
     }
@@ -294,6 +300,7 @@
     }
 }
 
+/// A held lock, which is released on drop unless the power was cut meanwhile.
 struct LockGuard {
     disk: FaultInjectingDisk,
     file: PathBuf,
@@ -322,7 +329,7 @@
 }
 
 impl FaultInjectingFile {
-    /// Does an operation on the disk of the time since the file was opened.
+    /// Runs an operation on the disk; fails if the power was cut since the file was opened.
     fn with_state<T>(
         &self,
         writes: bool,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,14 +1,16 @@
-//! A durable key-value store: rows by key, written in batches that are there completely or not at all.
+//! A durable key-value store: rows by key, written in atomic batches.
 //!
-//! - [`Store`]: one writer, on `redb`; every commit is durable before it returns. Each row has a digest of its own, which is
-//!   checked as it is read; damage is reported by file and location, and never overwritten.
-//! - [`disk`]: the interface to the system. Every file operation passes through it, so that a test can fail it, cut it
-//!   short, or cut the power at it; [`fault_disk`] is such a disk.
-//! - [`writer`]: a thread of its own with a bounded queue, so that nobody who decides waits for a disk.
+//! - [`Store`]: a store with a single writer, on top of `redb`; every commit is durable before it returns.
+//!   Each row has its own digest, which is checked on every read. Damage is reported by file and location,
+//!   and never overwritten.
+//! - [`disk`]: the interface to the system. Every file operation passes through it, so that a test can make
+//!   it fail, cut it short, or cut the power at it; [`fault_disk`] is such a disk.
+//! - [`writer`]: a thread with a bounded queue that owns a store, so that latency-sensitive threads never
+//!   wait for a disk.
 //!
-//! A power cut at any operation leaves the state of the last commit that returned, or a later one, never a mixture. A disk
-//! that says it has synced and has not may lose commits. That shows as an older, complete state ([`Store::generation`] is
-//! then lower than others remember), or as damage.
+//! A power cut at any operation leaves the state of the last commit that returned, or a later one, never a
+//! mixture. A disk that reports a sync without having done it may lose commits. That shows as an older,
+//! complete state, whose [`Store::generation`] is lower than what others remember, or as damage.
 //!
 //! ```
 //! use umberloom_store::{fault_disk::FaultInjectingDisk, Config, Store, WriteBatch};
--- a/crates/store/src/panic_guard.rs
+++ b/crates/store/src/panic_guard.rs
@@ -1,4 +1,4 @@
-//! Calls into libraries that panic over damaged data: here a panic is an error of that call.
+//! Calls into libraries that panic on damaged data: a panic becomes an error of that call.
 
 use std::cell::Cell;
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
@@ -8,7 +8,7 @@
 mod tests;
 
 thread_local! {
-    /// Whether this thread is within [`catch_panic`], so that its panics are not printed.
+    /// Whether this thread is within [`catch_panic`]; its panics are then not printed.
     static PANIC_IS_CAUGHT: Cell<bool> = const { Cell::new(false) };
 }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! Rows by key in one file, with one writer.
+//! The store: rows by key in a single file, with a single writer.
 
 use std::any::Any;
 use std::fmt;
@@ -12,28 +12,30 @@
 use crate::disk::Disk;
 use crate::error::StoreError;
 
-/// The newest format version that this program writes and reads. It changes with what the rows of a store mean as a whole;
-/// what one row means is its owner's affair.
+/// The newest format version that this program writes and reads. It changes when the layout of the rows as a
+/// whole changes; the format of a single row is up to the code that writes it.
 pub const FORMAT_VERSION: u32 = 1;
-/// Quarantined files are numbered up to here; then none is quarantined any more, and the store stays closed.
+/// Maximum number of quarantined files. When it is reached, no further file is quarantined and the store
+/// stays closed.
 const MAX_QUARANTINED_FILES: u32 = 16;
 
-/// Rows of the store itself, in space 0.
+/// Key of the format version, in space 0, which holds the store's own metadata.
 const FORMAT_KEY: &[u8] = b"\0form";
+/// Key of the generation, in space 0.
 const GENERATION_KEY: &[u8] = b"\0generation";
 
-/// Brings a store from one format version to the next: the changes to make, given what it holds.
+/// A migration from one format version to the next: returns the changes to make to a store.
 pub type Migration = fn(&Store) -> Result<WriteBatch, StoreError>;
 
-/// A row: the name within its space, and the value.
+/// A row: its name within the space, and its value.
 pub type Row = (Vec<u8>, Vec<u8>);
 
-/// Where a store is, and how large it may become.
+/// The configuration of a store: its location, maximum size and format.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its directory, made if it is not there.
+    /// The directory of the store; created if it does not exist.
     pub directory: PathBuf,
-    /// Bytes of rows that it holds at most; the file may be about twice as large between two compactions.
+    /// Maximum size of all rows in bytes; the file may be about twice as large between two compactions.
     pub max_bytes: u64,
     /// The format version that this program writes.
     pub format_version: u32,
@@ -42,7 +44,7 @@
 }
 
 impl Config {
-    /// In this directory, with up to 256 MiB.
+    /// A store of up to 256 MiB in this directory.
     pub fn new(directory: impl Into<PathBuf>) -> Config {
         Config {
             directory: directory.into(),
@@ -52,19 +54,20 @@
         }
     }
 
-    /// The file with the rows.
+    /// The path of the file with the rows.
     pub fn file(&self) -> PathBuf {
         self.directory.join("rows.redb")
     }
 }
 
-/// Rows that outlive the process. What was committed is durable.
+/// A durable key-value store, which holds a lock on its directory while it is open.
 pub struct Store {
     database: Database,
     config: Config,
     generation: u64,
-    /// Bytes of all rows.
+    /// Size of all rows in bytes.
     bytes: u64,
+    /// Keeps other processes from opening the store.
     _lock: Box<dyn Any + Send>,
 }
 
@@ -79,7 +82,8 @@
 }
 
 impl Store {
-    /// Opens the store of a directory, or makes it. What is found is checked completely before anything is written.
+    /// Opens the store in a directory, or creates it. An existing file is checked completely before anything
+    /// is written.
     pub fn open(disk: &dyn Disk, config: &Config) -> Result<Store, StoreError> {
         let file = config.file();
         let directory = &config.directory;
@@ -97,7 +101,7 @@
         Ok(store)
     }
 
-    /// Reads the store's own rows and brings it to the present format version.
+    /// Reads the store's metadata and migrates it to the configured format version.
     fn load_and_migrate(&mut self) -> Result<(), StoreError> {
         let found = self.own_number(FORMAT_KEY)? as u32;
         let known = self.config.format_version;
@@ -125,7 +129,7 @@
         Ok(value.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_le_bytes))
     }
 
-    /// Bytes of all rows; each is read and so checked.
+    /// The size of all rows in bytes. Reads every row, which checks its digest.
     fn count_bytes(&self) -> Result<u64, StoreError> {
         let mut bytes = 0;
         self.for_each_row(&[], None, &mut |key, value| {
@@ -135,8 +139,8 @@
         Ok(bytes)
     }
 
-    /// Changes rows, all of them or none, and returns the generation once that is durable. After an [`StoreError::Io`] the
-    /// store has to be opened again: whether the batch is there is then seen.
+    /// Applies a batch atomically and returns the new generation once it is durable. After a
+    /// [`StoreError::Io`] the store must be opened again, which shows whether the batch has been applied.
     pub fn commit(&mut self, batch: &WriteBatch) -> Result<u64, StoreError> {
         self.write(batch, self.config.format_version, self.generation + 1)?;
         Ok(self.generation)
@@ -148,8 +152,9 @@
         let bytes = catch_damage(&file, || {
             let fail = |error: redb::Error| store_error(&file, "commit", error);
             let mut transaction = self.database.begin_write().map_err(|e| fail(e.into()))?;
-            // Two syncs a commit: the second switches to the new state only once all of it is durable, so that a state
-            // whose digests do not fit is damage, and never taken for a power cut that can be rolled back.
+            // Two syncs per commit: the second switches to the new state only once all of it is durable. A
+            // state whose digests do not match is therefore damage, and never a power cut that can be rolled
+            // back.
             transaction.set_two_phase_commit(true);
             transaction.set_quick_repair(true);
             let table = transaction.open_table(ROWS).map_err(|e| fail(e.into()))?;
@@ -161,7 +166,8 @@
             let added_bytes = rows.added_bytes;
             drop(rows);
             let bytes = (self.bytes as i64 + added_bytes).max(0) as u64;
-            // A batch that removes more than it adds is always possible: else a full store could never be less full.
+            // A batch that removes more than it adds is always allowed; otherwise a full store could never
+            // shrink.
             if added_bytes > 0 && bytes > max_bytes {
                 transaction.abort().map_err(|e| fail(e.into()))?;
                 return Err(StoreError::Full { bytes, max_bytes });
@@ -174,12 +180,13 @@
         Ok(())
     }
 
-    /// How many commits there have been. Whoever remembers a higher number knows that this store was set back.
+    /// The number of commits so far. If an earlier observation was higher, the store was rolled back to an
+    /// older state.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// A row's value.
+    /// Reads the value of a row.
     pub fn get(&self, space: u8, name: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.get_by_key(&row_key(space, name))
     }
@@ -194,8 +201,9 @@
         Ok(found)
     }
 
-    /// Rows of a space from `start` up to `end` (all, without it), in the order of their names, until `max_bytes`; at least
-    /// one, if there is one.
+    /// Reads the rows of a space from `start` up to, but not including, `end` (or to the end of the space),
+    /// in the order of their names. Stops before the rows exceed `max_bytes`, but returns at least one row if
+    /// there is one.
     pub fn range(
         &self,
         space: u8,
@@ -217,8 +225,8 @@
         Ok(rows)
     }
 
-    /// Visits rows in the order of their keys until `visit` returns `false`. A value that is not what was written is damage
-    /// at that row.
+    /// Visits rows in the order of their keys until `visit` returns `false`. A row whose digest does not
+    /// match is an error with the location of that row.
     fn for_each_row(
         &self,
         start: &[u8],
@@ -250,14 +258,14 @@
         })
     }
 
-    /// Reads everything and compares all digests: finds what a disk has done to rows that nobody reads.
+    /// Reads all rows and checks all digests, to detect damage to rows that are otherwise not read.
     pub fn scrub(&mut self) -> Result<(), StoreError> {
         self.count_bytes()?;
         let file = self.config.file();
         catch_damage(&file, || database::check_integrity(&mut self.database, &file))
     }
 
-    /// Gives back the space of removed rows.
+    /// Frees the disk space of removed rows.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         let file = self.config.file();
         catch_damage(&file, || {
@@ -266,8 +274,8 @@
         })
     }
 
-    /// Gives a store that cannot be used another name, so that a new one can start and the old one stays for the operator;
-    /// returns that name.
+    /// Renames the file of a store that can't be used, so that a new store can be created and the operator
+    /// still has the old one. Returns the new path.
     pub fn quarantine(disk: &dyn Disk, config: &Config) -> Result<PathBuf, StoreError> {
         let file = config.file();
         let name = |number: u32| config.directory.join(format!("rows.redb.aside-{number}"));
@@ -283,7 +291,7 @@
     }
 }
 
-/// Turns an error of opening a store into this crate's: some kinds say what stands in the way.
+/// Converts an error of opening a store into this crate's; some kinds of error have their own variant.
 fn open_error(operation: &'static str, path: &Path) -> impl FnOnce(io::Error) -> StoreError {
     let path = path.to_owned();
     move |error| match error.kind() {
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,8 +1,8 @@
-//! A thread of its own for a store, so that nobody who decides waits for a disk.
+//! A thread that owns a store, so that latency-sensitive threads never wait for a disk.
 //!
-//! Batches go into a bounded queue with a number; several that wait become one commit. After the first that fails all that
-//! follow are refused in their order, until the store has been opened anew: a later batch must never be there without the
-//! ones before it.
+//! Numbered batches go into a bounded queue; waiting batches are grouped into one commit. After the first
+//! commit that fails, all later batches are discarded until the store has been opened again, as a batch must
+//! never be applied without the ones before it.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,62 +14,64 @@
 use crate::error::StoreError;
 use crate::store::{Config, Row, Store};
 
-/// Batches that become one commit at most.
+/// Maximum number of batches in one commit.
 const MAX_GROUP_COMMIT: usize = 256;
 
-/// What the thread is asked to do.
+/// A job for the thread.
 enum Job {
     Commit { number: u64, batch: WriteBatch },
     Scrub,
     Compact,
 }
 
-/// What was found when the thread opened the store.
+/// The state of the store when the thread opened it.
 #[derive(Debug, Default)]
 pub struct OpenedStore {
-    /// All rows of the spaces that were asked for.
+    /// All rows of the requested spaces.
     pub rows: Vec<(u8, Vec<Row>)>,
     /// The file that was quarantined, if there was one.
     pub quarantined: Option<Quarantined>,
-    /// How many commits there had been.
+    /// The number of commits so far.
     pub generation: u64,
 }
 
 /// A file that was quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Quarantined {
-    /// Its new name.
+    /// Its new path.
     pub path: PathBuf,
-    /// Why it is not to be used.
+    /// Why it must not be used.
     pub reason: String,
 }
 
-/// What the thread reports.
+/// An event that the thread reports.
 #[derive(Debug)]
 pub enum WriterEvent {
     /// The store is open.
     Opened(OpenedStore),
-    /// The store cannot be opened; the thread has ended.
+    /// The store can't be opened; the thread ends.
     Closed(StoreError),
-    /// All batches up to a number are durable.
+    /// All batches up to and including a number are durable.
     Durable {
         /// The number of the last batch.
         number: u64,
-        /// Commits so far.
+        /// The number of commits so far.
         generation: u64,
     },
-    /// From this batch on nothing is durable; the thread takes no further batches.
+    /// A commit has failed: none of the batches from this number on is known to be durable, and the thread
+    /// discards all further batches.
     Failed {
-        /// The number of the first batch that is not durable.
+        /// The number of the first batch in the failed commit.
         number: u64,
-        /// Why its commit failed.
+        /// Why the commit failed.
         error: StoreError,
     },
-    /// All rows were read and checked.
+    /// A scrub has ended, with its result.
     Scrubbed(Result<(), StoreError>),
 }
 
-/// The handle of the thread. Dropping it ends the thread once all that was asked for is done, without waiting.
+/// The handle of the thread. Dropping it ends the thread once all queued jobs are done, without waiting for
+/// it.
 #[derive(Debug)]
 pub struct Writer {
     jobs: Option<SyncSender<Job>>,
@@ -77,7 +79,8 @@
 }
 
 impl Writer {
-    /// Starts the thread with an open store. `notify` is called on the thread, and must not block.
+    /// Starts the thread with an open store and a queue for `queue_capacity` jobs. `notify` is called on the
+    /// thread and must not block.
     pub fn start(
         store: Store,
         queue: usize,
@@ -86,8 +89,8 @@
         Writer::spawn(queue, move |jobs| run(store, &jobs, notify))
     }
 
-    /// Starts the thread and has it open the store, which may take long. A damaged file is quarantined first, and with
-    /// `fresh` whatever file is there.
+    /// Starts the thread, which opens the store itself, as that may take long. An existing file is
+    /// quarantined first if it is damaged, or in any case with `quarantine_existing`.
     pub fn open(
         disk: impl Disk + Send + 'static,
         config: Config,
@@ -112,7 +115,7 @@
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    /// Asks for a commit; `Err` returns the batch: the queue is full or the thread has ended.
+    /// Queues a batch for commit. `Err` returns the batch if the queue is full or the thread has ended.
     pub fn commit(&self, number: u64, batch: WriteBatch) -> Result<(), WriteBatch> {
         self.enqueue(Job::Commit { number, batch }).map_err(|job| match job {
             Job::Commit { batch, .. } => batch,
@@ -120,12 +123,12 @@
         })
     }
 
-    /// Asks for a check of all rows; whether the queue had room for that.
+    /// Queues a check of all rows; returns `false` if the queue is full or the thread has ended.
     pub fn scrub(&self) -> bool {
         self.enqueue(Job::Scrub).is_ok()
     }
 
-    /// Asks for free space to be given back; whether the queue had room for that.
+    /// Queues a compaction; returns `false` if the queue is full or the thread has ended.
     pub fn compact(&self) -> bool {
         self.enqueue(Job::Compact).is_ok()
     }
@@ -137,16 +140,17 @@
         })
     }
 
-    /// Ends the thread once all that was asked for is done, and waits for that.
+    /// Ends the thread once all queued jobs are done, and waits for its end.
     pub fn finish(mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
-            // An error is the panic of `notify`, which was printed there.
+            // An error means that `notify` panicked, which the panic hook has printed already.
             let _ = thread.join();
         }
     }
 }
 
+/// Opens the store, after quarantining the existing file where need be, and reads all rows of `spaces`.
 fn open_and_read(
     disk: &dyn Disk,
     config: &Config,
@@ -172,7 +176,7 @@
     Ok((store, OpenedStore { rows, quarantined, generation }))
 }
 
-/// The thread's loop; it ends when the handle is gone and all jobs are done.
+/// The thread's loop. It ends when the handle has been dropped and all jobs are done.
 fn run(mut store: Store, jobs: &Receiver<Job>, notify: impl Fn(WriterEvent)) {
     let mut failed = false;
     let mut next = jobs.recv().ok();
@@ -194,7 +198,7 @@
                 }
             }
             Job::Scrub => notify(WriterEvent::Scrubbed(store.scrub())),
-            // What is free stays free if it can't be given back now.
+            // An error is ignored: removed rows then only keep their disk space until a later compaction.
             Job::Compact => drop(store.compact()),
         }
         if next.is_none() {
@@ -203,16 +207,19 @@
     }
 }
 
-/// Batches that become one commit.
+/// Waiting batches that are merged into one commit.
 struct GroupCommit {
+    /// The changes of all batches.
     batch: WriteBatch,
+    /// The number of the last batch.
     last_number: u64,
-    /// The job that ended the group.
+    /// The job that was taken from the queue and is not a commit, so that it ended the group.
     next_job: Option<Job>,
 }
 
 impl GroupCommit {
-    /// Takes the batches that wait already, up to the first other job.
+    /// Takes waiting batches from the queue, up to the first job of another kind or [`MAX_GROUP_COMMIT`]
+    /// batches.
     fn collect(number: u64, batch: WriteBatch, jobs: &Receiver<Job>) -> GroupCommit {
         let mut group = GroupCommit { batch, last_number: number, next_job: None };
         for _ in 1..MAX_GROUP_COMMIT {
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A scripted run of a store, with a fault at every single operation of it in turn.
+//! Runs a scripted sequence of commits on a store and injects faults, one run for each operation of the disk.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -10,6 +10,7 @@
 use umberloom_store::writer::{Writer, WriterEvent};
 use umberloom_store::{Config, Store, StoreError, WriteBatch};
 
+/// The number of commits of the script.
 const COMMITS: u64 = 8;
 
 fn config() -> Config {
@@ -26,7 +27,7 @@
     rows.remove_range(2, &0u64.to_be_bytes(), &n.saturating_sub(3).to_be_bytes())
 }
 
-/// The number of the state that a store is in; a mixture is an error.
+/// Reads the number of the commit whose state the store is in; a mixture of states is an error.
 fn read_state(store: &Store) -> Result<u64, String> {
     let rows = store.range(1, &[], None, usize::MAX).map_err(|e| e.to_string())?;
     let numbers: Vec<u64> =
@@ -45,7 +46,8 @@
     Ok(n)
 }
 
-/// Runs the script up to the first error; how many commits returned, and the error.
+/// Runs the script up to the first error. Returns the number of commits that were acknowledged, and the
+/// error.
 fn run_script(disk: &FaultInjectingDisk) -> (u64, Option<StoreError>) {
     let mut acked = 0;
     let mut play = || -> Result<(), StoreError> {
@@ -67,7 +69,7 @@
     (acked, ended)
 }
 
-/// The number of disk operations of a run without faults.
+/// The number of disk operations of a script run without faults.
 fn count_operations() -> u64 {
     let disk = FaultInjectingDisk::new(0);
     assert_eq!(run_script(&disk).0, COMMITS);
@@ -145,7 +147,8 @@
             }
         }
     }
-    // Generations tell the first from what was; the second is told by itself. Both were met.
+    // An older state is recognized by its generation, damage by the error of opening. The seeds must cover
+    // both.
     assert!(older > 0 && damaged > 0, "{older} older, {damaged} damaged");
 }
 
@@ -205,7 +208,7 @@
     assert_eq!(second.to_string(), "store/lock: another process has it open");
     drop(store);
 
-    // A newer program has written it: refused, as it is.
+    // A store that a newer program has written can't be opened.
     let newer = Config { format_version: 2, migrations: vec![|_| Ok(WriteBatch::new())], ..config() };
     drop(Store::open(&disk, &newer).expect("migrated"));
     let refused = Store::open(&disk, &config()).expect_err("newer");
