--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -91,14 +91,15 @@
             .map_or(0, |share| share.permits)
     }
 
-    /// A time as the one counts it who has to wait for its end, on a clock that may run fast.
-    pub(crate) fn scale_up_for_drift(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 + 2.0 * self.clock_drift)).ceil() as Micros
+    /// Lengthens a duration for a server that has to wait for its end, as that server's clock may run fast.
+    pub(crate) fn scale_up_for_drift(&self, duration: Micros) -> Micros {
+        (duration as f64 * (1.0 + 2.0 * self.clock_drift)).ceil() as Micros
     }
 
-    /// A time as the one counts it who must have stopped by its end, on a clock that may run slow.
-    pub(crate) fn scale_down_for_drift(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 - 2.0 * self.clock_drift)) as Micros
+    /// Shortens a duration for a server that must have stopped by its end, as that server's clock may run
+    /// slow.
+    pub(crate) fn scale_down_for_drift(&self, duration: Micros) -> Micros {
+        (duration as f64 * (1.0 - 2.0 * self.clock_drift)) as Micros
     }
 
     /// How long an earlier process with this name may still use the share, by calls that it started and by
@@ -131,9 +132,9 @@
         if durations.iter().any(|duration| !(MIN_DURATION..=MAX_DURATION).contains(duration)) {
             errors.push(ConfigError::DurationOutOfRange);
         }
-        let short_beside_call = self.lease_duration < self.max_call_duration / 4;
-        let short_beside_delivery = self.max_delivery_delay > self.lease_duration / 4;
-        if short_beside_call || short_beside_delivery {
+        let too_short_for_calls = self.lease_duration < self.max_call_duration / 4;
+        let too_short_for_delivery = self.max_delivery_delay > self.lease_duration / 4;
+        if too_short_for_calls || too_short_for_delivery {
             errors.push(ConfigError::LeaseTooShort);
         }
         if !(0.0..=MAX_CLOCK_DRIFT).contains(&self.clock_drift) {
@@ -158,8 +159,10 @@
     let mut owners: Vec<MemberName> = roster.to_vec();
     owners.sort();
     let count = owners.len().max(1) as u32;
-    let (each, rest) = (total / count, total % count);
-    let share =
-        |(owner, place): (MemberName, u32)| QuotaShare { owner, permits: each + u32::from(place < rest) };
+    let (base, remainder) = (total / count, total % count);
+    let share = |(owner, index): (MemberName, u32)| QuotaShare {
+        owner,
+        permits: base + u32::from(index < remainder),
+    };
     owners.into_iter().zip(0..).map(share).collect()
 }
--- a/crates/quota/src/config/tests.rs
+++ b/crates/quota/src/config/tests.rs
@@ -1,16 +1,17 @@
 use super::*;
 
 #[test]
-fn shares_add_up_to_the_total_and_do_not_depend_on_the_order() {
+fn shares_add_up_to_the_total_whatever_the_order_of_the_roster() {
     for total in 3..40 {
-        let (one, other) = (["c", "a", "b"].map(MemberName::from), ["b", "c", "a"].map(MemberName::from));
-        assert_eq!(quota_shares(total, &one), quota_shares(total, &other));
-        assert_eq!(quota_shares(total, &one).iter().map(|share| share.permits).sum::<u32>(), total);
+        let roster = ["c", "a", "b"].map(MemberName::from);
+        let reordered = ["b", "c", "a"].map(MemberName::from);
+        assert_eq!(quota_shares(total, &roster), quota_shares(total, &reordered));
+        assert_eq!(quota_shares(total, &roster).iter().map(|share| share.permits).sum::<u32>(), total);
     }
 }
 
 #[test]
-fn validate_finds_each_fault() {
+fn each_invalid_setting_is_rejected() {
     let valid = Config::new(10, &["a", "b"], "a");
     assert!(valid.validate().is_empty());
     let cases = [
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -82,8 +82,8 @@
         self.calls.values().filter(|call| call.lease.is_none()).count() as u32
     }
 
-    /// Calls that use permits of this lease.
-    pub fn used_of(&self, id: &LeaseId) -> u32 {
+    /// The number of calls that use permits of this lease.
+    pub fn used_of_lease(&self, id: &LeaseId) -> u32 {
         self.calls.values().filter(|call| call.lease.as_ref() == Some(id)).count() as u32
     }
 
@@ -92,7 +92,7 @@
         self.held
             .iter()
             .filter(|(_, lease)| lease.until >= needed_until)
-            .map(|(id, lease)| lease.permits.saturating_sub(self.used_of(id)))
+            .map(|(id, lease)| lease.permits.saturating_sub(self.used_of_lease(id)))
             .sum()
     }
 
@@ -100,7 +100,7 @@
     pub fn longest_free_lease(&self) -> Option<(LeaseId, Micros)> {
         self.held
             .iter()
-            .filter(|(id, lease)| self.used_of(id) < lease.permits)
+            .filter(|(id, lease)| self.used_of_lease(id) < lease.permits)
             .max_by_key(|(_, lease)| lease.until)
             .map(|(id, lease)| (id.clone(), lease.until))
     }
--- a/crates/quota/src/quota/borrowing.rs
+++ b/crates/quota/src/quota/borrowing.rs
@@ -58,8 +58,9 @@
             return true;
         }
         let ends_before = now + self.config.lease_duration / 4;
-        let is_ending =
-            |(id, lease): (&LeaseId, &HeldLease)| lease.until < ends_before && self.ledger.used_of(id) > 0;
+        let is_ending = |(id, lease): (&LeaseId, &HeldLease)| {
+            lease.until < ends_before && self.ledger.used_of_lease(id) > 0
+        };
         self.ledger.held.iter().any(is_ending)
     }
 
@@ -71,8 +72,8 @@
             !is_pending && !self.denied_until.contains_key(name)
         });
         lenders.shuffle(&mut self.random);
-        let room = MAX_PENDING_REQUESTS.saturating_sub(self.pending_requests.len());
-        lenders.truncate(REQUESTS_PER_ROUND.min(room));
+        let capacity = MAX_PENDING_REQUESTS.saturating_sub(self.pending_requests.len());
+        lenders.truncate(REQUESTS_PER_ROUND.min(capacity));
         lenders
     }
 
@@ -84,7 +85,7 @@
         }
         let idle_timeout = self.config.lease_duration / 4;
         let is_unused = |(id, lease): &(&LeaseId, &HeldLease)| {
-            now >= lease.last_used_at + idle_timeout && self.ledger.used_of(id) == 0
+            now >= lease.last_used_at + idle_timeout && self.ledger.used_of_lease(id) == 0
         };
         let unused: Vec<LeaseId> =
             self.ledger.held.iter().filter(is_unused).map(|(id, _)| id.clone()).collect();
--- a/crates/quota/src/quota/mod.rs
+++ b/crates/quota/src/quota/mod.rs
@@ -249,24 +249,25 @@
         if let Some(lease) = permit.lease.as_ref().and_then(|id| self.ledger.held.get_mut(id)) {
             lease.last_used_at = now;
         }
-        let stated = permit.until;
-        let until = stated + self.config.max_delivery_delay;
+        let stated_until = permit.until;
+        let until = stated_until + self.config.max_delivery_delay;
         self.ledger.calls.insert(call, CallPermit { until, ..permit });
-        Some(stated)
+        Some(stated_until)
     }
 
     /// Chooses the permit for a call; its `until` is the end of the time that the call may state.
     fn choose_permit(&self, now: Micros, until: Micros) -> Option<CallPermit> {
         let own_share = (self.free_of_own_share() > 0).then_some(CallPermit { until, lease: None });
-        let Some((id, lease_ends)) = self.ledger.longest_free_lease() else { return own_share };
-        let call_ends = lease_ends.saturating_sub(self.config.max_delivery_delay);
-        if call_ends >= until {
-            // A lease that lasts for all of the call leaves the own share to calls that it would not last for.
+        let Some((id, lease_end)) = self.ledger.longest_free_lease() else { return own_share };
+        let latest_call_end = lease_end.saturating_sub(self.config.max_delivery_delay);
+        if latest_call_end >= until {
+            // Using a lease that lasts for all of this call leaves the own share for calls that outlast the
+            // lease.
             return Some(CallPermit { until, lease: Some(id) });
         }
-        let lasts_long_enough = call_ends >= now + MIN_CALL_DURATION;
-        let of_lease = lasts_long_enough.then_some(CallPermit { until: call_ends, lease: Some(id) });
-        own_share.or(of_lease)
+        let lasts_long_enough = latest_call_end >= now + MIN_CALL_DURATION;
+        let leased = lasts_long_enough.then_some(CallPermit { until: latest_call_end, lease: Some(id) });
+        own_share.or(leased)
     }
 
     /// Releases the permit of a call whose end the dependency has confirmed. An abandoned call must not be
@@ -337,7 +338,7 @@
         }
         for (id, lease) in &ledger.held {
             let mut calls = ledger.calls.values().filter(|call| call.lease.as_ref() == Some(id));
-            if calls.any(|call| call.until > lease.until) || ledger.used_of(id) > lease.permits {
+            if calls.any(|call| call.until > lease.until) || ledger.used_of_lease(id) > lease.permits {
                 return Err(InvariantViolation::LeaseExceeded { lease: id.clone() });
             }
         }
