--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -69,7 +69,7 @@
             return decide(Admission::Close, None);
         }
         match self.replaceable_connection(now, listener, connections) {
-            Some(silent) => decide(Admission::Accept, Some(silent)),
+            Some(replaced) => decide(Admission::Accept, Some(replaced)),
             None => decide(Admission::RejectRequests, None),
         }
     }
@@ -153,8 +153,8 @@
 
         let accepted = self.accepted_by_listener(connections);
         let in_table: usize = accepted.iter().sum();
-        let kept_free = self.capacity.div_ceil(FREE_DIVISOR);
-        let excess = in_table.saturating_sub(self.capacity - kept_free).saturating_sub(to_close.len());
+        let reserved_free = self.capacity.div_ceil(FREE_DIVISOR);
+        let excess = in_table.saturating_sub(self.capacity - reserved_free).saturating_sub(to_close.len());
 
         let is_settled = |c: &ConnectionState| now >= c.last_active + SETTLE_TIME;
         let is_within_quota = |c: &ConnectionState| accepted[c.listener] <= self.guaranteed_quota(c.listener);
@@ -166,9 +166,9 @@
         // after they have settled, as earlier they could not have sent a request. Until then, no connection
         // that has sent a request is closed to make room for them.
         let new_silent = idle.iter().filter(|c| !is_settled(c) && !c.has_sent_request).count();
-        let crowd = new_silent.saturating_sub(kept_free);
+        let excess_new_silent = new_silent.saturating_sub(reserved_free);
         let settled_silent = candidates.iter().filter(|c| !c.has_sent_request).count();
-        let count = excess.min(settled_silent.max(excess.saturating_sub(crowd)));
+        let count = excess.min(settled_silent.max(excess.saturating_sub(excess_new_silent)));
         to_close.extend(candidates.iter().take(count).map(|c| c.id));
         to_close
     }
@@ -233,7 +233,8 @@
 
     /// Whether it was asked to close within [`CLOSE_TIMEOUT`] and has carried nothing since.
     fn is_closing(&self, now: Micros) -> bool {
-        let is_expected = |asked_at: Micros| asked_at >= self.last_active && now < asked_at + CLOSE_TIMEOUT;
+        let is_expected =
+            |requested_at: Micros| requested_at >= self.last_active && now < requested_at + CLOSE_TIMEOUT;
         !self.in_overflow && self.close_requested_at.is_some_and(is_expected)
     }
 
--- a/crates/connection-admission/src/read_scheduler.rs
+++ b/crates/connection-admission/src/read_scheduler.rs
@@ -139,7 +139,7 @@
         let sum: usize = self.listeners.iter().map(|listener| listener.in_flight).sum();
         if sum != self.in_flight || sum > self.max_in_flight {
             return Err(format!(
-                "{sum} reads in flight, counted as {}, at most {}",
+                "{sum} reads in flight over all listeners, {} counted, limit {}",
                 self.in_flight, self.max_in_flight
             ));
         }
