--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -28,11 +28,11 @@
             StoreError::damaged_file(file, source.to_string())
         }
         redb::Error::Io(source) if source.kind() == ErrorKind::UnexpectedEof => {
-            StoreError::damaged_file(file, "it ends too soon")
+            StoreError::damaged_file(file, "the file ends too early")
         }
         redb::Error::Io(source) => StoreError::io(operation, file)(source),
         redb::Error::PreviousIo => {
-            StoreError::io(operation, file)(io::Error::other("an operation before this one failed"))
+            StoreError::io(operation, file)(io::Error::other("an earlier operation failed"))
         }
         redb::Error::DatabaseAlreadyOpen => StoreError::Locked { file: file.to_owned() },
         other => StoreError::damaged_file(file, other.to_string()),
@@ -74,7 +74,7 @@
 /// Checks the whole file without writing to it.
 pub(crate) fn check_file(disk_file: &Arc<dyn DiskFile>, file: &Path) -> Result<(), StoreError> {
     if disk_file.is_empty().map_err(StoreError::io("read", file))? {
-        return Err(StoreError::damaged_file(file, "it is empty"));
+        return Err(StoreError::damaged_file(file, "the file is empty"));
     }
     catch_damage(file, || {
         let overlay = OverlayBackend::new(disk_file.clone()).map_err(StoreError::io("read", file))?;
@@ -89,7 +89,7 @@
 pub(crate) fn check_integrity(database: &mut Database, file: &Path) -> Result<(), StoreError> {
     match database.check_integrity() {
         Ok(true) => Ok(()),
-        Ok(false) => Err(StoreError::damaged_file(file, "its digests do not fit")),
+        Ok(false) => Err(StoreError::damaged_file(file, "the digests of the database do not match")),
         Err(error) => Err(store_error(file, "read", error)),
     }
 }
@@ -111,7 +111,7 @@
         _ => Err(StoreError::Damaged {
             file: file.to_owned(),
             location: format!("row {}", key.escape_ascii()),
-            reason: "its digest does not fit".to_owned(),
+            reason: "the digest of the row does not match".to_owned(),
         }),
     }
 }
--- a/crates/store/src/panic_guard.rs
+++ b/crates/store/src/panic_guard.rs
@@ -33,7 +33,7 @@
         } else if let Some(message) = panic.downcast_ref::<&str>() {
             (*message).to_owned()
         } else {
-            "no reason given".to_owned()
+            "panic without a message".to_owned()
         }
     })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -281,12 +281,12 @@
         let name = |number: u32| config.directory.join(format!("rows.redb.aside-{number}"));
         let Some(quarantined) = (1..=MAX_QUARANTINED_FILES).map(name).find(|name| !disk.exists(name)) else {
             let source = io::Error::other(format!(
-                "{MAX_QUARANTINED_FILES} have been set aside already; move them elsewhere"
+                "{MAX_QUARANTINED_FILES} files are quarantined already; move them elsewhere"
             ));
-            return Err(StoreError::Io { operation: "set aside", file, source });
+            return Err(StoreError::Io { operation: "quarantine", file, source });
         };
-        disk.rename(&file, &quarantined).map_err(StoreError::io("set aside", &file))?;
-        disk.sync_directory(&config.directory).map_err(StoreError::io("set aside", &file))?;
+        disk.rename(&file, &quarantined).map_err(StoreError::io("quarantine", &file))?;
+        disk.sync_directory(&config.directory).map_err(StoreError::io("quarantine", &file))?;
         Ok(quarantined)
     }
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -160,7 +160,7 @@
     let mut quarantined = None;
     if fresh && disk.exists(&config.file()) {
         let path = Store::quarantine(disk, config)?;
-        quarantined = Some(Quarantined { path, reason: "its copy is not to be used".to_owned() });
+        quarantined = Some(Quarantined { path, reason: "the stored replica must not be used".to_owned() });
     }
     let store = match Store::open(disk, config) {
         Err(error) if error.is_damage() => {
