--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -43,9 +43,9 @@
 /// assertion of the database, which must not end the process.
 pub(crate) fn catch_damage<T>(
     file: &Path,
-    act: impl FnOnce() -> Result<T, StoreError>,
+    operation: impl FnOnce() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
-    catch_panic(act).unwrap_or_else(|message| Err(StoreError::damaged_file(file, message)))
+    catch_panic(operation).unwrap_or_else(|message| Err(StoreError::damaged_file(file, message)))
 }
 
 /// Opens the database in a file that has passed [`check_file`].
@@ -99,9 +99,9 @@
 fn digest(key: &[u8], value: &[u8]) -> [u8; DIGEST_BYTES] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u32).to_le_bytes()).update(key).update(value);
-    let mut first = [0; DIGEST_BYTES];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST_BYTES]);
-    first
+    let mut digest = [0; DIGEST_BYTES];
+    digest.copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST_BYTES]);
+    digest
 }
 
 /// Returns the value of a row without its digest; an error if the digest does not match.
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -58,7 +58,7 @@
         match file.try_lock() {
             Ok(()) => Ok(Box::new(file)),
             Err(TryLockError::WouldBlock) => Err(ErrorKind::WouldBlock.into()),
-            Err(TryLockError::Error(why)) => Err(why),
+            Err(TryLockError::Error(error)) => Err(error),
         }
     }
 
@@ -68,8 +68,8 @@
     }
 
     fn exists(&self, file: &Path) -> bool {
-        // One that can't be looked at is there for our purposes: it must not be written over.
-        file.symlink_metadata().map_or_else(|e| e.kind() != ErrorKind::NotFound, |_| true)
+        // A file whose metadata can't be read counts as existing, so that it is not overwritten.
+        file.symlink_metadata().map_or_else(|error| error.kind() != ErrorKind::NotFound, |_| true)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -16,8 +16,9 @@
 
 use crate::disk::{Disk, DiskFile};
 
-/// Sectors of a write survive a power cut independently; a disk writes one completely or not at all.
-const SECTOR: usize = 512;
+/// Size of a sector in bytes. A disk writes a sector atomically; the sectors of one write survive a power cut
+/// independently.
+const SECTOR_BYTES: usize = 512;
 
 /// Faults to inject. Operations are numbered from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -70,10 +71,10 @@
         match self {
             FileChange::Write { offset, data } => {
                 let sector = |(index, part): (usize, &[u8])| FileChange::Write {
-                    offset: offset + (index * SECTOR) as u64,
+                    offset: offset + (index * SECTOR_BYTES) as u64,
                     data: part.to_vec(),
                 };
-                data.chunks(SECTOR).enumerate().map(sector).collect()
+                data.chunks(SECTOR_BYTES).enumerate().map(sector).collect()
             }
             set_length @ FileChange::SetLength(_) => vec![set_length],
         }
@@ -100,9 +101,10 @@
     fn cut_power(&mut self, random: &mut ChaCha8Rng) {
         let mut surviving: Vec<FileChange> =
             self.unsynced.drain(..).flat_map(FileChange::into_sectors).collect();
-        // Of two writes to one place the later may have come first to the disk, and then be written over.
-        let share = random.random_range(0.0..=1.0);
-        surviving.retain(|_| random.random_bool(share));
+        // Two writes to the same offset may reach the disk in reverse order, so that the earlier one
+        // overwrites the later one.
+        let surviving_share = random.random_range(0.0..=1.0);
+        surviving.retain(|_| random.random_bool(surviving_share));
         if random.random_bool(0.5) {
             for index in (1..surviving.len()).rev() {
                 surviving.swap(index, random.random_range(0..=index));
@@ -260,7 +262,11 @@
         if !state.locks.insert(file.to_owned()) {
             return Err(ErrorKind::WouldBlock.into());
         }
-        Ok(Box::new(LockGuard { disk: self.clone(), file: file.to_owned(), life: state.power_cuts }))
+        Ok(Box::new(LockGuard {
+            disk: self.clone(),
+            file: file.to_owned(),
+            power_cuts_at_open: state.power_cuts,
+        }))
     }
 
     fn open(&self, file: &Path, create: bool) -> io::Result<Arc<dyn DiskFile>> {
@@ -272,8 +278,8 @@
             }
             state.files.insert(file.to_owned(), FileState::default());
         }
-        let life = state.power_cuts;
-        Ok(Arc::new(FaultInjectingFile { disk: self.clone(), file: file.to_owned(), life }))
+        let power_cuts_at_open = state.power_cuts;
+        Ok(Arc::new(FaultInjectingFile { disk: self.clone(), file: file.to_owned(), power_cuts_at_open }))
     }
 
     fn exists(&self, file: &Path) -> bool {
@@ -304,13 +310,14 @@
 struct LockGuard {
     disk: FaultInjectingDisk,
     file: PathBuf,
-    life: u64,
+    /// The number of power cuts when it was opened.
+    power_cuts_at_open: u64,
 }
 
 impl Drop for LockGuard {
     fn drop(&mut self) {
         let mut state = self.disk.state();
-        if state.power_cuts == self.life {
+        if state.power_cuts == self.power_cuts_at_open {
             state.locks.remove(&self.file);
         }
     }
@@ -319,7 +326,8 @@
 struct FaultInjectingFile {
     disk: FaultInjectingDisk,
     file: PathBuf,
-    life: u64,
+    /// The number of power cuts when it was opened.
+    power_cuts_at_open: u64,
 }
 
 impl std::fmt::Debug for FaultInjectingFile {
@@ -333,14 +341,14 @@
     fn with_state<T>(
         &self,
         writes: bool,
-        act: impl FnOnce(&mut DiskState) -> io::Result<T>,
+        operation: impl FnOnce(&mut DiskState) -> io::Result<T>,
     ) -> io::Result<T> {
         let mut state = self.disk.state();
-        if state.power_cuts != self.life {
+        if state.power_cuts != self.power_cuts_at_open {
             return Err(io::Error::other("opened before the power was cut"));
         }
         state.begin_operation(writes)?;
-        act(&mut state)
+        operation(&mut state)
     }
 
     fn file_state<'s>(&self, state: &'s mut DiskState) -> io::Result<&'s mut FileState> {
@@ -378,11 +386,11 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         self.with_state(false, |state| {
-            let from = offset as usize;
+            let start = offset as usize;
             let bytes = self
                 .file_state(state)?
                 .current
-                .get(from..from + out.len())
+                .get(start..start + out.len())
                 .ok_or(ErrorKind::UnexpectedEof)?;
             out.copy_from_slice(bytes);
             Ok(())
--- a/crates/store/src/panic_guard.rs
+++ b/crates/store/src/panic_guard.rs
@@ -12,9 +12,9 @@
     static PANIC_IS_CAUGHT: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Calls `act`. Where it panics, the panic's message is the error, and nothing is printed: the caller reports it in its own
-/// way. What `act` was changing must not be used afterwards.
-pub fn catch_panic<T>(act: impl FnOnce() -> T) -> Result<T, String> {
+/// Calls `operation`. If it panics, the panic's message is returned as the error, and nothing is printed, as
+/// the caller reports the error. Data that `operation` was changing must not be used afterwards.
+pub fn catch_panic<T>(operation: impl FnOnce() -> T) -> Result<T, String> {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
         let previous_hook = take_hook();
@@ -25,7 +25,7 @@
         }));
     });
     let was_caught = PANIC_IS_CAUGHT.replace(true);
-    let result = catch_unwind(AssertUnwindSafe(act));
+    let result = catch_unwind(AssertUnwindSafe(operation));
     PANIC_IS_CAUGHT.set(was_caught);
     result.map_err(|panic| {
         if let Some(message) = panic.downcast_ref::<String>() {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -103,9 +103,9 @@
 
     /// Reads the store's metadata and migrates it to the configured format version.
     fn load_and_migrate(&mut self) -> Result<(), StoreError> {
-        let found = self.own_number(FORMAT_KEY)? as u32;
+        let found = self.read_metadata(FORMAT_KEY)? as u32;
         let known = self.config.format_version;
-        self.generation = self.own_number(GENERATION_KEY)?;
+        self.generation = self.read_metadata(GENERATION_KEY)?;
         if found > known {
             return Err(StoreError::UnsupportedFormat { file: self.config.file(), found, known });
         }
@@ -123,8 +123,8 @@
         Ok(())
     }
 
-    /// A number of the store itself; 0 if it is not there.
-    fn own_number(&self, key: &[u8]) -> Result<u64, StoreError> {
+    /// Reads a number from the store's metadata; 0 if it does not exist.
+    fn read_metadata(&self, key: &[u8]) -> Result<u64, StoreError> {
         let value = self.get_by_key(key)?;
         Ok(value.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_le_bytes))
     }
@@ -278,8 +278,8 @@
     /// still has the old one. Returns the new path.
     pub fn quarantine(disk: &dyn Disk, config: &Config) -> Result<PathBuf, StoreError> {
         let file = config.file();
-        let name = |number: u32| config.directory.join(format!("rows.redb.aside-{number}"));
-        let Some(quarantined) = (1..=MAX_QUARANTINED_FILES).map(name).find(|name| !disk.exists(name)) else {
+        let path = |number: u32| config.directory.join(format!("rows.redb.aside-{number}"));
+        let Some(quarantined) = (1..=MAX_QUARANTINED_FILES).map(path).find(|path| !disk.exists(path)) else {
             let source = io::Error::other(format!(
                 "{MAX_QUARANTINED_FILES} files are quarantined already; move them elsewhere"
             ));
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -83,10 +83,10 @@
     /// thread and must not block.
     pub fn start(
         store: Store,
-        queue: usize,
+        queue_capacity: usize,
         notify: impl Fn(WriterEvent) + Send + 'static,
     ) -> io::Result<Writer> {
-        Writer::spawn(queue, move |jobs| run(store, &jobs, notify))
+        Writer::spawn(queue_capacity, move |jobs| run(store, &jobs, notify))
     }
 
     /// Starts the thread, which opens the store itself, as that may take long. An existing file is
@@ -95,21 +95,23 @@
         disk: impl Disk + Send + 'static,
         config: Config,
         spaces: &'static [u8],
-        fresh: bool,
-        queue: usize,
+        quarantine_existing: bool,
+        queue_capacity: usize,
         notify: impl Fn(WriterEvent) + Send + 'static,
     ) -> io::Result<Writer> {
-        Writer::spawn(queue, move |jobs| match open_and_read(&disk, &config, spaces, fresh) {
-            Ok((store, opened)) => {
-                notify(WriterEvent::Opened(opened));
-                run(store, &jobs, notify);
+        Writer::spawn(queue_capacity, move |jobs| {
+            match open_and_read(&disk, &config, spaces, quarantine_existing) {
+                Ok((store, opened)) => {
+                    notify(WriterEvent::Opened(opened));
+                    run(store, &jobs, notify);
+                }
+                Err(error) => notify(WriterEvent::Closed(error)),
             }
-            Err(error) => notify(WriterEvent::Closed(error)),
         })
     }
 
-    fn spawn(queue: usize, body: impl FnOnce(Receiver<Job>) + Send + 'static) -> io::Result<Writer> {
-        let (jobs, received) = sync_channel(queue);
+    fn spawn(queue_capacity: usize, body: impl FnOnce(Receiver<Job>) + Send + 'static) -> io::Result<Writer> {
+        let (jobs, received) = sync_channel(queue_capacity);
         let builder = std::thread::Builder::new().name("store".to_owned());
         let thread = builder.spawn(move || body(received))?;
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
@@ -155,10 +157,10 @@
     disk: &dyn Disk,
     config: &Config,
     spaces: &[u8],
-    fresh: bool,
+    quarantine_existing: bool,
 ) -> Result<(Store, OpenedStore), StoreError> {
     let mut quarantined = None;
-    if fresh && disk.exists(&config.file()) {
+    if quarantine_existing && disk.exists(&config.file()) {
         let path = Store::quarantine(disk, config)?;
         quarantined = Some(Quarantined { path, reason: "the stored replica must not be used".to_owned() });
     }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -17,46 +17,48 @@
     Config { max_bytes: 1 << 20, ..Config::new("store") }
 }
 
-/// The batch that makes the state after so many commits: all rows say the same number, so that a mixture shows.
-fn state_batch(n: u64) -> WriteBatch {
-    let value =
-        |row: u64| [&n.to_le_bytes()[..], &vec![row as u8; 40 + (row * n * 97 % 3_000) as usize]].concat();
-    let rows = (0..6).fold(WriteBatch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
-    // A log that grows and is cut at its start.
-    let rows = rows.put(2, &n.to_be_bytes(), &n.to_le_bytes());
-    rows.remove_range(2, &0u64.to_be_bytes(), &n.saturating_sub(3).to_be_bytes())
+/// The batch of the commit with this number. All rows start with that number, so that a mixture of states is
+/// detected.
+fn state_batch(commit: u64) -> WriteBatch {
+    let value = |row: u64| {
+        [&commit.to_le_bytes()[..], &vec![row as u8; 40 + (row * commit * 97 % 3_000) as usize]].concat()
+    };
+    let batch = (0..6).fold(WriteBatch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
+    // A log that grows at its end and is truncated at its start.
+    let batch = batch.put(2, &commit.to_be_bytes(), &commit.to_le_bytes());
+    batch.remove_range(2, &0u64.to_be_bytes(), &commit.saturating_sub(3).to_be_bytes())
 }
 
 /// Reads the number of the commit whose state the store is in; a mixture of states is an error.
 fn read_state(store: &Store) -> Result<u64, String> {
     let rows = store.range(1, &[], None, usize::MAX).map_err(|e| e.to_string())?;
     let numbers: Vec<u64> =
-        rows.iter().map(|(_, v)| u64::from_le_bytes(v[..8].try_into().expect("8 bytes"))).collect();
-    let n = numbers.first().copied().unwrap_or(0);
-    if numbers.iter().any(|other| *other != n) || (n > 0 && rows.len() != 6) {
-        return Err(format!("a mixture: {numbers:?}"));
+        rows.iter().map(|(_, value)| u64::from_le_bytes(value[..8].try_into().expect("8 bytes"))).collect();
+    let commit = numbers.first().copied().unwrap_or(0);
+    if numbers.iter().any(|other| *other != commit) || (commit > 0 && rows.len() != 6) {
+        return Err(format!("a mixture of states: {numbers:?}"));
     }
     let log = store.range(2, &[], None, usize::MAX).map_err(|e| e.to_string())?;
     let log: Vec<u64> =
-        log.iter().map(|(k, _)| u64::from_be_bytes(k[..].try_into().expect("8 bytes"))).collect();
-    let wanted: Vec<u64> = (n.saturating_sub(3).max(1)..=n).filter(|_| n > 0).collect();
-    if log != wanted || store.generation() != n {
-        return Err(format!("state {n}, log {log:?}, generation {}", store.generation()));
+        log.iter().map(|(key, _)| u64::from_be_bytes(key[..].try_into().expect("8 bytes"))).collect();
+    let expected_log: Vec<u64> = (commit.saturating_sub(3).max(1)..=commit).filter(|_| commit > 0).collect();
+    if log != expected_log || store.generation() != commit {
+        return Err(format!("state {commit}, log {log:?}, generation {}", store.generation()));
     }
-    Ok(n)
+    Ok(commit)
 }
 
 /// Runs the script up to the first error. Returns the number of commits that were acknowledged, and the
 /// error.
 fn run_script(disk: &FaultInjectingDisk) -> (u64, Option<StoreError>) {
-    let mut acked = 0;
-    let mut play = || -> Result<(), StoreError> {
+    let mut acknowledged = 0;
+    let mut run = || -> Result<(), StoreError> {
         let mut store = Store::open(disk, &config())?;
-        acked = store.generation();
-        while acked < COMMITS {
-            store.commit(&state_batch(acked + 1))?;
-            acked += 1;
-            if acked == COMMITS / 2 {
+        acknowledged = store.generation();
+        while acknowledged < COMMITS {
+            store.commit(&state_batch(acknowledged + 1))?;
+            acknowledged += 1;
+            if acknowledged == COMMITS / 2 {
                 store.compact()?;
                 store.scrub()?;
                 drop(store);
@@ -65,8 +67,8 @@
         }
         Ok(())
     };
-    let ended = play().err();
-    (acked, ended)
+    let error = run().err();
+    (acknowledged, error)
 }
 
 /// The number of disk operations of a script run without faults.
@@ -76,22 +78,26 @@
     disk.operations()
 }
 
-/// Runs the script with a fault at each operation in turn, cuts the power afterwards if `cut`, and checks the state.
-fn inject_at_each_operation(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut: bool) {
+/// Runs the script once for every `step`th operation, with a fault at that operation. Cuts the power
+/// afterwards if `cut_power`, and checks the state of the store.
+fn inject_at_each_operation(name: &str, step: usize, fault: impl Fn(u64) -> Faults, cut_power: bool) {
     for at in (1..=count_operations()).step_by(step) {
         let disk = FaultInjectingDisk::new(at);
         disk.set_faults(fault(at));
-        let (acked, _) = run_script(&disk);
-        if cut {
+        let (acknowledged, _) = run_script(&disk);
+        if cut_power {
             disk.cut_power();
         }
         disk.set_faults(Faults::default());
         let store = Store::open(&disk, &config()).unwrap_or_else(|e| panic!("{name} at {at}: {e}"));
-        let found = read_state(&store).unwrap_or_else(|why| panic!("{name} at {at}: {why}"));
-        // The last that returned, or one more whose answer did not come.
-        assert!((acked..=acked + 1).contains(&found), "{name} at {at}: {acked} returned, {found} found");
+        let found = read_state(&store).unwrap_or_else(|error| panic!("{name} at {at}: {error}"));
+        // The last acknowledged commit, or the one after it, which was written but not acknowledged.
+        assert!(
+            (acknowledged..=acknowledged + 1).contains(&found),
+            "{name} at {at}: {acknowledged} acknowledged, {found} found"
+        );
         drop(store);
-        assert_eq!(run_script(&disk).0, COMMITS, "{name} at {at}: it goes on");
+        assert_eq!(run_script(&disk).0, COMMITS, "{name} at {at}: the script can be completed");
     }
 }
 
@@ -131,18 +137,18 @@
         let mut store = Store::open(&disk, &config()).expect("new");
         (1..=4).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
         disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
-        (5..=7).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("told to be durable"), n));
+        (5..=7).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("reported as durable"), n));
         disk.cut_power();
         drop(store);
         match Store::open(&disk, &config()) {
             Ok(store) => {
-                // What was truly synced is there or the file says that it is damaged.
-                let found = read_state(&store).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+                // Whatever was really synced must be there, unless the file is reported as damaged.
+                let found = read_state(&store).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
                 assert!((4..=7).contains(&found), "seed {seed}: {found}");
                 older += u32::from(found < 7);
             }
-            Err(why) => {
-                assert!(why.is_damage(), "seed {seed}: {why}");
+            Err(error) => {
+                assert!(error.is_damage(), "seed {seed}: {error}");
                 damaged += 1;
             }
         }
@@ -156,31 +162,31 @@
 fn a_flipped_bit_is_detected_before_anything_is_overwritten() {
     let disk = FaultInjectingDisk::new(3);
     assert_eq!(run_script(&disk).0, COMMITS);
-    let (file, sound) = (config().file(), disk.image());
-    let mut found = 0;
-    let places = (0..disk.file_length(&file)).step_by(1_009);
-    for byte in places.clone() {
-        disk.restore(sound.clone());
+    let (file, intact) = (config().file(), disk.image());
+    let mut detected = 0;
+    let offsets = (0..disk.file_length(&file)).step_by(1_009);
+    for byte in offsets.clone() {
+        disk.restore(intact.clone());
         disk.flip_bit(&file, byte, (byte % 8) as u8);
         let flipped = disk.image();
         match Store::open(&disk, &config()) {
             Ok(store) => assert_eq!(read_state(&store), Ok(COMMITS), "byte {byte}"),
-            Err(why) => {
+            Err(error) => {
                 assert!(
-                    why.is_damage() && why.to_string().starts_with("store/rows.redb: damaged at"),
-                    "{why}"
+                    error.is_damage() && error.to_string().starts_with("store/rows.redb: damaged at"),
+                    "{error}"
                 );
-                assert!(disk.image() == flipped, "byte {byte}: it was written to");
-                found += 1;
+                assert!(disk.image() == flipped, "byte {byte}: the damaged file was written to");
+                detected += 1;
             }
         }
     }
-    assert!(found > 5, "{found} of {} places", places.count());
-    // Set aside it stays as it is, and a new one begins.
-    let aside = Store::quarantine(&disk, &config()).expect("set aside");
-    assert_eq!(aside, Path::new("store/rows.redb.aside-1"));
-    let store = Store::open(&disk, &config()).expect("a new one");
-    assert_eq!((store.generation(), disk.exists(&aside)), (0, true));
+    assert!(detected > 5, "{detected} of {} flipped bits detected", offsets.count());
+    // After the quarantine the damaged file still exists, and a new store can be created.
+    let quarantined = Store::quarantine(&disk, &config()).expect("quarantined");
+    assert_eq!(quarantined, Path::new("store/rows.redb.aside-1"));
+    let store = Store::open(&disk, &config()).expect("a new store");
+    assert_eq!((store.generation(), disk.exists(&quarantined)), (0, true));
 }
 
 #[test]
@@ -190,18 +196,18 @@
     (1..=COMMITS).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
     assert!(store.scrub().is_ok());
     let file = config().file();
-    let mut found = 0;
+    let mut detected = 0;
     for byte in (0..disk.file_length(&file)).step_by(211) {
         disk.flip_bit(&file, byte, 1);
     }
-    found += u32::from(store.scrub().is_err_and(|e| e.is_damage()));
+    detected += u32::from(store.scrub().is_err_and(|e| e.is_damage()));
     drop(store);
-    found += u32::from(Store::open(&disk, &config()).is_err_and(|e| e.is_damage()));
-    assert!(found > 0, "neither a scrub nor a start has found it");
+    detected += u32::from(Store::open(&disk, &config()).is_err_and(|e| e.is_damage()));
+    assert!(detected > 0, "neither the scrub nor the reopening detected the damage");
 }
 
 #[test]
-fn obstacles_are_reported_and_change_nothing() {
+fn each_cause_of_failure_is_reported_and_leaves_the_store_unchanged() {
     let disk = FaultInjectingDisk::new(1);
     let store = Store::open(&disk, &config()).expect("new");
     let second = Store::open(&disk, &config()).expect_err("locked");
@@ -211,53 +217,53 @@
     // A store that a newer program has written can't be opened.
     let newer = Config { format_version: 2, migrations: vec![|_| Ok(WriteBatch::new())], ..config() };
     drop(Store::open(&disk, &newer).expect("migrated"));
-    let refused = Store::open(&disk, &config()).expect_err("newer");
-    assert_eq!(refused.to_string(), "store/rows.redb: form 2, this program knows up to 1");
+    let error = Store::open(&disk, &config()).expect_err("newer");
+    assert_eq!(error.to_string(), "store/rows.redb: form 2, this program knows up to 1");
 
     let full = FaultInjectingDisk::new(1);
     let mut store = Store::open(&full, &Config { max_bytes: 4_000, ..config() }).expect("new");
-    store.commit(&WriteBatch::new().put(1, b"a", &[7; 3_000])).expect("room");
-    let why = store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect_err("no room");
-    assert!(matches!(why, StoreError::Full { max_bytes: 4_000, .. }), "{why}");
-    store.commit(&WriteBatch::new().remove(1, b"a")).expect("taking out is always possible");
-    store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("room again");
+    store.commit(&WriteBatch::new().put(1, b"a", &[7; 3_000])).expect("within the limit");
+    let error = store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect_err("beyond the limit");
+    assert!(matches!(error, StoreError::Full { max_bytes: 4_000, .. }), "{error}");
+    store.commit(&WriteBatch::new().remove(1, b"a")).expect("removing is always possible");
+    store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("within the limit again");
 
     let file = FaultInjectingDisk::new(1);
     file.open(Path::new("store"), true).expect("a file");
-    let why = Store::open(&file, &config()).expect_err("no folder");
-    assert_eq!(why.to_string(), "store: expected a folder");
+    let error = Store::open(&file, &config()).expect_err("not a directory");
+    assert_eq!(error.to_string(), "store: expected a folder");
 
     let read_only = FaultInjectingDisk::new(1);
     read_only.set_faults(Faults { fail_writes: Some(ErrorKind::ReadOnlyFilesystem), ..Faults::default() });
-    let why = Store::open(&read_only, &config()).expect_err("read only");
-    assert!(why.to_string().starts_with("store: make the folder: "), "{why}");
+    let error = Store::open(&read_only, &config()).expect_err("read only");
+    assert!(error.to_string().starts_with("store: make the folder: "), "{error}");
 }
 
 #[test]
 fn migrations_run_step_by_step_and_survive_power_cuts() {
-    let two: umberloom_store::Migration = |store| {
+    let to_version_2: umberloom_store::Migration = |store| {
         let old = store.get(1, b"name")?.unwrap_or_default();
         Ok(WriteBatch::new().put(1, b"name", &[&old[..], b"+2"].concat()))
     };
-    let three: umberloom_store::Migration = |store| {
+    let to_version_3: umberloom_store::Migration = |store| {
         let old = store.get(1, b"name")?.unwrap_or_default();
         Ok(WriteBatch::new().put(1, b"name", &[&old[..], b"+3"].concat()))
     };
-    let newer = Config { format_version: 3, migrations: vec![two, three], ..config() };
+    let newer = Config { format_version: 3, migrations: vec![to_version_2, to_version_3], ..config() };
     let mut at = 0;
     loop {
         at += 1;
         let disk = FaultInjectingDisk::new(at);
-        let mut store = Store::open(&disk, &config()).expect("form 1");
+        let mut store = Store::open(&disk, &config()).expect("format version 1");
         store.commit(&WriteBatch::new().put(1, b"name", b"1")).expect("durable");
         drop(store);
         let before = disk.operations();
         disk.set_faults(Faults { power_cut_at: Some(before + at), ..Faults::default() });
-        let through = Store::open(&disk, &newer).is_ok();
+        let completed = Store::open(&disk, &newer).is_ok();
         disk.cut_power();
-        let store = Store::open(&disk, &newer).expect("form 3");
-        assert_eq!(store.get(1, b"name").expect("sound"), Some(b"1+2+3".to_vec()), "cut at {at}");
-        if through {
+        let store = Store::open(&disk, &newer).expect("format version 3");
+        assert_eq!(store.get(1, b"name").expect("undamaged"), Some(b"1+2+3".to_vec()), "cut at {at}");
+        if completed {
             break;
         }
     }
@@ -265,50 +271,50 @@
 }
 
 #[test]
-fn the_writer_keeps_the_order_and_commits_nothing_after_a_failure() {
+fn the_writer_commits_in_order_and_commits_nothing_after_a_failure() {
     let disk = FaultInjectingDisk::new(1);
     let (events, received) = mpsc::channel();
     let store = Store::open(&disk, &config()).expect("new");
     let writer = Writer::start(store, 64, move |event| drop(events.send(event))).expect("a thread");
     for n in 1..=5 {
-        writer.commit(n, WriteBatch::new().put(1, b"n", &n.to_le_bytes())).expect("room");
+        writer.commit(n, WriteBatch::new().put(1, b"n", &n.to_le_bytes())).expect("queued");
     }
-    let durable = |wanted: u64| loop {
-        match received.recv_timeout(Duration::from_secs(20)).expect("an answer") {
-            WriterEvent::Durable { number, .. } if number == wanted => return,
+    let wait_until_durable = |batch: u64| loop {
+        match received.recv_timeout(Duration::from_secs(20)).expect("an event") {
+            WriterEvent::Durable { number, .. } if number == batch => return,
             WriterEvent::Durable { .. } => {}
             other => panic!("{other:?}"),
         }
     };
-    durable(5);
+    wait_until_durable(5);
     disk.set_faults(Faults { fail_writes: Some(ErrorKind::StorageFull), ..Faults::default() });
-    writer.commit(6, WriteBatch::new().put(1, b"n", &6u64.to_le_bytes())).expect("room");
-    let failed = received.recv_timeout(Duration::from_secs(20)).expect("an answer");
+    writer.commit(6, WriteBatch::new().put(1, b"n", &6u64.to_le_bytes())).expect("queued");
+    let failed = received.recv_timeout(Duration::from_secs(20)).expect("an event");
     assert!(matches!(failed, WriterEvent::Failed { number: 6, error: StoreError::Io { .. } }), "{failed:?}");
     disk.set_faults(Faults::default());
-    writer.commit(7, WriteBatch::new().put(1, b"n", &7u64.to_le_bytes())).expect("room");
+    writer.commit(7, WriteBatch::new().put(1, b"n", &7u64.to_le_bytes())).expect("queued");
     assert!(writer.scrub());
-    let scrubbed = received.recv_timeout(Duration::from_secs(20)).expect("an answer");
-    assert!(matches!(scrubbed, WriterEvent::Scrubbed(_)), "batch 7 was taken: {scrubbed:?}");
+    let scrubbed = received.recv_timeout(Duration::from_secs(20)).expect("an event");
+    assert!(matches!(scrubbed, WriterEvent::Scrubbed(_)), "batch 7 was not discarded: {scrubbed:?}");
     writer.finish();
-    let store = Store::open(&disk, &config()).expect("opened anew");
-    assert_eq!(store.get(1, b"n").expect("sound"), Some(5u64.to_le_bytes().to_vec()));
+    let store = Store::open(&disk, &config()).expect("opened again");
+    assert_eq!(store.get(1, b"n").expect("undamaged"), Some(5u64.to_le_bytes().to_vec()));
 }
 
 #[test]
-fn the_system_s_disk_behaves_the_same() {
-    let folder = std::env::temp_dir().join(format!("umberloom-store-{}", std::process::id()));
-    let config = Config { max_bytes: 1 << 20, ..Config::new(&folder) };
+fn the_store_commits_detects_damage_and_is_locked_on_a_real_disk() {
+    let directory = std::env::temp_dir().join(format!("umberloom-store-{}", std::process::id()));
+    let config = Config { max_bytes: 1 << 20, ..Config::new(&directory) };
     let mut store = Store::open(&RealDisk, &config).expect("new");
     (1..=COMMITS).for_each(|n| assert_eq!(store.commit(&state_batch(n)).expect("durable"), n));
     assert!(matches!(Store::open(&RealDisk, &config), Err(StoreError::Locked { .. })));
     drop(store);
-    let mut store = Store::open(&RealDisk, &config).expect("again");
+    let mut store = Store::open(&RealDisk, &config).expect("opened again");
     assert_eq!((read_state(&store), store.scrub().is_ok()), (Ok(COMMITS), true));
     drop(store);
     std::fs::write(config.file(), b"no store at all, but long enough to be looked at").expect("written");
     assert!(Store::open(&RealDisk, &config).is_err_and(|e| e.is_damage()));
-    Store::quarantine(&RealDisk, &config).expect("set aside");
-    assert_eq!(Store::open(&RealDisk, &config).expect("a new one").generation(), 0);
-    let _ = std::fs::remove_dir_all(folder);
+    Store::quarantine(&RealDisk, &config).expect("quarantined");
+    assert_eq!(Store::open(&RealDisk, &config).expect("a new store").generation(), 0);
+    let _ = std::fs::remove_dir_all(directory);
 }
