--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -28,7 +28,7 @@
     pub power_cut_at: Option<u64>,
     /// This operation fails without doing anything.
     pub failure: Option<OperationFailure>,
-    /// If this operation is a write, it writes only the first half of its data and fails.
+    /// If this operation changes a file, it fails; a write has then written only the first half of its data.
     pub short_write_at: Option<u64>,
     /// All operations that write fail with this kind of error.
     pub fail_writes: Option<ErrorKind>,
@@ -70,9 +70,9 @@
     fn into_sectors(self) -> Vec<FileChange> {
         match self {
             FileChange::Write { offset, data } => {
-                let sector = |(index, part): (usize, &[u8])| FileChange::Write {
+                let sector = |(index, bytes): (usize, &[u8])| FileChange::Write {
                     offset: offset + (index * SECTOR_BYTES) as u64,
-                    data: part.to_vec(),
+                    data: bytes.to_vec(),
                 };
                 data.chunks(SECTOR_BYTES).enumerate().map(sector).collect()
             }
@@ -83,7 +83,7 @@
 
 #[derive(Default)]
 struct FileState {
-    /// The contents that survive a power cut in any case.
+    /// The contents as of the last sync or power cut.
     durable: Vec<u8>,
     /// The changes since the last sync, in order.
     unsynced: Vec<FileChange>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -22,7 +22,7 @@
 //! drop(store);
 //! disk.cut_power();
 //! let store = Store::open(&disk, &config).expect("the same store");
-//! assert_eq!(store.get(1, b"a").expect("sound"), Some(b"one".to_vec()));
+//! assert_eq!(store.get(1, b"a").expect("undamaged"), Some(b"one".to_vec()));
 //! assert_eq!(store.generation(), 1);
 //! ```
 
