--- a/crates/membership/src/config/tests.rs
+++ b/crates/membership/src/config/tests.rs
@@ -25,17 +25,17 @@
             "{errors:?} for {expected}"
         );
     }
-    let many: Vec<String> = (0..=MAX_PEERS).map(|n| format!("m{n}")).collect();
-    let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    assert!(!errors_of(&Config::new("f", "a", &many)).is_empty());
+    let large: Vec<String> = (0..=MAX_PEERS).map(|n| format!("m{n}")).collect();
+    let large: Vec<&str> = large.iter().map(String::as_str).collect();
+    assert!(!errors_of(&Config::new("f", "a", &large)).is_empty());
 }
 
 #[test]
 fn intervals_grow_with_the_size_of_the_fleet() {
-    let few = Config::new("f", "a", &["b", "c"]);
-    let many: Vec<String> = (0..299).map(|n| format!("m{n}")).collect();
-    let many = Config::new("f", "a", &many.iter().map(String::as_str).collect::<Vec<_>>());
-    assert_eq!((few.heartbeat_interval(), few.evidence_timeout()), (400_000, 1_200_000));
-    assert_eq!(many.heartbeat_interval(), 299 * 15_000);
-    assert!(many.suspicion_timeout() > 2 * few.suspicion_timeout());
+    let small = Config::new("f", "a", &["b", "c"]);
+    let large: Vec<String> = (0..299).map(|n| format!("m{n}")).collect();
+    let large = Config::new("f", "a", &large.iter().map(String::as_str).collect::<Vec<_>>());
+    assert_eq!((small.heartbeat_interval(), small.evidence_timeout()), (400_000, 1_200_000));
+    assert_eq!(large.heartbeat_interval(), 299 * 15_000);
+    assert!(large.suspicion_timeout() > 2 * small.suspicion_timeout());
 }
--- a/crates/membership/src/health/tests.rs
+++ b/crates/membership/src/health/tests.rs
@@ -6,7 +6,7 @@
     assert_eq!(health.scale(10), 10);
     [HealthSignal::ProbeFailed, HealthSignal::TimerLate, HealthSignal::Suspected]
         .into_iter()
-        .for_each(|sign| health.record(sign));
+        .for_each(|signal| health.record(signal));
     assert_eq!((health.score(), health.scale(10)), (3, 40));
     (0..20).for_each(|_| health.record(HealthSignal::TimerLate));
     assert_eq!(health.score(), MAX_HEALTH_SCORE);
--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -14,7 +14,7 @@
 const FENCED_RETRY_INTERVAL: Micros = 5_000_000;
 /// The holder of a name that has not been heard for so long has lost it: an earlier start may take it up again, as
 /// after a restart with a clock that was set back.
-const NAME_LOST_AFTER: Micros = 5_000_000;
+const NAME_HOLDER_TIMEOUT: Micros = 5_000_000;
 /// A later start that sends hellos for so long without proving itself is notified that the name is taken.
 const UNPROVEN_CLAIM_TIMEOUT: Micros = 3_000_000;
 
@@ -60,7 +60,7 @@
     }
 
     /// Whether a fenced server has to wait before it begins handshakes again. If not, the wait begins anew.
-    pub(super) fn must_wait(&mut self, now: Micros) -> bool {
+    pub(super) fn must_wait_for_retry(&mut self, now: Micros) -> bool {
         let Some(holder) = self.holder else { return false };
         if now < holder.retry_at {
             return true;
@@ -82,10 +82,10 @@
 impl Membership {
     /// Whether the sender of a hello has claimed for long a name that another process has proven to hold, and still
     /// answers under.
-    pub(super) fn claims_name_in_vain(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> bool {
+    pub(super) fn is_unproven_claim_expired(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> bool {
         let Some(session) = self.sessions.get(name) else { return false };
         let other_process = session.boot_id != 0 && session.boot_id != boot_id;
-        if !other_process || !session.is_heard(now, 0, NAME_LOST_AFTER) {
+        if !other_process || !session.is_heard(now, 0, NAME_HOLDER_TIMEOUT) {
             self.fencing.forget_claimant(name);
             return false;
         }
@@ -118,7 +118,7 @@
 
     /// A member says that another process has our name, and was last heard so long ago.
     pub(super) fn handle_superseded(&mut self, now: Micros, by_boot_id: u64, heard_ago: Micros) {
-        if heard_ago > NAME_LOST_AFTER {
+        if heard_ago > NAME_HOLDER_TIMEOUT {
             // The other process is gone: its start was later only by its clock.
             if by_boot_id >= self.boot_id() {
                 self.take_new_boot_id(now, by_boot_id + 1);
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -79,7 +79,7 @@
             Body::Hello { nonce } => self.handle_hello(now, sender, boot_id, nonce, fresh_nonce, path),
             _ if !for_this_process => self.reject(now, RejectReason::NotForUs, Some(sender)),
             Body::Welcome { echoed_nonce, nonce, build_info } => {
-                let earlier = self.current_process(now, sender);
+                let earlier = self.proven_process(now, sender);
                 let Some(session) = self.sessions.get_mut(sender) else { return };
                 if session.handle_welcome(boot_id, echoed_nonce) {
                     session.build_info = build_info;
@@ -89,7 +89,7 @@
                 }
             }
             Body::Ready { echoed_nonce, build_info } => {
-                let earlier = self.current_process(now, sender);
+                let earlier = self.proven_process(now, sender);
                 let Some(session) = self.sessions.get_mut(sender) else { return };
                 if session.handle_ready(boot_id, echoed_nonce) {
                     session.build_info = build_info;
@@ -113,10 +113,10 @@
         fresh_nonce: u64,
         path: ReturnPath,
     ) {
-        let claims_in_vain = self.claims_name_in_vain(now, sender, boot_id);
+        let claim_expired = self.is_unproven_claim_expired(now, sender, boot_id);
         let Some(session) = self.sessions.get_mut(sender) else { return };
         match session.handle_hello(boot_id, fresh_nonce) {
-            Some(nonce) if !claims_in_vain => {
+            Some(nonce) if !claim_expired => {
                 let build_info = self.build_info.clone();
                 let welcome = Body::Welcome { echoed_nonce: their_nonce, nonce, build_info };
                 self.send_body(now, sender, welcome, Delivery::DatagramAndStream);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn current_process(&self, now: Micros, name: &MemberName) -> EarlierProcess {
+    fn proven_process(&self, now: Micros, name: &MemberName) -> EarlierProcess {
         let (valid_from, timeout) = (self.clock.evidence_valid_from, self.config.evidence_timeout());
         self.sessions.get(name).map_or(EarlierProcess { boot_id: 0, heard: false }, |session| {
             EarlierProcess { boot_id: session.boot_id, heard: session.is_heard(now, valid_from, timeout) }
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -45,10 +45,10 @@
         for replacement in output.replacements {
             let (earlier, later) = (replacement.earlier, replacement.later);
             let valid_from = self.clock.evidence_valid_from;
-            let earlier_lives = self.sessions.get(&earlier.name).is_some_and(|session| {
+            let earlier_is_alive = self.sessions.get(&earlier.name).is_some_and(|session| {
                 session.boot_id == earlier.boot_id && session.is_heard(now, valid_from, STALL_THRESHOLD)
             });
-            if earlier.boot_id != later.boot_id && earlier_lives {
+            if earlier.boot_id != later.boot_id && earlier_is_alive {
                 self.start_handshake(now, &earlier.name);
             }
         }
@@ -73,8 +73,8 @@
         // A fenced server may begin a handshake, and prove itself when it is answered: the holder of its name may be
         // gone, and without the proof it would be fenced for ever.
         let is_challenge = matches!(body, Body::Hello { .. } | Body::Ready { .. });
-        let fenced = self.fencing.is_fenced() && !is_challenge;
-        if self.departure == Departure::Departed || fenced {
+        let blocked_by_fencing = self.fencing.is_fenced() && !is_challenge;
+        if self.departure == Departure::Departed || blocked_by_fencing {
             return;
         }
         let Some(session) = self.sessions.get(to) else { return };
@@ -128,10 +128,10 @@
     /// Where no datagram comes back, they may be lost on the way: then streams carry gossip too, until one does.
     fn needs_stream(&self, now: Micros, session: &Session) -> bool {
         let timeout = self.config.evidence_timeout();
-        let had_time = now >= self.clock.started_at + timeout;
+        let is_past_startup = now >= self.clock.started_at + timeout;
         // Half of the time after which evidence is stale: what goes by stream instead still comes before that.
-        let datagrams_come = session.last_heard_by_datagram.is_some_and(|at| now <= at + timeout / 2);
-        had_time && !datagrams_come
+        let datagrams_arrive = session.last_heard_by_datagram.is_some_and(|at| now <= at + timeout / 2);
+        is_past_startup && !datagrams_arrive
     }
 
     fn guest_path(&self, session: &Session) -> Option<ReturnPath> {
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -14,7 +14,7 @@
 /// A guest that has been silent for so long is forgotten.
 const GUEST_TIMEOUT: Micros = 60_000_000;
 /// One heartbeat in so many carries the build info.
-const BUILD_INFO_EVERY: u64 = 16;
+const HEARTBEATS_PER_BUILD_INFO: u64 = 16;
 
 /// One process under a name.
 struct Process {
@@ -82,7 +82,7 @@
     /// Sends heartbeats to members that have not been sent anything for long, and hellos to those that have not proven
     /// themselves.
     fn send_heartbeats(&mut self, now: Micros) {
-        if self.fencing.must_wait(now) {
+        if self.fencing.must_wait_for_retry(now) {
             return;
         }
         self.forget_silent_guests(now);
@@ -98,19 +98,19 @@
                 continue;
             }
             self.heartbeats_sent += 1;
-            let with_build_info = self.heartbeats_sent.is_multiple_of(BUILD_INFO_EVERY);
+            let with_build_info = self.heartbeats_sent.is_multiple_of(HEARTBEATS_PER_BUILD_INFO);
             let build_info = with_build_info.then(|| self.build_info.clone());
             self.send_body(now, &process.name, Body::Heartbeat(build_info), Delivery::Gossip);
         }
     }
 
     fn forget_silent_guests(&mut self, now: Micros) {
-        let is_gone = |session: &&Session| {
+        let is_silent = |session: &&Session| {
             !session.in_roster && session.last_heard.is_some_and(|at| now > at + GUEST_TIMEOUT)
         };
-        let gone: Vec<MemberName> =
-            self.sessions.values().filter(is_gone).map(|session| session.name.clone()).collect();
-        for name in gone {
+        let silent_guests: Vec<MemberName> =
+            self.sessions.values().filter(is_silent).map(|session| session.name.clone()).collect();
+        for name in silent_guests {
             self.sessions.remove(&name);
             self.guests.remove(&name);
             self.records.remove(&name);
--- a/crates/membership/src/membership/views.rs
+++ b/crates/membership/src/membership/views.rs
@@ -116,10 +116,10 @@
             return;
         }
         let since = *session.views_differ_since.get_or_insert(now);
-        let for_long = now - since >= self.config.timing.divergence_timeout;
+        let is_past_timeout = now - since >= self.config.timing.divergence_timeout;
         let (valid_from, timeout) = (self.clock.evidence_valid_from, self.config.evidence_timeout());
         let reachable = session.is_reachable(now, valid_from, timeout);
-        if for_long && reachable && !self.divergences.contains_key(peer) {
+        if is_past_timeout && reachable && !self.divergences.contains_key(peer) {
             let (ours, theirs) = (self.view.rows.clone(), Vec::new());
             let divergence = ViewDivergence { peer: peer.clone(), since, ours, theirs };
             self.divergences.insert(peer.clone(), divergence);
--- a/crates/membership/src/partition/tests.rs
+++ b/crates/membership/src/partition/tests.rs
@@ -23,8 +23,8 @@
         (count(5, 1, 0), PartitionStatus::Alone),
         (count(2, 1, 1), PartitionStatus::Alone),
     ];
-    for (count, wanted) in cases {
-        assert_eq!(count.status(), wanted, "{count:?}");
+    for (count, expected) in cases {
+        assert_eq!(count.status(), expected, "{count:?}");
     }
 }
 
@@ -66,17 +66,17 @@
     fn changes_are_never_closer_than_the_minimum_status_duration(counts in prop::collection::vec((0u64..700, 1usize..=5), 1..200)) {
         let timing = Timing::default();
         let mut tracker = PartitionTracker::new(0, timing, 1_200_000);
-        let (mut now, mut last) = (0, None);
+        let (mut now, mut last_change) = (0, None);
         for (ms, reached) in counts {
             now += ms * 1_000;
             if tracker.update(now, count(5, reached, 0)).is_some() {
-                if let Some(last) = last {
-                    prop_assert!(now - last >= timing.min_status_duration);
+                if let Some(last_change) = last_change {
+                    prop_assert!(now - last_change >= timing.min_status_duration);
                 }
-                last = Some(now);
+                last_change = Some(now);
             }
-            let held = now - tracker.since() >= timing.min_status_duration;
-            if held && tracker.status() != PartitionStatus::Unsure {
+            let is_past_minimum = now - tracker.since() >= timing.min_status_duration;
+            if is_past_minimum && tracker.status() != PartitionStatus::Unsure {
                 prop_assert!(tracker.status() <= count(5, reached, 0).status());
             }
         }
--- a/crates/membership/src/session/replay_window.rs
+++ b/crates/membership/src/session/replay_window.rs
@@ -2,19 +2,19 @@
 
 /// Numbers that may come out of order: what goes by stream alone may wait behind much that goes by datagram.
 pub(super) const WINDOW: u64 = 1_024;
-const WORDS: usize = (WINDOW / 64) as usize;
+const WINDOW_WORDS: usize = (WINDOW / 64) as usize;
 
 /// The highest number so far, and a bit for each of the numbers below it that are within [`WINDOW`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplayWindow {
     pub(super) highest: u64,
     /// Bits by number modulo [`WINDOW`].
-    seen: [u64; WORDS],
+    seen: [u64; WINDOW_WORDS],
 }
 
 impl Default for ReplayWindow {
     fn default() -> ReplayWindow {
-        ReplayWindow { highest: 0, seen: [0; WORDS] }
+        ReplayWindow { highest: 0, seen: [0; WINDOW_WORDS] }
     }
 }
 
--- a/crates/membership/src/session/tests.rs
+++ b/crates/membership/src/session/tests.rs
@@ -16,8 +16,8 @@
     // A later process must answer before the earlier one is superseded.
     assert_eq!(session.check_message(1, 6, 1, 1), Disposition::Challenge(RejectReason::Unproven));
     assert_eq!(session.boot_id, 5);
-    let offered = session.handle_hello(6, 99).expect("not superseded");
-    assert!(!session.handle_ready(7, offered) && session.handle_ready(6, offered));
+    let offered_nonce = session.handle_hello(6, 99).expect("not superseded");
+    assert!(!session.handle_ready(7, offered_nonce) && session.handle_ready(6, offered_nonce));
     assert_eq!((session.boot_id, session.check_message(1, 5, 1, 3)), (6, Disposition::NotifySuperseded));
     assert_eq!(session.handle_hello(5, 1), None);
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -23,7 +23,7 @@
 /// Members that gossip is sent to at a time.
 const GOSSIP_FANOUT: usize = 3;
 /// Failed members that this server announces itself to at a time.
-const ANNOUNCE_TO_DOWN: usize = 2;
+const FAILED_MEMBERS_PER_ANNOUNCE: usize = 2;
 /// Time between two announcements to an active member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
 /// A failed member is remembered for so long; a new start under its name takes its place at once.
@@ -142,7 +142,7 @@
         periodic_announce: periodic(ANNOUNCE_INTERVAL, 1),
         periodic_announce_to_down_members: periodic(
             Duration::from_micros(2 * probe_interval),
-            ANNOUNCE_TO_DOWN,
+            FAILED_MEMBERS_PER_ANNOUNCE,
         ),
         periodic_gossip: periodic(Duration::from_micros(probe_interval * 2 / 5), GOSSIP_FANOUT),
     }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -2,8 +2,9 @@
 use proptest::prelude::*;
 
 fn message(body: Body) -> Message {
-    let head = Header { sender: "a".into(), boot_id: 7, receiver_boot_id: 8, sequence: 9, sent_twice: false };
-    Message { header: head, sender_status: None, body }
+    let header =
+        Header { sender: "a".into(), boot_id: 7, receiver_boot_id: 8, sequence: 9, sent_twice: false };
+    Message { header, sender_status: None, body }
 }
 
 #[test]
@@ -21,12 +22,12 @@
 proptest! {
     /// No byte of a message can be changed unseen, and nothing that comes makes it panic.
     #[test]
-    fn no_changed_byte_is_accepted(place in 0usize..60, bit in 0u8..8, noise in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_changed_byte_is_accepted(index in 0usize..60, bit in 0u8..8, random_bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let key = Key::new("f", "s");
         let mut sealed = key.seal(&message(Body::Channel { channel: 1, payload: vec![3; 40] }));
-        let place = place % sealed.len();
-        sealed[place] ^= 1 << bit;
+        let index = index % sealed.len();
+        sealed[index] ^= 1 << bit;
         prop_assert!(key.open::<Message>(&sealed, MAX_MESSAGE_LEN).is_err());
-        prop_assert!(key.open::<Message>(&noise, MAX_MESSAGE_LEN).is_err());
+        prop_assert!(key.open::<Message>(&random_bytes, MAX_MESSAGE_LEN).is_err());
     }
 }
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -154,11 +154,11 @@
     run_until_whole(&mut fleet, 40 * SECOND).expect("whole again");
     let unfenced = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
     assert!(unfenced, "it goes on under a later boot id");
-    let all_others_hold_it_for = |state: MemberState| {
+    let all_others_report_state = |state: MemberState| {
         fleet
             .living()
             .skip(1)
             .all(|(_, m)| m.members(fleet.now).iter().any(|v| &*v.name == "m0" && v.state == state))
     };
-    assert!(all_others_hold_it_for(MemberState::Present));
+    assert!(all_others_report_state(MemberState::Present));
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -10,14 +10,14 @@
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let head = Header {
+    let header = Header {
         sender: "server-a".into(),
         boot_id: 1_700_000_000_000_001,
         receiver_boot_id: 77,
         sequence: 300,
         sent_twice: true,
     };
-    let note = SenderStatus {
+    let sender_status = SenderStatus {
         heard_receiver_ms: 1_234,
         view_digest: 0x0123_4567_89ab_cdef,
         partition_status: PartitionStatus::Majority,
@@ -48,21 +48,22 @@
         ("ask-view", Body::ViewRequest),
         ("view", Body::View(rows)),
     ];
-    let message = |body| Message { header: head.clone(), sender_status: Some(note), body };
+    let message = |body| Message { header: header.clone(), sender_status: Some(sender_status), body };
     let mut all: Vec<(&str, Message)> =
         bodies.into_iter().map(|(name, body)| (name, message(body))).collect();
-    let standings = [
+    let statuses = [
         PartitionStatus::Unsure,
         PartitionStatus::Alone,
         PartitionStatus::Minority,
         PartitionStatus::Majority,
         PartitionStatus::Whole,
     ];
-    for (name, standing) in ["unsure", "alone", "minority", "majority", "whole"].into_iter().zip(standings) {
-        let note = Some(SenderStatus { partition_status: standing, heard_receiver_ms: u32::MAX, ..note });
-        all.push((name, Message { header: head.clone(), sender_status: note, body: Body::ViewRequest }));
+    for (name, status) in ["unsure", "alone", "minority", "majority", "whole"].into_iter().zip(statuses) {
+        let sender_status =
+            Some(SenderStatus { partition_status: status, heard_receiver_ms: u32::MAX, ..sender_status });
+        all.push((name, Message { header: header.clone(), sender_status, body: Body::ViewRequest }));
     }
-    all.push(("no-note", Message { header: head, sender_status: None, body: Body::Hello { nonce: 1 } }));
+    all.push(("no-note", Message { header, sender_status: None, body: Body::Hello { nonce: 1 } }));
     all
 }
 
