--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! What a server is configured with, and what is wrong with it.
+//! The configuration of a member and its validation.
 
 #[cfg(test)]
 mod tests;
@@ -8,47 +8,51 @@
 use crate::identity::MemberName;
 use crate::Micros;
 
-/// The most members that a roster names: what fits into a datagram's updates and the descriptors of one process.
+/// The most peers in a roster, limited by the updates that fit into a datagram and by the file descriptors of
+/// a process.
 pub const MAX_PEERS: usize = 1_024;
-/// The longest name, in bytes.
+/// The greatest length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
+/// One millisecond.
 const MS: Micros = 1_000;
-/// The shortest interval that [`Timing`] may name, but for those that may be 0.
+/// The shortest value of a [`Timing`] setting that may not be 0.
 const MIN_INTERVAL: Micros = 20 * MS;
-/// The longest delay that [`Timing`] may name.
+/// The longest delay of a [`Timing`] setting.
 const MAX_DELAY: Micros = 3_600_000 * MS;
-/// Heartbeats to all peers take so much for each peer at least.
+/// The heartbeat interval is at least this long for each peer.
 const HEARTBEAT_INTERVAL_PER_PEER: Micros = 15 * MS;
-/// Evidence counts for so many heartbeats: all but one may be lost.
+/// Evidence is valid for this many heartbeat intervals, so that all heartbeats but one may be lost.
 const HEARTBEATS_PER_EVIDENCE_TIMEOUT: Micros = 3;
 
 /// Another server that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The peer's name.
     pub name: MemberName,
-    /// The zone that it stands in.
+    /// The zone in which the peer runs.
     pub zone: MemberName,
 }
 
 /// Time limits and intervals, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// One member is probed in each such interval; a probe that brings no answer by its end makes a suspicion.
+    /// One member is probed in each interval. If the probe is unanswered at its end, the member is suspected.
     pub probe_interval: Micros,
-    /// From a suspicion to holding the member for failed, for a fleet of up to ten; more takes longer.
+    /// The time from a suspicion until the member is considered failed, in a fleet of up to ten. It is longer
+    /// in larger fleets, see [`Config::suspicion_timeout`].
     pub suspicion_timeout: Micros,
-    /// Between two heartbeats to the same member, in small fleets; see [`Config::heartbeat_interval`].
+    /// The time between two heartbeats to the same member in a small fleet; see
+    /// [`Config::heartbeat_interval`].
     pub heartbeat_interval: Micros,
-    /// A better partition status must last for so long before it is taken up. The delay doubles with each downgrade
-    /// within [`Timing::stable_after`] of the upgrade before, up to eight times that.
+    /// How long a better partition status must last before it is adopted. The delay doubles with each
+    /// downgrade within [`Timing::stable_after`] of the previous change, up to eight times this value.
     pub upgrade_delay: Micros,
-    /// Two changes of the partition status are at least so far apart, but for becoming unsure.
+    /// The least time between two changes of the partition status. Changes to and from unsure are exempt.
     pub min_status_duration: Micros,
-    /// A partition status that lasted for so long makes up for past flapping.
+    /// Once a partition status has lasted this long, the upgrade delay returns to its initial value.
     pub stable_after: Micros,
-    /// Two living members whose views differ for so long have diverged.
+    /// Two live members whose views differ for this long have diverged.
     pub divergence_timeout: Micros,
 }
 
@@ -69,21 +73,21 @@
 /// The configuration of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet: String,
-    /// A secret that only members know; empty is allowed, and then the name alone keeps fleets apart.
+    /// A secret shared by the members. It may be empty; then only the fleet's name keeps fleets apart.
     pub secret: String,
-    /// This server's name.
+    /// The name of this server.
     pub name: MemberName,
-    /// Its zone.
+    /// The zone in which this server runs.
     pub zone: MemberName,
-    /// The others.
+    /// The other members of the fleet.
     pub peers: Vec<Peer>,
     /// Time limits and intervals.
     pub timing: Timing,
 }
 
-/// One thing that is wrong with a [`Config`]. Peers are named by their index.
+/// An error in a [`Config`]. Peers are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The name of the fleet or of this server is empty or too long.
@@ -92,40 +96,40 @@
     /// The name of a peer is empty or too long.
     #[error("a peer's name has 1 to {} bytes", MAX_NAME_LEN)]
     PeerNameLength {
-        /// The peer.
+        /// Index of the peer.
         peer: usize,
     },
     /// This server is one of its own peers.
     #[error("the peer {name:?} is this server itself")]
     PeerIsSelf {
-        /// The peer.
+        /// Index of the peer.
         peer: usize,
-        /// Its name.
+        /// The name of the peer.
         name: MemberName,
     },
-    /// Two peers have one name.
+    /// Two peers have the same name.
     #[error("a second peer {name:?}; each has a name of its own")]
     DuplicatePeer {
-        /// The second of them.
+        /// Index of the second of them.
         peer: usize,
         /// The name of both.
         name: MemberName,
     },
-    /// More than [`MAX_PEERS`].
+    /// There are more than [`MAX_PEERS`] peers.
     #[error("{count} peers, at most {}", MAX_PEERS)]
     TooManyPeers {
-        /// Peers that are configured.
+        /// The number of configured peers.
         count: usize,
     },
     /// An interval is too short.
     #[error("{setting} of {value_ms} ms, at least 20 are expected")]
     IntervalTooShort {
-        /// The setting, as the operator's file has it.
+        /// The name of the setting in the operator's configuration, without its `-ms`.
         setting: &'static str,
         /// Its value in milliseconds.
         value_ms: u64,
     },
-    /// A suspicion ends before it can be refuted.
+    /// The suspicion timeout is too short for a suspicion to be refuted.
     #[error("a suspicion must last for a probe at least, so that it can be refuted")]
     SuspicionTooShort,
     /// A delay is longer than an hour.
@@ -134,13 +138,13 @@
 }
 
 impl ConfigError {
-    /// The index of the peer that it is about, if it is about one.
+    /// The index of the peer that the error concerns, if any.
     pub fn peer_index(&self) -> Option<usize> {
         match self {
             ConfigError::PeerNameLength { peer }
             | ConfigError::PeerIsSelf { peer, .. }
             | ConfigError::DuplicatePeer { peer, .. } => Some(*peer),
-            // The first one that is too many.
+            // The first peer beyond the limit.
             ConfigError::TooManyPeers { .. } => Some(MAX_PEERS),
             _ => None,
         }
@@ -148,7 +152,7 @@
 }
 
 impl Config {
-    /// A fleet in one zone, without a secret.
+    /// Creates the configuration of a fleet without a secret, with all members in the same unnamed zone.
     pub fn new(fleet: &str, name: &str, others: &[&str]) -> Config {
         let peer = |other: &&str| Peer { name: MemberName::from(*other), zone: MemberName::from("") };
         Config {
@@ -161,30 +165,31 @@
         }
     }
 
-    /// Members that the operator named, this server included.
+    /// The number of members of the roster, this server included.
     pub fn roster_size(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// The time between two heartbeats to one member. With many members each gets fewer, so that bytes do not grow
-    /// with the square of their number: 15 ms a member keeps 300 of them under 70 messages of some 110 bytes a second.
+    /// The time between two heartbeats to one member. It grows with the fleet, as otherwise traffic would
+    /// grow with the square of the number of members: at 15 ms per member, each of 300 members sends fewer
+    /// than 70 messages of about 110 bytes per second.
     pub fn heartbeat_interval(&self) -> Micros {
         self.timing.heartbeat_interval.max(HEARTBEAT_INTERVAL_PER_PEER * self.peers.len() as Micros)
     }
 
-    /// Evidence older than this does not count any more.
+    /// The age beyond which evidence is no longer valid.
     pub fn evidence_timeout(&self) -> Micros {
         HEARTBEATS_PER_EVIDENCE_TIMEOUT * self.heartbeat_interval()
     }
 
-    /// From suspicion to failed: grows with the logarithm of the fleet, as news of it takes as many rounds (SWIM,
-    /// 4.2).
+    /// The time from a suspicion until the member is considered failed. It grows with the logarithm of the
+    /// fleet size, as does the number of gossip rounds that spread the suspicion (SWIM, 4.2).
     pub fn suspicion_timeout(&self) -> Micros {
         let factor = ((self.roster_size() as f64).log10()).max(1.0);
         (self.timing.suspicion_timeout as f64 * factor) as Micros
     }
 
-    /// All that is wrong with the configuration.
+    /// Returns all errors in the configuration.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         if !is_valid_name(&self.fleet) || !is_valid_name(&self.name) {
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,33 +1,34 @@
-//! How far this server may trust its own sense of time (Lifeguard's local health multiplier, section IV.A).
+//! The local health score of this server (Lifeguard's local health multiplier, section IV.A).
 //!
-//! A server that is starved of its core sees everyone else as late. Each sign of that makes its time limits longer, by
-//! whole multiples up to [`MAX_HEALTH_SCORE`]; each probe that goes well takes one back.
+//! A server that gets too little CPU time observes the answers of all others as late. Each sign of that
+//! raises the score by one, up to [`MAX_HEALTH_SCORE`], and each answered probe lowers it by one. Time limits
+//! are multiplied by the score plus one.
 
 #[cfg(test)]
 mod tests;
 
-/// The largest score: time limits are then nine times as long, as in the paper.
+/// The highest score. Time limits are then nine times as long, as in the paper.
 pub const MAX_HEALTH_SCORE: u32 = 8;
 
-/// A sign of how well this server does.
+/// An observation that raises or lowers the local health score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// A probe of its own was answered in time.
+    /// A probe sent by this server was answered in time.
     ProbeAnswered,
-    /// A probe of its own brought no answer, neither directly nor by way of others.
+    /// A probe sent by this server went unanswered, both directly and through other members.
     ProbeFailed,
-    /// Others suspected it, and it had to refute that.
+    /// Other members suspected this server, and it refuted the suspicion.
     Suspected,
-    /// It came to a timer later than half a probe interval.
+    /// A timer ran more than half a probe interval late.
     TimerLate,
 }
 
-/// The local health score: 0 is well.
+/// The local health score; 0 is healthy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHealth(u32);
 
 impl LocalHealth {
-    /// Takes a signal in.
+    /// Updates the score.
     pub fn record(&mut self, signal: HealthSignal) {
         self.0 = match signal {
             HealthSignal::ProbeAnswered => self.0.saturating_sub(1),
@@ -42,7 +43,7 @@
         self.0
     }
 
-    /// A time limit, scaled by the score.
+    /// Returns the time limit multiplied by the score plus one.
     pub fn scale(self, limit: u64) -> u64 {
         limit.saturating_mul(u64::from(self.0) + 1)
     }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,27 +1,27 @@
-//! Names of members, and what tells two processes of one name apart.
+//! Member names, and the identity that distinguishes successive processes with the same name.
 
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
 
-/// The name by which operators know a server; the same after a restart.
+/// The configured name of a server; it stays the same across restarts.
 pub type MemberName = Rc<str>;
 
-/// One process under a name: a later start wins over an earlier one.
+/// The identity of one process. Of two processes with the same name, the one that started later wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name.
+    /// The member's name.
     pub name: MemberName,
-    /// The start of the process in Unix microseconds, by its own clock.
+    /// When the process started, in Unix microseconds by its own clock.
     pub boot_id: u64,
-    /// How often the process has come back after others held it for failed.
+    /// How often the process has rejoined after other members considered it failed.
     pub renewal: u32,
 }
 
 impl foca::Identity for Identity {
     type Addr = MemberName;
 
-    /// A process that others hold for failed comes back at once under a higher number.
+    /// Lets a process that others consider failed rejoin at once with a higher renewal number.
     fn renew(&self) -> Option<Identity> {
         Some(Identity { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -1,4 +1,5 @@
-//! What passes between [`crate::Membership`] and its host: actions to carry out, events to log, messages for others.
+//! The types exchanged between [`crate::Membership`] and its host: actions to carry out, events to log, and
+//! received messages for other components of the server.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,45 +10,46 @@
 use crate::partition::PartitionStatus;
 use crate::wire::RejectReason;
 
-/// Items that one queue of the [`Outbox`] holds; beyond it the oldest is dropped, as a network might lose it.
+/// The most items in one queue of the [`Outbox`]. When it is full the oldest item is dropped, as a network
+/// may lose it.
 pub(crate) const MAX_QUEUED: usize = 16_384;
 
-/// The way by which a message came, so that it can be answered there. The number is the host's own.
+/// The path on which a message arrived and can be answered. The number is assigned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReturnPath {
-    /// A datagram.
+    /// The message came as a datagram.
     Datagram(u64),
-    /// A stream.
+    /// The message came over a stream.
     Stream(u64),
 }
 
-/// Bytes that the host is to send.
+/// A message that the host is to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// To the address of a peer, as a datagram.
+    /// Send to the configured address of a peer as a datagram.
     Datagram {
         /// The peer.
         to: MemberName,
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// To the address of a peer, over a stream.
+    /// Send to the configured address of a peer over a stream.
     Stream {
         /// The peer.
         to: MemberName,
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// As [`Action::Stream`], but everything else that waits for that stream goes first.
+    /// Like [`Action::Stream`], but after all other messages that are queued for that stream.
     Bulk {
         /// The peer.
         to: MemberName,
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// Back by the way that a message came.
+    /// Send back on the path on which a message arrived.
     Reply {
-        /// That way.
+        /// The path of the received message.
         path: ReturnPath,
         /// The sealed message.
         bytes: Vec<u8>,
@@ -66,96 +68,98 @@
     }
 }
 
-/// A change that operators should find in the log.
+/// A change that is written to the log for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The state of a member has changed.
     MemberStateChanged {
         /// The member.
         name: MemberName,
-        /// The state before.
+        /// The previous state.
         from: MemberState,
-        /// The state now.
+        /// The new state.
         to: MemberState,
-        /// Why.
+        /// Why it changed.
         cause: String,
     },
     /// This server's partition status has changed.
     PartitionStatusChanged {
-        /// The status before.
+        /// The previous status.
         from: PartitionStatus,
-        /// The status now.
+        /// The new status.
         to: PartitionStatus,
-        /// Why.
+        /// Why it changed.
         cause: String,
     },
-    /// Two living processes have used the same name.
+    /// Two live processes have used the same name.
     NameConflict {
         /// The name.
         name: MemberName,
-        /// Start of the earlier process, in Unix microseconds.
+        /// When the earlier process started, in Unix microseconds.
         earlier_boot_id: u64,
-        /// Start of the later process, which has the name now.
+        /// When the later process started, in Unix microseconds; it now holds the name.
         later_boot_id: u64,
     },
-    /// A later process has this server's name: this server sends nothing more but handshakes.
+    /// Another process holds this server's name: this server sends only handshakes from now on.
     Fenced {
-        /// Start of the other process, in Unix microseconds.
+        /// When the other process started, in Unix microseconds.
         by_boot_id: u64,
     },
-    /// The process that had this server's name is gone; this server has taken the name again.
+    /// The process that held this server's name is gone; this server uses the name again.
     Unfenced {
-        /// The start under which this server goes on.
+        /// The new boot id of this server, in Unix microseconds.
         boot_id: u64,
     },
-    /// A living member has held another view than this server for [`crate::config::Timing::divergence_timeout`].
+    /// The view of a live member has differed from this server's for
+    /// [`crate::config::Timing::divergence_timeout`].
     ViewsDiverged {
         /// The member.
         peer: MemberName,
     },
-    /// A member whose view had diverged holds the same view again.
+    /// A member whose view had diverged has the same view again.
     ViewsConverged {
         /// The member.
         peer: MemberName,
     },
-    /// Messages were rejected; at most one event a second for each reason.
+    /// Messages were rejected. There is at most one event per second for each reason.
     MessagesRejected {
-        /// Why.
+        /// Why they were rejected.
         reason: RejectReason,
-        /// Messages since the last event with this reason.
+        /// The number of messages since the last event with this reason.
         count: u64,
-        /// The name that the message carried, where it could be read. Anybody can write any name.
+        /// The sender's name as stated in the message, if it could be read. It is not verified.
         claimed_sender: Option<MemberName>,
     },
 }
 
-/// Messages since the start of this process.
+/// Message counts since the start of this process. The field names are those of the command line's `--json`
+/// output.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
-    /// Messages sent, and their bytes.
+    /// Messages sent, and their total length in bytes.
     pub sent: (u64, u64),
-    /// Messages accepted, and their bytes.
+    /// Messages accepted, and their total length in bytes.
     pub heard: (u64, u64),
     /// Messages rejected, by reason.
     pub refused: BTreeMap<RejectReason, u64>,
-    /// Stalls: times that this process was not run for [`crate::STALL_THRESHOLD`] or longer.
+    /// The number of stalls, in which this process did not run for longer than [`crate::STALL_THRESHOLD`].
     pub standstills: u64,
 }
 
-/// A message of a member on a channel that other parts of the server use.
+/// A message from a member on a channel that another component of the server uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
-    /// The sender.
+    /// The sending member.
     pub from: MemberName,
-    /// Start of the sending process, in Unix microseconds.
+    /// When the sending process started, in Unix microseconds.
     pub boot: u64,
-    /// The channel.
+    /// The number of the channel.
     pub channel: u8,
-    /// The content.
+    /// The payload bytes.
     pub payload: Vec<u8>,
 }
 
-/// What waits for the host to take it, in bounded queues.
+/// Bounded queues of actions, events and messages that the host has not taken yet.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     actions: VecDeque<Action>,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,26 @@
-//! SWIM membership of a fleet of servers: who is present, on what evidence, and how much of the fleet is reachable.
+//! SWIM membership of a fleet of servers: who is present, on what evidence, and how much of the fleet is
+//! reachable.
 //!
-//! The operator's file names who belongs to the fleet (the *roster*). From then on each server finds out by itself who
-//! is present: SWIM with suspicion and incarnations on the `foca` crate, its time limits scaled while the server itself
-//! is slow ([`health`], as in Lifeguard), and *heartbeats* between each two servers, which say who hears whom
-//! directly. The results are:
+//! The operator's configuration lists the members of the fleet (the *roster*). Each server detects by itself
+//! which of them are present. It runs SWIM with suspicions and incarnations on the `foca` crate, with time
+//! limits that are scaled up while the server itself is slow ([`health`], as in Lifeguard), and exchanges
+//! *heartbeats* with every other server, which report who receives messages from whom directly. The results
+//! are:
 //!
-//! - a [`MemberView`] for each member: present, suspected, failed, leaving, left or never seen, since when and why;
-//! - a [`PartitionStatus`]: whole, majority, minority, alone or unsure, by direct evidence only ([`partition`]);
-//! - an event where two living members hold different views for long ([`view`]).
+//! - a [`MemberView`] for each member: present, suspected, failed, leaving, left or never seen, since when
+//!   and why;
+//! - a [`PartitionStatus`]: whole, majority, minority, alone or unsure, based on direct evidence only
+//!   ([`partition`]);
+//! - an event when the view of another live member stays different from this server's ([`view`]).
 //!
-//! Messages are sealed with the fleet's key ([`wire`]) and belong to a session in which both ends have proven that they
-//! answer now ([`session`]): what is foreign, damaged, replayed, from an earlier process or of a newer format is
-//! counted and rejected. Where two processes have one name, the earlier one is *fenced*.
+//! Messages are authenticated with the fleet's key ([`wire`]) and belong to a session in which both ends have
+//! proven that they are live ([`session`]). Messages that are foreign, damaged, replayed, from an earlier
+//! process or in a newer format are counted and rejected. When two processes use the same name, the earlier
+//! one is *fenced*.
 //!
-//! There is no socket and no clock here. [`Membership`] takes messages with the time at which they came, and gives
-//! [`Action`]s and [`Event`]s. Times are in microseconds on a clock that goes forward only, at a rate within a few
-//! percent.
+//! This crate opens no sockets and reads no clock. [`Membership`] is given messages with their time of
+//! arrival and returns [`Action`]s and [`Event`]s. Times are in microseconds on a monotonic clock whose rate
+//! may be off by a few percent.
 //!
 //! ```
 //! use umberloom_membership::{Config, Membership, PartitionStatus, ReturnPath};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! The state of one member, and the evidence for it.
+//! The state of one member and the evidence for that state.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,20 +10,21 @@
 use crate::wire::BuildInfo;
 use crate::Micros;
 
-/// The state of a member, as this server believes it. A belief has evidence and an age; it is never a fact.
+/// The state of a member from this server's point of view. It is inferred from evidence and may be out of
+/// date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Named by the operator, and not heard of since this server started.
+    /// In the roster, but nothing has been heard of it since this server started.
     NeverSeen,
-    /// It answers.
+    /// The member answers probes.
     Present,
-    /// A probe of it brought no answer, and it has not refuted the suspicion yet.
+    /// A probe of the member went unanswered, and it has not refuted the suspicion yet.
     Suspected,
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Failed,
-    /// It has announced that it will leave, and is still present.
+    /// The member has announced that it will leave and is still present.
     Leaving,
-    /// It has announced that it leaves, and is gone.
+    /// The member announced that it would leave and is gone.
     Left,
 }
 
@@ -47,50 +48,50 @@
     }
 }
 
-/// One reason for a state.
+/// One observation that explains a member's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// What was seen or received.
+    /// What was observed, as shown to operators.
     pub what: String,
-    /// How long ago, in milliseconds, where that is known.
+    /// How long ago it was observed, in milliseconds; `None` if it has no time.
     pub age_ms: Option<u64>,
 }
 
-/// What this server knows of one member. The names of the fields are those of the command line's `--json`.
+/// What this server knows about one member. The field names are those of the command line's `--json` output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The member.
+    /// The member's name.
     pub name: MemberName,
-    /// Named by the operator; else a guest.
+    /// Whether the member is in the roster; otherwise it is a guest.
     pub named: bool,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// For how long it has been in this state, in milliseconds.
+    /// How long the member has been in this state, in milliseconds.
     pub for_ms: u64,
-    /// Start of its process in Unix microseconds; 0 while unknown.
+    /// When its process started, in Unix microseconds; 0 if unknown.
     pub boot: u64,
-    /// SWIM's incarnation: it grows with each suspicion that the process refutes.
+    /// The SWIM incarnation, which is incremented each time the process refutes a suspicion.
     pub incarnation: u16,
-    /// How often the process has come back after it was held for failed.
+    /// How often the process has rejoined after it was considered failed.
     pub renewal: u32,
-    /// How long ago it was heard directly, in milliseconds.
+    /// How long ago a message last came directly from the member, in milliseconds.
     pub heard_ms: Option<u64>,
-    /// How long ago it heard this server, as it said itself, in milliseconds.
+    /// How long ago the member last received a message from this server, by its own report, in milliseconds.
     pub hears_us_ms: Option<u64>,
-    /// Whether both hear each other.
+    /// Whether this server and the member receive each other's messages.
     pub reached: bool,
-    /// What it says of itself: partition status, load in percent, local health score from 0 to 8.
+    /// What the member reports: its partition status, load in percent, and local health score from 0 to 8.
     pub says: Option<(PartitionStatus, u8, u8)>,
-    /// The program and configuration that it runs.
+    /// The program version and configuration that the member runs.
     pub about: BuildInfo,
-    /// For how long its view has differed from this server's, in milliseconds.
+    /// How long its view has differed from this server's, in milliseconds.
     pub differs_ms: Option<u64>,
 }
 
-/// Changes of one member that are kept for [`crate::Membership::explain`].
+/// The number of state changes of one member that are kept for [`crate::Membership::explain`].
 const MAX_CHANGES: usize = 8;
 
-/// A change of a member's state.
+/// One change of a member's state.
 #[derive(Clone, Debug)]
 pub(crate) struct StateChange {
     pub at: Micros,
@@ -98,23 +99,23 @@
     pub cause: String,
 }
 
-/// What is kept of a member.
+/// The state of one member and its recent changes.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberRecord {
     pub state: MemberState,
     pub since: Micros,
-    /// Start of its process, as gossip has it.
+    /// When its process started according to gossip, in Unix microseconds; 0 if unknown.
     pub boot_id: u64,
     pub incarnation: u16,
     pub renewal: u32,
-    /// Start of the process that has announced that it leaves.
+    /// The boot id of the process that has announced that it will leave.
     pub leaving_boot_id: Option<u64>,
-    /// The last changes, oldest first.
+    /// The last changes, oldest first, at most [`MAX_CHANGES`].
     pub changes: VecDeque<StateChange>,
 }
 
 impl MemberRecord {
-    /// A member that has not been heard of.
+    /// Creates the record of a member that has not been heard of.
     pub fn new(now: Micros) -> MemberRecord {
         MemberRecord {
             state: MemberState::NeverSeen,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Takes up another state, and remembers why.
+    /// Changes the state and records the cause, dropping the oldest change when the list is full.
     pub fn set_state(&mut self, now: Micros, state: MemberState, cause: String) {
         self.state = state;
         self.since = now;
--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -1,5 +1,6 @@
-//! Two processes under one name, as when a server was started twice or comes back from a pause in which it was
-//! replaced: the later start keeps the name, and the earlier one sends nothing more but handshakes.
+//! Fencing of two processes with the same name, as when a server was started twice, or resumes after a pause
+//! in which it was replaced. The process that started later keeps the name; the earlier one sends only
+//! handshakes.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +11,32 @@
 use crate::wire::{Body, Header, Message};
 use crate::Micros;
 
-/// While another process has our name, handshakes are begun so often to find out whether it still does.
+/// How often a fenced server begins handshakes to find out whether the other process still holds its name.
 const FENCED_RETRY_INTERVAL: Micros = 5_000_000;
-/// The holder of a name that has not been heard for so long has lost it: an earlier start may take it up again, as
-/// after a restart with a clock that was set back.
+/// A process that has not been heard for this long no longer holds its name. A process with an earlier start
+/// may then use the name, as after a restart with a clock that was set back.
 const NAME_HOLDER_TIMEOUT: Micros = 5_000_000;
-/// A later start that sends hellos for so long without proving itself is notified that the name is taken.
+/// A process that sends hellos for this long without completing a handshake is notified that its name is
+/// taken.
 const UNPROVEN_CLAIM_TIMEOUT: Micros = 3_000_000;
 
-/// The process that has our name.
+/// The process that holds this server's name.
 #[derive(Clone, Copy, Debug)]
 struct NameHolder {
-    /// Its start; 0 while we find out whether it is still there.
+    /// When it started, in Unix microseconds; 0 while this server checks whether it is still there.
     boot_id: u64,
-    /// From then on handshakes are begun again.
+    /// When handshakes are next begun again.
     retry_at: Micros,
 }
 
-/// A process that sends hellos under a name that another one has proven to hold.
+/// A process that sends hellos under a name that another process holds.
 #[derive(Clone, Copy, Debug)]
 struct Claimant {
     boot_id: u64,
     since: Micros,
 }
 
-/// Whether this server is fenced, and who claims the names of others.
+/// Whether this server is fenced, and the processes that claim names held by others.
 #[derive(Debug, Default)]
 pub(super) struct Fencing {
     holder: Option<NameHolder>,
@@ -46,7 +48,7 @@
         self.holder.is_some()
     }
 
-    /// The start of the process that has our name.
+    /// The boot id of the process that holds this server's name; `None` if this server is not fenced.
     pub(super) fn holder_boot_id(&self) -> Option<u64> {
         self.holder.map(|holder| holder.boot_id)
     }
@@ -59,7 +61,7 @@
         self.claimants.remove(name);
     }
 
-    /// Whether a fenced server has to wait before it begins handshakes again. If not, the wait begins anew.
+    /// Whether a fenced server has to wait before it begins handshakes again. If not, the wait is restarted.
     pub(super) fn must_wait_for_retry(&mut self, now: Micros) -> bool {
         let Some(holder) = self.holder else { return false };
         if now < holder.retry_at {
@@ -69,7 +71,7 @@
         false
     }
 
-    /// Since when this process has claimed a name that another one holds.
+    /// Since when this process has claimed a name that another process holds.
     fn claimed_since(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> Micros {
         let claimant = self.claimants.entry(name.clone()).or_insert(Claimant { boot_id, since: now });
         if claimant.boot_id != boot_id {
@@ -80,8 +82,8 @@
 }
 
 impl Membership {
-    /// Whether the sender of a hello has claimed for long a name that another process has proven to hold, and still
-    /// answers under.
+    /// Whether the sender of a hello has for [`UNPROVEN_CLAIM_TIMEOUT`] claimed a name that another live process
+    /// holds.
     pub(super) fn is_unproven_claim_expired(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> bool {
         let Some(session) = self.sessions.get(name) else { return false };
         let other_process = session.boot_id != 0 && session.boot_id != boot_id;
@@ -92,7 +94,7 @@
         now - self.fencing.claimed_since(now, name, boot_id) >= UNPROVEN_CLAIM_TIMEOUT
     }
 
-    /// Tells a process that another one has its name.
+    /// Notifies a process that another process holds its name.
     pub(super) fn notify_superseded(
         &mut self,
         now: Micros,
@@ -112,14 +114,16 @@
             sent_twice: false,
         };
         let bytes = self.key.seal(&Message { header, sender_status: None, body });
-        // Back by the way that it came: the configured address of that name leads to the other process.
+        // The reply uses the path of the message: the configured address of the name belongs to the other
+        // process.
         self.push_action(Action::Reply { path, bytes });
     }
 
-    /// A member says that another process has our name, and was last heard so long ago.
+    /// Handles the report of a member that another process holds this server's name and was last heard
+    /// `heard_ago`.
     pub(super) fn handle_superseded(&mut self, now: Micros, by_boot_id: u64, heard_ago: Micros) {
         if heard_ago > NAME_HOLDER_TIMEOUT {
-            // The other process is gone: its start was later only by its clock.
+            // The other process is gone. Its start may have been later only because of a wrong clock.
             if by_boot_id >= self.boot_id() {
                 self.take_new_boot_id(now, by_boot_id + 1);
             }
@@ -136,7 +140,7 @@
         self.reset_evidence(now, cause);
     }
 
-    /// Goes on under a later start; all sessions begin anew.
+    /// Continues with a later boot id and restarts all sessions.
     fn take_new_boot_id(&mut self, now: Micros, boot_id: u64) {
         let identity = Identity { name: self.config.name.clone(), boot_id, renewal: 0 };
         let output = self.swim.change_identity(now, identity);
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -1,4 +1,4 @@
-//! Received messages: what is checked before anything is believed, and the handshake.
+//! Received messages: their verification, the handshake, and the handling of their contents.
 
 use rand::Rng;
 
@@ -11,17 +11,17 @@
 use crate::wire::{Body, BuildInfo, Message, RejectReason, SenderStatus, MAX_DATAGRAM_LEN, MAX_MESSAGE_LEN};
 use crate::Micros;
 
-/// The process that had a name before another one proved itself.
+/// The process that held a name before a handshake was completed.
 #[derive(Clone, Copy)]
 struct EarlierProcess {
-    /// 0 if there was none.
+    /// When it started, in Unix microseconds; 0 if there was none.
     boot_id: u64,
-    /// Whether it was heard within the evidence timeout.
+    /// Whether the process was heard within the evidence timeout.
     heard: bool,
 }
 
 impl Membership {
-    /// Takes in a message, as it came from the network.
+    /// Handles a message as received from the network.
     pub fn handle_message(&mut self, now: Micros, bytes: &[u8], path: ReturnPath) {
         self.observe_time(now);
         if self.departure == Departure::Departed {
@@ -37,7 +37,8 @@
         };
         let sender = message.header.sender.clone();
         if sender == self.config.name {
-            // Our own name: an echo, or another process that has it. The others settle which.
+            // The message is an echo or comes from another process with this server's name. The other members
+            // decide which of the two processes keeps the name.
             return self.reject(now, RejectReason::Replayed, Some(&sender));
         }
         if !self.sessions.contains_key(&sender) && !self.admit_guest(&sender) {
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Begins a session with a sender that is not in the roster, if there is room.
+    /// Creates a session for a sender that is not in the roster. Returns false if there is no room or its
+    /// name is too long.
     fn admit_guest(&mut self, name: &MemberName) -> bool {
         let has_room = self.guests.len() < MAX_GUESTS && name.len() <= MAX_NAME_LEN;
         if has_room {
@@ -61,7 +63,7 @@
         has_room
     }
 
-    /// A guest is answered by the way that it was last heard by.
+    /// Records the path on which a guest was last heard, so that it is answered there.
     fn remember_guest_path(&mut self, name: &MemberName, path: ReturnPath) {
         if self.sessions.get(name).is_some_and(|session| !session.in_roster) {
             self.guests.insert(name.clone(), path);
@@ -71,7 +73,7 @@
     fn handle_handshake(&mut self, now: Micros, message: Message, path: ReturnPath) {
         let Message { header, body, .. } = message;
         let (sender, boot_id) = (&header.sender, header.boot_id);
-        // Drawn for each message, whether it is used or not, so that a run depends on the messages alone.
+        // A nonce is drawn for each message, used or not, so that a run depends on the messages alone.
         let fresh_nonce = self.random.next_u64();
         let for_this_process = header.receiver_boot_id == self.boot_id();
         self.remember_guest_path(sender, path);
@@ -103,7 +105,8 @@
         }
     }
 
-    /// `their_nonce` is returned to the sender, `fresh_nonce` is what it has to return in its turn.
+    /// Handles a hello. `their_nonce` is returned to the sender; `fresh_nonce` is the nonce that the sender
+    /// has to return.
     fn handle_hello(
         &mut self,
         now: Micros,
@@ -125,6 +128,7 @@
         }
     }
 
+    /// The process that holds the name at the moment.
     fn proven_process(&self, now: Micros, name: &MemberName) -> EarlierProcess {
         let (valid_from, timeout) = (self.clock.evidence_valid_from, self.config.evidence_timeout());
         self.sessions.get(name).map_or(EarlierProcess { boot_id: 0, heard: false }, |session| {
@@ -132,7 +136,8 @@
         })
     }
 
-    /// A process has proven that it answers under this name.
+    /// Handles a completed handshake: reports a name conflict if the previous process is live, and announces
+    /// this server.
     fn handle_proven(&mut self, now: Micros, name: &MemberName, earlier: EarlierProcess, boot_id: u64) {
         self.fencing.forget_claimant(name);
         if earlier.boot_id != 0 && earlier.boot_id != boot_id && earlier.heard {
@@ -155,7 +160,7 @@
         }
         let Message { header, sender_status, body } = message;
         let sender = &header.sender;
-        // Somebody takes us for the holder of our name again.
+        // The sender has a session with this process, so this process holds its name again.
         self.fencing.clear();
         if let Some(session) = self.sessions.get_mut(sender) {
             session.record_heard(now, matches!(path, ReturnPath::Datagram(_)));
@@ -169,7 +174,8 @@
         self.handle_body(now, sender, header.boot_id, body);
     }
 
-    /// Whether the message belongs to the session; if not, what follows from that is done.
+    /// Returns whether the message belongs to the session. If not, rejects it and starts a handshake or
+    /// notifies the sender as needed.
     fn accept_session_message(&mut self, now: Micros, message: &Message, path: ReturnPath) -> bool {
         let own_boot_id = self.boot_id();
         let header = &message.header;
@@ -178,7 +184,7 @@
         let (boot_id, receiver_boot_id) = (header.boot_id, header.receiver_boot_id);
         match session.check_message(own_boot_id, boot_id, receiver_boot_id, header.sequence) {
             Disposition::Accept => return true,
-            // The other copy has come already.
+            // The other copy has been received already.
             Disposition::Reject(_) if header.sent_twice => {}
             Disposition::Reject(reason) => self.reject(now, reason, Some(sender)),
             Disposition::NotifySuperseded => {
@@ -224,9 +230,9 @@
         }
     }
 
-    /// Takes in what a member says of itself.
+    /// Handles the status that a member reports about itself.
     fn handle_sender_status(&mut self, now: Micros, sender: &MemberName, boot_id: u64, status: SenderStatus) {
-        // The view that the sender's is compared with is that of before any change by this message.
+        // The sender's view is compared with this server's view from before any change by this message.
         let own_digest = self.view.digest;
         let Some(session) = self.sessions.get_mut(sender) else { return };
         session.reported = Some(ReportedStatus { received_at: now, status });
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! This server's part in its fleet.
+//! The membership state machine of one server.
 //!
-//! [`Membership`] is one state machine without I/O. Its methods are in files by concern: `incoming` (received messages
-//! and the handshake), `fencing` (two processes under one name), `timers` (what is due), `views` (member states and
-//! the comparison of views), `sending`, and `reporting` (what may be asked of it).
+//! [`Membership`] does no I/O. Its methods are in modules by concern: `incoming` (received messages and the
+//! handshake), `fencing` (two processes with the same name), `timers` (timers and periodic work), `views`
+//! (member states and the comparison of views), `sending`, and `reporting` (status queries).
 
 mod fencing;
 mod incoming;
@@ -31,35 +31,37 @@
 use crate::wire::{Body, BuildInfo, Key};
 use crate::{MessageCounts, Micros};
 
-/// Two calls further apart than this: the process was stalled, and what it believed does not count any more.
+/// If two calls are further apart than this, the process was stalled, and evidence from before is no longer
+/// valid.
 pub const STALL_THRESHOLD: Micros = 1_000_000;
-/// Members beyond the roster that are spoken with.
+/// The most guests, which are members outside of the roster, that have a session at the same time.
 const MAX_GUESTS: usize = 64;
 
-/// Points in time that the other parts go by.
+/// Points in time that the modules share.
 #[derive(Debug)]
 struct Clock {
+    /// When this server started.
     started_at: Micros,
-    /// Evidence from before then does not count.
+    /// Evidence from before this time is not valid.
     evidence_valid_from: Micros,
-    /// When any method was last called with the time.
+    /// The time of the last call that checked for a stall.
     last_call: Micros,
-    /// When members are next looked at.
+    /// When the periodic work on all members is next due.
     next_tick: Micros,
 }
 
 /// How far the graceful shutdown of this server has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Departure {
-    /// No departure is planned.
+    /// No shutdown has begun.
     Staying,
-    /// [`Membership::leave`] was called; it is still a member.
+    /// [`Membership::leave`] was called; this server is still a member.
     Leaving,
-    /// [`Membership::announce_departure`] was called; it does nothing more.
+    /// [`Membership::announce_departure`] was called; this server sends and handles no more messages.
     Departed,
 }
 
-/// A server's part in its fleet.
+/// The membership of one server in its fleet.
 #[derive(Debug)]
 pub struct Membership {
     config: Config,
@@ -68,7 +70,8 @@
     swim: Swim,
     sessions: BTreeMap<MemberName, Session>,
     records: BTreeMap<MemberName, MemberRecord>,
-    /// By which way guests were last heard: their addresses are not configured.
+    /// The path on which each guest was last heard. Guests are answered there, as their addresses are not
+    /// configured.
     guests: BTreeMap<MemberName, ReturnPath>,
     partition: PartitionTracker,
     clock: Clock,
@@ -85,12 +88,12 @@
 }
 
 impl Membership {
-    /// A server that starts now. `boot_id` is its start by the Unix clock, in microseconds; `seed` is for all that is
-    /// drawn at random.
+    /// Creates the state of a server that starts at `now`. `boot_id` is its start in Unix microseconds;
+    /// `seed` initializes the random number generators.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the configuration.
+    /// Returns all errors in the configuration.
     pub fn new(now: Micros, config: Config, boot_id: u64, seed: u64) -> Result<Membership, Vec<ConfigError>> {
         let errors = config.validate();
         if !errors.is_empty() {
@@ -124,8 +127,8 @@
         Ok(membership)
     }
 
-    /// Takes up another roster, of a configuration that [`Config::validate`] has passed. A member that is no longer
-    /// named becomes a guest if it goes on sending.
+    /// Replaces the roster by that of a configuration that [`Config::validate`] has accepted. A member that
+    /// is no longer in the roster becomes a guest if it continues to send messages.
     pub fn reconfigure(&mut self, now: Micros, config: Config) {
         let in_new_roster = |name: &MemberName| config.peers.iter().any(|peer| peer.name == *name);
         self.sessions.retain(|name, session| !session.in_roster || in_new_roster(name));
@@ -147,19 +150,19 @@
         }
     }
 
-    /// The program and configuration that this server runs; all members are notified.
+    /// Sets the program and configuration that this server runs and notifies all members.
     pub fn set_build_info(&mut self, now: Micros, build_info: BuildInfo) {
         self.build_info = BuildInfo { zone: self.config.zone.to_string(), ..build_info };
         self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::Gossip);
     }
 
-    /// How loaded this server is, in percent.
+    /// Sets the load of this server in percent, limited to 100.
     pub fn set_load(&mut self, percent: u8) {
         self.load_percent = percent.min(100);
     }
 
-    /// This server will end: the others are notified. It goes on being a member until
-    /// [`Membership::announce_departure`].
+    /// Notifies the other members that the graceful shutdown of this server has begun. The server stays a
+    /// member until [`Membership::announce_departure`].
     pub fn leave(&mut self, now: Micros) {
         self.observe_time(now);
         if self.departure == Departure::Staying {
@@ -168,21 +171,21 @@
         self.broadcast(now, &Body::Heartbeat(None), Delivery::DatagramAndStream);
     }
 
-    /// This server is gone: its last messages are sent, and nothing that comes counts any more.
+    /// Announces that this server is gone. Afterwards it sends nothing more and ignores all messages.
     pub fn announce_departure(&mut self, now: Micros) {
         let output = self.swim.leave(now);
         self.apply_swim_output(now, output);
         self.departure = Departure::Departed;
     }
 
-    /// Sends a message on a channel to a member, if it has proven to answer; it may be lost.
+    /// Sends a message on a channel to a member that has completed the handshake. The message may be lost.
     pub fn send(&mut self, now: Micros, to: &MemberName, channel: u8, payload: Vec<u8>) {
         if self.has_proven(to) {
             self.send_body(now, to, Body::Channel { channel, payload }, Delivery::DatagramAndStream);
         }
     }
 
-    /// As [`Membership::send`], for what is long and may wait.
+    /// Like [`Membership::send`], for long messages that may be delayed by others.
     pub fn send_bulk(&mut self, now: Micros, to: &MemberName, channel: u8, payload: Vec<u8>) {
         if self.has_proven(to) {
             self.send_body(now, to, Body::Channel { channel, payload }, Delivery::BulkStream);
@@ -193,17 +196,17 @@
         self.sessions.get(name).is_some_and(|session| session.boot_id != 0)
     }
 
-    /// What is to be sent.
+    /// Removes and returns the messages to send.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.outbox.take_actions()
     }
 
-    /// What is to be logged.
+    /// Removes and returns the events to log.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.outbox.take_events()
     }
 
-    /// Messages that came on channels.
+    /// Removes and returns the messages received on channels.
     pub fn take_messages(&mut self) -> Vec<ReceivedMessage> {
         self.outbox.take_messages()
     }
--- a/crates/membership/src/membership/reporting.rs
+++ b/crates/membership/src/membership/reporting.rs
@@ -1,4 +1,4 @@
-//! What may be asked of this server: members, evidence, counts.
+//! Status queries: members, evidence, counts and invariants.
 
 use super::{Membership, MAX_GUESTS};
 use crate::identity::MemberName;
@@ -10,34 +10,34 @@
 use crate::wire::SenderStatus;
 use crate::{MessageCounts, Micros};
 
-/// Members that are not reachable and are named in a text; more are left out.
+/// The most unreachable members that a text lists by name; further ones are left out.
 const MAX_NAMES_LISTED: usize = 8;
 
-/// A condition that must hold between any two calls does not: a fault of this package.
+/// An invariant that does not hold between two calls, which is a bug of this crate.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// A queue or table has grown beyond its bound.
+    /// A queue or table has exceeded its bound.
     #[error("{queued} wait, {guests} guests, {sessions} sessions")]
     BoundExceeded {
-        /// Length of the longest queue.
+        /// The length of the longest queue.
         queued: usize,
-        /// Guests.
+        /// The number of guests.
         guests: usize,
-        /// Sessions.
+        /// The number of sessions.
         sessions: usize,
     },
     /// A member of the roster has no session.
     #[error("no session with {peer}")]
     MissingSession {
-        /// The member.
+        /// The member without a session.
         peer: MemberName,
     },
-    /// The digest that is sent is not that of the view.
+    /// The digest that is sent does not match the view.
     #[error("the digest is not that of the view")]
     StaleViewDigest,
 }
 
-/// Evidence, as it is collected.
+/// Collects the evidence of one query.
 struct EvidenceList {
     now: Micros,
     items: Vec<Evidence>,
@@ -48,34 +48,34 @@
         EvidenceList { now, items: Vec::new() }
     }
 
-    /// Something that holds now.
+    /// Adds an observation without an age.
     fn add(&mut self, text: impl Into<String>) {
         self.items.push(Evidence { what: text.into(), age_ms: None });
     }
 
-    /// Something that was seen so long ago, in microseconds.
+    /// Adds an observation that was made `age` microseconds ago.
     fn add_aged(&mut self, text: impl Into<String>, age: Micros) {
         self.items.push(Evidence { what: text.into(), age_ms: Some(age / 1_000) });
     }
 
-    /// Something that was seen then.
+    /// Adds an observation that was made at `at`.
     fn add_at(&mut self, text: impl Into<String>, at: Micros) {
         self.add_aged(text, self.now.saturating_sub(at));
     }
 }
 
 impl Membership {
-    /// The start of this process, in Unix microseconds, as others know it.
+    /// The boot id under which others know this process: its start in Unix microseconds.
     pub fn boot_id(&self) -> u64 {
         self.swim.identity().boot_id
     }
 
-    /// How much of the fleet this server reaches.
+    /// The partition status of this server: how much of the fleet it reaches.
     pub fn partition_status(&self) -> PartitionStatus {
         self.partition.status()
     }
 
-    /// Whether another process has this server's name.
+    /// Whether this server is fenced because another process holds its name.
     pub fn is_fenced(&self) -> bool {
         self.fencing.is_fenced()
     }
@@ -85,17 +85,17 @@
         self.view.digest
     }
 
-    /// Messages since the start.
+    /// Message counts since the start of this process.
     pub fn counts(&self) -> &MessageCounts {
         &self.counts
     }
 
-    /// Lifeguard's local health: 0 is well, [`crate::health::MAX_HEALTH_SCORE`] the worst.
+    /// The local health score: 0 is healthy, [`crate::health::MAX_HEALTH_SCORE`] is the worst.
     pub fn health_score(&self) -> u32 {
         self.swim.local_health().score()
     }
 
-    /// Members of the roster that are reachable now, with the starts of their processes.
+    /// The members of the roster that are reachable now, with the boot ids of their processes.
     pub fn reachable(&self, now: Micros) -> Vec<(MemberName, u64)> {
         self.roster_sessions()
             .filter(|session| self.is_session_reachable(now, session))
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    /// All members that this server knows, by name.
+    /// All members and guests that this server knows, ordered by name.
     pub fn members(&self, now: Micros) -> Vec<MemberView> {
         self.sessions.values().map(|session| self.member_view(now, session)).collect()
     }
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Why a member is in its state, newest reasons first; `None` for a name that is not known.
+    /// Returns the evidence for a member's state, its state changes newest first, or for this server's own
+    /// status. Returns `None` if the name is unknown.
     pub fn explain(&self, now: Micros, name: &str) -> Option<Vec<Evidence>> {
         let mut evidence = EvidenceList::new(now);
         if *name == *self.config.name {
@@ -187,7 +188,7 @@
         }
     }
 
-    /// How much of the roster is reachable, in words.
+    /// Describes how much of the roster is reachable, for operators.
     pub(super) fn describe_reach(&self, now: Micros, count: ReachCount) -> String {
         let ReachCount { roster, reached, left } = count;
         let unreachable = self.describe_unreachable(now);
@@ -215,16 +216,16 @@
         names.join(", ")
     }
 
-    /// Living members whose views have differed from this server's for long.
+    /// The live members whose views have diverged from this server's.
     pub fn view_divergences(&self) -> impl Iterator<Item = &ViewDivergence> {
         self.divergences.values()
     }
 
-    /// Checks what must hold between any two calls; for tests.
+    /// Checks the invariants that hold between any two calls; for tests.
     ///
     /// # Errors
     ///
-    /// The first condition that does not hold.
+    /// Returns the first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         let queued = self.outbox.longest_queue();
         let (guests, sessions) = (self.guests.len(), self.sessions.len());
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -1,4 +1,4 @@
-//! Sending: what goes with each message, and by which ways.
+//! Sending: the header and status of each message, and the transport by which it is sent.
 
 use rand::Rng;
 
@@ -11,19 +11,20 @@
 use crate::wire::{Body, Header, Message, SenderStatus, MAX_DATAGRAM_LEN};
 use crate::Micros;
 
-/// By which ways a message goes.
+/// The transports by which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// By datagram, and by stream as well where datagrams do not come through.
+    /// By datagram, and over a stream as well if datagrams do not get through.
     Gossip,
-    /// By stream, and by datagram as well where it fits: either may be cut, and none counts twice.
+    /// Over a stream, and by datagram as well if the message fits: either path may be cut, and the receiver
+    /// accepts only one copy.
     DatagramAndStream,
-    /// By stream alone, after whatever else waits for it.
+    /// Over a stream only, after all other messages that are queued for it.
     BulkStream,
 }
 
 impl Membership {
-    /// Sends the same to everyone.
+    /// Sends the same body to all members and guests.
     pub(super) fn broadcast(&mut self, now: Micros, body: &Body, delivery: Delivery) {
         let names: Vec<MemberName> = self.sessions.keys().cloned().collect();
         for name in names {
@@ -31,10 +32,12 @@
         }
     }
 
-    /// Sends messages of SWIM, and looks into what it has found.
+    /// Applies the results of a SWIM step: sends its messages, checks replaced processes and schedules an
+    /// update.
     pub(super) fn apply_swim_output(&mut self, now: Micros, output: SwimOutput) {
         for message in output.messages {
-            // Gossip is for one process; another one under its name has to prove itself first.
+            // Gossip is addressed to one process. Another process with its name has to complete a handshake
+            // first.
             let Some(session) = self.sessions.get(&message.to) else { continue };
             if session.boot_id == message.boot_id {
                 self.send_body(now, &message.to, Body::Gossip(message.bytes), Delivery::Gossip);
@@ -53,14 +56,14 @@
             }
         }
         if output.changed {
-            // All changes of a moment at once: a start with many members brings one with each message.
+            // Changes are collected for one interval: when many members start, each message brings one.
             self.clock.next_tick = self.clock.next_tick.min(now + TICK_INTERVAL);
         }
     }
 
     /// Sends a hello, unless one has just been sent.
     pub(super) fn start_handshake(&mut self, now: Micros, name: &MemberName) {
-        // Drawn for each call, whether it is used or not.
+        // A nonce is drawn for each call, used or not, so that a run depends on the calls alone.
         let fresh_nonce = self.random.next_u64();
         let Some(session) = self.sessions.get_mut(name) else { return };
         if let Some(nonce) = session.start_handshake(now, fresh_nonce) {
@@ -70,8 +73,8 @@
 
     /// Sends a message in the session with this member, or begins a handshake where there is no session yet.
     pub(super) fn send_body(&mut self, now: Micros, to: &MemberName, body: Body, delivery: Delivery) {
-        // A fenced server may begin a handshake, and prove itself when it is answered: the holder of its name may be
-        // gone, and without the proof it would be fenced for ever.
+        // A fenced server may begin and complete a handshake. The process that holds its name may be gone,
+        // and without a completed handshake the server would stay fenced for ever.
         let is_challenge = matches!(body, Body::Hello { .. } | Body::Ready { .. });
         let blocked_by_fencing = self.fencing.is_fenced() && !is_challenge;
         if self.departure == Departure::Departed || blocked_by_fencing {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The sequence number of a message that is sent now.
+    /// Records that a message is sent, and returns its sequence number.
     fn record_sent(&mut self, now: Micros, to: &MemberName, is_handshake: bool) -> Option<u64> {
         let session = self.sessions.get_mut(to)?;
         if !is_handshake {
@@ -110,10 +113,10 @@
         Some(session.next_sequence())
     }
 
-    /// What this server says of itself to the other end of the session.
+    /// The status that this server reports about itself to the other end of the session.
     fn sender_status(&self, now: Micros, session: &Session) -> SenderStatus {
         let heard = session.last_heard.filter(|at| *at >= self.clock.evidence_valid_from);
-        // The greatest value stands for never.
+        // `u32::MAX` means never.
         let age_ms = |at: Micros| u32::try_from((now - at) / 1_000).unwrap_or(u32::MAX - 1);
         SenderStatus {
             heard_receiver_ms: heard.map_or(u32::MAX, age_ms),
@@ -125,11 +128,13 @@
         }
     }
 
-    /// Where no datagram comes back, they may be lost on the way: then streams carry gossip too, until one does.
+    /// Whether gossip has to be sent over a stream as well. If no datagrams arrive from the member, datagrams
+    /// to it may be lost too.
     fn needs_stream(&self, now: Micros, session: &Session) -> bool {
         let timeout = self.config.evidence_timeout();
         let is_past_startup = now >= self.clock.started_at + timeout;
-        // Half of the time after which evidence is stale: what goes by stream instead still comes before that.
+        // After half of the evidence timeout, messages sent over a stream still arrive before the evidence
+        // expires.
         let datagrams_arrive = session.last_heard_by_datagram.is_some_and(|at| now <= at + timeout / 2);
         is_past_startup && !datagrams_arrive
     }
@@ -161,10 +166,10 @@
     }
 }
 
-/// The start of the process that a message is for.
+/// The boot id of the process to which a message is addressed.
 fn receiver_boot_id(session: &Session, body: &Body) -> u64 {
     match body {
-        // For the sender of the hello, whoever that is by now.
+        // A welcome is addressed to the sender of the hello, which may not be the process of the session.
         Body::Welcome { .. } => session.offered_to().unwrap_or(session.boot_id),
         _ => session.boot_id,
     }
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! What is due: timers of SWIM, heartbeats, handshakes, and what follows from a stall of this process.
+//! Timers: SWIM, heartbeats, handshakes, and the detection of stalls of this process.
 
 use super::{Delivery, Departure, Membership, STALL_THRESHOLD};
 use crate::identity::MemberName;
@@ -7,16 +7,17 @@
 use crate::wire::Body;
 use crate::Micros;
 
-/// Time between two looks at all members.
+/// The time between two runs of the periodic work on all members.
 pub(super) const TICK_INTERVAL: Micros = 50_000;
-/// In fleets of more than so many members, looks are further apart: each passes over all members.
+/// The time between two runs grows by [`TICK_INTERVAL`] for each group of this many sessions, as each run
+/// visits all of them.
 const MEMBERS_PER_TICK: usize = 64;
-/// A guest that has been silent for so long is forgotten.
+/// A guest that has not been heard for this long is forgotten.
 const GUEST_TIMEOUT: Micros = 60_000_000;
-/// One heartbeat in so many carries the build info.
+/// One in this many heartbeats carries the build info.
 const HEARTBEATS_PER_BUILD_INFO: u64 = 16;
 
-/// One process under a name.
+/// A member's process.
 struct Process {
     name: MemberName,
     boot_id: u64,
@@ -29,12 +30,12 @@
 }
 
 impl Membership {
-    /// When [`Membership::handle_timeout`] is to be called next.
+    /// The time at which [`Membership::handle_timeout`] has to be called next.
     pub fn next_timeout(&self) -> Micros {
         self.swim.next_timeout().unwrap_or(Micros::MAX).min(self.clock.next_tick)
     }
 
-    /// Does what is due by now.
+    /// Runs all timers that are due at `now`.
     pub fn handle_timeout(&mut self, now: Micros) {
         self.observe_time(now);
         if self.departure == Departure::Departed {
@@ -55,21 +56,22 @@
         }
     }
 
-    /// Notes that time has passed; more than [`STALL_THRESHOLD`] since the last call is a stall.
+    /// Records the time of a call and detects a stall if more than [`STALL_THRESHOLD`] has passed since the
+    /// last one.
     pub(super) fn observe_time(&mut self, now: Micros) {
         let gap = now.saturating_sub(self.clock.last_call);
         self.clock.last_call = now;
         if gap <= STALL_THRESHOLD {
             return;
         }
-        // While this process was not run the others went on. What it believed is of before, and its timers have not
-        // run out, as nobody could have answered it.
+        // The other members continued while this process did not run. Its evidence is outdated, and its
+        // timers are postponed, as no answer could have reached it.
         self.counts.standstills += 1;
         self.swim.postpone_timers(gap);
         self.reset_evidence(now, format!("this server stood still for {} ms", gap / 1_000));
     }
 
-    /// Nothing that was believed before counts until it is heard again.
+    /// Discards all evidence: members do not count as reachable until they are heard again.
     pub(super) fn reset_evidence(&mut self, now: Micros, cause: String) {
         self.clock.evidence_valid_from = now;
         self.sessions.values_mut().for_each(Session::reset_evidence);
@@ -79,8 +81,8 @@
         }
     }
 
-    /// Sends heartbeats to members that have not been sent anything for long, and hellos to those that have not proven
-    /// themselves.
+    /// Sends heartbeats to members to which nothing was sent for a heartbeat interval, and hellos to members
+    /// that have not completed the handshake. A fenced server sends hellos only.
     fn send_heartbeats(&mut self, now: Micros) {
         if self.fencing.must_wait_for_retry(now) {
             return;
@@ -119,9 +121,10 @@
 
     /// Announces this server again where gossip contradicts what is heard directly.
     ///
-    /// Direct evidence is the surer one: a member that is reachable and yet failed by gossip is announced to again, and
-    /// so is everyone while gossip is idle. Without this two members stay apart for ever once the one message is lost
-    /// by which either would have begun again (docs/incidents/apart-for-ever.md).
+    /// Direct evidence takes precedence: this server announces itself again to each reachable member that
+    /// gossip does not list as active, and to all reachable members while gossip is idle. Without this, two
+    /// members would never rejoin once the only message was lost that would have restarted gossip
+    /// (docs/incidents/apart-for-ever.md).
     fn reannounce(&mut self, now: Micros) {
         if self.fencing.is_fenced() {
             return;
--- a/crates/membership/src/membership/views.rs
+++ b/crates/membership/src/membership/views.rs
@@ -10,14 +10,15 @@
 use crate::wire::{Body, ViewRow};
 use crate::Micros;
 
-/// A member as gossip has it.
+/// The identity and state of a member according to gossip.
 struct GossipState {
     identity: Identity,
     incarnation: u16,
     state: foca::State,
 }
 
-/// The state that follows from gossip, and whether the process has said that it leaves; and the reason for operators.
+/// Returns the member's state and its cause as shown to operators, from the state in gossip and whether the
+/// process has announced that it will leave.
 fn state_and_cause(state: foca::State, leaving: bool) -> (MemberState, &'static str) {
     match state {
         foca::State::Alive if leaving => (MemberState::Leaving, "it said that it leaves"),
@@ -29,7 +30,7 @@
 }
 
 impl Membership {
-    /// Updates the states of members by gossip, and the partition status by direct evidence.
+    /// Updates the states of members from gossip, and the partition status from direct evidence.
     pub(super) fn refresh_members(&mut self, now: Micros) {
         let mut changed = self.view.rows.len() != self.config.roster_size();
         let gossip: Vec<GossipState> = self
@@ -51,7 +52,7 @@
         self.refresh_partition_status(now);
     }
 
-    /// Whether the process or the state of the member has changed.
+    /// Updates one member. Returns whether its process or state has changed.
     fn refresh_member(&mut self, now: Micros, member: &GossipState) -> bool {
         let GossipState { identity, incarnation, state } = member;
         let record = self.records.entry(identity.name.clone()).or_insert_with(|| MemberRecord::new(now));
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Writes down which members of the roster are present, as which process.
+    /// Rebuilds this server's view from the states of the members of the roster.
     fn rebuild_view(&mut self) {
         let row = |name: &MemberName, boot_id: u64, present: bool| ViewRow {
             name: name.clone(),
@@ -99,7 +100,8 @@
         self.view.replace(rows);
     }
 
-    /// Compares the digest of a member's view with ours.
+    /// Compares the digest of a member's view with that of this server's, and reports divergence or
+    /// convergence.
     pub(super) fn compare_views(
         &mut self,
         now: Micros,
@@ -136,7 +138,7 @@
         self.sessions.values().filter(|session| session.in_roster)
     }
 
-    /// Counts members of the roster by direct evidence.
+    /// Counts the reachable members of the roster by direct evidence, and those that have left.
     pub(super) fn count_reachable(&self, now: Micros) -> ReachCount {
         let has_left = |session: &Session| {
             self.records.get(&session.name).is_some_and(|record| record.state == MemberState::Left)
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -1,8 +1,9 @@
 //! How much of the fleet this server reaches.
 //!
-//! A member is *reachable* when it was heard directly of late and says that it heard us of late: news by way of others
-//! does not count, so that behind a bridge or a one-way cut both ends come to the same result. [`ReachCount::status`]
-//! then goes by counting alone; [`PartitionTracker`] keeps the status from flapping.
+//! A member is *reachable* when a recent message came directly from it and it reports that it recently
+//! received one from this server. Information relayed by other members does not count, so that both ends of a
+//! one-way failure, or of a link that only a third member bridges, come to the same result.
+//! [`ReachCount::status`] depends on the counts alone; [`PartitionTracker`] keeps the status from flapping.
 
 #[cfg(test)]
 mod tests;
@@ -14,18 +15,18 @@
 use crate::config::Timing;
 use crate::Micros;
 
-/// How much of the fleet this server reaches. In ascending order.
+/// How much of the fleet this server reaches, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PartitionStatus {
-    /// This process has just started, or was stalled: nothing counts before it has been heard again.
+    /// This process has just started or was stalled: members count only once they have been heard again.
     Unsure,
-    /// Nobody else is reachable.
+    /// No other member is reachable.
     Alone,
     /// Half of the roster or less is reachable, this server included.
     Minority,
-    /// More than half is.
+    /// More than half of the roster is reachable, this server included.
     Majority,
-    /// Everyone is, but for those who left.
+    /// Every member is reachable except those that left.
     Whole,
 }
 
@@ -41,19 +42,20 @@
     }
 }
 
-/// Members of the roster, counted by direct evidence.
+/// The number of members of the roster that are reachable or have left, by direct evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReachCount {
-    /// Members that the operator named, this server included.
+    /// Members of the roster, this server included.
     pub roster: usize,
-    /// Of these, how many are reachable, this server included.
+    /// Members of the roster that are reachable, this server included.
     pub reached: usize,
-    /// Of these, how many have announced their departure, and are gone.
+    /// Members of the roster that announced their departure and are gone.
     pub left: usize,
 }
 
 impl ReachCount {
-    /// The status by this count alone. A majority is one of all that were named: those who left may come back.
+    /// The status that follows from this count. A majority is counted against the whole roster, because
+    /// members that left may come back.
     pub fn status(self) -> PartitionStatus {
         let ReachCount { roster, reached, left } = self;
         let is_majority = 2 * reached > roster;
@@ -69,7 +71,7 @@
     }
 }
 
-/// A change of the status.
+/// A change of the partition status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusChange {
     /// The status before.
@@ -78,33 +80,35 @@
     pub to: PartitionStatus,
 }
 
-/// A status that counts have shown, but that has not been taken up yet.
+/// A status that the counts show but that has not been adopted yet.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     status: PartitionStatus,
-    /// Since when counts have shown this status or a better one.
+    /// Since when the counts have shown this status or a better one.
     since: Micros,
 }
 
-/// Upgrades that were undone too soon and are remembered; each doubles the delay of the next.
+/// The greatest number of quickly reverted upgrades that is counted. Each doubles the delay of the next
+/// upgrade.
 const MAX_FLAPS: u32 = 3;
 
-/// The status over time. A downgrade is taken up at once, but for [`Timing::min_status_duration`]; an upgrade once it
-/// has lasted for [`Timing::upgrade_delay`], and longer after each downgrade that follows an upgrade too soon.
+/// The partition status over time. A downgrade is adopted once [`Timing::min_status_duration`] has passed
+/// since the last change. An upgrade is adopted once it has lasted for [`Timing::upgrade_delay`]; this delay
+/// doubles with each downgrade that comes before the status was stable for [`Timing::stable_after`].
 #[derive(Clone, Debug)]
 pub struct PartitionTracker {
     timing: Timing,
     status: PartitionStatus,
     since: Micros,
     candidate: Candidate,
-    /// Upgrades that were undone too soon, up to [`MAX_FLAPS`].
+    /// Upgrades that were reverted too soon, up to [`MAX_FLAPS`].
     flaps: u32,
-    /// The status stays unsure until then, unless everyone is reachable.
+    /// The status stays unsure until this time unless every member is reachable.
     unsure_until: Micros,
 }
 
 impl PartitionTracker {
-    /// A tracker that is unsure for `settle` at most.
+    /// Creates a tracker whose status is unsure for at most `settle`.
     pub fn new(now: Micros, timing: Timing, settle: Micros) -> PartitionTracker {
         PartitionTracker {
             timing,
@@ -116,29 +120,29 @@
         }
     }
 
-    /// The status now.
+    /// The current status.
     pub fn status(&self) -> PartitionStatus {
         self.status
     }
 
-    /// Since when the status has been what it is.
+    /// When the status last changed.
     pub fn since(&self) -> Micros {
         self.since
     }
 
-    /// Drops all evidence: the status is unsure at once, and for `settle` at most.
+    /// Discards all evidence. The status becomes unsure at once and stays so for at most `settle`.
     pub fn reset(&mut self, now: Micros, settle: Micros) -> Option<StatusChange> {
         self.unsure_until = now + settle;
         self.candidate = Candidate { status: PartitionStatus::Unsure, since: now };
         self.set_status(now, PartitionStatus::Unsure)
     }
 
-    /// For how long a better status must last now before it is taken up.
+    /// How long a better status must currently last before it is adopted.
     pub fn upgrade_delay(&self) -> Micros {
         self.timing.upgrade_delay << self.flaps
     }
 
-    /// Takes a count in.
+    /// Updates the status from a new count. Returns the change if the status changed.
     pub fn update(&mut self, now: Micros, count: ReachCount) -> Option<StatusChange> {
         let counted = count.status();
         let unchanged_for = now.saturating_sub(self.since);
@@ -168,7 +172,7 @@
         if counted == self.candidate.status {
             return;
         }
-        // From a better candidate to a worse one that still is an upgrade, the time goes on.
+        // The delay keeps running when the new candidate is worse than the old one but still an upgrade.
         let still_upgrade = counted > self.status && counted < self.candidate.status;
         let since = if still_upgrade { self.candidate.since } else { now };
         self.candidate = Candidate { status: counted, since };
--- a/crates/membership/src/partition/tests.rs
+++ b/crates/membership/src/partition/tests.rs
@@ -37,13 +37,13 @@
         tracker.update(1_200_000, count(3, 2, 0)),
         change(PartitionStatus::Unsure, PartitionStatus::Majority)
     );
-    // An upgrade: only once it has lasted.
+    // An upgrade is adopted only after the delay.
     assert_eq!(tracker.update(2_300_000, count(3, 3, 0)), None);
     assert_eq!(
         tracker.update(2_800_000, count(3, 3, 0)),
         change(PartitionStatus::Majority, PartitionStatus::Whole)
     );
-    // A downgrade: at once, but for the minimum duration.
+    // A downgrade is adopted once the minimum duration has passed.
     assert_eq!(tracker.update(2_900_000, count(3, 1, 0)), None);
     assert_eq!(
         tracker.update(3_800_000, count(3, 1, 0)),
@@ -52,7 +52,7 @@
     assert_eq!(tracker.upgrade_delay(), 2 * timing.upgrade_delay);
     assert_eq!(tracker.reset(3_900_000, 1_200_000), change(PartitionStatus::Alone, PartitionStatus::Unsure));
     assert_eq!(tracker.update(4_000_000, count(3, 2, 0)), None);
-    // Everyone is reachable: nothing to wait for.
+    // An unsure status ends early when every member is reachable.
     assert_eq!(
         tracker.update(4_100_000, count(3, 3, 0)),
         change(PartitionStatus::Unsure, PartitionStatus::Whole)
@@ -60,8 +60,8 @@
 }
 
 proptest! {
-    /// Whatever is counted, changes are no closer than the minimum duration, and it never claims more than was counted
-    /// within that time.
+    /// For any sequence of counts, two changes are at least the minimum duration apart, and a status that has
+    /// lasted for that long is never better than the current count shows.
     #[test]
     fn changes_are_never_closer_than_the_minimum_status_duration(counts in prop::collection::vec((0u64..700, 1usize..=5), 1..200)) {
         let timing = Timing::default();
--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -1,9 +1,9 @@
-//! A session with one member: both ends have proven that they answer now, and no message counts twice.
+//! A session with one member: both ends have proven that they are live, and no message is accepted twice.
 //!
-//! Anything may be replayed: by a network that duplicates, or by one that delivers datagrams from before a restart. So
-//! nothing of a process is believed before it has returned a nonce drawn for it, and within a session each sequence
-//! number counts once. Of two processes under one name the later start wins once it has answered; the other one is
-//! notified.
+//! Messages may be replayed: a network may duplicate datagrams, or deliver datagrams from before a restart.
+//! Therefore no message of a process is accepted before the process has returned a fresh nonce, and within a
+//! session each sequence number is accepted once. Of two processes with the same name the one that started
+//! later wins once it has answered; the other one is notified.
 
 mod replay_window;
 #[cfg(test)]
@@ -14,79 +14,80 @@
 use crate::wire::{BuildInfo, RejectReason, SenderStatus};
 use crate::Micros;
 
-/// Least time between two hellos to the same member.
+/// The least time between two hellos to the same member.
 const HELLO_INTERVAL: Micros = 150_000;
-/// A nonce is used for so long: an answer to an earlier hello may still be under way.
+/// How long a nonce is reused in repeated hellos, as the answer to an earlier hello may still be in transit.
 const NONCE_LIFETIME: Micros = 10 * HELLO_INTERVAL;
 
-/// A nonce that we have sent, and wait for.
+/// The nonce of a hello that this server has sent and that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct Challenge {
     nonce: u64,
     sent_at: Micros,
 }
 
-/// The nonce by which we have answered the hello of one process.
+/// The nonce of the welcome with which this server answered the hello of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Offer {
     boot_id: u64,
     nonce: u64,
 }
 
-/// What a member last said of itself.
+/// The last status that a member reported about itself.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedStatus {
-    /// When it came.
+    /// When the status was received.
     pub received_at: Micros,
-    /// What it said.
+    /// The reported status.
     pub status: SenderStatus,
 }
 
-/// What is known of the process at the other end.
+/// The state of the session with one member, and what is known of its process.
 #[derive(Clone, Debug)]
 pub struct Session {
-    /// Its name.
+    /// The member's name.
     pub name: MemberName,
-    /// Named by the operator; else a guest.
+    /// Whether the member is in the roster; otherwise it is a guest.
     pub in_roster: bool,
-    /// Start of the process that has proven to answer; 0 while none has.
+    /// The boot id of the process that has completed the handshake; 0 if none has.
     pub boot_id: u64,
     window: ReplayWindow,
-    /// Sequence number of the last message that we sent.
+    /// The sequence number of the last message that was sent.
     sequence: u64,
     challenge: Option<Challenge>,
     offer: Option<Offer>,
-    /// When a message of the session last came, by whatever way.
+    /// When a message of the session was last received, by datagram or stream.
     pub last_heard: Option<Micros>,
-    /// When a message of the session last came by datagram.
+    /// When a message of the session was last received by datagram.
     pub last_heard_by_datagram: Option<Micros>,
-    /// When something was last sent to it in the session.
+    /// When a message other than a handshake was last sent to the member.
     pub last_sent: Option<Micros>,
-    /// What it last said of itself.
+    /// The last status that the member reported about itself.
     pub reported: Option<ReportedStatus>,
-    /// The program and configuration that it runs.
+    /// The program and configuration that the member runs.
     pub build_info: BuildInfo,
-    /// Since when its view has differed from ours.
+    /// Since when the member's view has differed from this server's.
     pub views_differ_since: Option<Micros>,
-    /// When it was last announced to although both reach each other, because gossip has it otherwise.
+    /// When this server last announced itself again to the member because gossip contradicted direct
+    /// evidence.
     pub last_reannounced: Micros,
 }
 
-/// What to do with a message that claims to belong to the session.
+/// How to handle a message that claims to belong to the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Take it in.
+    /// Process the message.
     Accept,
-    /// Drop it, and start a handshake.
+    /// Drop the message and start a handshake.
     Challenge(RejectReason),
-    /// Drop it, and notify the sender that it has been superseded.
+    /// Drop the message and notify the sender that it has been superseded.
     NotifySuperseded,
-    /// Drop it.
+    /// Drop the message.
     Reject(RejectReason),
 }
 
 impl Session {
-    /// A session in which nobody has proven anything yet.
+    /// Creates a session whose handshake has not been completed.
     pub fn new(name: MemberName, in_roster: bool) -> Session {
         Session {
             name,
@@ -106,14 +107,15 @@
         }
     }
 
-    /// The sequence number of the next message.
+    /// Returns the sequence number for the next message.
     pub fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Begins a handshake, or repeats its hello. The result is the nonce to send; `None` if it is too early.
-    /// `fresh_nonce` is used when there is no nonce, or it is too old.
+    /// Begins a handshake or repeats its hello. Returns the nonce to send, or `None` if the last hello was
+    /// sent less than [`HELLO_INTERVAL`] ago. `fresh_nonce` is used if there is no nonce yet or it is too
+    /// old.
     pub fn start_handshake(&mut self, now: Micros, fresh_nonce: u64) -> Option<u64> {
         let nonce = match self.challenge {
             Some(challenge) if now < challenge.sent_at + HELLO_INTERVAL => return None,
@@ -124,7 +126,8 @@
         Some(nonce)
     }
 
-    /// A process sends a hello. The result is the nonce to answer with; `None` if a later process has proven itself.
+    /// Handles a hello. Returns the nonce to answer with, or `None` if a later process has completed the
+    /// handshake.
     pub fn handle_hello(&mut self, boot_id: u64, fresh_nonce: u64) -> Option<u64> {
         if boot_id < self.boot_id {
             return None;
@@ -137,12 +140,12 @@
         Some(offer.nonce)
     }
 
-    /// The start of the process whose hello was answered last.
+    /// The boot id of the process whose hello was last answered with a welcome, until its ready arrives.
     pub fn offered_to(&self) -> Option<u64> {
         self.offer.map(|offer| offer.boot_id)
     }
 
-    /// A process answers our hello; whether that proves it.
+    /// Handles the answer to a hello. Returns whether it proves that the process is live.
     pub fn handle_welcome(&mut self, boot_id: u64, echoed_nonce: u64) -> bool {
         let expected = self.challenge.is_some_and(|challenge| challenge.nonce == echoed_nonce);
         let proven = expected && boot_id >= self.boot_id;
@@ -153,7 +156,7 @@
         proven
     }
 
-    /// A process answers our welcome; whether that proves it.
+    /// Handles the answer to a welcome. Returns whether it proves that the process is live.
     pub fn handle_ready(&mut self, boot_id: u64, echoed_nonce: u64) -> bool {
         let expected = self.offer == Some(Offer { boot_id, nonce: echoed_nonce });
         let proven = expected && boot_id >= self.boot_id;
@@ -168,7 +171,7 @@
         if self.boot_id == boot_id {
             return;
         }
-        // Everything else was of the process before.
+        // All other state belongs to the previous process.
         *self = Session {
             boot_id,
             sequence: self.sequence,
@@ -178,8 +181,8 @@
         };
     }
 
-    /// Judges a message of a session, sent by the process that started at `sender_boot_id` to one that started at
-    /// `receiver_boot_id`; `own_boot_id` is the start of this process.
+    /// Decides how to handle a message sent by the process that started at `sender_boot_id` to the process
+    /// that started at `receiver_boot_id`; `own_boot_id` is the start of this process.
     pub fn check_message(
         &mut self,
         own_boot_id: u64,
@@ -194,7 +197,7 @@
             return Disposition::Challenge(RejectReason::Unproven);
         }
         if receiver_boot_id != own_boot_id {
-            // The sender does not know yet that this is another process than it spoke with.
+            // The sender does not know yet that this is another process than the one it had a session with.
             return Disposition::Challenge(RejectReason::NotForUs);
         }
         if self.window.accept(sequence) {
@@ -204,7 +207,7 @@
         }
     }
 
-    /// A message of the session has come.
+    /// Records that a message of the session was received.
     pub fn record_heard(&mut self, now: Micros, by_datagram: bool) {
         self.last_heard = Some(now);
         if by_datagram {
@@ -212,12 +215,13 @@
         }
     }
 
-    /// Whether it was heard within `span`, and not before `valid_from`.
+    /// Whether the member was heard within the last `span` and not before `valid_from`.
     pub fn is_heard(&self, now: Micros, valid_from: Micros, span: Micros) -> bool {
         self.last_heard.is_some_and(|at| at >= valid_from && now.saturating_sub(at) <= span)
     }
 
-    /// How long ago the member heard us, as it said itself; `None` if it has not.
+    /// How long ago the member heard this server by its own report; `None` if it has not reported that it
+    /// did.
     pub fn heard_us_ago(&self, now: Micros) -> Option<Micros> {
         let ReportedStatus { received_at, status } = self.reported?;
         if status.heard_receiver_ms == u32::MAX {
@@ -227,12 +231,13 @@
         Some(when_sent + now.saturating_sub(received_at))
     }
 
-    /// Whether both hear each other: it was heard within `span`, not before `valid_from`, and says that it hears us.
+    /// Whether both ends hear each other: the member was heard within the last `span`, not before
+    /// `valid_from`, and reports that it heard this server within twice `span`.
     pub fn is_reachable(&self, now: Micros, valid_from: Micros, span: Micros) -> bool {
         self.is_heard(now, valid_from, span) && self.heard_us_ago(now).is_some_and(|age| age <= 2 * span)
     }
 
-    /// Drops all evidence: the member has to be heard again.
+    /// Discards all evidence, so that the member has to be heard again.
     pub fn reset_evidence(&mut self) {
         self.last_heard = None;
         self.last_heard_by_datagram = None;
--- a/crates/membership/src/session/replay_window.rs
+++ b/crates/membership/src/session/replay_window.rs
@@ -1,14 +1,17 @@
-//! Which sequence numbers of a session have come: a sliding window, as in IPsec (RFC 4303, 3.4.3).
+//! The sequence numbers of a session that have been received, as a sliding window like that of IPsec (RFC
+//! 4303, 3.4.3).
 
-/// Numbers that may come out of order: what goes by stream alone may wait behind much that goes by datagram.
+/// The number of sequence numbers that may arrive out of order. Messages sent only over a stream may arrive
+/// after many later datagrams.
 pub(super) const WINDOW: u64 = 1_024;
+/// The length of the window's bit set, in 64-bit words.
 const WINDOW_WORDS: usize = (WINDOW / 64) as usize;
 
-/// The highest number so far, and a bit for each of the numbers below it that are within [`WINDOW`].
+/// The highest number received so far, and a bit for each of the [`WINDOW`] numbers up to it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplayWindow {
     pub(super) highest: u64,
-    /// Bits by number modulo [`WINDOW`].
+    /// A bit for each number, indexed by the number modulo [`WINDOW`].
     seen: [u64; WINDOW_WORDS],
 }
 
@@ -19,10 +22,10 @@
 }
 
 impl ReplayWindow {
-    /// Takes a number in; false if it has come before, or is too old to tell.
+    /// Records a number. Returns false if it has been received before or is too old to be in the window.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
-            // Bits of numbers that were skipped are free again.
+            // The skipped numbers reuse the bits of numbers that have left the window.
             let first_new = (self.highest + 1).max((sequence + 1).saturating_sub(WINDOW));
             for skipped in first_new..=sequence {
                 self.set_seen(skipped, false);
--- a/crates/membership/src/session/tests.rs
+++ b/crates/membership/src/session/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(session.check_message(1, 5, 1, 1), Disposition::Accept);
     assert_eq!(session.check_message(1, 5, 1, 1), Disposition::Reject(RejectReason::Replayed));
     assert_eq!(session.check_message(1, 5, 9, 2), Disposition::Challenge(RejectReason::NotForUs));
-    // The answer to an old hello, once more.
+    // A replayed answer to an old hello.
     assert!(!session.handle_welcome(5, nonce));
     // A later process must answer before the earlier one is superseded.
     assert_eq!(session.check_message(1, 6, 1, 1), Disposition::Challenge(RejectReason::Unproven));
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    /// In whatever order numbers come, and however often, each counts once at most.
+    /// Each sequence number is accepted at most once, in whatever order and however often it arrives.
     #[test]
     fn no_sequence_number_is_accepted_twice(numbers in prop::collection::vec(1u64..3_000, 1..600)) {
         let mut window = ReplayWindow::default();
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,8 +1,8 @@
-//! SWIM by the `foca` crate, with timers that this crate may stretch and move.
+//! SWIM on the `foca` crate, with timers that this module scales and postpones.
 //!
-//! What `foca` does not have and a server under partial failure needs: time limits that grow while the server itself
-//! is slow (Lifeguard), and timers that do not all fire at once when the process is run again after a stall, as that
-//! would turn each open suspicion into a failure that nobody could have refuted.
+//! Two things are added that `foca` lacks and that a server under partial failure needs. Time limits grow
+//! while the server itself is slow (Lifeguard). After a stall of the process, timers do not all fire at once,
+//! as that would turn each open suspicion into a failure that nobody could have refuted.
 
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -18,55 +18,55 @@
 use crate::wire::MAX_GOSSIP_LEN;
 use crate::Micros;
 
-/// Members that are asked to probe one that has not answered.
+/// The number of members that are asked to probe a member that has not answered.
 const INDIRECT_PROBES: usize = 3;
-/// Members that gossip is sent to at a time.
+/// The number of members to which gossip is sent in each round.
 const GOSSIP_FANOUT: usize = 3;
-/// Failed members that this server announces itself to at a time.
+/// The number of failed members to which this server announces itself at a time.
 const FAILED_MEMBERS_PER_ANNOUNCE: usize = 2;
-/// Time between two announcements to an active member.
+/// The time between two announcements to an active member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
-/// A failed member is remembered for so long; a new start under its name takes its place at once.
+/// How long a failed member is remembered. A new process with its name replaces it at once.
 const FORGET_FAILED_AFTER: Duration = Duration::from_secs(86_400);
 
 type ServerFoca = Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>;
 
 /// A gossip message for one process.
 pub struct GossipMessage {
-    /// The member.
+    /// The member's name.
     pub to: MemberName,
-    /// The start of its process.
+    /// When the member's process started, in Unix microseconds.
     pub boot_id: u64,
-    /// The content.
+    /// The encoded gossip.
     pub bytes: Vec<u8>,
 }
 
-/// A later process has taken the place of an earlier one of its name.
+/// The replacement of a process by a later one with the same name.
 pub struct Replacement {
-    /// The earlier one.
+    /// The earlier process.
     pub earlier: Identity,
-    /// The later one.
+    /// The later process.
     pub later: Identity,
 }
 
-/// What comes out of one step.
+/// The results of one step.
 #[derive(Default)]
 pub struct SwimOutput {
     /// Messages to send.
     pub messages: Vec<GossipMessage>,
-    /// The state of a member may have changed.
+    /// Whether the state of a member may have changed.
     pub changed: bool,
-    /// Processes that were replaced.
+    /// Processes that were replaced by later ones with the same name.
     pub replacements: Vec<Replacement>,
 }
 
-/// Collects what `foca` does in one step.
+/// Collects the effects of one step of `foca`.
 #[derive(Default)]
 struct StepRecorder {
     output: SwimOutput,
     timers: Vec<(Timer<Identity>, Duration)>,
     signals: Vec<HealthSignal>,
-    /// The latest incarnation that we sent under.
+    /// The incarnation under which this server last sent a message.
     incarnation: u16,
 }
 
@@ -79,7 +79,7 @@
                 }
             }
             Notification::DataSent(header) => {
-                // The incarnation grows to refute a suspicion.
+                // A process increments its incarnation to refute a suspicion.
                 if header.src_incarnation > self.incarnation {
                     self.signals.push(HealthSignal::Suspected);
                 }
@@ -108,10 +108,10 @@
     }
 }
 
-/// The protocol, its timers and this server's local health.
+/// The SWIM protocol state, its timers and this server's local health.
 pub struct Swim {
     foca: ServerFoca,
-    /// By the time at which they are due, and in the order in which they were set.
+    /// Timers by the time at which they are due and a number that grows in the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer<Identity>>,
     last_timer_number: u64,
     incarnation: u16,
@@ -127,11 +127,12 @@
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         Some(foca::PeriodicParams { frequency, num_members })
     };
-    // Rounds that news takes to reach everyone grow with the logarithm of the fleet (SWIM, 4.1).
+    // The number of rounds in which an update reaches all members grows with the logarithm of the fleet
+    // (SWIM, 4.1).
     let rounds = 4 + 3 * (config.roster_size() as f64).log2().ceil() as u8;
     foca::Config {
         probe_period: Duration::from_micros(probe_interval),
-        // The other part of the interval is for indirect probes.
+        // The rest of the interval is left for indirect probes.
         probe_rtt: Duration::from_micros(probe_interval * 2 / 5),
         num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(NonZeroUsize::MIN),
         max_transmissions: NonZeroU8::new(rounds).unwrap_or(NonZeroU8::MIN),
@@ -149,7 +150,7 @@
 }
 
 impl Swim {
-    /// A member that knows nobody yet.
+    /// Creates the protocol state of a member that knows no other members yet.
     pub fn new(identity: Identity, config: &Config, seed: u64) -> Swim {
         let foca_config = foca_config(config);
         let random = ChaCha8Rng::seed_from_u64(seed);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Takes up another roster.
+    /// Adapts the time limits to another roster size.
     pub fn reconfigure(&mut self, config: &Config) {
         self.suspicion_timeout = config.suspicion_timeout();
         self.foca_config.max_transmissions = foca_config(config).max_transmissions;
@@ -175,36 +176,37 @@
     fn apply_suspicion_timeout(&mut self) {
         let timeout = self.local_health.scale(self.suspicion_timeout);
         self.foca_config.suspect_to_down_after = Duration::from_micros(timeout);
-        // It refuses only changes of what must stay while it runs, and that has not changed.
+        // `foca` rejects only changes of parameters that are fixed while it runs; none of these has changed.
         let _ = self.foca.set_config(self.foca_config.clone());
     }
 
-    /// Our name and start.
+    /// The identity of this process.
     pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// How slow this server itself is.
+    /// This server's local health score.
     pub fn local_health(&self) -> LocalHealth {
         self.local_health
     }
 
-    /// All members that it has heard of.
+    /// All members that are known from gossip.
     pub fn members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_membership_state()
     }
 
-    /// A gossip message has come.
+    /// Handles a received gossip message.
     pub fn handle_gossip(&mut self, now: Micros, bytes: &[u8]) -> SwimOutput {
-        // What can't be read came from a member with the key: it is passed over, like anything unknown.
+        // Undecodable gossip is ignored like other unknown input: it was sealed with the fleet's key, so it comes
+        // from a member.
         self.step(now, |foca, mut recorder| drop(foca.handle_data(bytes, &mut recorder)))
     }
 
-    /// Announces this server to a process that has proven that it answers under this name.
+    /// Announces this server to a process that has completed the handshake under this name.
     pub fn announce_to(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> SwimOutput {
         let known = self.members().find(|member| member.id().name == *name);
         let same_process = known.filter(|member| member.id().boot_id == boot_id);
-        // A process that gossip holds for failed learns of that by the announcement, and renews its identity.
+        // A process that gossip lists as failed learns of that from the announcement and renews its identity.
         let is_failed = same_process.is_some_and(|member| member.state() == foca::State::Down);
         let identity = match same_process {
             Some(member) => member.id().clone(),
@@ -219,13 +221,14 @@
         })
     }
 
-    /// Whether nothing is probed. `foca` is idle once it has no active member, and after it has come back under a
-    /// renewed identity until somebody writes to it: two members that are both idle would stay so for ever.
+    /// Whether no member is being probed. `foca` is idle while it has no active member, and after it has
+    /// rejoined with a renewed identity until it receives a message. Two members that are both idle would
+    /// therefore stay idle for ever.
     pub fn is_idle(&self) -> bool {
         !self.timers.values().any(|timer| matches!(timer, Timer::ProbeRandomMember(_)))
     }
 
-    /// Whether this process is known, and not failed.
+    /// Whether this process is known and not failed.
     pub fn is_active(&self, name: &MemberName, boot_id: u64) -> bool {
         self.members().any(|member| {
             let is_process = member.id().name == *name && member.id().boot_id == boot_id;
@@ -238,13 +241,13 @@
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Runs the timers that are due by now.
+    /// Runs the timers that are due at `now`.
     pub fn handle_timeout(&mut self, now: Micros) -> SwimOutput {
         let later = self.timers.split_off(&(now + 1, 0));
         let due = std::mem::replace(&mut self.timers, later);
         let is_late = due.first_key_value().is_some_and(|((at, _), _)| now - at > self.probe_interval / 2);
         let mut due: Vec<Timer<Identity>> = due.into_values().collect();
-        // `foca` wants timers that are late together in its own order.
+        // `foca` requires timers that are due together to run in the order that it defines for them.
         due.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
         self.step(now, |foca, recorder| {
             if is_late {
@@ -256,23 +259,24 @@
         })
     }
 
-    /// The process was stalled for `span`: no time has passed for what it waits for.
+    /// Postpones all timers by `span` after a stall of that length, so that the stall does not count as
+    /// waiting time.
     pub fn postpone_timers(&mut self, span: Micros) {
         let timers = std::mem::take(&mut self.timers);
         self.timers = timers.into_iter().map(|((at, number), timer)| ((at + span, number), timer)).collect();
     }
 
-    /// Announces that this server is gone.
+    /// Announces to the other members that this server leaves.
     pub fn leave(&mut self, now: Micros) -> SwimOutput {
         self.step(now, |foca, mut recorder| drop(foca.leave_cluster(&mut recorder)))
     }
 
-    /// Goes on under another identity.
+    /// Continues with another identity.
     pub fn change_identity(&mut self, now: Micros, identity: Identity) -> SwimOutput {
         self.step(now, |foca, mut recorder| drop(foca.change_identity(identity, &mut recorder)))
     }
 
-    /// One step of `foca`, with what follows from it for the local health and the timers.
+    /// Runs one step of `foca` and applies its effects on the local health and the timers.
     fn step(&mut self, now: Micros, run: impl FnOnce(&mut ServerFoca, &mut StepRecorder)) -> SwimOutput {
         let mut recorder = StepRecorder { incarnation: self.incarnation, ..StepRecorder::default() };
         run(&mut self.foca, &mut recorder);
@@ -296,7 +300,7 @@
 
     fn set_timer(&mut self, now: Micros, timer: Timer<Identity>, after: Duration) {
         let after = after.as_micros() as Micros;
-        // Both limits of a probe, so that their order stays.
+        // Both time limits of a probe are scaled, so that they stay in the same order.
         let is_scaled = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
         let after = if is_scaled { self.local_health.scale(after) } else { after };
         self.last_timer_number += 1;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,9 +1,10 @@
-//! Views, and whether two of them are the same.
+//! Views of the fleet and their comparison.
 //!
-//! A view is a row for each member that the operator named, this server included: whether it is present, and as which
-//! process. Suspicions are left out: they differ for a moment all the time. Two living members whose digests differ
-//! for longer than [`crate::config::Timing::divergence_timeout`] have diverged, which is a condition with a name; both
-//! views are then kept, so that an operator can see where they differ.
+//! A view has a row for each member of the roster, this server included, with whether the member is present
+//! and the start of its process. Suspicions are left out because they often differ between members for a
+//! short time. The views of two live members have *diverged* when their digests differ for longer than
+//! [`crate::config::Timing::divergence_timeout`]; both views are then kept, so that an operator can see the
+//! differences.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +15,7 @@
 use crate::wire::ViewRow;
 use crate::Micros;
 
-/// The digest of a view whose rows are in the order of their names.
+/// Returns the digest of a view. The rows must be ordered by name.
 pub fn digest(rows: &[ViewRow]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for row in rows {
@@ -31,40 +32,40 @@
 /// This server's own view.
 #[derive(Debug, Default)]
 pub(crate) struct LocalView {
-    /// In the order of names; empty while the view has to be made anew.
+    /// The rows, ordered by name; empty while the view has to be rebuilt.
     pub rows: Vec<ViewRow>,
-    /// The digest of the rows, as it goes with each message.
+    /// The digest of the rows, which is sent with each message of a session.
     pub digest: u64,
 }
 
 impl LocalView {
-    /// The rows are to be made anew; until then the digest stays.
+    /// Marks the rows as outdated. The digest stays until they are replaced.
     pub fn invalidate(&mut self) {
         self.rows.clear();
     }
 
-    /// Takes new rows, in the order of names.
+    /// Replaces the rows, which must be ordered by name, and updates the digest.
     pub fn replace(&mut self, rows: Vec<ViewRow>) {
         self.digest = digest(&rows);
         self.rows = rows;
     }
 }
 
-/// A living member whose view has differed from this server's for long.
+/// A divergence between this server's view and that of a live member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewDivergence {
-    /// The member.
+    /// The other member.
     pub peer: MemberName,
-    /// Since when.
+    /// Since when the views have differed.
     pub since: Micros,
-    /// Our view when it was found.
+    /// This server's view when the divergence was detected.
     pub ours: Vec<ViewRow>,
-    /// Its view, once it has sent it.
+    /// The other member's view; empty until it has been received.
     pub theirs: Vec<ViewRow>,
 }
 
 impl ViewDivergence {
-    /// Where the two views differ, one line for each member.
+    /// Describes where the two views differ, one line for each member.
     pub fn differences(&self) -> Vec<String> {
         let names: BTreeSet<&MemberName> =
             self.ours.iter().chain(&self.theirs).map(|row| &row.name).collect();
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,9 +1,10 @@
-//! Messages between servers, sealed with the fleet's key.
+//! Messages between servers, authenticated with the fleet's key.
 //!
-//! A message is the format version (1 byte), a tag of the fleet (4 bytes), a keyed digest (16 bytes, BLAKE3) of all that
-//! follows, and the rest in `postcard`, which encodes fields and variants by position: none may be moved, added in the
-//! middle, or taken away. The length is bounded before any of it is read. Nothing inside is looked at before the digest
-//! has been compared.
+//! A message consists of a seal and its content. The seal has the format version (1 byte), a tag of the fleet
+//! (4 bytes) and a keyed BLAKE3 digest of the content (16 bytes). The content is encoded with `postcard`,
+//! which identifies fields and variants by their position: none may be moved, added in the middle or removed.
+//! The length is checked before anything is read, and the content is decoded only after the digest has been
+//! verified.
 
 #[cfg(test)]
 mod tests;
@@ -15,18 +16,20 @@
 
 /// The version of the message format that this program writes and understands.
 pub const FORMAT_VERSION: u8 = 1;
-/// The longest datagram: under the smallest path MTU in common use, headers and seal included (RFC 8085, 3.2).
+/// The longest datagram in bytes: below the smallest path MTU in common use, with headers and seal (RFC 8085,
+/// 3.2).
 pub const MAX_DATAGRAM_LEN: usize = 1_400;
-/// The longest message over a stream.
+/// The longest message over a stream, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 64 * 1_024;
-/// The longest gossip message: leaves room in a datagram for the header, the sender's status and the seal.
+/// The longest gossip message in bytes. It leaves room in a datagram for the header, the sender's status and
+/// the seal.
 pub const MAX_GOSSIP_LEN: usize = 1_100;
 
 const TAG_LEN: usize = 4;
 const MAC_LEN: usize = 16;
 const SEAL_LEN: usize = 1 + TAG_LEN + MAC_LEN;
 
-/// The key of one fleet, by which its messages are recognized.
+/// The key of one fleet, which authenticates its messages.
 #[derive(Clone)]
 pub struct Key {
     tag: [u8; TAG_LEN],
@@ -34,7 +37,7 @@
 }
 
 impl std::fmt::Debug for Key {
-    /// Without the key itself.
+    /// Omits the secret bytes.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str("Key")
     }
@@ -43,28 +46,28 @@
 /// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// Of another fleet.
+    /// The message belongs to another fleet.
     Foreign,
-    /// The digest does not fit: damaged on its way, or sealed with another secret.
+    /// The digest does not match: the message was damaged in transit or sealed with another secret.
     Damaged,
-    /// Of a format that this program does not know.
+    /// The message has a format that this program does not know.
     Form,
-    /// Longer than allowed.
+    /// The message is longer than allowed.
     TooLong,
-    /// It has come before.
+    /// The message has been received before, or is older than the replay window.
     Replayed,
-    /// From a process that a later one of its name has replaced.
+    /// The sender has been replaced by a later process with the same name.
     Superseded,
-    /// Meant for an earlier process under this server's name.
+    /// The message is addressed to another process with this server's name, such as an earlier one.
     NotForUs,
-    /// Its sender has not proven yet that it answers.
+    /// The sender has not completed a handshake yet.
     Unproven,
-    /// From a name that is not in the roster, while there is no room for more guests.
+    /// The sender is not in the roster, and there is no room for another guest.
     NoRoom,
 }
 
 impl RejectReason {
-    /// All reasons.
+    /// All reasons, in their order.
     pub const ALL: [RejectReason; 9] = [
         RejectReason::Foreign,
         RejectReason::Damaged,
@@ -78,125 +81,126 @@
     ];
 }
 
-/// Sender and receiver of a message.
+/// The sender, the receiver and the sequence number of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The name of the sender.
+    /// The sender's name.
     pub sender: MemberName,
-    /// The start of the sending process, in Unix microseconds.
+    /// When the sending process started, in Unix microseconds.
     pub boot_id: u64,
-    /// The start of the process that it is for; 0 before that is known.
+    /// When the receiving process started, in Unix microseconds; 0 while that is unknown.
     pub receiver_boot_id: u64,
-    /// The sequence number in the session.
+    /// The sequence number within the session.
     pub sequence: u64,
-    /// It goes by datagram and by stream, so that it is to be expected twice.
+    /// Whether the message is sent both by datagram and over a stream, so that a second copy is not a replay.
     pub sent_twice: bool,
 }
 
-/// What a server says of itself with everything that it sends in a session.
+/// What a server reports about itself with each message of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SenderStatus {
-    /// How long ago it last heard the receiver, in milliseconds; `u32::MAX` is never.
+    /// How long ago the sender last heard the receiver, in milliseconds; `u32::MAX` means never.
     pub heard_receiver_ms: u32,
-    /// Digest of its view, see [`crate::view`].
+    /// The digest of the sender's view, see [`crate::view`].
     pub view_digest: u64,
-    /// Its partition status.
+    /// The sender's partition status.
     pub partition_status: PartitionStatus,
-    /// How loaded it is, in percent.
+    /// The sender's load in percent.
     pub load_percent: u8,
-    /// Its local health score, from 0 to 8, see [`crate::health`].
+    /// The sender's local health score, from 0 to 8, see [`crate::health`].
     pub health_score: u8,
-    /// It will end soon: its graceful shutdown has begun.
+    /// Whether the sender's graceful shutdown has begun.
     pub leaving: bool,
 }
 
-/// The program and configuration that a server runs. The names of the fields are those of the command line's `--json`.
+/// The program and configuration that a server runs. The field names are those of the command line's `--json`
+/// output.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BuildInfo {
-    /// Its zone.
+    /// The zone in which the server runs.
     pub zone: String,
-    /// Version of the program.
+    /// The version of the program.
     pub program: String,
-    /// Digest of the platform's configuration.
+    /// The digest of the platform's configuration.
     pub config: u64,
-    /// Digest of the operator's file, but for addresses.
+    /// The digest of the operator's configuration file without addresses.
     pub operator: u64,
-    /// Digest of the configuration of distributed quotas; 0 where there is none.
+    /// The digest of the configuration of distributed quotas; 0 if there are none.
     pub shares: u64,
 }
 
-/// One row of a view.
+/// One row of a view: the presence of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRow {
-    /// The member.
+    /// The member's name.
     pub name: MemberName,
-    /// The start of its process; 0 if it is not present.
+    /// When its process started, in Unix microseconds; 0 if the member is not present.
     pub boot_id: u64,
-    /// Whether it is held to be present.
+    /// Whether the member counts as present.
     pub present: bool,
 }
 
-/// The content of a message.
+/// The body of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Handshake, first step: asks the receiver to prove that it answers now.
+    /// First step of the handshake: asks the receiver to prove that it is live.
     Hello {
-        /// To be returned in [`Body::Welcome`].
+        /// The nonce that the receiver returns in [`Body::Welcome`].
         nonce: u64,
     },
-    /// Handshake, second step: proves the sender, and asks the receiver to prove itself.
+    /// Second step of the handshake: proves that the sender is live and asks the receiver for the same.
     Welcome {
         /// The nonce of [`Body::Hello`].
         echoed_nonce: u64,
-        /// To be returned in [`Body::Ready`].
+        /// The nonce that the receiver returns in [`Body::Ready`].
         nonce: u64,
         /// What the sender runs.
         build_info: BuildInfo,
     },
-    /// Handshake, third step: proves the sender.
+    /// Third step of the handshake: proves that the sender is live.
     Ready {
         /// The nonce of [`Body::Welcome`].
         echoed_nonce: u64,
         /// What the sender runs.
         build_info: BuildInfo,
     },
-    /// A later process has the receiver's name.
+    /// Notifies the receiver that another process holds its name.
     Superseded {
-        /// The start of that process, in Unix microseconds.
+        /// When that process started, in Unix microseconds.
         by_boot_id: u64,
-        /// How long ago it was last heard, in milliseconds.
+        /// How long ago that process was last heard, in milliseconds.
         heard_ago_ms: u32,
     },
-    /// Membership gossip, as `foca` writes it.
+    /// A gossip message as encoded by `foca`.
     Gossip(Vec<u8>),
-    /// Nothing but the sender's status, and now and then what it runs.
+    /// Carries only the sender's status, and in some heartbeats the build info.
     Heartbeat(Option<BuildInfo>),
-    /// A message that other parts of the server exchange.
+    /// A message between other components of the servers.
     Channel {
-        /// Which part it is for.
+        /// The number of the channel, which identifies the component.
         channel: u8,
-        /// The content.
+        /// The payload bytes.
         payload: Vec<u8>,
     },
-    /// Asks for the receiver's view.
+    /// Requests the receiver's view.
     ViewRequest,
     /// The sender's view.
     View(Vec<ViewRow>),
 }
 
-/// A message, as it is sealed.
+/// The content of a sealed message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender and receiver.
+    /// The sender, the receiver and the sequence number.
     pub header: Header,
-    /// What the sender says of itself; `None` outside of a session.
+    /// The sender's status; `None` in handshake messages, which are outside of a session.
     pub sender_status: Option<SenderStatus>,
-    /// The content.
+    /// The body.
     pub body: Body,
 }
 
 impl Key {
-    /// The key of a fleet, from its name and its secret.
+    /// Derives the key of a fleet from its name and secret.
     pub fn new(fleet: &str, secret: &str) -> Key {
         let material = [fleet.as_bytes(), &[0], secret.as_bytes()].concat();
         let key = blake3::derive_key("umberloom 2026 fleet messages", &material);
@@ -205,12 +209,12 @@
         Key { tag, key }
     }
 
-    /// Seals a message; the result is ready to send.
+    /// Encodes and seals a message. Returns the bytes to send.
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
         let mut sealed = vec![FORMAT_VERSION];
         sealed.extend_from_slice(&self.tag);
         sealed.extend_from_slice(&[0; MAC_LEN]);
-        // Only a type that serde can't describe could fail here, and there is none.
+        // Encoding fails only for types that serde cannot describe; no message has one.
         let mut sealed = postcard::to_extend(message, sealed).unwrap_or_default();
         let digest = self.digest(sealed.get(SEAL_LEN..).unwrap_or_default());
         if let Some(mac) = sealed.get_mut(1 + TAG_LEN..SEAL_LEN) {
@@ -219,11 +223,11 @@
         sealed
     }
 
-    /// Opens a message of at most `max_len` bytes.
+    /// Verifies and decodes a message of at most `max_len` bytes.
     ///
     /// # Errors
     ///
-    /// Why it is not to be believed.
+    /// Returns the reason for which the message is rejected.
     pub fn open<T: for<'de> Deserialize<'de>>(
         &self,
         bytes: &[u8],
@@ -236,7 +240,8 @@
         if seal[1..1 + TAG_LEN] != self.tag {
             return Err(RejectReason::Foreign);
         }
-        // The seal is the same in all formats, so that damage and a newer program can be told apart.
+        // The seal is the same in all formats. The digest is verified before the format version, so that a
+        // damaged message is not taken for one of a newer program.
         if self.digest(content).as_bytes()[..MAC_LEN] != seal[1 + TAG_LEN..] {
             return Err(RejectReason::Damaged);
         }
@@ -251,7 +256,7 @@
     }
 }
 
-/// A digest by which two servers see whether they have the same text.
+/// Returns the digest with which two servers compare a text, such as a configuration.
 pub fn digest(text: &str) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..8]);
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn foreign_damaged_and_newer_messages_have_reasons_of_their_own() {
+fn foreign_damaged_and_newer_messages_have_distinct_reject_reasons() {
     let (key, other) = (Key::new("f", "s"), Key::new("g", "s"));
     let sealed = key.seal(&message(Body::Hello { nonce: 5 }));
     assert_eq!(key.open(&sealed, MAX_MESSAGE_LEN), Ok(message(Body::Hello { nonce: 5 })));
@@ -20,7 +20,7 @@
 }
 
 proptest! {
-    /// No byte of a message can be changed unseen, and nothing that comes makes it panic.
+    /// A message with any bit changed is rejected, and so are random bytes; neither causes a panic.
     #[test]
     fn no_changed_byte_is_accepted(index in 0usize..60, bit in 0u8..8, random_bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let key = Key::new("f", "s");
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -1,4 +1,5 @@
-//! Members on virtual time, network and clocks from a seed: whatever faults there were, afterwards all views converge.
+//! Members on a virtual network with virtual clocks, drawn from a seed: after any faults have ended, all
+//! views converge.
 
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
@@ -8,7 +9,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Short intervals, so that a run has many rounds.
+/// Sets short intervals, so that a run has many protocol rounds.
 fn short_intervals(config: &mut Config) {
     let timing = &mut config.timing;
     (timing.probe_interval, timing.suspicion_timeout, timing.heartbeat_interval) =
@@ -16,9 +17,11 @@
     (timing.upgrade_delay, timing.min_status_duration) = (200_000, 500_000);
 }
 
+/// Leaves the default intervals unchanged.
 fn default_intervals(_: &mut Config) {}
 
-/// Runs until the partition status of everyone is whole; fails if that takes longer than `span`.
+/// Runs until all views agree and every member's partition status is whole; fails if that takes longer than
+/// `span`.
 fn run_until_whole(fleet: &mut VirtualFleet, span: u64) -> Result<(), String> {
     let end = fleet.now + span;
     while fleet.now < end {
@@ -31,7 +34,7 @@
     Err(format!("{:?} after {} s", fleet.agree(), span / SECOND))
 }
 
-/// Random faults, then none: all views are equal and everyone's status is whole within half a minute.
+/// Injects random faults, then ends them: all views must be equal and every status whole within 30 seconds.
 fn converges_after_random_faults(seed: u64, count: usize) -> Result<(), String> {
     let mut fleet = VirtualFleet::new(count, seed, short_intervals);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -64,9 +67,10 @@
     run_until_whole(&mut fleet, 30 * SECOND)
 }
 
-/// Seeds that once failed (docs/incidents/apart-for-ever.md): gossip at rest at both ends after the one message was lost
-/// by which either would have begun again; and, in the other three, one told to be silent by the memory of a process
-/// that was gone, and then kept from proving itself by its silence.
+/// Seeds that once failed (docs/incidents/apart-for-ever.md). In the first, gossip stayed idle at both ends
+/// after the only message that would have restarted it was lost. In the other three, a member was fenced
+/// because of a process that was already gone, and fencing then kept it from completing the handshake that
+/// would have ended it.
 #[test]
 fn previously_failing_seeds_converge() {
     let seeds = [
@@ -84,14 +88,14 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whatever faults are drawn, all views converge.
+    /// All views converge after random faults.
     #[test]
     fn after_the_last_fault_all_views_are_equal(seed in any::<u64>(), count in 2usize..9) {
         let result = converges_after_random_faults(seed, count);
         prop_assert!(result.is_ok(), "{result:?}");
     }
 
-    /// The partition status never changes faster than its minimum duration, whatever a link does.
+    /// Changes of the partition status are at least the minimum duration apart while a link flaps.
     #[test]
     fn a_flapping_link_changes_the_status_no_faster_than_the_minimum_duration(seed in any::<u64>(), span in 50_000u64..1_500_000) {
         let mut fleet = VirtualFleet::new(4, seed, short_intervals);
@@ -107,7 +111,7 @@
         for n in 0..4 {
             let changes = fleet.told.iter().filter(|(_, who, line)| *who == n && matches!(line, Event::PartitionStatusChanged { .. }));
             let times: Vec<u64> = changes.map(|(at, ..)| *at).collect();
-            // Clocks are up to a percent off.
+            // Clocks run up to one percent fast or slow.
             prop_assert!(times.windows(2).skip(1).all(|pair| pair[1] - pair[0] >= 490_000), "{times:?}");
         }
     }
@@ -116,19 +120,19 @@
 #[test]
 fn two_hundred_members_converge_and_all_detect_a_failure() {
     let mut fleet = VirtualFleet::new(200, 5, default_intervals);
-    fleet.run(30 * SECOND).expect("sound");
+    fleet.run(30 * SECOND).expect("invariants hold");
     assert_eq!(fleet.agree(), (true, 200));
     let at = fleet.now;
     fleet.kill(17);
-    fleet.run(at + 20 * SECOND).expect("sound");
+    fleet.run(at + 20 * SECOND).expect("invariants hold");
     assert_eq!(fleet.failed_at(17, at).len(), 199);
-    // No living member was held for failed.
+    // No live member was considered failed.
     assert_eq!(fleet.accusations(at).1, 199);
     let with_status =
         |status| fleet.living().filter(|(_, member)| member.partition_status() == status).count();
     assert_eq!(with_status(PartitionStatus::Majority), 199);
     fleet.start(17);
-    fleet.run(fleet.now + 20 * SECOND).expect("sound");
+    fleet.run(fleet.now + 20 * SECOND).expect("invariants hold");
     assert_eq!(fleet.agree(), (true, 200));
 }
 
@@ -137,7 +141,7 @@
     let run = || {
         let mut fleet = VirtualFleet::new(6, 11, short_intervals);
         fleet.network = Network { loss: 0.2, double: 0.2, damage: 0.02, late: 50_000, no_streams: false };
-        fleet.run(20 * SECOND).expect("sound");
+        fleet.run(20 * SECOND).expect("invariants hold");
         (fleet.bytes, fleet.messages, format!("{:?}", fleet.told))
     };
     assert_eq!(run(), run());
@@ -145,15 +149,15 @@
 
 #[test]
 fn a_server_restarted_with_an_earlier_clock_regains_its_name() {
-    // The new process believes that it started before the old one did.
+    // The boot id of the new process is earlier than that of the old one.
     let mut fleet = VirtualFleet::new(3, 3, short_intervals);
     run_until_whole(&mut fleet, 20 * SECOND).expect("whole");
     fleet.kill(0);
-    fleet.run(fleet.now + 8 * SECOND).expect("sound");
+    fleet.run(fleet.now + 8 * SECOND).expect("invariants hold");
     fleet.start_at(0, 1_600_000_000_000_000);
     run_until_whole(&mut fleet, 40 * SECOND).expect("whole again");
     let unfenced = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
-    assert!(unfenced, "it goes on under a later boot id");
+    assert!(unfenced, "it continues with a later boot id");
     let all_others_report_state = |state: MemberState| {
         fleet
             .living()
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of message between members, as written by commit 604394b: servers of that version and of this
-//! one form one fleet while a new version is rolled out.
+//! Checks the encoding of each kind of message against the bytes written by commit 604394b. Servers of that
+//! version and of this one must form one fleet while a new version is rolled out.
 
 use umberloom_fault_harness::golden::{assert_decoded, assert_encoded};
 use umberloom_membership::wire::{
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn sealed_messages_are_written_byte_for_byte_as_before() {
+fn messages_are_encoded_to_the_golden_bytes() {
     let key = Key::new("harbour", "a secret of twenty bytes");
     assert_encoded(&messages(), GOLDEN, |message| key.seal(message));
 }
 
 #[test]
-fn sealed_messages_of_the_earlier_version_are_read() {
+fn golden_bytes_are_decoded_to_the_messages() {
     let key = Key::new("harbour", "a secret of twenty bytes");
     assert_decoded(&messages(), GOLDEN, |sealed| key.open::<Message>(sealed, MAX_MESSAGE_LEN).ok());
 }
