--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -91,10 +91,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The name of the fleet or of this server is empty or too long.
-    #[error("names of the fleet and of this server have 1 to {} bytes", MAX_NAME_LEN)]
+    #[error("the names of the fleet and of this server must have 1 to {} bytes", MAX_NAME_LEN)]
     OwnNameLength,
     /// The name of a peer is empty or too long.
-    #[error("a peer's name has 1 to {} bytes", MAX_NAME_LEN)]
+    #[error("the name of a peer must have 1 to {} bytes", MAX_NAME_LEN)]
     PeerNameLength {
         /// Index of the peer.
         peer: usize,
@@ -116,13 +116,13 @@
         name: MemberName,
     },
     /// There are more than [`MAX_PEERS`] peers.
-    #[error("{count} peers, at most {}", MAX_PEERS)]
+    #[error("{count} peers are configured, at most {} are allowed", MAX_PEERS)]
     TooManyPeers {
         /// The number of configured peers.
         count: usize,
     },
     /// An interval is too short.
-    #[error("{setting} of {value_ms} ms, at least 20 are expected")]
+    #[error("{setting}-ms is {value_ms}, expected at least 20")]
     IntervalTooShort {
         /// The name of the setting in the operator's configuration, without its `-ms`.
         setting: &'static str,
@@ -130,10 +130,10 @@
         value_ms: u64,
     },
     /// The suspicion timeout is too short for a suspicion to be refuted.
-    #[error("a suspicion must last for a probe at least, so that it can be refuted")]
+    #[error("the suspicion timeout must be at least one probe interval, so that a suspicion can be refuted")]
     SuspicionTooShort,
     /// A delay is longer than an hour.
-    #[error("times are up to an hour")]
+    #[error("delays must not exceed one hour")]
     DelayTooLong,
 }
 
