--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -16,8 +16,8 @@
 /// A process that has not been heard for this long no longer holds its name. A process with an earlier start
 /// may then use the name, as after a restart with a clock that was set back.
 const NAME_HOLDER_TIMEOUT: Micros = 5_000_000;
-/// A process that sends hellos for this long without completing a handshake is notified that its name is
-/// taken.
+/// A process with a later start that sends hellos for this long without completing a handshake is notified
+/// that its name is taken.
 const UNPROVEN_CLAIM_TIMEOUT: Micros = 3_000_000;
 
 /// The process that holds this server's name.
