--- a/crates/membership/src/membership/views.rs
+++ b/crates/membership/src/membership/views.rs
@@ -10,26 +10,29 @@
 use crate::wire::{Body, ViewRow};
 use crate::Micros;
 
-/// A member as gossip has it.
+/// The identity and state of a member according to gossip.
 struct GossipState {
     identity: Identity,
     incarnation: u16,
     state: foca::State,
 }
 
-/// The state that follows from gossip, and whether the process has said that it leaves; and the reason for operators.
+/// Returns the member's state and its cause as shown to operators, from the state in gossip and whether the
+/// process has announced that it will leave.
 fn state_and_cause(state: foca::State, leaving: bool) -> (MemberState, &'static str) {
     match state {
         foca::State::Alive if leaving => (MemberState::Leaving, "it said that it leaves"),
-        foca::State::Alive => (MemberState::Present, "it answers, to us or to others"),
-        foca::State::Suspect => (MemberState::Suspected, "a probe brought nothing, by us or by others"),
+        foca::State::Alive => (MemberState::Present, "it answers probes of this server or of other members"),
+        foca::State::Suspect => {
+            (MemberState::Suspected, "a probe by this server or by another member was not answered")
+        }
         foca::State::Down if leaving => (MemberState::Left, "it said that it leaves, and is gone"),
         foca::State::Down => (MemberState::Failed, "a suspicion was not refuted in time"),
     }
 }
 
 impl Membership {
-    /// Updates the states of members by gossip, and the partition status by direct evidence.
+    /// Updates the states of members from gossip, and the partition status from direct evidence.
     pub(super) fn refresh_members(&mut self, now: Micros) {
         let mut changed = self.view.rows.len() != self.config.roster_size();
         let gossip: Vec<GossipState> = self
@@ -51,7 +54,7 @@
         self.refresh_partition_status(now);
     }
 
-    /// Whether the process or the state of the member has changed.
+    /// Updates one member. Returns whether its process or state has changed.
     fn refresh_member(&mut self, now: Micros, member: &GossipState) -> bool {
         let GossipState { identity, incarnation, state } = member;
         let record = self.records.entry(identity.name.clone()).or_insert_with(|| MemberRecord::new(now));
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Writes down which members of the roster are present, as which process.
+    /// Rebuilds this server's view from the states of the members of the roster.
     fn rebuild_view(&mut self) {
         let row = |name: &MemberName, boot_id: u64, present: bool| ViewRow {
             name: name.clone(),
@@ -99,7 +102,8 @@
         self.view.replace(rows);
     }
 
-    /// Compares the digest of a member's view with ours.
+    /// Compares the digest of a member's view with that of this server's, and reports divergence or
+    /// convergence.
     pub(super) fn compare_views(
         &mut self,
         now: Micros,
@@ -116,10 +120,10 @@
             return;
         }
         let since = *session.views_differ_since.get_or_insert(now);
-        let for_long = now - since >= self.config.timing.divergence_timeout;
+        let is_past_timeout = now - since >= self.config.timing.divergence_timeout;
         let (valid_from, timeout) = (self.clock.evidence_valid_from, self.config.evidence_timeout());
         let reachable = session.is_reachable(now, valid_from, timeout);
-        if for_long && reachable && !self.divergences.contains_key(peer) {
+        if is_past_timeout && reachable && !self.divergences.contains_key(peer) {
             let (ours, theirs) = (self.view.rows.clone(), Vec::new());
             let divergence = ViewDivergence { peer: peer.clone(), since, ours, theirs };
             self.divergences.insert(peer.clone(), divergence);
@@ -136,7 +140,7 @@
         self.sessions.values().filter(|session| session.in_roster)
     }
 
-    /// Counts members of the roster by direct evidence.
+    /// Counts the reachable members of the roster by direct evidence, and those that have left.
     pub(super) fn count_reachable(&self, now: Micros) -> ReachCount {
         let has_left = |session: &Session| {
             self.records.get(&session.name).is_some_and(|record| record.state == MemberState::Left)
