--- a/crates/replicated-store/src/divergence.rs
+++ b/crates/replicated-store/src/divergence.rs
@@ -1,45 +1,48 @@
-//! Comparison of replicas: which one is wrong, and when nobody can tell.
+//! Divergence detection: compares replicas, and decides which are wrong or that this cannot be decided.
 
 use crate::entry::Digest;
 
 #[cfg(test)]
 mod tests;
 
-/// What the comparison has come to, for one replica.
+/// Result of comparing this replica with the other voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No voter differs, or too few have been compared.
+    /// No voter differs, or too few have been compared for a decision.
     NoDivergence,
-    /// A majority of the voters agree with each other and not with us: these. Our replica is wrong.
+    /// This replica is wrong: these replicas agree with each other, differ from this one, and are a majority
+    /// of the voters.
     LocalDiverged(Vec<u64>),
-    /// A majority agrees with us, and these do not: their replicas are wrong.
+    /// These replicas are wrong: they differ from this one, with which a majority of the voters agrees.
     PeersDiverged(Vec<u64>),
-    /// Replicas differ and no majority agrees: nobody can tell which is right.
+    /// Replicas differ and no majority agrees, so it cannot be decided which are right.
     NoMajority,
 }
 
-/// How far a replica has applied the log, and to what result.
+/// The last applied entry of a replica and the rolling digest after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
     /// Index of the last applied entry.
     pub applied: u64,
-    /// The rolling digest after it.
+    /// Rolling digest after that entry.
     pub rolling_digest: Digest,
 }
 
-/// What is known of one other voter.
+/// Comparison of this replica with one other voter.
 #[derive(Clone, Debug)]
 pub struct PeerComparison {
-    /// Its replica.
+    /// Id of the voter's replica.
     pub replica_id: u64,
-    /// Whether its digest at some index is the same as ours there; `None`: not compared.
+    /// Whether the voter's rolling digest at the index of its last status equals ours at that index; `None`
+    /// if they were not compared.
     pub matches: Option<bool>,
-    /// What it reports now. Only two that report the same here agree; what they once found of each other may be from
-    /// before one of them went wrong.
+    /// Position in the voter's last status. Two other voters agree only if their positions are the same; an
+    /// earlier comparison between them may be from before one of them went wrong.
     pub position: Position,
 }
 
-/// Compares this replica with `others`, which are all voters but it; `is_voter` says whether it is one more.
+/// Decides from the comparisons with `others`, which are all voters but this replica. `is_voter` says whether
+/// this replica is a voter too.
 pub fn verdict(is_voter: bool, others: &[PeerComparison]) -> Verdict {
     let quorum = (others.len() + usize::from(is_voter)) / 2 + 1;
     let diverged: Vec<&PeerComparison> = others.iter().filter(|other| other.matches == Some(false)).collect();
@@ -55,8 +58,8 @@
     if largest_group.len() >= quorum {
         return Verdict::LocalDiverged(largest_group);
     }
-    // As long as some voter could still decide it, there is no verdict: one that was not compared, or two at different
-    // entries.
+    // Undecided as long as further reports could give a majority: from voters that were not compared yet, or
+    // from voters whose positions are at different entries.
     let not_compared = others.iter().filter(|other| other.matches.is_none()).count();
     let indices_differ = diverged.windows(2).any(|pair| pair[0].position.applied != pair[1].position.applied);
     let undecided =
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -1,25 +1,29 @@
-//! Log entries: an envelope that every program can read, around a payload that may be too new for this one.
+//! Log entries: an envelope that every program version can decode, around a payload whose format may be newer
+//! than this program.
 //!
-//! An entry of a kind or format that this program does not know is kept in its place, counted, and passed on; it is never
-//! applied and never dropped, so that an older program in the fleet delays nothing and loses nothing.
+//! An entry of a kind or format version that this program does not know stays in the log, is counted and is
+//! replicated; it is never applied and never dropped, so that an older program in the fleet neither blocks
+//! the log nor loses data.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest payload of one entry; longer documents are written in parts.
+/// Upper bound of one entry's payload in bytes; longer documents are written in parts.
 pub const MAX_ENTRY_BYTES: usize = 32 << 10;
-/// Bytes of one part of a document, and of the longest document that is written in one entry.
+/// Length of one document part in bytes, and of the longest document that is written in a single entry.
 pub const PART_BYTES: usize = MAX_ENTRY_BYTES / 2;
-/// The longest document.
+/// Upper bound of a document in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
-/// The longest name of a document, and of its author.
+/// Upper bound of a document's name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Drawn by the author; an entry that is proposed twice under one id is applied once.
+/// Id of an entry, drawn at random by its author; an entry that is proposed twice under one id is applied
+/// once.
 pub type EntryId = u128;
-/// The first bytes of a BLAKE3 digest.
+/// The first 16 bytes of a BLAKE3 hash.
 pub type Digest = [u8; 16];
 
-/// The digest of these parts; each goes in with its length.
+/// Digest of a sequence of byte strings. The length of each is hashed too, so that other boundaries give
+/// another digest.
 pub fn digest(parts: &[&[u8]]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -30,29 +34,31 @@
     first
 }
 
-/// An entry as it stands in the log. `postcard` encodes it by position.
+/// A log entry in its encoded form. `postcard` encodes it by position: the order of the fields is the stored
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The entry's id.
     pub id: EntryId,
-    /// Name of the server that wrote it.
+    /// Name of the server that proposed the entry.
     pub author: String,
-    /// When, by that server's clock, in Unix milliseconds: for people, never for decisions.
+    /// When it was proposed, by that server's clock, in Unix milliseconds. It is only displayed, never used
+    /// for decisions.
     pub written_at_ms: u64,
-    /// The kind of entry.
+    /// The kind of entry; see [`Envelope::decode`] for the kinds that this program knows.
     pub kind: u16,
-    /// The version of the payload's format.
+    /// Format version of the payload.
     pub format_version: u16,
-    /// The payload, in that format.
+    /// The encoded payload.
     pub payload: Vec<u8>,
 }
 
-/// An entry that this program can apply.
+/// The content of an entry that this program can apply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A remark, for the history.
+    /// A remark that is only added to the history.
     Note(String),
-    /// A part of a document that is being written.
+    /// One part of a document that is too long for one entry.
     Part(DocumentPart),
     /// A new version of a document.
     Document(DocumentUpdate),
@@ -61,11 +67,11 @@
 /// A part of a document that is too long for one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentPart {
-    /// Digest of the whole document.
+    /// Digest of the complete document.
     pub document_digest: Digest,
     /// Index of the part, from 0.
     pub index: u16,
-    /// Its bytes.
+    /// Content of the part; [`PART_BYTES`] long, the last part may be shorter.
     pub bytes: Vec<u8>,
 }
 
@@ -74,27 +80,29 @@
 pub struct DocumentUpdate {
     /// The document's name.
     pub name: String,
-    /// Written only if the document has this version now; 0 if it must not be there. `None`: written in any case.
+    /// The update is applied only if this is the document's current version; 0 means that the document must
+    /// not exist. `None` applies it unconditionally.
     pub expected_version: Option<u64>,
     /// The new content.
     pub content: Content,
 }
 
-/// Where a document's new content is.
+/// The new content of a document, or where to find it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// In this entry.
+    /// The content is in this entry.
     Inline(Vec<u8>),
-    /// In the entries before: the digest of the whole document, and the number of its parts.
+    /// The content is in earlier [`Entry::Part`]s: the digest of the complete document, and the number of its
+    /// parts.
     Parts(Digest, u16),
-    /// There is none any more: the document is removed.
+    /// The document is removed.
     Removed,
 }
 
 const NOTE: u16 = 1;
 const PART: u16 = 2;
 const DOCUMENT: u16 = 3;
-/// The format version of each kind that this program writes.
+/// The format version in which this program writes each kind of entry.
 const FORMAT_VERSION: u16 = 1;
 
 impl Entry {
@@ -116,7 +124,8 @@
         }
     }
 
-    /// The entries by which a document takes on this content; see [`DocumentUpdate::expected_version`].
+    /// The entries that set a document's content, in the order in which they must be proposed.
+    /// `expected_version` is that of [`DocumentUpdate::expected_version`].
     pub fn document(name: &str, bytes: Vec<u8>, expected_version: Option<u64>) -> Vec<Entry> {
         let update =
             |content| Entry::Document(DocumentUpdate { name: name.to_owned(), expected_version, content });
@@ -135,7 +144,7 @@
 }
 
 impl Envelope {
-    /// Decodes the payload; `None` if it is of a newer program.
+    /// Decodes the payload; `None` if a newer program wrote it, or if it is malformed.
     pub fn decode(&self) -> Option<Entry> {
         let payload = &self.payload;
         match (self.kind, self.format_version) {
@@ -146,17 +155,18 @@
         }
     }
 
-    /// Encodes the envelope, as it stands in the log.
+    /// Encodes the envelope as the data of a Raft log entry.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes an envelope from the log.
+    /// Decodes an envelope from the data of a Raft log entry; `None` if the data is not an envelope.
     pub fn from_bytes(bytes: &[u8]) -> Option<Envelope> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// The kind of entry, for people.
+    /// Readable name of the entry's kind. It goes into the history and so into the rolling digest: all
+    /// program versions must return the same text.
     pub fn kind_name(&self) -> &'static str {
         match (self.kind, self.format_version) {
             (NOTE, FORMAT_VERSION) => "note",
--- a/crates/replicated-store/src/export.rs
+++ b/crates/replicated-store/src/export.rs
@@ -1,7 +1,8 @@
-//! An export of the store as a file, which can be checked without a server.
+//! An export of the store as a file, which can be verified without a server.
 //!
-//! The file is a line of text that says what it is, a digest of all that follows (16 bytes), and the rest in `postcard`:
-//! the state of a snapshot and the entries that were committed since. Checking it applies those again.
+//! The file has a title line, the digest of the bytes after it (16 bytes), and an [`Export`] encoded with
+//! `postcard`: the state of a snapshot and the entries committed after it. Verification applies these entries
+//! again.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -13,62 +14,63 @@
 #[cfg(test)]
 mod tests;
 
-/// The first line.
+/// The first line of the file.
 const TITLE: &[u8] = b"umberloom record 1\n";
-/// The kind of an entry with content; others change the members.
+/// [`ExportedEntry::kind`] of entries with content; entries of other kinds change the members.
 const CONTENT_KIND: u64 = 0;
 
 /// Content of an export file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Export {
-    /// The server that exported it.
+    /// Name of the server that made the export.
     pub exported_by: String,
-    /// Index of the last entry that it had applied.
+    /// Index of the last entry that this server had applied.
     pub applied: u64,
-    /// Its rolling digest after that entry.
+    /// The server's rolling digest after that entry.
     pub rolling_digest: Digest,
-    /// The snapshot's state.
+    /// The encoded state of the snapshot.
     pub snapshot: Vec<u8>,
-    /// Entries since the snapshot.
+    /// The entries after the snapshot, in the order of the log.
     pub entries: Vec<ExportedEntry>,
 }
 
 /// A log entry in an export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportedEntry {
-    /// Its index in the log.
+    /// Index of the entry in the log.
     pub index: u64,
-    /// Its type in the Raft library; 0 is content.
+    /// Entry type of the Raft library; 0 is an entry with content.
     pub kind: u64,
-    /// Its data.
+    /// Data of the entry.
     pub bytes: Vec<u8>,
 }
 
-/// The result of a check.
+/// What the verification of an export has found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verified {
     /// The store's id.
     pub store_id: StoreId,
-    /// Index of the snapshot.
+    /// Index of the last entry that the snapshot includes.
     pub snapshot_index: u64,
     /// Index of the last entry.
     pub last_index: u64,
-    /// Documents after that entry: name, version and length. `--json` prints them as arrays.
+    /// The documents after the last entry, each with its name, version and length in bytes. `--json` prints
+    /// them as arrays.
     pub documents: Vec<(String, u64, usize)>,
-    /// Entries of newer programs.
+    /// Number of entries of newer programs, which are not applied.
     pub unsupported_entries: u64,
 }
 
-/// Why a file is no sound export.
+/// Why a file is not a valid export.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ExportError {
-    /// The first line is missing.
+    /// The title line is missing.
     #[error("it does not begin as an export of a record does")]
     NotAnExport,
-    /// The file is too short.
+    /// The file ends before the end of the digest.
     #[error("it ends within its digest")]
     TooShort,
-    /// The content is not what was exported.
+    /// The content was changed after the export.
     #[error("its digest does not fit: it was changed or cut short")]
     DigestMismatch,
     /// The content cannot be decoded.
@@ -77,26 +79,26 @@
     /// The state of the snapshot cannot be decoded.
     #[error("its state can't be read")]
     UndecodableState,
-    /// An entry is missing, or one stands twice.
+    /// An entry is missing or occurs twice.
     #[error("entry {index} follows {previous}")]
     EntryOutOfOrder {
-        /// The entry found.
+        /// Index of the entry that was found.
         index: u64,
-        /// The entry before it.
+        /// Index of the entry before it.
         previous: u64,
     },
-    /// An entry has content that is no envelope.
+    /// The content of an entry is not an envelope.
     #[error("entry {index} has no envelope")]
     NoEnvelope {
-        /// The entry.
+        /// Index of the entry.
         index: u64,
     },
-    /// The entries do not lead to the state that the server had.
+    /// Applying the entries does not give the rolling digest that the server had.
     #[error("after entry {index} its digest is not what {exported_by} had")]
     StateMismatch {
-        /// The last entry.
+        /// Index of the last entry.
         index: u64,
-        /// The server that exported it.
+        /// Name of the server that made the export.
         exported_by: String,
     },
 }
@@ -107,20 +109,21 @@
         if self.kind == CONTENT_KIND {
             state.apply(self.index, &self.bytes);
         } else {
-            // Changes of members advance the digest by their bytes; who they are is in the next snapshot.
+            // A membership change advances the digest by its bytes. The members themselves are not restored
+            // here: the next snapshot has them.
             state.apply_members(self.index, &self.bytes, |_| {});
         }
     }
 }
 
 impl Export {
-    /// Encodes it as a file.
+    /// Encodes the export as a file.
     pub fn to_bytes(&self) -> Vec<u8> {
         let content = postcard::to_allocvec(self).unwrap_or_default();
         [TITLE, &digest(&[&content]), &content].concat()
     }
 
-    /// Decodes a file and checks its digest.
+    /// Decodes an export file and checks its digest.
     pub fn from_bytes(bytes: &[u8]) -> Result<Export, ExportError> {
         let rest = bytes.strip_prefix(TITLE).ok_or(ExportError::NotAnExport)?;
         let (expected, content) = rest.split_first_chunk::<16>().ok_or(ExportError::TooShort)?;
@@ -130,7 +133,7 @@
         Ok(postcard::from_bytes(content)?)
     }
 
-    /// Applies all entries again and compares the rolling digest with what the server had.
+    /// Applies all entries to the snapshot's state and compares the rolling digest with that of the server.
     pub fn verify(&self) -> Result<Verified, ExportError> {
         let mut state = State::from_bytes(&self.snapshot).ok_or(ExportError::UndecodableState)?;
         let snapshot_index = state.applied;
--- a/crates/replicated-store/src/ids.rs
+++ b/crates/replicated-store/src/ids.rs
@@ -1,24 +1,25 @@
-//! Ids of stores.
+//! The id of a replicated store.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Id of a store, drawn when it is bootstrapped or adopted. Replica ids are plain `u64`s, as the Raft library's node ids.
+/// Id of a store, drawn at random when the store is bootstrapped or adopted. Replica ids are plain `u64`s
+/// because they are the Raft library's node ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
 impl StoreId {
-    /// No store.
+    /// The id that stands for no store.
     pub const NONE: StoreId = StoreId(0);
 
-    /// Whether this is the id of no store.
+    /// Whether this id stands for no store.
     pub fn is_none(self) -> bool {
         self == StoreId::NONE
     }
 }
 
-/// People see ids in hexadecimal.
+/// Ids are shown to operators in hexadecimal.
 impl fmt::LowerHex for StoreId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         fmt::LowerHex::fmt(&self.0, f)
--- a/crates/replicated-store/src/lib.rs
+++ b/crates/replicated-store/src/lib.rs
@@ -1,26 +1,32 @@
 //! A replicated store: named documents that the servers of a fleet keep together.
 //!
-//! A log of [`entry`]s is replicated by Raft (the `raft` crate: pre-vote, check-quorum, learners, joint membership changes),
-//! and the [`State`] is what its entries lead to. Some members vote, the rest are learners. Around the Raft library:
+//! Raft replicates a log of [`entry`]s (the `raft` crate: pre-vote, check-quorum, learners, joint membership
+//! changes), and every replica applies it to its [`State`]. Some members are voters, the others are learners.
+//! The modules around the Raft library:
 //!
-//! - [`log`]: its storage, in memory, with the write batches that make it durable;
-//! - [`message`]: messages between members. Where two do not reach each other one other member relays, so that a server
-//!   that reaches a quorum within two hops can lead and be led (`docs/design/record.md` has the measured reason);
-//! - [`rollback`]: a replica whose disk was set back does not vote under its old id;
-//! - [`divergence`]: replicas that differ are found by rolling digests; which one is wrong, and when nobody can tell;
-//! - [`voter_selection`]: which replicas are admitted, promoted and replaced, one change at a time, never losing a quorum;
-//! - [`transfer`]: snapshots in chunks, resumed after a restart, at a bounded rate, from the least loaded member;
+//! - [`log`]: the library's storage in memory, and the write batches that make it durable;
+//! - [`message`]: messages between members. If two members do not reach each other, one other member relays,
+//!   so that a server that reaches a quorum within two hops can lead or follow (`docs/design/record.md` has
+//!   the measured reason);
+//! - [`rollback`]: a replica whose disk was rolled back does not vote under its old id;
+//! - [`divergence`]: detects by rolling digests that replicas differ, and decides which of them are wrong or
+//!   that this cannot be decided;
+//! - [`voter_selection`]: which replicas are admitted, promoted and replaced, one change at a time, never
+//!   losing a quorum;
+//! - [`transfer`]: snapshots in chunks, resumed after a restart, at a bounded rate, from the least loaded
+//!   member;
 //! - [`export`]: a file with the state and the log, which can be verified without a server.
 //!
-//! There is no socket, file or clock here: a [`Replica`] is given messages and the time, and gives [`Action`]s and
-//! [`Event`]s. Times are in microseconds.
+//! The crate uses no socket, file or clock: a [`Replica`] receives messages and the time, and returns
+//! [`Action`]s and [`Event`]s. Times are in microseconds.
 //!
-//! Always: no two states at one index but by damage, which is found; an entry that was reported as applied is durable at a
-//! majority of the voters; an entry proposed twice is applied once. While a majority of the voters reach each other within
-//! two hops and their disks write: a leader within four and a half election timeouts (two until someone asks for votes, and
-//! as much again where votes split).
+//! Guarantees: replicas have the same state at the same index unless one is damaged, which is detected; an
+//! entry that was reported as applied is durable at a majority of the voters; an entry proposed twice is
+//! applied once. While a majority of the voters reach each other within two hops and can write to their
+//! disks, a leader is elected within four and a half election timeouts (two until a replica requests votes,
+//! and as much again if votes split).
 //!
-//! A store of a single server, without a disk:
+//! Example of a store on a single server, without a disk:
 //!
 //! ```
 //! use umberloom_replicated_store::{Action, Config, Entry, Outcome, Replica, Role};
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -1,5 +1,5 @@
-//! The log in memory, as the Raft library's storage. What is in memory is what the disk has or will have: each change
-//! returns the batch that makes it durable.
+//! The log in memory, as the Raft library's storage. The memory holds what the disk has or will have: each
+//! change returns the write batch that makes it durable.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -20,41 +20,43 @@
 
 pub use stored::{StoredReplica, StoredReplicaError};
 
-/// The spaces of the store: the replica's identity and Raft state, log entries by index, the snapshot in chunks, and chunks
-/// of a snapshot that is being fetched.
+/// The keyspaces that a replica uses in its on-disk store: the replica's identity and Raft state, log entries
+/// by index, the snapshot in chunks, and chunks of a snapshot that is being fetched.
 pub const KEYSPACES: [u8; 4] = [1, 2, 3, 4];
 const IDENTITY: u8 = KEYSPACES[0];
 const ENTRIES: u8 = KEYSPACES[1];
 const SNAPSHOT: u8 = KEYSPACES[2];
 const INCOMING_CHUNKS: u8 = KEYSPACES[3];
-/// Rows of [`IDENTITY`].
+/// Row of [`IDENTITY`] with the encoded [`ReplicaIdentity`].
 const IDENTITY_ROW: &[u8] = b"copy";
+/// Row of [`IDENTITY`] with Raft's hard state: term, vote and commit index.
 const HARD_STATE_ROW: &[u8] = b"hard";
+/// Row of [`IDENTITY`] with the snapshot's metadata: index, term, voters and learners.
 const SNAPSHOT_METADATA_ROW: &[u8] = b"snapshot";
-/// Bytes of one chunk of a snapshot, on disk and between members.
+/// Length of one snapshot chunk in bytes, on disk and between members.
 pub const CHUNK_BYTES: usize = 32 << 10;
-/// Earlier snapshots that are kept in memory.
+/// Number of earlier snapshots that are kept in memory.
 const MAX_PREVIOUS_SNAPSHOTS: usize = 2;
 
-/// The identity of a replica.
+/// The identity of a replica, as it is stored on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
-    /// Id of its store; 0 while it has joined none.
+    /// Id of the replica's store; 0 while it has joined none.
     pub store_id: StoreId,
-    /// Its own id, drawn when it was created; 0 is none.
+    /// Id of the replica, drawn when it was created; 0 is none.
     pub replica_id: u64,
-    /// The server that it belongs to, so that a directory that was copied to another is detected.
+    /// Name of the server that owns the replica, so that a directory copied to another server is detected.
     pub server: String,
-    /// How often a process has started with it.
+    /// Number of times that a process has started with this replica.
     pub starts: u64,
 }
 
-/// The identity of a snapshot, which goes to others in place of its bytes.
+/// Digest and length of a snapshot. A leader's offer has it in place of the snapshot's bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Digest of all bytes.
+    /// Digest of the snapshot's bytes.
     pub digest: Digest,
-    /// How many bytes there are.
+    /// Length of the snapshot in bytes.
     pub length: u64,
 }
 
@@ -64,7 +66,7 @@
         Manifest { digest: digest(&[bytes]), length: bytes.len() as u64 }
     }
 
-    /// The number of chunks.
+    /// Number of chunks of the snapshot.
     pub fn chunk_count(&self) -> u32 {
         (self.length as usize).div_ceil(CHUNK_BYTES) as u32
     }
@@ -79,30 +81,30 @@
     pub index: u64,
 }
 
-/// A snapshot that is kept for others.
+/// A snapshot in memory.
 #[derive(Clone, Debug)]
 pub struct KeptSnapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry that the snapshot includes.
     pub index: u64,
-    /// Its identity.
+    /// Digest and length of the snapshot.
     pub manifest: Manifest,
     /// The encoded state.
     pub bytes: Rc<Vec<u8>>,
 }
 
-/// The row of a replica's identity.
+/// The batch that writes a replica's identity.
 pub fn identity_batch(identity: &ReplicaIdentity) -> WriteBatch {
     let row = postcard::to_allocvec(identity).unwrap_or_default();
     WriteBatch::new().put(IDENTITY, IDENTITY_ROW, &row)
 }
 
-/// The row of a chunk that has come.
+/// The batch that writes a received snapshot chunk.
 pub fn chunk_batch(chunk: &SnapshotChunk) -> WriteBatch {
     let key = [&chunk.digest[..], &chunk.index.to_be_bytes()].concat();
     WriteBatch::new().put(INCOMING_CHUNKS, &key, &chunk.bytes)
 }
 
-/// Removes the rows of entries from `first` up to `end`, that one not included.
+/// Removes the rows of the entries from `first` to `end`, `end` excluded.
 fn remove_entries(batch: WriteBatch, first: u64, end: u64) -> WriteBatch {
     batch.remove_range(ENTRIES, &first.to_be_bytes(), &end.to_be_bytes())
 }
@@ -117,7 +119,7 @@
     batch.remove_range(INCOMING_CHUNKS, &[0], &[255; 21])
 }
 
-/// The log in memory: a snapshot and the entries since.
+/// The log in memory: a snapshot and the entries after it.
 #[derive(Debug, Default)]
 pub struct Log {
     hard_state: HardState,
@@ -125,16 +127,16 @@
     snapshot_metadata: SnapshotMetadata,
     snapshot_bytes: Rc<Vec<u8>>,
     manifest: Manifest,
-    /// Earlier snapshots, for those who still fetch one of them.
+    /// Earlier snapshots with their digests, for members that are still fetching one of them.
     previous_snapshots: VecDeque<(Digest, Rc<Vec<u8>>)>,
     entries: VecDeque<Entry>,
-    /// A member needs a snapshot of this index or a later one; 0 is none.
+    /// A member needs a snapshot of this index or a later one; 0 if no member needs one.
     requested_snapshot: Cell<u64>,
 }
 
 impl Log {
-    /// The log of a new store, whose first state, after the entry of this index, only its bootstrapping replica has. Removes
-    /// all rows of another store.
+    /// The log of a new store. `state` is its first state, after the entry at `index`; the bootstrapping
+    /// replica is the only voter. The batch also removes all rows of an earlier store.
     pub fn bootstrap(replica_id: u64, index: u64, state: Vec<u8>) -> (Log, WriteBatch) {
         let mut conf_state = ConfState::default();
         conf_state.voters.push(replica_id);
@@ -149,11 +151,12 @@
         (log, batch)
     }
 
-    /// The log as it was on disk.
+    /// The log of a replica that was read from disk.
     pub fn load(stored: StoredReplica) -> Log {
         let StoredReplica { mut hard_state, snapshot_metadata, snapshot_bytes, manifest, entries, .. } =
             stored;
-        // A commit index alone is not made durable, and a snapshot is of committed entries.
+        // A change of the commit index alone is not made durable, so it can be behind the snapshot, which has
+        // committed entries only.
         hard_state.commit = hard_state.commit.max(snapshot_metadata.index);
         Log {
             hard_state,
@@ -171,12 +174,12 @@
         WriteBatch::new().put(IDENTITY, HARD_STATE_ROW, &row)
     }
 
-    /// Appends entries, in the place of those from the first index on, and sets the hard state.
+    /// Appends entries and sets the hard state. Existing entries from the first new index on are replaced.
     pub fn append(&mut self, entries: Vec<Entry>, hard_state: Option<&HardState>) -> WriteBatch {
         let mut batch = WriteBatch::new();
         if let Some(first) = entries.first().map(|entry| entry.index) {
             let last = self.last_entry_index();
-            // What stood there before was never committed.
+            // The replaced entries were never committed.
             self.entries.truncate((first.saturating_sub(self.snapshot_metadata.index + 1)) as usize);
             if last >= first {
                 batch = remove_entries(batch, first, last + 1);
@@ -204,7 +207,7 @@
         &self.conf_state
     }
 
-    /// Replaces the whole log by a snapshot that was fetched.
+    /// Replaces the complete log by a fetched snapshot.
     pub fn install(&mut self, metadata: SnapshotMetadata, state: Rc<Vec<u8>>) -> WriteBatch {
         let first = self.snapshot_metadata.index;
         let last = self.last_entry_index();
@@ -236,7 +239,8 @@
         batch
     }
 
-    /// Makes a snapshot of the state after `applied`, and removes the entries up to there.
+    /// Makes `state`, the state after the entry at `applied`, the snapshot, and removes the entries up to
+    /// that one.
     pub fn compact(&mut self, applied: u64, state: Vec<u8>) -> WriteBatch {
         let Ok(term) = self.term(applied) else { return WriteBatch::new() };
         let first = self.snapshot_metadata.index + 1;
@@ -246,7 +250,7 @@
         removed.then(self.put_snapshot(metadata, Rc::new(state)))
     }
 
-    /// Whether a member waits for a newer snapshot.
+    /// Whether a member is waiting for a newer snapshot than the current one.
     pub fn is_snapshot_requested(&self) -> bool {
         self.requested_snapshot.get() > self.snapshot_metadata.index
     }
@@ -261,7 +265,7 @@
         LogPosition { term: self.hard_state.term, index: self.last_entry_index() }
     }
 
-    /// Bytes of the entries since the snapshot.
+    /// Bytes of all entries after the snapshot.
     pub fn entry_bytes(&self) -> u64 {
         self.entries.iter().map(|entry| entry.data.len() as u64).sum()
     }
@@ -275,7 +279,8 @@
         }
     }
 
-    /// The bytes of the snapshot with this digest, if it is the latest one or one shortly before.
+    /// The bytes of the snapshot with this digest, if it is the latest one or one of the
+    /// `MAX_PREVIOUS_SNAPSHOTS` before it.
     pub fn snapshot_with_digest(&self, digest: &Digest) -> Option<Rc<Vec<u8>>> {
         if self.manifest.digest == *digest {
             return Some(self.snapshot_bytes.clone());
@@ -284,7 +289,7 @@
         previous.map(|(_, bytes)| bytes.clone())
     }
 
-    /// The entries since the snapshot up to this index, for an export.
+    /// The entries after the snapshot up to and including this index, for an export.
     pub fn entries_through(&self, last_index: u64) -> Vec<ExportedEntry> {
         let entries = self.entries.iter().take_while(|entry| entry.index <= last_index);
         let export = |entry: &Entry| ExportedEntry {
@@ -295,7 +300,7 @@
         entries.map(export).collect()
     }
 
-    /// The position of an entry after the snapshot in `entries`.
+    /// The offset in `entries` of the entry at this index, which must be after the snapshot.
     fn offset(&self, index: u64) -> usize {
         (index - self.snapshot_metadata.index - 1) as usize
     }
@@ -348,10 +353,11 @@
         let conf_state = self.snapshot_metadata.get_conf_state();
         let members = [&conf_state.voters, &conf_state.learners, &conf_state.learners_next];
         let has_receiver = members.iter().any(|ids| ids.contains(&to));
-        // A member that requests a snapshot by itself has no room for the one before: it gets one of what there is now.
+        // A member that requests a snapshot by itself had no disk space for the previous one: it gets one
+        // that includes all entries committed by now.
         let requested = if request_index > 0 { self.hard_state.commit.max(request_index) } else { 0 };
         let needed = match self.requested_snapshot.get() {
-            // One from before a member was admitted is of no use to it.
+            // A snapshot from before the receiver was admitted is of no use to the receiver.
             0 if !has_receiver => self.snapshot_metadata.index + 1,
             0 => requested,
             pending => pending,
--- a/crates/replicated-store/src/log/stored.rs
+++ b/crates/replicated-store/src/log/stored.rs
@@ -14,23 +14,23 @@
 use crate::state::State;
 use crate::transfer::SnapshotChunk;
 
-/// A replica as a store holds it.
+/// A replica as read from the on-disk store.
 #[derive(Clone, Debug, Default)]
 pub struct StoredReplica {
-    /// Its identity.
+    /// Identity of the replica.
     pub identity: ReplicaIdentity,
     pub(super) hard_state: HardState,
     pub(super) snapshot_metadata: SnapshotMetadata,
-    /// The state of the snapshot.
+    /// The snapshot's state; `None` without a snapshot.
     pub state: Option<State>,
     pub(super) snapshot_bytes: Vec<u8>,
     pub(super) manifest: Manifest,
     pub(super) entries: VecDeque<Entry>,
-    /// Chunks of a snapshot that was being fetched.
+    /// Chunks of a snapshot whose transfer was not finished.
     pub incoming_chunks: Vec<SnapshotChunk>,
 }
 
-/// Why the rows of a store make no replica.
+/// Why a replica cannot be read from the rows of a store.
 #[derive(Debug, Error)]
 pub enum StoredReplicaError {
     /// The identity cannot be decoded.
@@ -48,9 +48,9 @@
     /// An entry is missing.
     #[error("entry {found} where {expected} was expected")]
     MissingEntry {
-        /// Index of the entry that is there.
+        /// Index of the entry that was found.
         found: u64,
-        /// Index of the entry that should be.
+        /// Index of the entry that should be in its place.
         expected: u64,
     },
     /// The state of the snapshot cannot be decoded.
@@ -59,8 +59,8 @@
 }
 
 impl StoredReplica {
-    /// Reads a replica from all rows of [`super::KEYSPACES`]; `Ok(None)` if there is none. It may take long, so the thread
-    /// that reads the disk calls it.
+    /// Reads a replica from all rows of [`super::KEYSPACES`]; `Ok(None)` if they have no identity. It can
+    /// take long, so call it on the thread that reads the disk.
     pub fn read(rows: Vec<(u8, Vec<Row>)>) -> Result<Option<StoredReplica>, StoredReplicaError> {
         let mut stored = StoredReplica::default();
         let mut has_identity = false;
@@ -84,7 +84,7 @@
         Ok(has_identity.then_some(stored))
     }
 
-    /// Reads the identity and the Raft state; whether there is an identity.
+    /// Reads the identity and the Raft state. Returns whether the rows have an identity.
     fn read_identity(&mut self, rows: &[Row]) -> Result<bool, StoredReplicaError> {
         let mut has_identity = false;
         for (name, value) in rows {
@@ -107,7 +107,7 @@
         Ok(has_identity)
     }
 
-    /// Reads the entries after the snapshot, which must be without a gap.
+    /// Reads the entries after the snapshot; a gap between them is an error.
     fn read_entries(&mut self, rows: &[Row]) -> Result<(), StoredReplicaError> {
         let snapshot_index = self.snapshot_metadata.index;
         for (_, value) in rows {
@@ -131,8 +131,8 @@
     }
 }
 
-/// A chunk from its row, whose name is the digest of its snapshot and the index. An index that cannot be read is none that
-/// a snapshot has.
+/// Decodes a chunk from its row, whose key is the digest of the snapshot and the index of the chunk. A
+/// malformed index becomes `u32::MAX`, which no snapshot has.
 fn read_chunk((name, bytes): Row) -> Option<SnapshotChunk> {
     let (digest, index) = name.split_first_chunk::<16>()?;
     let index = index.try_into().map_or(u32::MAX, u32::from_be_bytes);
--- a/crates/replicated-store/src/replica/actions.rs
+++ b/crates/replicated-store/src/replica/actions.rs
@@ -1,53 +1,55 @@
-//! What a replica asks its host to do.
+//! Actions that a replica requests from its host.
 
 use std::collections::VecDeque;
 
 use umberloom_membership::MemberName;
 use umberloom_store::WriteBatch;
 
-/// Actions, events and outcomes that wait to be taken; beyond that the oldest is dropped.
+/// Upper bound of the queues of actions, events and outcomes; beyond it the oldest item is dropped.
 pub(super) const MAX_QUEUED: usize = 16_384;
 
-/// The priority of a message; lower-priority messages may wait for the others.
+/// The priority of a message, highest first. Messages of a lower priority may wait for the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Heartbeats and status messages.
     Heartbeat,
-    /// Votes.
+    /// Votes, vote requests and leadership transfers.
     Vote,
-    /// Log entries.
+    /// Log entries, requests and all other messages.
     Entry,
     /// Chunks of a snapshot.
     Snapshot,
 }
 
-/// Something that the host has to do for the replica.
+/// Something that the host must do for the replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to a member. It may be lost.
+    /// Send a message to a member. The message may be lost.
     Send {
         /// The receiver.
         to: MemberName,
         /// The encoded message.
         bytes: Vec<u8>,
-        /// Its priority.
+        /// Priority of the message.
         priority: Priority,
     },
-    /// Make a batch durable, in the order of the numbers, and then call [`crate::Replica::persisted`].
+    /// Make a write batch durable, then call [`crate::Replica::persisted`]. Batches must become durable in
+    /// the order of their numbers.
     Persist {
-        /// The number of the batch.
+        /// Number of the batch, from 1.
         number: u64,
         /// The rows to write.
         batch: WriteBatch,
     },
-    /// This replica must not be used any more: quarantine its store and start anew without it.
+    /// This replica must no longer be used: quarantine its on-disk store and start again without it.
     Quarantine {
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
 }
 
-/// Appends to a queue that nobody may have emptied for long.
+/// Appends to a queue that the host may not have drained for a long time; if it is full the oldest item is
+/// dropped.
 pub(super) fn push_bounded<T>(queue: &mut VecDeque<T>, item: T) {
     if queue.len() >= MAX_QUEUED {
         queue.pop_front();
--- a/crates/replicated-store/src/replica/comparison.rs
+++ b/crates/replicated-store/src/replica/comparison.rs
@@ -1,4 +1,4 @@
-//! What peers report of themselves: rollback detection and comparison of replicas.
+//! Status messages of peers: rollback check and comparison of replicas.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,17 @@
 use crate::rollback::Verdict as RollbackVerdict;
 use crate::Micros;
 
-/// What the comparison with other replicas has come to.
+/// State of the comparison with other replicas.
 pub(super) struct Comparison {
-    /// Whether a replica's digest was the same as ours at the index of its last status.
+    /// By replica id, whether the rolling digest of the replica's last comparable status equals ours at that
+    /// index.
     matches: BTreeMap<u64, bool>,
-    /// Diverged peers that were reported last.
+    /// Ids of the diverged replicas that were reported last.
     reported: Vec<u64>,
     verdict: Divergence,
-    /// Since when the verdict is this one.
+    /// When the verdict last changed.
     verdict_since: Micros,
-    /// Nothing is written, because replicas differ and no majority agrees.
+    /// Whether writes are rejected because replicas differ and no majority agrees.
     pub(super) frozen: bool,
 }
 
@@ -35,14 +36,14 @@
         }
     }
 
-    /// Our state is another one now.
+    /// Discards all comparisons, because this replica's state was replaced.
     pub(super) fn forget_matches(&mut self) {
         self.matches.clear();
     }
 }
 
 impl Replica {
-    /// A member has sent its status.
+    /// Handles a member's status, unless it is from an earlier process of that member.
     pub(super) fn handle_status(
         &mut self,
         now: Micros,
@@ -64,6 +65,7 @@
         self.peers.insert(from.clone(), Peer { boot_id, heard_at: now, status });
     }
 
+    /// Compares the rolling digest of a status with ours at the same index, if we still remember it.
     fn compare_digest(&mut self, status: &StatusMessage) {
         if status.replica_id == 0 || status.applied == 0 {
             return;
@@ -73,7 +75,8 @@
         }
     }
 
-    /// A replica for which the library waits, and which does not fetch a snapshot: the leader offers it again.
+    /// On the leader: makes the library offer its snapshot again if it waits for a replica that is not
+    /// fetching one.
     fn restart_stalled_snapshot(&mut self, status: &StatusMessage) {
         if status.fetching_snapshot || self.role != Role::Leader {
             return;
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Whether a replica that was read from disk may take part.
+    /// Acts on the result of the rollback check, if one is in progress.
     pub(super) fn check_rollback(&mut self, now: Micros) {
         let Some(rollback_check) = &self.rollback_check else { return };
         let Some(node) = &self.node else { return };
@@ -112,10 +115,12 @@
         }
     }
 
-    /// Compares replicas by their statuses. What is found must still hold once all have reported again: a status from
-    /// before the others went wrong too must not cost the last replica that is right.
+    /// Compares replicas by their statuses. A verdict is acted on only if it still holds after all live
+    /// voters have reported again: otherwise a status from before the other replicas went wrong too could
+    /// quarantine the last replica that is right.
     pub(super) fn check_divergence(&mut self, now: Micros, fresh_for: Micros) {
-        // Replicas that are gone need no comparing; servers without disks draw a new id at each start.
+        // Removed replicas are forgotten. Servers without disks draw a new replica id at each start, so the
+        // map would grow.
         let members = &self.state.members;
         self.comparison.matches.retain(|id, _| members.contains_key(id));
         let Some(node) = &self.node else { return };
@@ -144,6 +149,7 @@
         }
     }
 
+    /// The peer with this replica, if its last status is recent.
     fn live_peer(&self, now: Micros, fresh_for: Micros, replica_id: u64) -> Option<&Peer> {
         self.peers
             .values()
@@ -163,7 +169,7 @@
     }
 
     fn act_on_divergence(&mut self, verdict: Divergence, all_match: bool) {
-        // Until all are the same again: one that leaves decides nothing for those that stay.
+        // Frozen until all voters match again: a voter that leaves must not turn the others into a majority.
         let frozen = verdict == Divergence::NoMajority || (self.comparison.frozen && !all_match);
         if frozen && !self.comparison.frozen {
             self.emit(Event::Frozen);
--- a/crates/replicated-store/src/replica/config.rs
+++ b/crates/replicated-store/src/replica/config.rs
@@ -7,7 +7,7 @@
 
 use crate::Micros;
 
-/// Shortest and longest election timeout.
+/// Range of election timeouts that can be configured.
 const ELECTION_TIMEOUTS: std::ops::RangeInclusive<Micros> = 100_000..=60_000_000;
 
 /// Configuration of one server's replica.
@@ -15,22 +15,22 @@
 pub struct Config {
     /// This server's name.
     pub me: MemberName,
-    /// This server's zone; voters are spread over zones.
+    /// This server's zone. Voters are spread over zones.
     pub zone: MemberName,
     /// All other members of the fleet.
     pub peers: Vec<MemberName>,
-    /// How many replicas vote: 3 or 5 (1 for a trial).
+    /// Number of voters: 3 or 5 (1 for a trial).
     pub voters: usize,
-    /// A leader that has not been heard from for this long is replaced, in microseconds.
+    /// Silence after which a new leader is elected, in microseconds.
     pub election_timeout: Micros,
-    /// A voter that has not been heard from for this long is replaced, in microseconds.
+    /// Silence after which a voter is replaced, in microseconds.
     pub replace_after: Micros,
-    /// The rate at which this server fetches a snapshot, in bytes per second.
+    /// Maximum rate at which this server fetches a snapshot, in bytes per second.
     pub catch_up_bytes_per_second: u64,
 }
 
 impl Config {
-    /// Three voters, and timeouts for a network with a latency of some milliseconds.
+    /// A configuration with three voters and timeouts for a network with a latency of a few milliseconds.
     pub fn new(me: &str, peers: &[&str]) -> Config {
         Config {
             me: me.into(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// All errors in this configuration; none if it can be used.
+    /// All errors in this configuration; empty if it is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         let servers = self.peers.len() + 1;
@@ -72,12 +72,12 @@
         /// The configured number.
         voters: usize,
     },
-    /// There are fewer servers than voters.
+    /// The fleet has fewer servers than voters.
     #[error("found {voters} voters, expected one for each of {servers}")]
     MoreVotersThanServers {
         /// The configured number of voters.
         voters: usize,
-        /// Servers in the fleet, this one included.
+        /// Number of servers in the fleet, this one included.
         servers: usize,
     },
     /// The election timeout is out of range.
@@ -91,7 +91,7 @@
     ReplaceAfterTooShort,
 }
 
-/// All errors in a [`Config`] with which a replica cannot start.
+/// All errors in a [`Config`] that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct InvalidConfig(pub Vec<ConfigError>);
 
--- a/crates/replicated-store/src/replica/events.rs
+++ b/crates/replicated-store/src/replica/events.rs
@@ -10,18 +10,18 @@
 use crate::voter_selection::MembershipChange;
 use crate::Micros;
 
-/// The role of this server's replica.
+/// The role of a server's replica in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// It has no replica, or the leader has not admitted its replica yet.
+    /// The server has no replica, or the leader has not admitted its replica yet.
     Outside,
-    /// Its replica was read from disk and waits for the rollback check.
+    /// The replica was read from disk and waits for the rollback check.
     Returning,
-    /// It receives the log and does not vote.
+    /// The replica receives the log and does not vote.
     Learner,
-    /// It votes.
+    /// The replica votes.
     Voter,
-    /// It votes and leads.
+    /// The replica votes and is the leader.
     Leader,
 }
 
@@ -37,24 +37,25 @@
     }
 }
 
-/// A change that an operator should be able to read about in the log.
+/// A change that the host reports in the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A new store has started; it has nothing of an earlier one, except after an adoption.
+    /// This server has bootstrapped a new store. It is empty, or after an adoption continues an earlier
+    /// store.
     Bootstrapped {
         /// The new store's id.
         store_id: StoreId,
     },
-    /// This server's role has changed.
+    /// The role of this server's replica has changed.
     RoleChanged {
         /// The role before.
         from: Role,
         /// The role now.
         to: Role,
     },
-    /// Another leader is known, or none.
+    /// The known leader has changed, or no leader is known any more.
     LeaderChanged {
-        /// The leader's name.
+        /// Name of the leader's server; `None` if no leader is known.
         leader: Option<String>,
     },
     /// This leader has proposed a membership change.
@@ -62,31 +63,32 @@
         /// The proposed change.
         change: MembershipChange,
     },
-    /// Peers remember more of this replica than it has.
+    /// This replica was rolled back: another member remembers or counts on progress that it lacks.
     RollbackDetected {
-        /// What they remember.
+        /// The progress that the other member remembers.
         remembered: DurableProgress,
     },
-    /// This replica differs from a majority.
+    /// This replica differs from a majority of the voters.
     LocalDivergence {
         /// Ids of the replicas in the majority.
         majority: Vec<u64>,
     },
-    /// Other replicas differ from this one and a majority.
+    /// Other replicas differ from this one, with which a majority of the voters agrees.
     PeerDivergence {
         /// Ids of the replicas that differ.
         replicas: Vec<u64>,
     },
-    /// Replicas differ and no majority agrees: nothing more is written.
+    /// Replicas differ and no majority agrees: writes are rejected until an operator decides.
     Frozen,
-    /// This replica belongs to a store that another one has replaced.
+    /// This replica belongs to a store that another store has replaced.
     Obsolete {
         /// Id of this replica's store.
         own_store: StoreId,
         /// Id of the store that has a leader.
         led_store: StoreId,
     },
-    /// Another store has a leader besides this one, which goes on: an operator adopted a replica that was only cut off.
+    /// Another store has a leader while this one continues: an operator adopted a replica that was only
+    /// partitioned from the majority.
     CompetingStore {
         /// Id of this replica's store.
         own_store: StoreId,
@@ -95,16 +97,16 @@
     },
     /// The Raft library failed on this replica's log.
     LogFailed {
-        /// The message of its panic.
+        /// Message of the library's panic.
         reason: String,
     },
-    /// A snapshot has been fetched.
+    /// This replica has fetched a complete snapshot.
     CaughtUp {
-        /// Index of the snapshot.
+        /// Index of the last entry that the snapshot includes.
         index: u64,
-        /// Its length.
+        /// Length of the snapshot in bytes.
         bytes: u64,
-        /// How long the transfer took, in microseconds.
+        /// Duration of the transfer in microseconds.
         took: Micros,
     },
 }
@@ -118,16 +120,16 @@
     /// No leader is known.
     #[error("nobody leads the record, as far as this server knows")]
     NoLeader,
-    /// Replicas differ: an operator has to decide.
+    /// Replicas differ and no majority agrees: an operator has to decide.
     #[error("copies of the record differ, nothing is written until an operator decides")]
     Frozen,
-    /// Too many requests wait already.
+    /// Too many requests are waiting.
     #[error("too much waits already")]
     Busy,
-    /// No answer in time; a write may still be applied.
+    /// The request was not answered in time; a write may still be applied.
     #[error("it took too long; a write may still be applied")]
     TimedOut,
-    /// The request is not allowed in the present state.
+    /// The request is not allowed in the current state, for this reason.
     #[error("{0}")]
     NotAllowed(String),
 }
@@ -135,8 +137,9 @@
 /// The result of a linearizable read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The state has everything that was done before the read was requested.
+    /// The state includes every write that was acknowledged before the read was requested.
     Ready,
-    /// No majority has confirmed the read index in time.
+    /// The read failed: with [`RequestError::TimedOut`] if no read index was confirmed in time, or if the
+    /// state did not reach it.
     Failed(RequestError),
 }
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -1,4 +1,5 @@
-//! Which replicas belong to the store: how this server joins, and what it decides while it leads.
+//! Membership of the store: how this server joins, bootstraps or adopts a store, and which membership changes
+//! it makes while it leads.
 
 use std::collections::BTreeMap;
 
@@ -16,12 +17,12 @@
 use crate::voter_selection::{self, Candidate, MembershipChange, VoterPolicy};
 use crate::Micros;
 
-/// Reachable members that a status names at most.
+/// Upper bound of the reachable members in a status message.
 const MAX_REPORTED_REACHABLE: usize = 64;
-/// Election timeouts without a leader after which none is expected any more.
+/// Number of election timeouts without a leader after which no election is expected to succeed.
 const LEADERLESS_ELECTIONS: Micros = 5;
 
-/// A replica that asks to be admitted.
+/// A request of a replica to be admitted to the store.
 pub(super) struct JoinRequest {
     pub(super) replica_id: u64,
     pub(super) zone: String,
@@ -29,13 +30,14 @@
 }
 
 impl Replica {
-    /// Time between two statuses to each peer. As with heartbeats of the membership, each member sends fewer where there
-    /// are many.
+    /// Time between two status messages to each peer. As with the membership's heartbeats, the interval grows
+    /// with the number of members.
     pub(super) fn status_interval(&self) -> Micros {
         (self.config.election_timeout / 4).max(10_000 * self.config.peers.len() as Micros)
     }
 
-    /// At each status interval: does what is due, and sends a status to all peers.
+    /// Runs at each status interval: joins or bootstraps a store, looks for competing stores and divergence,
+    /// changes the membership if this server leads, and sends a status to all peers.
     pub(super) fn run_periodic_checks(&mut self, now: Micros) {
         let fresh_for = 4 * self.status_interval();
         self.join_requests.retain(|_, request| now < request.received_at + fresh_for);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// A new replica of this server, with an id that is drawn for it.
+    /// The identity of a new replica of this server.
     fn new_identity(&self, store_id: StoreId, replica_id: u64) -> ReplicaIdentity {
         ReplicaIdentity { store_id, replica_id, server: self.config.me.to_string(), starts: 1 }
     }
@@ -93,14 +95,16 @@
     }
 
     fn draw_id(&mut self) -> u64 {
-        // 0 stands for none.
+        // Id 0 stands for no replica or store.
         self.random.next_u64().max(1)
     }
 
-    /// Without a replica: joins the store that others have, or bootstraps one if no member of the whole fleet has one.
+    /// Runs while this server has no replica: joins the store of other members, or bootstraps one if no
+    /// member of the complete fleet has one.
     fn join_or_bootstrap(&mut self, now: Micros, fresh_for: Micros) {
         let is_live = |peer: &Peer| now < peer.heard_at + fresh_for;
-        // Two stores have leaders only where an operator adopted twice: the one that more servers have is joined.
+        // Members have more than one store only after adoptions by an operator: the one on more servers is
+        // joined.
         let mut servers_by_store: BTreeMap<StoreId, usize> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| is_live(peer) && !peer.status.store_id.is_none()) {
             *servers_by_store.entry(peer.status.store_id).or_default() += 1;
@@ -109,7 +113,7 @@
             return self.join(store_id);
         }
         let is_complete = self.config.peers.iter().all(|name| self.peers.get(name).is_some_and(is_live));
-        // All are there and none has a store: the first by name bootstraps it, so that no two do.
+        // All members are live and none has a store: the first by name bootstraps it, so that only one does.
         let is_first = self.config.peers.iter().all(|name| self.config.me < *name);
         if is_complete && is_first {
             self.bootstrap();
@@ -134,7 +138,7 @@
         self.emit(Event::Bootstrapped { store_id });
     }
 
-    /// A replica that is not a member yet asks the leader to be admitted.
+    /// Asks the leader to admit this replica, unless it is a member already.
     fn request_admission(&mut self, now: Micros, fresh_for: Micros) {
         if self.state.members.contains_key(&self.identity.replica_id) {
             return;
@@ -152,7 +156,8 @@
         }
     }
 
-    /// Looks for another store that has a leader: it has replaced ours, or competes with it.
+    /// Looks for another store that has a leader, and decides whether it has replaced this one or competes
+    /// with it.
     fn check_competing_stores(&mut self, now: Micros, fresh_for: Micros) {
         let own_store = self.identity.store_id;
         let is_led = |peer: &&Peer| {
@@ -170,9 +175,9 @@
             return;
         };
         let led_store = peer.status.store_id;
-        // Ours has had no leader for long, or is frozen and an operator has adopted that one: ours is obsolete. One that
-        // has a leader and goes on yields to nobody: an operator who adopted a replica that was only cut off must not undo
-        // what a majority has committed.
+        // Our store is obsolete if it has had no leader for long, or if it is frozen and an operator has
+        // adopted the other one. A store that has a leader and is not frozen stays: an operator who adopted a
+        // replica that was only partitioned must not undo what a majority has committed.
         if is_leaderless || has_adopted(peer) {
             self.emit(Event::Obsolete { own_store, led_store });
             self.quarantine(format!("another record ({led_store:016x}) is led, this one is not"));
@@ -182,8 +187,9 @@
         }
     }
 
-    /// An operator adopts this replica: a new store starts from its state. For the day on which no majority of the old one
-    /// will ever come back, or all its replicas differ. `at_ms` is Unix time in milliseconds, for the history.
+    /// Adopts this replica on an operator's request: a new store starts from its state. This is for a store
+    /// whose majority is lost for good, or whose replicas all differ. `at_ms` is Unix time in milliseconds,
+    /// for the history.
     pub fn adopt(&mut self, now: Micros, at_ms: u64) -> Result<StoreId, RequestError> {
         if self.node.is_none() || self.state.store_id.is_none() {
             return Err(RequestError::Outside);
@@ -207,7 +213,7 @@
         Ok(store_id)
     }
 
-    /// Refuses an adoption while the store goes on or may still elect a leader.
+    /// Rejects an adoption while the store has a leader or may still elect one, unless it is frozen.
     fn check_adoption(&self, now: Micros) -> Result<(), RequestError> {
         let refusal = |reason: &str| Err(RequestError::NotAllowed(reason.to_owned()));
         if self.comparison.frozen {
@@ -230,7 +236,7 @@
         }
     }
 
-    /// All replicas as this leader sees them; none without a replica.
+    /// All replicas of the store as this leader sees them; empty if this server has no replica.
     pub(super) fn candidates(&self, now: Micros) -> Vec<Candidate> {
         self.state.members.iter().filter_map(|(id, member)| self.candidate(now, *id, member)).collect()
     }
@@ -258,7 +264,8 @@
         })
     }
 
-    /// The leader proposes the membership change that is due, if there is one and none is under way.
+    /// Proposes the membership change that is due, if any, unless another one is in progress. Called on the
+    /// leader.
     fn adjust_membership(&mut self, now: Micros) {
         let Some(node) = &self.node else { return };
         if node.raft.has_pending_conf() || !node.store().conf_state().voters_outgoing.is_empty() {
@@ -289,14 +296,16 @@
         }
     }
 
-    /// The member that a change adds: it goes with the change, so that all replicas know its name and zone.
+    /// The member that a change adds. It is part of the proposal, so that all replicas learn its name and
+    /// zone.
     fn member_to_add(&self, change: &MembershipChange) -> Option<Member> {
         let MembershipChange::AddLearner { replica_id, .. } = change else { return None };
         let request = self.join_requests.iter().find(|(_, request)| request.replica_id == *replica_id);
         request.map(|(name, request)| Member { name: name.clone(), zone: request.zone.clone() })
     }
 
-    /// An operator wants a member to vote, or not to. Only the leader can do that; others pass it on.
+    /// Makes a member a voter or a learner on an operator's request. Only the leader can do that; other
+    /// members forward the request to it without waiting for the result.
     pub fn set_voter(&mut self, now: Micros, name: &str, is_voter: bool) -> Result<(), RequestError> {
         if self.role != Role::Leader {
             let leader = self.leader.name.as_deref().ok_or(RequestError::NoLeader)?;
@@ -316,7 +325,7 @@
     }
 }
 
-/// A change as steps of the Raft library, in order.
+/// The steps of a membership change for the Raft library, in order.
 fn conf_change_steps(change: &MembershipChange) -> Vec<(ConfChangeType, u64)> {
     use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
     match change {
--- a/crates/replicated-store/src/replica/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -1,6 +1,7 @@
 //! One server's replica of the store.
 //!
-//! [`Replica`] has no socket, file or clock: it is given messages and the time, and gives [`Action`]s and [`Event`]s.
+//! [`Replica`] uses no socket, file or clock: it receives messages and the time, and returns [`Action`]s and
+//! [`Event`]s.
 
 mod actions;
 mod comparison;
@@ -40,19 +41,22 @@
 use crate::state::{Outcome, State};
 use crate::Micros;
 
-/// Raft ticks in one election timeout, and between two heartbeats of a leader.
+/// Raft ticks in one election timeout.
 const ELECTION_TICKS: usize = 10;
+/// Raft ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks done at once after a stall: more would be elections that nobody could have prevented.
+/// Upper bound of the Raft ticks in one call of [`Replica::handle_timeout`]. After a stall the other missed
+/// ticks are skipped: they would start an election before a message of the leader could prevent it.
 const MAX_TICKS_PER_TIMEOUT: usize = 2;
-/// A replica that lacks no more than so many entries has caught up.
+/// A replica that lacks at most this number of entries has caught up.
 const CAUGHT_UP_LAG: u64 = 64;
-/// Bytes of entries in one message: with its frame it stays under what the fleet's streams carry.
+/// Upper bound of the bytes of entries in one Raft message: with its frame the message stays below the limit
+/// of the fleet's streams.
 const MAX_MESSAGE_BYTES: u64 = 16 << 10;
-/// Reads that may wait.
+/// Upper bound of the reads that wait at the same time.
 const MAX_PENDING_READS: usize = 1_024;
 
-/// What is known of another member.
+/// What this server knows about another member.
 struct Peer {
     boot_id: u64,
     /// When its last status was received.
@@ -60,10 +64,11 @@
     status: StatusMessage,
 }
 
-/// The leader, as far as this server knows.
+/// The leader as far as this server knows.
 struct KnownLeader {
+    /// Name of the leader's server; `None` if no leader is known.
     name: Option<String>,
-    /// When it was last heard from.
+    /// When a leader was last heard from.
     heard_at: Micros,
 }
 
@@ -72,36 +77,40 @@
     config: Config,
     random: ChaCha8Rng,
     identity: ReplicaIdentity,
-    /// The Raft library's part; `None` without a replica.
+    /// The Raft library's node; `None` if this server has no replica.
     node: Option<RawNode<Log>>,
     state: State,
-    /// Runs from a start with a stored replica until peers have said what they remember of it.
+    /// Set from the start with a stored replica until enough peers have reported what they remember of it.
     rollback_check: Option<RollbackCheck>,
+    /// Durable progress that this server remembers of its peers' replicas.
     peer_progress: PeerProgress,
     peers: BTreeMap<MemberName, Peer>,
-    /// Members that this server reaches now.
+    /// Members that this server reaches directly now.
     reachable: BTreeSet<MemberName>,
+    /// Load of this server in percent.
     load_percent: u8,
     snapshots: Snapshots,
     persistence: Persistence,
-    /// Replicas that ask the leader to be admitted, by their servers' names.
+    /// Requests to be admitted to the store, by the name of the sending server.
     join_requests: BTreeMap<String, JoinRequest>,
     reads: Reads,
     comparison: Comparison,
-    /// The other store that was last reported.
+    /// The other store that was reported last in [`Event::CompetingStore`]; [`StoreId::NONE`] if there is
+    /// none now.
     competing_store: StoreId,
     role: Role,
     leader: KnownLeader,
-    /// When this server began to lead.
+    /// When this server last became leader.
     leads_since: Micros,
-    /// When a leader was last known.
+    /// When this server last knew a leader.
     leaderless_since: Micros,
     next_tick_at: Micros,
     next_status_at: Micros,
-    /// The Raft library's election timeout in ticks, drawn here.
+    /// The Raft library's current election timeout in ticks, drawn from `random`.
     election_ticks: usize,
-    /// This replica must not be used any more.
+    /// Whether this replica must no longer be used.
     quarantined: bool,
+    /// Outcomes of entries that this process has applied, the latest last.
     outcomes: VecDeque<(EntryId, Outcome)>,
     actions: VecDeque<Action>,
     events: VecDeque<Event>,
@@ -117,7 +126,8 @@
 }
 
 impl Replica {
-    /// Starts a server's replica from what its store holds. `seed` draws ids and election timeouts.
+    /// Starts a server's replica, from the stored one if there is one. `seed` determines the ids and election
+    /// timeouts that it draws.
     pub fn new(
         now: Micros,
         config: Config,
@@ -169,7 +179,7 @@
         }
     }
 
-    /// Goes on with a stored replica, once peers have said what they remember of it.
+    /// Loads a stored replica. It takes part in Raft only after the rollback check.
     fn resume(&mut self, now: Micros, mut stored: StoredReplica) {
         if stored.identity.server != *self.config.me {
             let reason = format!("the copy belongs to {:?}", stored.identity.server);
@@ -194,7 +204,7 @@
         self.process_ready(now);
     }
 
-    /// Sets the members that this server reaches now, and its load in percent.
+    /// Sets the members that this server reaches directly now, and its load in percent.
     pub fn set_reachable(&mut self, reachable: impl IntoIterator<Item = MemberName>, load_percent: u8) {
         self.reachable = reachable.into_iter().collect();
         self.load_percent = load_percent;
@@ -206,7 +216,8 @@
         self.config.peers = peers;
     }
 
-    /// Handles a message from a member's process, which `boot_id` tells from earlier ones.
+    /// Handles a message from a member. `boot_id` identifies the sending process; later processes have higher
+    /// ones.
     pub fn handle_message(&mut self, now: Micros, from: &MemberName, boot_id: u64, bytes: &[u8]) {
         if self.quarantined {
             return;
@@ -217,10 +228,11 @@
                 let bytes = message::encode(&relayed);
                 push_bounded(&mut self.actions, Action::Send { to, bytes, priority: Priority::Entry });
             }
-            // This server does not reach it either: lost, as on a network.
+            // This server does not reach the receiver either. The message is lost, as it could be on the
+            // network.
             Some(PeerMessage::Relay { .. }) => {}
             Some(PeerMessage::Relayed { from: origin, boot_id, message }) => {
-                // One hop and no more.
+                // A message is relayed once only.
                 match message::decode(&message) {
                     Some(PeerMessage::Relay { .. } | PeerMessage::Relayed { .. }) | None => {}
                     Some(message) => self.dispatch_message(now, &origin, boot_id, message),
@@ -249,7 +261,8 @@
                 self.join_requests.insert(from.to_string(), request);
             }
             PeerMessage::SetVoter { member, is_voter } => {
-                // Whoever relayed it has answered its operator already; nobody waits for a refusal.
+                // The server that forwarded the request has already answered its operator, so no one receives
+                // an error.
                 let _ = self.set_voter(now, &member, is_voter);
             }
             PeerMessage::ChunkRequest { digest, index } => self.handle_chunk_request(from, digest, index),
@@ -258,7 +271,8 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs everything that is due at `now`: the rollback check, Raft ticks, status messages and snapshot
+    /// transfers.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.quarantined {
             return;
@@ -273,6 +287,7 @@
         self.process_ready(now);
     }
 
+    /// Runs the Raft ticks that are due, up to [`MAX_TICKS_PER_TIMEOUT`].
     fn tick(&mut self, now: Micros) {
         let interval = self.config.election_timeout / ELECTION_TICKS as Micros;
         let mut ticks = 0;
@@ -288,7 +303,7 @@
         }
     }
 
-    /// When [`Replica::handle_timeout`] is due next.
+    /// Time at which [`Replica::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Micros {
         if self.quarantined {
             return Micros::MAX;
@@ -296,7 +311,8 @@
         self.next_tick_at.min(self.next_status_at)
     }
 
-    /// This server stops: if it leads, it hands the leadership over.
+    /// Prepares for the stop of this server: if it leads, it transfers the leadership to a voter that has
+    /// caught up.
     pub fn leave(&mut self, now: Micros) {
         if self.role != Role::Leader {
             return;
@@ -313,12 +329,12 @@
         }
     }
 
-    /// Actions for the host since the last call, in order.
+    /// The actions for the host since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.actions.drain(..).collect()
     }
 
-    /// Events since the last call, in order.
+    /// The events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.events.drain(..).collect()
     }
@@ -327,12 +343,12 @@
         push_bounded(&mut self.events, event);
     }
 
-    /// Whether a replica votes, by the configuration that is applied here.
+    /// Whether a replica votes, according to the configuration applied at this replica.
     fn is_voter(&self, replica_id: u64) -> bool {
         self.node.as_ref().is_some_and(|node| node.store().conf_state().voters.contains(&replica_id))
     }
 
-    /// Sends a message: directly, or through one other member that reaches the receiver.
+    /// Sends a message directly, or through a member that reaches the receiver if this server does not.
     fn send(&mut self, to: &MemberName, message: &PeerMessage, priority: Priority) {
         let bytes = message::encode(message);
         let is_relay =
@@ -348,7 +364,7 @@
         push_bounded(&mut self.actions, action);
     }
 
-    /// Works out the role and the leader, and reports changes.
+    /// Updates the role and the leader, and emits events for changes.
     fn update_role(&mut self, now: Micros) {
         let (role, leader) = self.current_role(now);
         if role != self.role {
@@ -370,6 +386,7 @@
         }
     }
 
+    /// The role of this replica, and the name of the leader if one is known.
     fn current_role(&self, now: Micros) -> (Role, Option<String>) {
         let Some(node) = &self.node else { return (Role::Outside, None) };
         if self.rollback_check.is_some() {
@@ -384,7 +401,8 @@
         } else {
             Role::Outside
         };
-        // The Raft library lets a learner believe in its leader for ever.
+        // In the Raft library a learner keeps its leader forever, so a leader counts only while it is heard
+        // from.
         let is_alive = role == Role::Leader || now < self.leader.heard_at + 2 * self.config.election_timeout;
         let leader = self.state.members.get(&node.raft.leader_id).filter(|_| is_alive);
         (role, leader.map(|member| member.name.clone()))
--- a/crates/replicated-store/src/replica/raft_driver.rs
+++ b/crates/replicated-store/src/replica/raft_driver.rs
@@ -1,4 +1,5 @@
-//! Drives the Raft library: messages in and out, entries to apply, and what has to be durable in between.
+//! Drives the Raft library: passes messages in and out, applies committed entries, and holds back messages
+//! until the rows that they depend on are durable.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -18,32 +19,34 @@
 use crate::state::Member;
 use crate::Micros;
 
-/// Rounds of [`Replica::process_ready`] in one call.
+/// Upper bound of the `Ready`s that one call of [`Replica::process_ready`] handles.
 const MAX_READY_ROUNDS: usize = 1_000;
 
-/// A step of the Raft library that waits for its rows to be durable.
+/// A `Ready` of the Raft library that waits until its rows are durable.
 struct PendingStep {
     ready_number: u64,
-    /// The batch that has to be durable before.
+    /// Number of the batch that must be durable first.
     required_batch: u64,
-    /// Messages that must not be sent earlier.
+    /// Messages that must not be sent before that.
     messages: Vec<Message>,
-    /// The end of the log after this step.
+    /// End of the log after this step.
     position: LogPosition,
 }
 
-/// What was given to the host to make durable, and how far it has.
+/// Progress of the write batches that the host makes durable.
 #[derive(Default)]
 pub(super) struct Persistence {
+    /// Number of the last batch that was given to the host.
     last_batch: u64,
+    /// Number of the last batch that is durable.
     durable_batch: u64,
     pending_steps: VecDeque<PendingStep>,
-    /// The durable end of the log.
+    /// Durable end of the log.
     pub(super) durable: LogPosition,
 }
 
 impl Persistence {
-    /// Forgets the steps that wait; their log is not used any more.
+    /// Discards the waiting steps, whose log is no longer used.
     pub(super) fn clear(&mut self) {
         self.pending_steps.clear();
     }
@@ -55,7 +58,7 @@
 }
 
 impl Replica {
-    /// Gives the log to the Raft library.
+    /// Starts the Raft library with this log.
     pub(super) fn start_raft(&mut self, log: Log) {
         let config = raft::Config {
             id: self.identity.replica_id,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Ends this replica; the host starts anew without it.
+    /// Stops using this replica and asks the host to start again without it.
     pub(super) fn quarantine(&mut self, reason: String) {
         self.node = None;
         self.quarantined = true;
@@ -86,18 +89,21 @@
         push_bounded(&mut self.actions, Action::Quarantine { reason });
     }
 
+    /// Gives a write batch to the host to make durable.
     pub(super) fn persist(&mut self, batch: WriteBatch) {
         self.persistence.last_batch += 1;
         let number = self.persistence.last_batch;
         push_bounded(&mut self.actions, Action::Persist { number, batch });
     }
 
-    /// Calls the Raft library. A panic in it ends this replica, not the server.
+    /// Calls the Raft library, if this server has a replica. A panic in the library quarantines the replica
+    /// and does not stop the server.
     pub(super) fn with_raft<T>(&mut self, act: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
         let node = self.node.as_mut()?;
         match catch_panic(|| act(node)) {
             Ok(result) => {
-                // The library draws its election timeouts from the system; drawn here, a run can be repeated.
+                // The library draws its election timeouts from the system's random numbers. They are replaced
+                // by ones drawn from the seed, so that a test run can be reproduced.
                 if node.raft.randomized_election_timeout() != self.election_ticks {
                     self.election_ticks = self.random.random_range(ELECTION_TICKS..2 * ELECTION_TICKS);
                     node.raft.set_randomized_election_timeout(self.election_ticks);
@@ -120,8 +126,8 @@
         let Some(node) = &self.node else { return };
         let last_index = node.store().last_entry_index();
         let kind = message.get_msg_type();
-        // A leader sends a commit index only to a replica that has acknowledged that entry: one that lacks it was rolled
-        // back. The library would panic over it.
+        // A leader's heartbeat has a commit index only up to what the replica has acknowledged, so a replica
+        // that lacks that entry was rolled back. The library would panic on the heartbeat.
         if kind == MessageType::MsgHeartbeat && message.commit > last_index {
             return self.handle_rollback(&message, last_index);
         }
@@ -132,7 +138,7 @@
             return self.handle_snapshot_offer(now, message);
         }
         if self.snapshots.request_pending && kind == MessageType::MsgAppend {
-            // It would not fit, as the one before did not.
+            // The entries would not fit on the disk either.
             return;
         }
         self.step(message);
@@ -143,7 +149,8 @@
         }
     }
 
-    /// Passes a message to the library. One that it refuses is as good as lost, and Raft repeats what it needs.
+    /// Passes a message to the library. Errors are ignored: a rejected message is the same as a lost one, and
+    /// Raft retransmits what it needs.
     pub(super) fn step(&mut self, message: Message) {
         self.with_raft(|node| drop(node.step(message)));
     }
@@ -176,7 +183,7 @@
         }
     }
 
-    /// The server of a replica: by the state, or by what peers say of themselves.
+    /// The server of a replica, from the state's members or else from the statuses of peers.
     fn server_of(&self, replica_id: u64) -> Option<MemberName> {
         if let Some(member) = self.state.members.get(&replica_id) {
             return Some(MemberName::from(member.name.as_str()));
@@ -185,13 +192,14 @@
         peer.map(|(name, _)| name.clone())
     }
 
-    /// The host has made all batches up to this number durable.
+    /// Tells the replica that all batches up to this number are durable.
     pub fn persisted(&mut self, now: Micros, number: u64) {
         self.persistence.durable_batch = self.persistence.durable_batch.max(number);
         self.complete_durable_steps();
         self.process_ready(now);
     }
 
+    /// Reports the steps whose rows are durable to the library and sends their messages.
     fn complete_durable_steps(&mut self) {
         while let Some(step) = self.persistence.next_durable_step() {
             self.persistence.durable = step.position;
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Handles all that the library has ready, and what follows from it.
+    /// Handles every `Ready` of the library, then compacts the log, finishes reads and updates the role.
     pub(super) fn process_ready(&mut self, now: Micros) {
         for _ in 0..MAX_READY_ROUNDS {
             if self.quarantined || self.rollback_check.is_some() {
@@ -217,7 +225,8 @@
         self.update_role(now);
     }
 
-    /// Handles one `Ready` of the library; `false` if this replica has ended by it.
+    /// Handles one `Ready` of the library; `false` if its snapshot could not be installed and the replica is
+    /// quarantined.
     fn handle_ready(&mut self, mut ready: Ready) -> bool {
         let messages = ready.take_messages();
         let mut batch = WriteBatch::new();
@@ -231,7 +240,8 @@
         let must_sync = ready.must_sync() || !entries.is_empty();
         let appended = self.with_raft(|node| node.mut_store().append(entries, hard_state.as_ref()));
         if must_sync {
-            // A commit index alone is learned again from the others.
+            // A change of the commit index alone is not made durable: after a restart it is learned from the
+            // other members.
             batch = batch.then(appended.unwrap_or_default());
         }
         let committed = ready.take_committed_entries();
@@ -273,13 +283,13 @@
         }
         self.with_raft(|node| node.advance_apply_to(last_index));
         if membership_changed {
-            // The voters must be known before the next election even if nobody says who they are: a snapshot has them. And
-            // one from before a member was admitted is of no use to that member.
+            // After a restart the voters must be known without help from other members, and the snapshot has
+            // them. Also, a snapshot from before a member was admitted is of no use to that member.
             self.make_snapshot();
         }
     }
 
-    /// Applies a change of members; whether the library has accepted it.
+    /// Applies a membership change. Returns whether the library has accepted it.
     fn apply_membership_change(&mut self, entry: &Entry) -> bool {
         let change = ConfChangeV2::parse_from_bytes(&entry.data).unwrap_or_default();
         let new_member: Option<Member> = postcard::from_bytes(&change.context).ok().flatten();
@@ -301,7 +311,7 @@
     }
 }
 
-/// All replicas of a configuration.
+/// Ids of all replicas in a Raft configuration.
 fn replica_ids(conf_state: &ConfState) -> BTreeSet<u64> {
     let groups =
         [&conf_state.voters, &conf_state.learners, &conf_state.learners_next, &conf_state.voters_outgoing];
--- a/crates/replicated-store/src/replica/requests.rs
+++ b/crates/replicated-store/src/replica/requests.rs
@@ -1,4 +1,4 @@
-//! Proposals, and linearizable reads of the state by Raft's ReadIndex (Raft thesis, 6.4).
+//! Proposals of entries, and linearizable reads of the state by Raft's ReadIndex (Raft thesis, 6.4).
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::state::Outcome;
 use crate::Micros;
 
-/// A read that waits for its read index, or for the state to reach it.
+/// A read that waits for its read index, or until the state has reached that index.
 struct PendingRead {
     requested_at: Micros,
     last_attempt_at: Micros,
@@ -15,13 +15,14 @@
     read_index: Option<u64>,
 }
 
-/// All reads of this process.
+/// The linearizable reads of this process.
 #[derive(Default)]
 pub(super) struct Reads {
+    /// Waiting reads by ticket.
     pending: BTreeMap<u64, PendingRead>,
     finished: Vec<(u64, ReadOutcome)>,
     last_ticket: u64,
-    /// Drawn by this process: it tells its ReadIndex contexts from those of an earlier process.
+    /// Drawn by this process, to distinguish its ReadIndex contexts from those of an earlier process.
     nonce: u64,
 }
 
@@ -34,7 +35,7 @@
         self.pending.len()
     }
 
-    /// The leader has answered a request with this context.
+    /// Stores the read index that the leader has confirmed for the request with this context.
     pub(super) fn handle_read_index(&mut self, context: &[u8], index: u64) {
         let Ok((nonce, ticket, _attempt)) = postcard::from_bytes::<(u64, u64, u32)>(context) else { return };
         if nonce != self.nonce {
@@ -47,7 +48,8 @@
 }
 
 impl Replica {
-    /// Proposes an entry; [`Replica::outcome`] says later what became of it. `at_ms` is Unix time in milliseconds.
+    /// Proposes an entry. Once it has been applied here, [`Replica::outcome`] returns its outcome. `at_ms` is
+    /// Unix time in milliseconds.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -73,14 +75,14 @@
         result
     }
 
-    /// What became of an entry, if it has been applied here.
+    /// The outcome of an entry, if it was applied here recently.
     pub fn outcome(&self, id: EntryId) -> Option<Outcome> {
         let recent = self.outcomes.iter().rev().find(|(applied, _)| *applied == id);
         recent.map(|(_, outcome)| outcome).or_else(|| self.state.outcome(id)).cloned()
     }
 
-    /// Requests a linearizable read and returns its ticket. Once [`Replica::take_finished_reads`] says that it is ready,
-    /// the state holds all that was done before now.
+    /// Requests a linearizable read and returns its ticket. Once [`Replica::take_finished_reads`] returns the
+    /// ticket as ready, the state includes every write that was acknowledged before this call.
     pub fn request_read(&mut self, now: Micros) -> Result<u64, RequestError> {
         if self.node.is_none() || self.rollback_check.is_some() {
             return Err(RequestError::Outside);
@@ -97,19 +99,20 @@
         Ok(ticket)
     }
 
-    /// Asks the leader for its read index. The context is unique to this process, read and attempt: the Raft library
-    /// keeps requests by context, and an answer to one of an earlier process is an old index.
+    /// Requests the read index from the leader. The context is unique to the process, read and attempt: the
+    /// Raft library identifies requests by their context, and an answer to a request of an earlier process
+    /// has an old index.
     fn request_read_index(&mut self, ticket: u64, attempt: u32) {
         let context = postcard::to_allocvec(&(self.reads.nonce, ticket, attempt)).unwrap_or_default();
         self.with_raft(|node| node.read_index(context));
     }
 
-    /// Reads that have ended since the last call, by their tickets.
+    /// The reads that have finished since the last call, by ticket.
     pub fn take_finished_reads(&mut self) -> Vec<(u64, ReadOutcome)> {
         std::mem::take(&mut self.reads.finished)
     }
 
-    /// Ends the reads that are ready or have timed out, and retries those without a read index.
+    /// Finishes the reads that are ready or have timed out, and retries those that still have no read index.
     pub(super) fn finish_reads(&mut self, now: Micros) {
         let retry_interval = self.config.election_timeout / 2;
         let timeout = 4 * self.config.election_timeout;
--- a/crates/replicated-store/src/replica/snapshots.rs
+++ b/crates/replicated-store/src/replica/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of this replica: fetched from others, installed, and made.
+//! Snapshots: fetching them from other members, installing them, and making them of this replica's state.
 
 use std::rc::Rc;
 
@@ -14,23 +14,24 @@
 use crate::transfer::{chunk, SnapshotChunk, SnapshotTransfer};
 use crate::Micros;
 
-/// Entries applied since the last snapshot after which a new one is made, and bytes of them.
+/// Number of entries applied since the last snapshot after which a new one is made.
 const COMPACT_AFTER_ENTRIES: u64 = 4_096;
+/// Bytes of entries since the last snapshot after which a new one is made.
 const COMPACT_AFTER_BYTES: u64 = 8 << 20;
 
-/// Snapshots on their way to this replica.
+/// The snapshot transfer to this replica and what surrounds it.
 pub(super) struct Snapshots {
-    /// The transfer under way, with the leader's offer that it answers.
+    /// The transfer in progress, with the leader's message that offered the snapshot.
     pub(super) transfer: Option<(SnapshotTransfer, Message)>,
-    /// Chunks that a process before this one has stored.
+    /// Chunks that an earlier process has stored.
     pub(super) resumable_chunks: Vec<SnapshotChunk>,
-    /// Bytes of a complete transfer, until the library wants them installed.
+    /// Bytes of a completely fetched snapshot, until the library has it installed.
     fetched: Option<Rc<Vec<u8>>>,
-    /// A snapshot is to be requested from the leader in place of entries.
+    /// Whether a snapshot must be requested from the leader in place of entries.
     pub(super) request_pending: bool,
-    /// Whether chunks are made durable as they come.
+    /// Whether chunks are made durable as they arrive.
     stores_chunks: bool,
-    /// Snapshots of earlier entries than this one are not fetched.
+    /// Snapshots that end before this index are not fetched.
     min_index: u64,
     /// Index of the last snapshot that was installed; 0 is none.
     installed_index: u64,
@@ -51,8 +52,9 @@
 }
 
 impl Replica {
-    /// What was received has found no room on the disk: a snapshot of a later entry than this one is requested instead,
-    /// which may be smaller. Its chunks are not stored then: they would not fit beside what is there.
+    /// Handles that received data did not fit on the disk: requests a snapshot that ends after the entry at
+    /// `index`, which may be smaller. Its chunks are not stored as they arrive, since they would not fit
+    /// beside the stored data.
     pub fn request_snapshot_after(&mut self, index: u64) {
         self.snapshots.request_pending = true;
         self.snapshots.stores_chunks = false;
@@ -64,14 +66,16 @@
         self.snapshots.installed_index
     }
 
-    /// A leader offers a snapshot: its chunks are fetched before the library sees the offer.
+    /// Handles a leader's offer of a snapshot. The library gets the offer only once all chunks have been
+    /// fetched.
     pub(super) fn handle_snapshot_offer(&mut self, now: Micros, message: Message) {
         let Ok(manifest) = postcard::from_bytes::<Manifest>(&message.get_snapshot().data) else { return };
         let Some(node) = &self.node else { return };
         let index = message.get_snapshot().get_metadata().index;
         let committed = node.raft.raft_log.committed;
         if index < self.snapshots.min_index {
-            // The one that had no room, once more; the leader sees that we wait for nothing.
+            // The snapshot that did not fit on the disk is offered again. Our status keeps reporting no
+            // transfer, which makes the leader offer another one.
             return;
         }
         if index <= committed {
@@ -90,7 +94,7 @@
         self.continue_transfer(now);
     }
 
-    /// A peer asks for a chunk of a snapshot that this replica has or had.
+    /// Answers a peer's request for a chunk of the latest snapshot or a previous one.
     pub(super) fn handle_chunk_request(&mut self, from: &MemberName, digest: Digest, index: u32) {
         let Some(node) = &self.node else { return };
         let Some(snapshot) = node.store().snapshot_with_digest(&digest) else { return };
@@ -99,20 +103,20 @@
         self.send(from, &reply, Priority::Snapshot);
     }
 
-    /// A chunk has come.
+    /// Handles a received chunk.
     pub(super) fn handle_chunk(&mut self, now: Micros, chunk: &SnapshotChunk) {
         let Some((transfer, _)) = &mut self.snapshots.transfer else { return };
         if !transfer.handle_chunk(chunk.clone()) {
             return;
         }
-        // Durable, so that a process that is killed in the middle does not start from nothing.
+        // Chunks are made durable so that the transfer resumes after the process is killed.
         if self.snapshots.stores_chunks {
             self.persist(chunk_batch(chunk));
         }
         self.continue_transfer(now);
     }
 
-    /// Requests the next chunks, or hands a complete snapshot to the library.
+    /// Requests the next chunks, or passes the offer of a completely fetched snapshot to the library.
     pub(super) fn continue_transfer(&mut self, now: Micros) {
         let Some((transfer, offer)) = &mut self.snapshots.transfer else { return };
         if let Some(bytes) = transfer.take_snapshot() {
@@ -126,7 +130,8 @@
             return;
         }
         if transfer.is_stalled(now) {
-            // Nobody has this one any more: without it the leader sees that we wait for nothing, and offers another.
+            // No member has this snapshot any more. Once our status reports no transfer, the leader offers
+            // another one.
             self.snapshots.transfer = None;
             return;
         }
@@ -138,7 +143,8 @@
         }
     }
 
-    /// Replaces state and log by the fetched snapshot; `None` if this replica has ended because it cannot be read.
+    /// Replaces state and log by the fetched snapshot. `None` if the snapshot cannot be decoded; the replica
+    /// is then quarantined.
     pub(super) fn install_snapshot(&mut self, metadata: SnapshotMetadata) -> Option<WriteBatch> {
         let fetched = self.snapshots.fetched.take();
         let state = fetched.as_ref().and_then(|bytes| State::from_bytes(bytes));
@@ -163,7 +169,7 @@
         }
     }
 
-    /// Makes a snapshot if the log has grown long, or if a member waits for a newer one.
+    /// Makes a snapshot if the log has become long, or if a member is waiting for a newer one.
     pub(super) fn compact_if_due(&mut self) {
         let Some(node) = &self.node else { return };
         let log = node.store();
@@ -175,7 +181,7 @@
     }
 }
 
-/// Members that have this snapshot: the least loaded first, and the leader that offers it after those.
+/// The members that have this snapshot, the least loaded first and the leader last.
 fn snapshot_sources<'a>(
     peers: impl Iterator<Item = (&'a MemberName, &'a Peer)>,
     manifest: Manifest,
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! Status reports for operators, exports and invariants.
+//! Status reports for operators, exports, and checks of invariants.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -11,20 +11,20 @@
 use crate::state::{Member, State};
 use crate::Micros;
 
-/// How this server's replica stands, for people. The serialized names are those of `--json`.
+/// Status of this server's replica for operators. The serialized names are those that `--json` prints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// The store's id; 0 is none.
+    /// Id of the store; 0 is none.
     #[serde(rename = "record")]
     pub store_id: StoreId,
-    /// This replica's id; 0 is none.
+    /// Id of this replica; 0 is none.
     #[serde(rename = "copy")]
     pub replica_id: u64,
-    /// Its role.
+    /// Role of this replica.
     pub role: Role,
     /// The current term.
     pub term: u64,
-    /// The leader, if one is known.
+    /// Name of the leader's server, if one is known.
     pub leader: Option<String>,
     /// Index of the last applied entry.
     pub applied: u64,
@@ -33,47 +33,48 @@
     /// Index of the last entry in the log.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// How long ago a leader was heard from, in milliseconds: a local read is as old as that.
+    /// Time since the leader was last heard from, in milliseconds. A local read may be out of date by that
+    /// much.
     pub leader_heard_ms: Option<u64>,
-    /// Rolling digest after the last applied entry.
+    /// The rolling digest after the last applied entry.
     #[serde(rename = "chain")]
     pub rolling_digest: Digest,
     /// All replicas of the store.
     #[serde(rename = "copies")]
     pub replicas: Vec<ReplicaView>,
-    /// During a snapshot transfer: the chunks that are there, and how many there are in all.
+    /// During a snapshot transfer: the number of received chunks, and the total number of chunks.
     pub catching_up: Option<(u32, u32)>,
-    /// Entries of a newer program, which are kept and not applied.
+    /// Number of entries of newer programs, which stay in the log and are not applied.
     #[serde(rename = "unknown")]
     pub unsupported_entries: u64,
-    /// Nothing is written, because replicas differ.
+    /// Whether writes are rejected because replicas differ and no majority agrees.
     pub frozen: bool,
 }
 
 /// One replica in a [`ReplicaStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaView {
-    /// Its id.
+    /// Id of the replica.
     #[serde(rename = "copy")]
     pub replica_id: u64,
-    /// Its server's name.
+    /// Name of the replica's server.
     #[serde(rename = "name")]
     pub server: String,
-    /// Its server's zone.
+    /// Zone of the replica's server.
     pub zone: String,
-    /// Whether it votes.
+    /// Whether the replica votes.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// Index of the last entry that it reported as applied.
+    /// Index of the last applied entry in the replica's last status.
     pub applied: Option<u64>,
-    /// How long ago it reported that, in milliseconds.
+    /// Time since that status was received, in milliseconds.
     pub heard_ms: Option<u64>,
 }
 
-/// Something that must never be.
+/// A violated invariant, which indicates a bug.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvariantViolation {
-    /// An entry is applied that is not in the log.
+    /// An applied entry is not in the log.
     #[error("applied {applied}, the last entry is {last_index}")]
     AppliedBeyondLog {
         /// Index of the last applied entry.
@@ -81,15 +82,15 @@
         /// Index of the last entry in the log.
         last_index: u64,
     },
-    /// A replica leads before its rollback check is over.
+    /// The replica leads although its rollback check has not finished.
     #[error("it leads, and has not heard what others remember of it")]
     LeaderBeforeRollbackCheck,
-    /// A queue has outgrown its bound.
+    /// A queue is longer than its bound.
     #[error("{reads} reads, {actions} actions")]
     QueueTooLong {
-        /// Reads that wait.
+        /// Number of waiting reads.
         reads: usize,
-        /// Actions that wait to be taken.
+        /// Number of actions that the host has not taken yet.
         actions: usize,
     },
 }
@@ -105,17 +106,17 @@
         self.role
     }
 
-    /// The replica's id; 0 is none.
+    /// Id of the replica; 0 is none.
     pub fn replica_id(&self) -> u64 {
         self.identity.replica_id
     }
 
-    /// The id of its store.
+    /// Id of the store; 0 is none.
     pub fn store_id(&self) -> StoreId {
         self.identity.store_id
     }
 
-    /// A report for operators.
+    /// The replica's status for operators.
     pub fn status(&self, now: Micros) -> ReplicaStatus {
         let node = self.node.as_ref();
         let replicas = self.state.members.iter().map(|(id, member)| self.view_of(now, *id, member));
@@ -162,7 +163,7 @@
         })
     }
 
-    /// Checks what must hold between any two calls; tests call it after each.
+    /// Checks the invariants that hold between any two calls; tests call it after each call.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         if let Some(node) = &self.node {
             let applied = self.state.applied;
@@ -182,7 +183,7 @@
         Ok(())
     }
 
-    /// Flips a bit of the state, as faulty memory might: for tests that need a diverged replica.
+    /// Flips a bit of the rolling digest, as faulty memory might. For tests that need a diverged replica.
     #[doc(hidden)]
     pub fn corrupt(&mut self, bit: u8) {
         self.state.rolling_digest[0] ^= 1 << bit;
--- a/crates/replicated-store/src/rollback.rs
+++ b/crates/replicated-store/src/rollback.rs
@@ -1,11 +1,15 @@
-//! Rollback detection: a replica whose disk was set back, by a backup or an older machine image, is found out.
+//! Rollback detection: finds a replica whose disk was set back to an earlier state, by a backup or an older
+//! machine image.
 //!
-//! A voter that has forgotten what it acknowledged can make two leaders of one term or lose committed entries. So a replica
-//! that was read from disk takes no part before it has heard what others remember of it; one that they remember further
-//! than it is was rolled back: it is quarantined, and its server comes back with a new replica id, as a learner.
+//! A voter that has lost entries or votes that it acknowledged can cause two leaders of one term or the loss
+//! of committed entries. So a replica that was read from disk takes no part in Raft until its peers have
+//! reported the durable progress that they remember of it. If a peer remembers more progress than the replica
+//! has, the replica was rolled back: it is quarantined, and its server comes back with a new replica id, as a
+//! learner.
 //!
-//! What the others remember is as old as its last status at most. What a replica made durable within that time of its end,
-//! and acknowledged only to a leader that is gone too, is not covered. Nor is a fleet all of whose processes have restarted.
+//! Peers remember what the replica's last status reported. Not covered is what a replica made durable after
+//! its last status and acknowledged only to a leader that has failed too; nor is a fleet in which all
+//! processes have restarted.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -16,28 +20,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Replicas that are remembered; beyond that the one with the lowest id goes. Ids are random, so that is none in particular.
+/// Upper bound of the number of remembered replicas; beyond it the one with the lowest id is dropped. Ids are
+/// random, so the choice is arbitrary.
 const MAX_REMEMBERED_REPLICAS: usize = 4_096;
 
-/// How far a replica has come, durably.
+/// Durable progress of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DurableProgress {
-    /// How often a process has started with it.
+    /// Number of times that a process has started with the replica.
     pub starts: u64,
-    /// Its term.
+    /// The replica's durable term.
     pub term: u64,
-    /// Index of its last durable entry.
+    /// Index of the replica's last durable entry.
     pub last_index: u64,
 }
 
 impl DurableProgress {
-    /// Whether a replica at `self` can have become one at `now`: starts and terms never fall. The index may, when a later
-    /// leader has replaced entries: then the term is a later one.
+    /// Whether a replica with the progress `self` can have `now` later. Starts and terms never decrease. The
+    /// index decreases only if a later leader has replaced entries, and then the term is a later one.
     pub fn can_precede(&self, now: &DurableProgress) -> bool {
         let index_can_precede = self.last_index <= now.last_index || self.term < now.term;
         self.starts <= now.starts && self.term <= now.term && index_can_precede
     }
 
+    /// The later of both terms with its index, and the higher number of starts.
     fn furthest(self, other: DurableProgress) -> DurableProgress {
         let last_index = match self.term.cmp(&other.term) {
             Ordering::Greater => self.last_index,
@@ -48,12 +54,13 @@
     }
 }
 
-/// What this server remembers of the replicas of others, in memory.
+/// Durable progress of the other servers' replicas as this process remembers it, by replica id.
 #[derive(Clone, Debug, Default)]
 pub struct PeerProgress(BTreeMap<u64, DurableProgress>);
 
 impl PeerProgress {
-    /// Records what a replica reports; what is remembered never falls. Id 0 is no replica.
+    /// Records the progress that a replica reports; remembered progress never decreases. Id 0, no replica, is
+    /// ignored.
     pub fn record(&mut self, replica_id: u64, progress: DurableProgress) {
         if replica_id == 0 {
             return;
@@ -65,27 +72,28 @@
         *known = known.furthest(progress);
     }
 
-    /// How far a replica was, as far as is remembered.
+    /// The progress that is remembered of a replica.
     pub fn progress_of(&self, replica_id: u64) -> Option<DurableProgress> {
         self.0.get(&replica_id).copied()
     }
 }
 
-/// The check of a replica that was read from disk.
+/// The rollback check of a replica that was read from disk.
 #[derive(Clone, Debug)]
 pub struct RollbackCheck {
     own_progress: DurableProgress,
+    /// Progress of this replica that each member remembers; `None` if it remembers nothing.
     answers: BTreeMap<MemberName, Option<DurableProgress>>,
 }
 
-/// The result of the check so far.
+/// Result of the rollback check so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Too few members have answered.
     Undecided,
-    /// The replica may take part.
+    /// The replica may take part in Raft.
     UpToDate,
-    /// Some member remembers it further than it is: this far.
+    /// The replica was rolled back: a member remembers this progress, which the replica lacks.
     RolledBack(DurableProgress),
 }
 
@@ -95,13 +103,14 @@
         RollbackCheck { own_progress, answers: BTreeMap::new() }
     }
 
-    /// A member says what it remembers of this replica.
+    /// Records the progress of this replica that a member remembers.
     pub fn handle_answer(&mut self, from: &MemberName, remembered: Option<DurableProgress>) {
         self.answers.insert(from.clone(), remembered);
     }
 
-    /// Whether the replica may take part. `other_voters` are all voters but itself: as many of them as make a majority with
-    /// it must have answered, so that every majority that it was part of has one who would know.
+    /// Decides whether the replica may take part in Raft. `other_voters` are all voters but this replica.
+    /// Enough of them to form a majority together with it must have answered, so that at least one member of
+    /// every majority that it was part of has.
     pub fn verdict(&self, other_voters: &[MemberName]) -> Verdict {
         let mut remembered = self.answers.values().flatten();
         if let Some(progress) = remembered.find(|progress| !progress.can_precede(&self.own_progress)) {
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -1,4 +1,5 @@
-//! The state that the log's entries lead to: the same at every replica that has applied as many of them.
+//! The state machine: the state that results from applying the log's entries. Replicas that have applied the
+//! same entries have the same state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,75 +14,78 @@
 #[cfg(test)]
 mod tests;
 
-/// Outcomes that are remembered, so that an entry proposed twice is applied once.
+/// Number of outcomes that are remembered, so that an entry proposed twice is applied once.
 const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
-/// Lines of history that are kept.
+/// Number of history lines that are kept.
 const MAX_HISTORY_LINES: usize = 512;
-/// Characters of a note that its line of history shows.
+/// Number of characters of a note that go into its history line.
 const MAX_NOTE_CHARS: usize = 200;
-/// Documents, removed ones included.
+/// Upper bound of the number of documents, removed ones included.
 const MAX_DOCUMENTS: usize = 256;
-/// Bytes of all documents together.
+/// Upper bound of the length of all documents together, in bytes.
 const MAX_TOTAL_BYTES: usize = 32 << 20;
-/// Documents whose parts are there and whose last entry is not; the oldest goes first.
+/// Upper bound of the number of documents of which parts were applied but not the entry that completes them;
+/// beyond it the oldest is dropped.
 const MAX_UNFINISHED_DOCUMENTS: usize = 8;
-/// The last digests that are kept, to be compared with those of others.
+/// Number of past rolling digests that are kept for the comparison with other replicas.
 const MAX_REMEMBERED_DIGESTS: usize = 1_024;
 
-/// A replica's server. A server that has lost its disk has another replica.
+/// The server of a replica. A server that lost its disk comes back with a new replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The server's name.
     pub name: String,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
 }
 
-/// A document as it stands.
+/// The current version of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// How often it has been written since it was first there; a removal counts and does not reset it.
+    /// Number of writes to the document since it was created; a removal counts as a write and does not reset
+    /// it.
     pub version: u64,
-    /// The content; `None` if it was removed.
+    /// The content; `None` if the document was removed.
     pub bytes: Option<Vec<u8>>,
-    /// Index of the entry that wrote it.
+    /// Index of the entry that wrote this version.
     pub index: u64,
-    /// The server that wrote it.
+    /// Name of the server that wrote this version.
     pub author: String,
 }
 
-/// What became of an entry. The serialized names are those of `--json`.
+/// The outcome of applying an entry. The serialized names are those that `--json` prints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was applied; the version of the document, or 0 where it was about none.
+    /// The entry was applied. The value is the document's new version, or 0 for an entry that does not
+    /// complete a document.
     #[serde(rename = "Done")]
     Applied(u64),
-    /// The document has another version than the one expected: this one.
+    /// The document does not have the expected version but this one.
     Conflict(u64),
-    /// It cannot be applied, for this reason.
+    /// The entry cannot be applied, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// It is of a newer program: kept and not applied.
+    /// A newer program wrote the entry: it stays in the log and is not applied.
     #[serde(rename = "Kept")]
     Unsupported,
 }
 
-/// A line of the history. The serialized names are those of `--json`.
+/// A line of the history. The serialized names are those that `--json` prints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryLine {
     /// Index of the entry.
     pub index: u64,
-    /// Who wrote it, and when.
+    /// The server that proposed the entry, and when.
     #[serde(rename = "by")]
     pub author: Author,
-    /// What it was, for people.
+    /// Description of the entry for operators.
     #[serde(rename = "what")]
     pub description: String,
-    /// What became of it.
+    /// Outcome of the entry.
     pub outcome: Outcome,
 }
 
-/// Who wrote an entry, and when; `--json` prints it as an array of both.
+/// The author of an entry and the time of the proposal; `--json` prints an array of both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct Author {
@@ -103,10 +107,11 @@
     }
 }
 
-/// The state after some entry. `postcard` encodes it by position, on disk, in snapshots and exports.
+/// The state after a log entry. `postcard` encodes it by position on disk, in snapshots and in exports: the
+/// order of the fields is the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Id of the store, drawn when it was bootstrapped.
+    /// Id of the store, drawn when it was bootstrapped or adopted.
     pub store_id: StoreId,
     /// Id of the store from which this one was adopted; 0 is none.
     pub adopted_from: StoreId,
@@ -114,21 +119,22 @@
     pub applied: u64,
     /// Rolling digest of all entries and their outcomes.
     pub rolling_digest: Digest,
-    /// The store's replicas, by their ids.
+    /// Servers of the store's replicas, by replica id.
     pub members: BTreeMap<u64, Member>,
     documents: BTreeMap<String, StoredDocument>,
-    /// Parts of documents that are being written, by the digest of the whole document.
+    /// Parts of documents that are not complete yet, by the digest of the complete document and the index of
+    /// the part.
     unfinished_documents: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
     recent_outcomes: VecDeque<(EntryId, Outcome)>,
     history: VecDeque<HistoryLine>,
-    /// Entries of newer programs, which are kept and not applied.
+    /// Number of entries of newer programs, which stay in the log and are not applied.
     pub unsupported_entries: u64,
     #[serde(skip)]
     recent_digests: VecDeque<(u64, Digest)>,
 }
 
 impl State {
-    /// The first state of a new store, made by the replica that bootstraps it.
+    /// The first state of a new store, with the replica that bootstraps it as its only member.
     pub fn bootstrap(store_id: StoreId, replica_id: u64, member: Member) -> State {
         State {
             store_id,
@@ -139,7 +145,8 @@
         }
     }
 
-    /// The first state of a new store that goes on from this one with one member; a line of the history says so.
+    /// The first state of a new store that continues this one with a single member; a history line records
+    /// the adoption.
     pub fn adopt(&self, store_id: StoreId, replica_id: u64, member: Member, at_ms: u64) -> State {
         let mut state = self.clone();
         let index = state.applied + 1;
@@ -157,8 +164,9 @@
         state
     }
 
-    /// Applies the entry at this index. The result must be the same at every replica: no clock and no chance here. `None`
-    /// for data without an envelope, such as the Raft library's own empty entries.
+    /// Applies the entry at this index. The result must be the same at every replica, so it depends on no
+    /// clock and no random number. Returns `None` for data without an envelope, such as the Raft library's
+    /// own empty entries.
     pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<(EntryId, Outcome)> {
         let envelope = Envelope::from_bytes(bytes);
         let outcome = envelope.map(|envelope| (envelope.id, self.apply_envelope(index, &envelope)));
@@ -167,7 +175,7 @@
         outcome
     }
 
-    /// Applies a change of members; `change` is its encoded form.
+    /// Applies a membership change, whose encoded form `change` advances the rolling digest.
     pub fn apply_members(&mut self, index: u64, change: &[u8], act: impl FnOnce(&mut BTreeMap<u64, Member>)) {
         act(&mut self.members);
         self.advance_digest(index, &[b"members", change]);
@@ -180,7 +188,7 @@
         push_bounded(&mut self.recent_digests, MAX_REMEMBERED_DIGESTS, (index, self.rolling_digest));
     }
 
-    /// The rolling digest after this entry, if that is among the last ones.
+    /// The rolling digest after the entry at this index, if it is among the last `MAX_REMEMBERED_DIGESTS`.
     pub fn digest_at(&self, index: u64) -> Option<Digest> {
         if index == self.applied {
             return Some(self.rolling_digest);
@@ -246,14 +254,14 @@
         if let Err(reason) = self.check_limits(&name, bytes.as_deref()) {
             return Outcome::Rejected(reason);
         }
-        // Also of a document that was removed: its versions go on.
+        // The version of a removed document counts too: its versions continue.
         let last_version = self.documents.get(&name).map_or(0, |document| document.version);
         let version = last_version + 1;
         self.documents.insert(name, StoredDocument { version, bytes, index, author: author.to_owned() });
         Outcome::Applied(version)
     }
 
-    /// The bytes of a document's new content, `None` for a removal; an error says which parts are missing.
+    /// The bytes of a document's new content, `None` for a removal; an error if parts are missing.
     fn resolve_content(&mut self, content: Content) -> Result<Option<Vec<u8>>, String> {
         let (document_digest, count) = match content {
             Content::Removed => return Ok(None),
@@ -270,7 +278,7 @@
         Ok(Some(bytes))
     }
 
-    /// Whether a document may take on this content; an error says which limit it would exceed.
+    /// Checks that this content of a document keeps within all limits; the error names the limits.
     fn check_limits(&self, name: &str, bytes: Option<&[u8]>) -> Result<(), String> {
         let stored_bytes = |document: &StoredDocument| document.bytes.as_ref().map_or(0, Vec::len);
         let old = self.get(name).map_or(0, stored_bytes);
@@ -285,38 +293,38 @@
         Ok(())
     }
 
-    /// A document, unless it was removed.
+    /// The document of this name; `None` if it does not exist or was removed.
     pub fn get(&self, name: &str) -> Option<&StoredDocument> {
         self.documents.get(name).filter(|document| document.bytes.is_some())
     }
 
-    /// All documents by name, without those that were removed.
+    /// All documents in the order of their names, without those that were removed.
     pub fn documents(&self) -> impl Iterator<Item = (&String, &StoredDocument)> {
         self.documents.iter().filter(|(_, document)| document.bytes.is_some())
     }
 
-    /// What became of an entry, if it is among the last ones.
+    /// The outcome of an entry, if it is among the last `MAX_REMEMBERED_OUTCOMES`.
     pub fn outcome(&self, id: EntryId) -> Option<&Outcome> {
         self.recent_outcomes.iter().rev().find(|(recent, _)| *recent == id).map(|(_, outcome)| outcome)
     }
 
-    /// The last lines of history, oldest first.
+    /// The last lines of the history, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &HistoryLine> {
         self.history.iter()
     }
 
-    /// Encodes the state, as it goes to disk and to other members.
+    /// Encodes the state for the disk, snapshots and exports.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes a state.
+    /// Decodes a state; `None` if the bytes are malformed.
     pub fn from_bytes(bytes: &[u8]) -> Option<State> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// What an entry is, for the history.
+/// Description of an entry for its history line.
 fn describe(entry: Option<&Entry>, envelope: &Envelope) -> String {
     match entry {
         Some(Entry::Note(text)) => text.chars().take(MAX_NOTE_CHARS).collect(),
@@ -325,7 +333,7 @@
     }
 }
 
-/// Appends to a queue of bounded length; the oldest item goes first.
+/// Appends to a queue of bounded length; if it is full the oldest item is dropped.
 fn push_bounded<T>(queue: &mut VecDeque<T>, max_length: usize, item: T) {
     if queue.len() == max_length {
         queue.pop_front();
--- a/crates/replicated-store/src/transfer.rs
+++ b/crates/replicated-store/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshot transfer: the receiver requests chunks, so that its rate bounds the traffic.
+//! Snapshot transfer: the receiver requests the chunks, so that its configured rate bounds the traffic.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Chunk requests that may be in flight at once.
+/// Upper bound of the chunk requests in flight at once.
 const MAX_CHUNKS_IN_FLIGHT: usize = 4;
-/// A chunk that has not come by then is requested again, from another member if there is one.
+/// A chunk that has not arrived after this time is requested again, in a long transfer from another member if
+/// there is one.
 const CHUNK_TIMEOUT: Micros = 500_000;
-/// Without a chunk for so long the transfer has stalled: whoever offered the snapshot has another by then.
+/// A transfer without progress for this long has stalled: the member that offered the snapshot has a newer
+/// one by then.
 const STALL_TIMEOUT: Micros = 6 * CHUNK_TIMEOUT;
-/// After this long the sources are tried in turn.
+/// After this time since the start of the transfer the sources take turns.
 const ROTATE_SOURCES_AFTER: Micros = 4 * CHUNK_TIMEOUT;
-/// The largest snapshot.
+/// Upper bound of a snapshot's length in bytes.
 pub const MAX_SNAPSHOT_BYTES: u64 = 256 << 20;
 
 /// A chunk of a snapshot.
@@ -30,7 +32,7 @@
     pub digest: Digest,
     /// Index of the chunk, from 0.
     pub index: u32,
-    /// Its bytes: [`CHUNK_BYTES`] of them, fewer in the last one.
+    /// Content of the chunk: [`CHUNK_BYTES`] long, the last chunk may be shorter.
     pub bytes: Vec<u8>,
 }
 
@@ -38,18 +40,20 @@
 #[derive(Debug)]
 pub struct SnapshotTransfer {
     manifest: Manifest,
+    /// Received chunks by index.
     chunks: BTreeMap<u32, Vec<u8>>,
-    /// Requested chunks that have not come, with the time of the request.
+    /// Requested chunks that have not arrived, by index, with the time of the request.
     in_flight: BTreeMap<u32, Micros>,
     bytes_per_second: u64,
     next_request_at: Micros,
     started_at: Micros,
-    /// When the last chunk that came was requested.
+    /// Time of the latest request that was answered with its chunk.
     last_progress_at: Micros,
 }
 
 impl SnapshotTransfer {
-    /// Starts a transfer; chunks that came before a restart count. `None` if the snapshot is empty or too large.
+    /// Starts a transfer, with the chunks that arrived before a restart. `None` if the snapshot is empty or
+    /// too large.
     pub fn new(
         now: Micros,
         manifest: Manifest,
@@ -74,27 +78,28 @@
         Some(transfer)
     }
 
-    /// The snapshot's identity.
+    /// Digest and length of the snapshot.
     pub fn manifest(&self) -> Manifest {
         self.manifest
     }
 
-    /// Chunks that are there, and how many there are in all.
+    /// Number of received chunks, and the total number of chunks.
     pub fn progress(&self) -> (u32, u32) {
         (self.chunks.len() as u32, self.manifest.chunk_count())
     }
 
-    /// When it was started.
+    /// When the transfer was started.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Whether no chunk has come for long.
+    /// Whether no chunk has arrived for longer than the stall timeout.
     pub fn is_stalled(&self, now: Micros) -> bool {
         now >= self.last_progress_at + STALL_TIMEOUT
     }
 
-    /// The chunks to request now, and from whom. `sources` have the snapshot, the best one first.
+    /// The chunks to request now, each with the member to request it from. `sources` are members that have
+    /// the snapshot, the best one first.
     pub fn next_requests(&mut self, now: Micros, sources: &[MemberName]) -> Vec<(MemberName, u32)> {
         let mut requests = Vec::new();
         self.in_flight.retain(|_, requested_at| now < *requested_at + CHUNK_TIMEOUT);
@@ -107,7 +112,7 @@
                 continue;
             }
             self.in_flight.insert(index, now);
-            // The rate counts from at most one timeout ago, so that a pause allows no long burst.
+            // Unused rate accumulates for one chunk timeout at most, so that no long burst follows a pause.
             let earliest = self.next_request_at.max(now.saturating_sub(CHUNK_TIMEOUT));
             self.next_request_at = earliest + CHUNK_BYTES as u64 * 1_000_000 / self.bytes_per_second;
             requests.push((source.clone(), index));
@@ -115,7 +120,8 @@
         requests
     }
 
-    /// The best source; in a long transfer each in its turn, as one that did not answer in time may be gone.
+    /// The best source at first. In a long transfer the sources take turns, since a source that has not
+    /// answered in time may have failed.
     fn choose_source<'s>(&self, now: Micros, sources: &'s [MemberName]) -> Option<&'s MemberName> {
         if now < self.started_at + ROTATE_SOURCES_AFTER {
             return sources.first();
@@ -124,7 +130,7 @@
         sources.get(turn)
     }
 
-    /// Takes a chunk that has come; whether it was missing.
+    /// Stores a received chunk. Returns whether it belongs to this snapshot and was missing.
     pub fn handle_chunk(&mut self, chunk: SnapshotChunk) -> bool {
         let SnapshotChunk { digest, index, bytes } = chunk;
         let belongs = digest == self.manifest.digest && index < self.manifest.chunk_count();
@@ -138,13 +144,14 @@
         true
     }
 
-    /// Bytes of a chunk of this snapshot.
+    /// Length in bytes of the chunk at this index.
     fn chunk_length(&self, index: u32) -> usize {
         let start = index as usize * CHUNK_BYTES;
         (self.manifest.length as usize - start).min(CHUNK_BYTES)
     }
 
-    /// The snapshot, once all chunks are there and match the digest; if they do not, all are requested again.
+    /// The snapshot, once all chunks have arrived and match the digest. If they do not match it, all are
+    /// requested again.
     pub fn take_snapshot(&mut self) -> Option<Vec<u8>> {
         let (present, total) = self.progress();
         if present < total {
@@ -159,7 +166,7 @@
     }
 }
 
-/// One chunk of a snapshot's bytes.
+/// The chunk of a snapshot at this index; `None` beyond the end.
 pub fn chunk(snapshot: &[u8], index: u32) -> Option<&[u8]> {
     let start = index as usize * CHUNK_BYTES;
     let end = snapshot.len().min(start + CHUNK_BYTES);
--- a/crates/replicated-store/src/voter_selection.rs
+++ b/crates/replicated-store/src/voter_selection.rs
@@ -1,7 +1,8 @@
-//! Voter selection: which replicas are admitted, vote and are replaced, decided by the leader, one change at a time.
+//! Voter selection: the leader decides which replicas are admitted, promoted, replaced and removed, one
+//! change at a time.
 //!
-//! No change is made that could cost a quorum: of the voters before and after it, taken by themselves, a majority must be
-//! reachable now. A server has one replica: a new one takes the place of its old one.
+//! No change may lose the quorum: a majority of the voters before the change and a majority of those after it
+//! must both be reachable now. A server has one replica: a new one replaces its old one.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,21 +17,21 @@
 /// A replica as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its id.
+    /// Id of the replica.
     pub replica_id: u64,
-    /// Its server's name.
+    /// Name of the replica's server.
     pub name: String,
-    /// Its server's zone.
+    /// Zone of the replica's server.
     pub zone: String,
-    /// It votes now.
+    /// Whether the replica votes now.
     pub is_voter: bool,
-    /// Its server is configured as a member of the fleet.
+    /// Whether the server is a configured member of the fleet.
     pub is_configured: bool,
-    /// For how long it has not been heard from, in microseconds.
+    /// Time since the server was last heard from, in microseconds.
     pub silent_for: Micros,
-    /// It has all but the last few entries.
+    /// Whether the replica has all entries but the last few.
     pub caught_up: bool,
-    /// The load that it reports, in percent.
+    /// Load that the server reports, in percent.
     pub load: u32,
 }
 
@@ -47,27 +48,27 @@
     AddLearner {
         /// The new replica.
         replica_id: u64,
-        /// The replicas that its server had before; they are removed.
+        /// Earlier replicas of the same server, which are removed.
         replaces: Vec<u64>,
     },
-    /// A learner votes from now on.
+    /// Makes a learner a voter.
     Promote {
         /// The learner.
         replica_id: u64,
     },
-    /// One votes in the place of another, which becomes a learner.
+    /// Makes a learner a voter and a voter a learner.
     Replace {
-        /// The learner that votes from now on.
+        /// The learner that becomes a voter.
         new_voter: u64,
         /// The voter that becomes a learner.
         old_voter: u64,
     },
-    /// A voter becomes a learner.
+    /// Makes a voter a learner.
     Demote {
         /// The voter.
         replica_id: u64,
     },
-    /// Removes a replica whose server is not configured any more.
+    /// Removes a replica whose server is no longer configured.
     Remove {
         /// The replica.
         replica_id: u64,
@@ -94,15 +95,15 @@
 /// The policy by which voters are selected.
 #[derive(Clone, Copy, Debug)]
 pub struct VoterPolicy {
-    /// How many should vote: three or five.
+    /// Intended number of voters: three or five, or one in a trial.
     pub voters: usize,
-    /// A voter that has been silent for so long is replaced, in microseconds.
+    /// Silence after which a voter is replaced, in microseconds.
     pub replace_after: Micros,
-    /// A replica that has been silent for less counts as reachable, in microseconds.
+    /// Silence from which on a replica counts as unreachable, in microseconds.
     pub reachable_within: Micros,
 }
 
-/// Why an operator's change is refused.
+/// Why an operator's change of a voter is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VoterChangeError {
     /// The server has no replica.
@@ -123,32 +124,34 @@
         /// The server.
         server: String,
     },
-    /// The server lacks entries.
+    /// The server's replica lacks too many entries to vote.
     #[error("{server} has not caught up")]
     NotCaughtUp {
         /// The server.
         server: String,
     },
-    /// No learner could take the vote.
+    /// No reachable learner has caught up and could vote instead.
     #[error("nobody else has caught up and could vote in its place")]
     NoSuccessor,
-    /// The change would cost the quorum.
+    /// The voters would have no reachable majority before or after the change.
     #[error("a majority of the voters would not be there after it")]
     QuorumLost,
 }
 
+/// The number of replicas in a majority of so many voters.
 fn quorum(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// Whether a majority of these voters is reachable.
+/// Whether a majority of the candidates selected by `is_voter` is reachable.
 fn has_quorum(all: &[Candidate], policy: &VoterPolicy, is_voter: impl Fn(&Candidate) -> bool) -> bool {
     let voters: Vec<&Candidate> = all.iter().filter(|candidate| is_voter(candidate)).collect();
     let reachable = voters.iter().filter(|voter| voter.is_reachable(policy)).count();
     !voters.is_empty() && reachable >= quorum(voters.len())
 }
 
-/// Whether a majority is reachable before and after a change.
+/// Whether a majority of the voters is reachable both before and after a change by which `gained` becomes a
+/// voter and `lost` stop voting.
 fn keeps_quorum(all: &[Candidate], policy: &VoterPolicy, gained: Option<u64>, lost: &[u64]) -> bool {
     let votes_after = |candidate: &Candidate| {
         let is_gained = Some(candidate.replica_id) == gained;
@@ -157,7 +160,7 @@
     has_quorum(all, policy, |candidate| candidate.is_voter) && has_quorum(all, policy, votes_after)
 }
 
-/// Voters in a zone, apart from one.
+/// Number of voters in a zone, not counting the replica `except`.
 fn voters_in_zone(all: &[Candidate], zone: &str, except: Option<u64>) -> usize {
     all.iter()
         .filter(|candidate| candidate.is_voter && candidate.zone == zone)
@@ -165,7 +168,8 @@
         .count()
 }
 
-/// The change that is due, if there is one. `join_requests` are replicas that want to be admitted, by their servers' names.
+/// The change that is due, if any. `join_requests` has the ids of the replicas that ask to be admitted, by
+/// server name.
 pub fn next_change(
     policy: &VoterPolicy,
     all: &[Candidate],
@@ -176,7 +180,8 @@
         .or_else(|| voter_change(policy, all))
 }
 
-/// A server that lost its disk comes back with a new replica: its old one goes, whatever else is due.
+/// Admits a replica that asks for it. A server that lost its disk comes back with a new replica; its old one
+/// is removed in the same change. Admissions take precedence over all other changes.
 fn admission(
     policy: &VoterPolicy,
     all: &[Candidate],
@@ -194,6 +199,7 @@
     None
 }
 
+/// Removes a replica whose server is no longer configured.
 fn removal(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
     let can_be_removed = |candidate: &&Candidate| {
         !candidate.is_configured && keeps_quorum(all, policy, None, &[candidate.replica_id])
@@ -202,6 +208,8 @@
     Some(MembershipChange::Remove { replica_id: candidate.replica_id })
 }
 
+/// Replaces the voter that has been silent longest, or adds a voter if there are too few, or removes one if
+/// there are too many.
 fn voter_change(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
     let voters: Vec<&Candidate> = all.iter().filter(|candidate| candidate.is_voter).collect();
     let failed = voters
@@ -232,7 +240,8 @@
     }
 }
 
-/// The learner that should vote next: in another zone than the other voters first, then the least loaded, then by name.
+/// The learner that should become the next voter: from the zone with the fewest voters other than
+/// `failed_voter`, then the least loaded, then the first by name.
 fn best_learner<'a>(
     policy: &VoterPolicy,
     all: &'a [Candidate],
@@ -246,8 +255,9 @@
         })
 }
 
-/// The change by which a server votes, or does not, as an operator wants. As many vote afterwards as before, but for one
-/// too few: else [`next_change`] would undo it. `leader` keeps its vote.
+/// The change that makes a server a voter or a learner on an operator's request. The number of voters stays
+/// the same, since [`next_change`] would undo any other change; it grows by one only if there are too few
+/// voters. `leader` stays a voter when another replica is promoted.
 pub fn requested_change(
     policy: &VoterPolicy,
     all: &[Candidate],
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! What commit 604394b wrote, to a disk, to a file and to other members, is read as it was meant; and what goes to other
-//! members is written byte for byte as it was then.
+//! What commit 604394b wrote, to a disk, to a file and to other members, is read as it was meant; and what
+//! goes to other members is written byte for byte as it was then.
 
 use std::path::Path;
 
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -1,5 +1,5 @@
-//! Replicated stores on virtual time, network and disks from a seed: whatever goes wrong, no acknowledged write is lost, no
-//! read is stale, and once the faults are over all replicas are the same.
+//! Replicated stores on virtual time, network and disks from a seed: whatever goes wrong, no acknowledged
+//! write is lost, no read is stale, and once the faults are over all replicas are the same.
 
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
@@ -87,7 +87,8 @@
     assert!(fleet.operations.iter().filter(|o| o.told.is_some()).count() > 200);
 }
 
-/// Proposed, sent to one, committed and not reported, applied and not answered: whatever the moment is, it is among these.
+/// Proposed, sent to one, committed and not reported, applied and not answered: whatever the moment is, it is
+/// among these.
 #[test]
 fn a_leader_killed_at_any_event_of_a_write_loses_no_acknowledged_write() {
     let (mut acknowledged, mut lost) = (0, 0);
