--- a/crates/replicated-store/src/export.rs
+++ b/crates/replicated-store/src/export.rs
@@ -65,22 +65,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ExportError {
     /// The title line is missing.
-    #[error("it does not begin as an export of a record does")]
+    #[error("the file is not an export of a record: its title line is missing")]
     NotAnExport,
     /// The file ends before the end of the digest.
-    #[error("it ends within its digest")]
+    #[error("the file ends within its digest")]
     TooShort,
     /// The content was changed after the export.
-    #[error("its digest does not fit: it was changed or cut short")]
+    #[error("the digest does not match: the file was changed or truncated")]
     DigestMismatch,
     /// The content cannot be decoded.
-    #[error("it can't be read: {0}")]
+    #[error("the content cannot be decoded: {0}")]
     Undecodable(#[from] postcard::Error),
     /// The state of the snapshot cannot be decoded.
-    #[error("its state can't be read")]
+    #[error("the state of the snapshot cannot be decoded")]
     UndecodableState,
     /// An entry is missing or occurs twice.
-    #[error("entry {index} follows {previous}")]
+    #[error("entry {index} follows entry {previous}")]
     EntryOutOfOrder {
         /// Index of the entry that was found.
         index: u64,
@@ -88,13 +88,13 @@
         previous: u64,
     },
     /// The content of an entry is not an envelope.
-    #[error("entry {index} has no envelope")]
+    #[error("the content of entry {index} is not an envelope")]
     NoEnvelope {
         /// Index of the entry.
         index: u64,
     },
     /// Applying the entries does not give the rolling digest that the server had.
-    #[error("after entry {index} its digest is not what {exported_by} had")]
+    #[error("the rolling digest after entry {index} differs from that of {exported_by}")]
     StateMismatch {
         /// Index of the last entry.
         index: u64,
--- a/crates/replicated-store/src/log/stored.rs
+++ b/crates/replicated-store/src/log/stored.rs
@@ -34,19 +34,19 @@
 #[derive(Debug, Error)]
 pub enum StoredReplicaError {
     /// The identity cannot be decoded.
-    #[error("copy: {0}")]
+    #[error("the identity of the replica cannot be decoded: {0}")]
     Identity(#[source] postcard::Error),
     /// The Raft hard state cannot be decoded.
-    #[error("hard: {0}")]
+    #[error("the Raft hard state cannot be decoded: {0}")]
     HardState(#[source] protobuf::ProtobufError),
     /// The metadata of the snapshot cannot be decoded.
-    #[error("snapshot: {0}")]
+    #[error("the metadata of the snapshot cannot be decoded: {0}")]
     SnapshotMetadata(#[source] protobuf::ProtobufError),
     /// A log entry cannot be decoded.
-    #[error("an entry: {0}")]
+    #[error("a log entry cannot be decoded: {0}")]
     Entry(#[source] protobuf::ProtobufError),
     /// An entry is missing.
-    #[error("entry {found} where {expected} was expected")]
+    #[error("found entry {found}, expected entry {expected}")]
     MissingEntry {
         /// Index of the entry that was found.
         found: u64,
@@ -54,7 +54,7 @@
         expected: u64,
     },
     /// The state of the snapshot cannot be decoded.
-    #[error("the state can't be read")]
+    #[error("the state of the snapshot cannot be decoded")]
     State,
 }
 
--- a/crates/replicated-store/src/replica/comparison.rs
+++ b/crates/replicated-store/src/replica/comparison.rs
@@ -110,7 +110,7 @@
             RollbackVerdict::RolledBack(remembered) => {
                 self.emit(Event::RollbackDetected { remembered });
                 let (term, index) = (remembered.term, remembered.last_index);
-                self.quarantine(format!("others remember term {term} and entry {index} of it"));
+                self.quarantine(format!("peers remember term {term} and entry {index} of this replica"));
             }
         }
     }
@@ -178,7 +178,7 @@
         match verdict {
             Divergence::LocalDiverged(majority) => {
                 self.emit(Event::LocalDivergence { majority });
-                self.quarantine("it differs from the copies of a majority".to_owned());
+                self.quarantine("this replica differs from those of a majority".to_owned());
             }
             Divergence::PeersDiverged(replicas) if replicas != self.comparison.reported => {
                 self.comparison.reported.clone_from(&replicas);
--- a/crates/replicated-store/src/replica/events.rs
+++ b/crates/replicated-store/src/replica/events.rs
@@ -121,10 +121,10 @@
     #[error("nobody leads the record, as far as this server knows")]
     NoLeader,
     /// Replicas differ and no majority agrees: an operator has to decide.
-    #[error("copies of the record differ, nothing is written until an operator decides")]
+    #[error("replicas of the record differ; writes are rejected until an operator decides")]
     Frozen,
     /// Too many requests are waiting.
-    #[error("too much waits already")]
+    #[error("too many requests are waiting")]
     Busy,
     /// The request was not answered in time; a write may still be applied.
     #[error("it took too long; a write may still be applied")]
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -180,7 +180,7 @@
         // replica that was only partitioned must not undo what a majority has committed.
         if is_leaderless || has_adopted(peer) {
             self.emit(Event::Obsolete { own_store, led_store });
-            self.quarantine(format!("another record ({led_store:016x}) is led, this one is not"));
+            self.quarantine(format!("record {led_store:016x} has replaced this one"));
         } else if led_store != self.competing_store {
             self.competing_store = led_store;
             self.emit(Event::CompetingStore { own_store, led_store });
@@ -220,10 +220,10 @@
             return Ok(());
         }
         if self.leader.name.is_some() && self.rollback_check.is_none() {
-            return refusal("a majority goes on with the record as it is: nothing is to be decided");
+            return refusal("the record has a leader and continues: nothing is to be decided");
         }
         if now < self.leaderless_since + LEADERLESS_ELECTIONS * self.config.election_timeout {
-            return refusal("a leader may still be found: ask again in a few seconds");
+            return refusal("a leader may still be elected: try again in a few seconds");
         }
         Ok(())
     }
--- a/crates/replicated-store/src/replica/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -182,7 +182,7 @@
     /// Loads a stored replica. It takes part in Raft only after the rollback check.
     fn resume(&mut self, now: Micros, mut stored: StoredReplica) {
         if stored.identity.server != *self.config.me {
-            let reason = format!("the copy belongs to {:?}", stored.identity.server);
+            let reason = format!("the replica belongs to server {:?}", stored.identity.server);
             self.quarantine(reason);
             return;
         }
--- a/crates/replicated-store/src/replica/raft_driver.rs
+++ b/crates/replicated-store/src/replica/raft_driver.rs
@@ -76,8 +76,8 @@
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         match catch_panic(|| RawNode::new(&config, log, &logger)) {
             Ok(Ok(node)) => self.node = Some(node),
-            Ok(Err(error)) => self.quarantine(format!("the log makes no sense: {error}")),
-            Err(reason) => self.quarantine(format!("the log makes no sense: {reason}")),
+            Ok(Err(error)) => self.quarantine(format!("the log is invalid: {error}")),
+            Err(reason) => self.quarantine(format!("the log is invalid: {reason}")),
         }
     }
 
@@ -112,7 +112,7 @@
             }
             Err(reason) => {
                 self.emit(Event::LogFailed { reason: reason.clone() });
-                self.quarantine(format!("the log and what others say of it do not fit: {reason}"));
+                self.quarantine(format!("the Raft library failed on the log: {reason}"));
                 None
             }
         }
@@ -162,7 +162,8 @@
             last_index: heartbeat.commit,
         };
         self.emit(Event::RollbackDetected { remembered });
-        let reason = format!("a leader counts on entry {}, the last here is {last_index}", heartbeat.commit);
+        let reason =
+            format!("the leader counts on entry {}, the last one here is {last_index}", heartbeat.commit);
         self.quarantine(reason);
     }
 
--- a/crates/replicated-store/src/replica/snapshots.rs
+++ b/crates/replicated-store/src/replica/snapshots.rs
@@ -149,7 +149,7 @@
         let fetched = self.snapshots.fetched.take();
         let state = fetched.as_ref().and_then(|bytes| State::from_bytes(bytes));
         let (Some(bytes), Some(state)) = (fetched, state) else {
-            self.quarantine("a snapshot can't be read".to_owned());
+            self.quarantine("a fetched snapshot cannot be decoded".to_owned());
             return None;
         };
         self.state = state;
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvariantViolation {
     /// An applied entry is not in the log.
-    #[error("applied {applied}, the last entry is {last_index}")]
+    #[error("applied entry {applied}, but the last entry in the log is {last_index}")]
     AppliedBeyondLog {
         /// Index of the last applied entry.
         applied: u64,
@@ -83,10 +83,10 @@
         last_index: u64,
     },
     /// The replica leads although its rollback check has not finished.
-    #[error("it leads, and has not heard what others remember of it")]
+    #[error("the replica leads before its rollback check has finished")]
     LeaderBeforeRollbackCheck,
     /// A queue is longer than its bound.
-    #[error("{reads} reads, {actions} actions")]
+    #[error("a queue is too long: {reads} waiting reads, {actions} pending actions")]
     QueueTooLong {
         /// Number of waiting reads.
         reads: usize,
--- a/crates/replicated-store/src/voter_selection.rs
+++ b/crates/replicated-store/src/voter_selection.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VoterChangeError {
     /// The server has no replica.
-    #[error("{server} holds no copy")]
+    #[error("{server} has no replica of the record")]
     NoReplica {
         /// The server.
         server: String,
@@ -119,7 +119,7 @@
         server: String,
     },
     /// The server is a learner already.
-    #[error("{server} learns already")]
+    #[error("{server} is a learner already")]
     AlreadyLearns {
         /// The server.
         server: String,
@@ -131,10 +131,10 @@
         server: String,
     },
     /// No reachable learner has caught up and could vote instead.
-    #[error("nobody else has caught up and could vote in its place")]
+    #[error("no reachable learner has caught up and could vote in its place")]
     NoSuccessor,
     /// The voters would have no reachable majority before or after the change.
-    #[error("a majority of the voters would not be there after it")]
+    #[error("a majority of the voters is not reachable, or would not be after the change")]
     QuorumLost,
 }
 
