--- a/crates/replicated-store/src/divergence/tests.rs
+++ b/crates/replicated-store/src/divergence/tests.rs
@@ -11,9 +11,9 @@
         (vec![peer(2, yes, 9, 1), peer(3, yes, 9, 1)], true, Verdict::NoDivergence),
         (vec![peer(2, yes, 9, 1), peer(3, no, 9, 2)], true, Verdict::PeersDiverged(vec![3])),
         (vec![peer(2, no, 9, 2), peer(3, no, 9, 2)], true, Verdict::LocalDiverged(vec![2, 3])),
-        // They differ from us and from each other.
+        // All three replicas differ from each other.
         (vec![peer(2, no, 9, 2), peer(3, no, 9, 3)], true, Verdict::NoMajority),
-        // At different entries nothing can be said of the two.
+        // The two differ from us, but at different entries they cannot be compared with each other.
         (vec![peer(2, no, 9, 2), peer(3, no, 8, 3)], true, Verdict::NoDivergence),
         (vec![peer(2, no, 9, 2), peer(3, None, 0, 0)], true, Verdict::NoDivergence),
         (
@@ -26,7 +26,7 @@
             true,
             Verdict::LocalDiverged(vec![2, 3, 4]),
         ),
-        // A learner counts for nothing itself.
+        // This replica is a learner and does not count towards a majority.
         (
             vec![peer(2, yes, 9, 1), peer(3, no, 9, 2), peer(4, no, 9, 2)],
             false,
--- a/crates/replicated-store/src/rollback/tests.rs
+++ b/crates/replicated-store/src/rollback/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_replica_that_peers_remember_further_was_rolled_back() {
     let others: Vec<MemberName> = ["b", "c", "d", "e"].map(MemberName::from).to_vec();
-    // Its own progress; what two of four others remember; the verdict.
+    // Each case: the replica's own progress, what two of four other voters remember of it, and the verdict.
     let cases = [
         (progress(3, 5, 90), [Some(progress(2, 5, 90)), Some(progress(2, 4, 80))], Verdict::UpToDate),
         (progress(3, 5, 90), [None, None], Verdict::UpToDate),
--- a/crates/replicated-store/src/state/tests.rs
+++ b/crates/replicated-store/src/state/tests.rs
@@ -9,7 +9,7 @@
     state.apply(state.applied + 1, &bytes).expect("an entry").1
 }
 
-/// Writes a document; the outcome of its last entry.
+/// Applies the entries that write a document. Returns the outcome of the last one.
 fn write(state: &mut State, id: u128, name: &str, bytes: Vec<u8>, expected_version: Option<u64>) -> Outcome {
     let entries = Entry::document(name, bytes, expected_version);
     let outcomes = (0..).zip(&entries).map(|(n, entry)| apply(state, id * 1_000 + n, entry));
@@ -23,7 +23,7 @@
     assert_eq!(write(&mut state, 1, "x", b"one".to_vec(), Some(0)), Outcome::Applied(1));
     assert_eq!(write(&mut state, 2, "x", b"two".to_vec(), Some(0)), Outcome::Conflict(1));
     assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Applied(2));
-    // The same entry once more: its first outcome, and nothing changes.
+    // The same entry again has its first outcome and changes nothing.
     assert_eq!(write(&mut state, 3, "x", b"two".to_vec(), Some(1)), Outcome::Applied(2));
     let removal = Entry::Document(DocumentUpdate {
         name: "x".into(),
@@ -31,7 +31,8 @@
         content: Content::Removed,
     });
     assert_eq!((apply(&mut state, 9, &removal), state.get("x")), (Outcome::Applied(3), None));
-    // Versions go on, so that one who saw version 2 does not take the new one for it.
+    // Versions continue after a removal, so that a client that read version 2 does not mistake the new
+    // document for it.
     assert_eq!(write(&mut state, 10, "x", b"again".to_vec(), Some(0)), Outcome::Applied(4));
 }
 
--- a/crates/replicated-store/src/transfer/tests.rs
+++ b/crates/replicated-store/src/transfer/tests.rs
@@ -21,7 +21,7 @@
         for (_, index) in transfer.next_requests(now, &sources) {
             requests += 1;
             assert_ne!(index, 3);
-            // One in five is lost.
+            // Every fifth chunk is lost.
             if requests % 5 != 0 {
                 transfer.handle_chunk(chunk_of(&bytes, index));
             }
@@ -33,7 +33,7 @@
     };
 
     assert!(snapshot == bytes);
-    // 20 chunks at 10 a second, but for the half second that it may be ahead.
+    // 20 chunks at 10 per second, less the half second of unused rate that may accumulate.
     assert!(now >= 1_200_000, "{now}");
     let foreign = SnapshotChunk { digest: Digest::default(), index: 1, bytes: vec![0; CHUNK_BYTES] };
     assert!(!transfer.handle_chunk(foreign));
--- a/crates/replicated-store/src/voter_selection/tests.rs
+++ b/crates/replicated-store/src/voter_selection/tests.rs
@@ -39,7 +39,7 @@
     let none = BTreeMap::new();
     let joins = BTreeMap::from([("n2".to_owned(), 12)]);
     let cases = [
-        // The bootstrapped voter, and one that has caught up.
+        // A learner that has caught up joins the bootstrapping voter; one that has not must wait.
         (
             vec![candidate(1, "a", true, 0), candidate(2, "b", false, 0)],
             &none,
@@ -50,25 +50,26 @@
             &none,
             None,
         ),
-        // Another zone first.
+        // A learner in a zone without a voter is preferred.
         (
             vec![candidate(1, "a", true, 0), candidate(2, "a", false, 0), candidate(3, "b", false, 0)],
             &none,
             Some(Promote { replica_id: 3 }),
         ),
         (three_voters_and(candidate(4, "b", false, 0)), &none, None),
-        // Gone, but not for long; for long; and with nobody to take its place.
+        // A voter has been silent for a short time; for long; for long, with no learner to replace it.
         (with_silent(1, 20, three_voters_and(candidate(4, "b", false, 0))), &none, None),
         (with_silent(1, 40, three_voters_and(candidate(4, "b", false, 0))), &none, Some(replace(4, 2))),
         (with_silent(1, 40, three_voters()), &none, None),
-        // Two of three are gone: nothing may be changed.
+        // Two of three voters are silent: no change is allowed.
         (with_silent(0, 40, with_silent(1, 40, three_voters_and(candidate(4, "b", false, 0)))), &none, None),
-        // A disk was lost: its server has a new replica.
+        // A server has lost its disk and asks to join with a new replica.
         (with_silent(1, 5, three_voters()), &joins, Some(AddLearner { replica_id: 12, replaces: vec![2] })),
-        // With another voter gone, removing the old replica leaves one of two: it waits.
+        // Another voter is silent: removing the old replica would leave one reachable voter of two, so it has
+        // to wait.
         (with_silent(0, 5, with_silent(1, 5, three_voters())), &joins, None),
         (three_voters_and(candidate(4, "a", true, 0)), &none, Some(Demote { replica_id: 4 })),
-        // Not configured any more: it is removed, unless that would cost a majority.
+        // A server that is no longer configured is removed, unless that would lose the majority.
         (
             three_voters_and(Candidate { is_configured: false, ..candidate(4, "b", false, 9) }),
             &none,
@@ -106,7 +107,8 @@
 }
 
 proptest! {
-    /// Whatever is there, no change leaves a majority of the voters away, before or after it.
+    /// For any candidates, a change is made only while a majority of the voters is reachable both before and
+    /// after it.
     #[test]
     fn no_change_costs_a_quorum(
         drawn in prop::collection::vec((0u8..3, any::<bool>(), 0u64..50, any::<bool>()), 1..8),
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! What commit 604394b wrote, to a disk, to a file and to other members, is read as it was meant; and what
-//! goes to other members is written byte for byte as it was then.
+//! Format compatibility with the version of commit 604394b: the messages, log entries, stores and exports that it
+//! wrote are decoded to the same values, and messages and entries are encoded to the same bytes.
 
 use std::path::Path;
 
@@ -97,7 +97,7 @@
     assert_decoded(&entries(), ENVELOPES, decode);
 }
 
-/// The history that the three servers had agreed on when they were stopped, oldest line first.
+/// The history that all three servers of the earlier version had when they were stopped, oldest line first.
 fn expected_history() -> Vec<(String, Outcome)> {
     vec![
         ("document limits".to_owned(), Outcome::Applied(1)),
@@ -111,7 +111,8 @@
     ]
 }
 
-/// Every document with its version and content, and every line of the history.
+/// Asserts that the state has every document, version, content and history line that the earlier version
+/// wrote.
 fn assert_is_the_earlier_state(state: &State) {
     let large: Vec<u8> = (0..40_000u32).map(|n| (n % 251) as u8).collect();
     let held: Vec<(&str, u64, &[u8])> = state
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -1,5 +1,5 @@
-//! Replicated stores on virtual time, network and disks from a seed: whatever goes wrong, no acknowledged
-//! write is lost, no read is stale, and once the faults are over all replicas are the same.
+//! Simulated fleets with replicated stores on virtual time, with network and disks driven by a seed. Under
+//! faults no acknowledged write is lost and no read is stale, and after the faults all replicas are the same.
 
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
@@ -8,9 +8,10 @@
 use umberloom_fault_harness::virtual_record::VirtualRecord;
 use umberloom_replicated_store::{Config, Event, Replica, Role};
 
+/// One second in microseconds.
 const SECOND: u64 = 1_000_000;
 
-/// Short timeouts, so that a run has many elections.
+/// Sets short timeouts, so that a run has many elections.
 fn short_timeouts(config: &mut Config) {
     (config.election_timeout, config.replace_after) = (200_000, 2 * SECOND);
 }
@@ -87,8 +88,8 @@
     assert!(fleet.operations.iter().filter(|o| o.told.is_some()).count() > 200);
 }
 
-/// Proposed, sent to one, committed and not reported, applied and not answered: whatever the moment is, it is
-/// among these.
+/// The leader is killed after each possible number of events of a write, so also when the write is proposed,
+/// sent to one follower, committed but not reported, and applied but not answered.
 #[test]
 fn a_leader_killed_at_any_event_of_a_write_loses_no_acknowledged_write() {
     let (mut acknowledged, mut lost) = (0, 0);
@@ -166,7 +167,7 @@
 
 #[test]
 fn a_leader_is_elected_in_any_partition_that_leaves_a_server_with_a_quorum() {
-    // What is cut, given the leader and the others.
+    // The directions that are cut, given the leader and the other servers.
     type Cut = fn(usize, &[usize]) -> Vec<(usize, usize)>;
     let cases: [(&str, Cut); 5] = [
         ("star through one that does not lead", |l, o| {
@@ -431,7 +432,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(16))]
 
-    /// Whatever is drawn, what clients saw is linearizable, no term has two leaders, and all end the same.
+    /// Under random faults the clients' operations are linearizable, no term has two leaders, and all
+    /// replicas are the same at the end.
     #[test]
     fn random_faults_lose_no_acknowledged_write(seed in any::<u64>(), count in 5usize..8) {
         let result = run_random_faults(seed, count);
