--- a/crates/replicated-store/src/divergence/tests.rs
+++ b/crates/replicated-store/src/divergence/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_majority_is_right_and_without_one_nothing_is_decided() {
+fn a_majority_decides_which_replicas_are_wrong_and_without_one_none_is() {
     let (yes, no) = (Some(true), Some(false));
     let cases = [
         (vec![peer(2, yes, 9, 1), peer(3, yes, 9, 1)], true, Verdict::NoDivergence),
--- a/crates/replicated-store/src/export/tests.rs
+++ b/crates/replicated-store/src/export/tests.rs
@@ -17,12 +17,12 @@
 }
 
 #[test]
-fn an_export_is_verified_by_itself_and_any_change_is_detected() {
+fn an_export_is_verified_without_a_server_and_any_change_is_detected() {
     let export = export_of_four_entries();
     let file = export.to_bytes();
 
     let decoded = Export::from_bytes(&file).expect("readable");
-    let verified = decoded.verify().expect("sound");
+    let verified = decoded.verify().expect("a valid export");
 
     assert_eq!((verified.store_id, verified.snapshot_index, verified.last_index), (StoreId(7), 1, 5));
     assert_eq!(verified.documents, [("x".to_owned(), 4, 1)]);
@@ -34,7 +34,7 @@
     let mut without_an_entry = export.clone();
     without_an_entry.entries.remove(1);
     assert!(without_an_entry.verify().is_err());
-    let mut without_the_last = export;
-    without_the_last.entries.pop();
-    assert!(without_the_last.verify().is_err_and(|error| error.to_string().contains("digest")));
+    let mut without_the_last_entry = export;
+    without_the_last_entry.entries.pop();
+    assert!(without_the_last_entry.verify().is_err_and(|error| error.to_string().contains("digest")));
 }
--- a/crates/replicated-store/src/rollback/tests.rs
+++ b/crates/replicated-store/src/rollback/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_replica_that_peers_remember_further_was_rolled_back() {
+fn a_replica_that_lacks_progress_remembered_by_peers_was_rolled_back() {
     let others: Vec<MemberName> = ["b", "c", "d", "e"].map(MemberName::from).to_vec();
     // Each case: the replica's own progress, what two of four other voters remember of it, and the verdict.
     let cases = [
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn remembered_progress_never_falls_and_is_bounded() {
+fn remembered_progress_never_decreases_and_is_bounded() {
     let mut remembered = PeerProgress::default();
     remembered.record(7, progress(1, 4, 50));
     remembered.record(7, progress(1, 3, 90));
--- a/crates/replicated-store/src/state/tests.rs
+++ b/crates/replicated-store/src/state/tests.rs
@@ -49,11 +49,11 @@
     let last = entries.iter().zip(50..).map(|(entry, id)| apply(&mut state, id, entry)).last();
     assert!(matches!(last, Some(Outcome::Rejected(_))), "{last:?}");
     let too_large = write(&mut state, 3, "big", vec![0; MAX_DOCUMENT_BYTES + 1], None);
-    assert!(matches!(too_large, Outcome::Rejected(_)));
+    assert!(matches!(too_large, Outcome::Rejected(_)), "{too_large:?}");
 }
 
 #[test]
-fn an_entry_of_a_newer_program_is_kept_and_advances_the_digest() {
+fn an_entry_of_a_newer_program_is_counted_not_applied_and_advances_the_digest() {
     let mut state = bootstrapped();
     let before = state.rolling_digest;
     let newer = Envelope {
--- a/crates/replicated-store/src/transfer/tests.rs
+++ b/crates/replicated-store/src/transfer/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn requests_are_rate_limited_and_skip_chunks_that_are_there() {
+fn requests_are_rate_limited_and_skip_chunks_that_were_received() {
     let bytes: Vec<u8> = (0..CHUNK_BYTES * 20 + 77).map(|n| (n % 253) as u8).collect();
     let manifest = Manifest::of(&bytes);
     let sources = [MemberName::from("a"), MemberName::from("b")];
@@ -35,8 +35,9 @@
     assert!(snapshot == bytes);
     // 20 chunks at 10 per second, less the half second of unused rate that may accumulate.
     assert!(now >= 1_200_000, "{now}");
-    let foreign = SnapshotChunk { digest: Digest::default(), index: 1, bytes: vec![0; CHUNK_BYTES] };
-    assert!(!transfer.handle_chunk(foreign));
+    let chunk_of_another_snapshot =
+        SnapshotChunk { digest: Digest::default(), index: 1, bytes: vec![0; CHUNK_BYTES] };
+    assert!(!transfer.handle_chunk(chunk_of_another_snapshot));
 }
 
 #[test]
--- a/crates/replicated-store/src/voter_selection/tests.rs
+++ b/crates/replicated-store/src/voter_selection/tests.rs
@@ -20,8 +20,8 @@
     vec![candidate(1, "a", true, 0), candidate(2, "b", true, 0), candidate(3, "c", true, 0)]
 }
 
-fn three_voters_and(more: Candidate) -> Vec<Candidate> {
-    [three_voters(), vec![more]].concat()
+fn three_voters_and(fourth: Candidate) -> Vec<Candidate> {
+    [three_voters(), vec![fourth]].concat()
 }
 
 fn with_silent(index: usize, silent_for: Micros, mut all: Vec<Candidate>) -> Vec<Candidate> {
@@ -91,15 +91,15 @@
 }
 
 #[test]
-fn requested_change_moves_one_vote_and_is_refused_without_a_quorum() {
+fn requested_change_replaces_one_voter_and_is_rejected_without_a_quorum() {
     let four = || three_voters_and(candidate(4, "b", false, 0));
     let request = |all: &[Candidate], server, is_voter| requested_change(&POLICY, all, 1, server, is_voter);
 
     assert_eq!(request(&four(), "n4", true), Ok(replace(4, 3)));
     assert_eq!(request(&with_silent(1, 9, four()), "n4", true), Ok(replace(4, 2)));
     assert_eq!(request(&four(), "n2", false), Ok(replace(4, 2)));
-    let refused = request(&three_voters()[..2], "n1", true).expect_err("it votes");
-    assert_eq!(refused.to_string(), "n1 votes already");
+    let error = request(&three_voters()[..2], "n1", true).expect_err("n1 is a voter");
+    assert_eq!(error.to_string(), "n1 votes already");
     assert!(
         request(&three_voters(), "n2", false).is_err_and(|error| error.to_string().contains("in its place"))
     );
--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -21,12 +21,12 @@
 const EXPORT: &[u8] = include_bytes!("golden/export");
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let seen = DurableProgress { starts: 3, term: 500, last_index: 70_000 };
+    let durable = DurableProgress { starts: 3, term: 500, last_index: 70_000 };
     let status = StatusMessage {
         store_id: StoreId(u64::MAX - 2),
         replica_id: 77,
         adopted_from: StoreId(5),
-        durable: seen,
+        durable,
         is_voter: true,
         applied: 69_999,
         rolling_digest: [7; 16],
@@ -58,8 +58,8 @@
 }
 
 fn entries() -> Vec<(&'static str, Entry)> {
-    let document = |expect, content| {
-        Entry::Document(DocumentUpdate { name: "limits".to_owned(), expected_version: expect, content })
+    let document = |expected_version, content| {
+        Entry::Document(DocumentUpdate { name: "limits".to_owned(), expected_version, content })
     };
     vec![
         ("note", Entry::Note("a remark".to_owned())),
@@ -115,46 +115,48 @@
 /// wrote.
 fn assert_is_the_earlier_state(state: &State) {
     let large: Vec<u8> = (0..40_000u32).map(|n| (n % 251) as u8).collect();
-    let held: Vec<(&str, u64, &[u8])> = state
+    let documents: Vec<(&str, u64, &[u8])> = state
         .documents()
-        .map(|(name, held)| (name.as_str(), held.version, held.bytes.as_deref().unwrap_or_default()))
+        .map(|(name, document)| {
+            (name.as_str(), document.version, document.bytes.as_deref().unwrap_or_default())
+        })
         .collect();
     let routes = br#"{"billing":["10.0.0.1:80"]}"#;
     let expected: [(&str, u64, &[u8]); 3] =
         [("large", 1, &large), ("limits", 2, b"fifty"), ("routes", 1, routes)];
-    assert_eq!(held, expected);
+    assert_eq!(documents, expected);
     let lines: Vec<&HistoryLine> = state.history().collect();
-    let found: Vec<(String, Outcome)> =
-        lines.iter().map(|l| (l.description.clone(), l.outcome.clone())).collect();
-    assert_eq!(found, expected_history());
+    let history: Vec<(String, Outcome)> =
+        lines.iter().map(|line| (line.description.clone(), line.outcome.clone())).collect();
+    assert_eq!(history, expected_history());
     assert!(lines.iter().all(|line| line.author.at_ms > 1_700_000_000_000), "{lines:?}");
 }
 
-/// The rows of a store that a server of the earlier version left behind.
-fn image_of(server: &str) -> StoredReplica {
-    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(server);
-    let folder = std::env::temp_dir().join(format!("umberloom-stored-{}-{server}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::copy(golden.join("rows.redb"), folder.join("rows.redb")).expect("copied");
+/// The replica in the store that a server of the earlier version wrote; `store` is its folder among the
+/// golden files.
+fn read_golden_store(store: &str) -> StoredReplica {
+    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(store);
+    let copied_folder = std::env::temp_dir().join(format!("umberloom-stored-{}-{store}", std::process::id()));
+    std::fs::create_dir_all(&copied_folder).expect("folder created");
+    std::fs::copy(golden.join("rows.redb"), copied_folder.join("rows.redb")).expect("file copied");
     let rows = {
-        let store = Store::open(&RealDisk, &StoreConfig::new(&folder)).expect("a sound store");
-        let all =
-            KEYSPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).expect("sound rows")));
-        all.to_vec()
+        let store = Store::open(&RealDisk, &StoreConfig::new(&copied_folder)).expect("a valid store");
+        let rows_of = |keyspace| store.range(keyspace, &[], None, usize::MAX).expect("readable rows");
+        KEYSPACES.map(|keyspace| (keyspace, rows_of(keyspace))).to_vec()
     };
-    std::fs::remove_dir_all(&folder).expect("removed");
-    StoredReplica::read(rows).expect("sound").expect("a copy")
+    std::fs::remove_dir_all(&copied_folder).expect("folder removed");
+    StoredReplica::read(rows).expect("valid rows").expect("a replica")
 }
 
 #[test]
-fn stores_of_the_earlier_version_hold_every_document_and_line_of_history() {
-    for (n, name) in ["n1", "n2", "n3"].into_iter().enumerate() {
-        let image = image_of(&format!("store-{n}"));
-        assert_eq!(image.identity.server, name);
-        assert_eq!(image.identity.starts, 1);
-        let mut state = image.state.clone().expect("a snapshot");
-        let last_index = image.last_position().index;
-        let log = umberloom_replicated_store::log::Log::load(image);
+fn stores_of_the_earlier_version_have_all_documents_and_history_lines() {
+    for (store, server) in ["n1", "n2", "n3"].into_iter().enumerate() {
+        let replica = read_golden_store(&format!("store-{store}"));
+        assert_eq!(replica.identity.server, server);
+        assert_eq!(replica.identity.starts, 1);
+        let mut state = replica.state.clone().expect("a snapshot");
+        let last_index = replica.last_position().index;
+        let log = umberloom_replicated_store::log::Log::load(replica);
         for entry in log.entries_through(last_index) {
             entry.apply_to(&mut state);
         }
@@ -163,9 +165,9 @@
 }
 
 #[test]
-fn an_export_of_the_earlier_version_is_sound_and_complete() {
+fn an_export_of_the_earlier_version_is_valid_and_complete() {
     let export = Export::from_bytes(EXPORT).expect("an export");
-    let verified = export.verify().expect("sound");
+    let verified = export.verify().expect("a valid export");
     let documents =
         [("large".to_owned(), 1, 40_000), ("limits".to_owned(), 2, 5), ("routes".to_owned(), 1, 27)];
     assert_eq!((verified.documents, verified.unsupported_entries), (documents.to_vec(), 0));
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use umberloom_fault_harness::linear::breaches;
 use umberloom_fault_harness::virtual_record::VirtualRecord;
-use umberloom_replicated_store::{Config, Event, Replica, Role};
+use umberloom_replicated_store::{Config, Entry, Event, Replica, Role};
 
 /// One second in microseconds.
 const SECOND: u64 = 1_000_000;
@@ -21,32 +21,43 @@
     config.voters = 5;
 }
 
-/// A fleet in which all servers have joined and so many vote.
-fn settled(count: usize, voters: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
-    let mut fleet = VirtualRecord::new(count, seed, adjust);
-    fleet.until(20 * SECOND, |f| f.settled(voters)).expect("settled");
+/// Runs a new fleet until all servers have joined and `voters` of them vote.
+fn settled_fleet(servers: usize, voters: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
+    let mut fleet = VirtualRecord::new(servers, seed, adjust);
+    fleet.until(20 * SECOND, |fleet| fleet.settled(voters)).expect("settled");
     fleet
 }
 
-/// Runs for so long with clients that write and read at random servers.
+/// Some server that is a voter and not the leader.
+fn any_follower(fleet: &VirtualRecord, servers: usize) -> usize {
+    let is_follower =
+        |server: &usize| fleet.record(*server).is_some_and(|replica| replica.role() == Role::Voter);
+    (0..servers).find(is_follower).expect("a voter")
+}
+
+/// The version of a document as a server has it; `None` if the server is down or has no such document.
+fn version_at(fleet: &VirtualRecord, server: usize, name: &str) -> Option<u64> {
+    fleet.record(server).and_then(|replica| replica.state().get(name)).map(|document| document.version)
+}
+
+/// Runs the fleet for `duration` microseconds, with clients that write and read at random servers.
 fn run_clients(
     fleet: &mut VirtualRecord,
     random: &mut ChaCha8Rng,
-    count: usize,
-    span: u64,
+    servers: usize,
+    duration: u64,
 ) -> Result<(), String> {
-    let end = fleet.now + span;
+    let end = fleet.now + duration;
     while fleet.now < end {
-        let n = random.random_range(0..count);
+        let server = random.random_range(0..servers);
         let name = ["x", "y"][random.random_range(0..2)];
         match random.random_range(0..3) {
-            0 => fleet.write(n, name, None),
+            0 => fleet.write(server, name, None),
             1 => {
-                let version =
-                    fleet.record(n).and_then(|r| r.state().get(name)).map_or(0, |held| held.version);
-                fleet.write(n, name, Some(version));
+                let version = version_at(fleet, server, name).unwrap_or(0);
+                fleet.write(server, name, Some(version));
             }
-            _ => fleet.read(n, name),
+            _ => fleet.read(server, name),
         }
         fleet.run(fleet.now + random.random_range(1_000..30_000))?;
     }
@@ -55,113 +66,120 @@
 
 #[test]
 fn a_store_is_bootstrapped_once_and_all_servers_join() {
-    for (count, voters) in [(1, 1), (3, 3), (5, 3), (7, 5)] {
+    for (servers, voters) in [(1, 1), (3, 3), (5, 3), (7, 5)] {
         let adjust = if voters == 5 {
             five_voters
         } else if voters == 1 {
-            |c: &mut Config| c.voters = 1
+            |config: &mut Config| config.voters = 1
         } else {
             short_timeouts
         };
-        let fleet = settled(count, voters, 7, adjust);
-        let founded =
-            fleet.told.iter().filter(|(.., line)| matches!(line, Event::Bootstrapped { .. })).count();
-        assert_eq!(founded, 1, "{count} servers");
+        let fleet = settled_fleet(servers, voters, 7, adjust);
+        let bootstraps =
+            fleet.told.iter().filter(|(.., event)| matches!(event, Event::Bootstrapped { .. })).count();
+        assert_eq!(bootstraps, 1, "{servers} servers");
     }
 }
 
 #[test]
 fn a_killed_leader_is_replaced_within_two_elections_without_loss() {
-    let mut fleet = settled(5, 3, 3, short_timeouts);
+    let mut fleet = settled_fleet(5, 3, 3, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..6 {
-        run_clients(&mut fleet, &mut random, 5, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, SECOND).expect("no violation");
         let leader = fleet.leader().expect("a leader");
         fleet.kill(leader, true);
-        let took = fleet.until(5 * SECOND, |f| f.leader().is_some_and(|n| n != leader)).expect("a leader");
+        let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != leader);
+        let took = fleet.until(5 * SECOND, has_new_leader).expect("a leader");
         assert!(took <= 2 * 400_000 + 100_000, "{took}");
-        run_clients(&mut fleet, &mut random, 5, SECOND / 2).expect("sound");
+        run_clients(&mut fleet, &mut random, 5, SECOND / 2).expect("no violation");
         fleet.start(leader);
-        fleet.until(10 * SECOND, |f| f.settled(3)).expect("settled");
+        fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
     }
     assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
-    assert!(fleet.operations.iter().filter(|o| o.told.is_some()).count() > 200);
+    assert!(fleet.operations.iter().filter(|operation| operation.told.is_some()).count() > 200);
 }
 
 /// The leader is killed after each possible number of events of a write, so also when the write is proposed,
 /// sent to one follower, committed but not reported, and applied but not answered.
 #[test]
 fn a_leader_killed_at_any_event_of_a_write_loses_no_acknowledged_write() {
-    let (mut acknowledged, mut lost) = (0, 0);
+    let (mut acknowledged, mut unacknowledged) = (0, 0);
     for events in 0..60 {
-        let mut fleet = settled(3, 3, 100 + events as u64 % 3, short_timeouts);
+        let mut fleet = settled_fleet(3, 3, 100 + events as u64 % 3, short_timeouts);
         fleet.write(1, "x", None);
-        fleet.run(fleet.now + SECOND).expect("sound");
-        let leader = fleet.leader().expect("a leader");
-        fleet.write(leader, "x", None);
-        fleet.write((leader + 1) % 3, "x", None);
-        fleet.events(events).expect("sound");
-        fleet.kill(leader, true);
-        fleet.until(5 * SECOND, |f| f.leader().is_some_and(|n| n != leader)).expect("a leader");
-        let at = fleet.leader().expect("a leader");
-        fleet.read(at, "x");
-        fleet.write(at, "x", None);
-        fleet.run(fleet.now + SECOND).expect("sound");
-        fleet.start(leader);
-        fleet.until(10 * SECOND, |f| f.settled(3)).expect("settled");
-        fleet.read(leader, "x");
-        fleet.run(fleet.now + SECOND).expect("sound");
+        fleet.run(fleet.now + SECOND).expect("no violation");
+        let killed = fleet.leader().expect("a leader");
+        fleet.write(killed, "x", None);
+        fleet.write((killed + 1) % 3, "x", None);
+        fleet.events(events).expect("no violation");
+        fleet.kill(killed, true);
+        let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != killed);
+        fleet.until(5 * SECOND, has_new_leader).expect("a leader");
+        let new_leader = fleet.leader().expect("a leader");
+        fleet.read(new_leader, "x");
+        fleet.write(new_leader, "x", None);
+        fleet.run(fleet.now + SECOND).expect("no violation");
+        fleet.start(killed);
+        fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+        fleet.read(killed, "x");
+        fleet.run(fleet.now + SECOND).expect("no violation");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "killed after {events} events");
-        let told = fleet.operations[1].told.is_some();
-        (acknowledged, lost) = (acknowledged + usize::from(told), lost + usize::from(!told));
+        let is_acknowledged = fleet.operations[1].told.is_some();
+        acknowledged += usize::from(is_acknowledged);
+        unacknowledged += usize::from(!is_acknowledged);
     }
-    // Both ends of the range were met.
-    assert!(acknowledged > 3 && lost > 3, "{acknowledged} were acknowledged, {lost} were not");
+    // The kills cover the time before the acknowledgement and the time after it.
+    assert!(
+        acknowledged > 3 && unacknowledged > 3,
+        "{acknowledged} were acknowledged, {unacknowledged} were not"
+    );
 }
 
 #[test]
 fn a_disk_that_ignores_syncs_costs_its_replica_and_no_acknowledged_write() {
-    let mut found = 0;
+    let mut quarantined = 0;
     for seed in 0..8 {
-        let mut fleet = settled(3, 3, 40 + seed, short_timeouts);
+        let mut fleet = settled_fleet(3, 3, 40 + seed, short_timeouts);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
-        let liar = fleet.leader().expect("a leader");
-        let copy = fleet.record(liar).map(Replica::replica_id);
-        fleet.lie(liar);
-        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
-        fleet.kill(liar, true);
-        fleet.start(liar);
-        fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        found += usize::from(fleet.record(liar).map(Replica::replica_id) != copy);
-        run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
+        let faulty = fleet.leader().expect("a leader");
+        let old_replica = fleet.record(faulty).map(Replica::replica_id);
+        fleet.lie(faulty);
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
+        fleet.kill(faulty, true);
+        fleet.start(faulty);
+        fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+        quarantined += usize::from(fleet.record(faulty).map(Replica::replica_id) != old_replica);
+        run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "seed {seed}");
     }
-    assert!(found > 4, "{found} of 8 copies were set aside");
+    assert!(quarantined > 4, "{quarantined} of 8 replicas were quarantined");
 }
 
 #[test]
 fn a_leader_that_resumes_after_a_stall_serves_no_stale_read_or_write() {
-    let mut fleet = settled(3, 3, 5, short_timeouts);
+    let mut fleet = settled_fleet(3, 3, 5, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    let old = fleet.leader().expect("a leader");
-    let other = (old + 1) % 3;
-    fleet.write(old, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
-    fleet.pause(old, 5 * SECOND);
-    fleet.until(5 * SECOND, |f| f.leader().is_some_and(|n| n != old)).expect("another");
+    let stalled = fleet.leader().expect("a leader");
+    let other = (stalled + 1) % 3;
+    fleet.write(stalled, "x", None);
+    fleet.run(fleet.now + SECOND).expect("no violation");
+    fleet.pause(stalled, 5 * SECOND);
+    let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != stalled);
+    fleet.until(5 * SECOND, has_new_leader).expect("another leader");
     for _ in 0..10 {
         fleet.write(other, "x", None);
-        fleet.run(fleet.now + 100_000).expect("sound");
+        fleet.run(fleet.now + 100_000).expect("no violation");
     }
-    fleet.run(fleet.now + 5 * SECOND - 1_300_000).expect("sound");
-    // It believes that it leads until it hears otherwise.
+    fleet.run(fleet.now + 5 * SECOND - 1_300_000).expect("no violation");
+    // The stalled server still acts as leader until it receives a message of a later term.
     for _ in 0..20 {
-        fleet.read(old, "x");
-        fleet.write(old, "x", None);
-        fleet.run(fleet.now + 2_000).expect("sound");
+        fleet.read(stalled, "x");
+        fleet.write(stalled, "x", None);
+        fleet.run(fleet.now + 2_000).expect("no violation");
     }
-    run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
+    run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
     assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
 }
 
@@ -170,246 +188,268 @@
     // The directions that are cut, given the leader and the other servers.
     type Cut = fn(usize, &[usize]) -> Vec<(usize, usize)>;
     let cases: [(&str, Cut); 5] = [
-        ("star through one that does not lead", |l, o| {
-            let all = [l, o[1], o[2], o[3]];
-            all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b).collect()
+        ("star around a follower", |leader, others| {
+            let points = [leader, others[1], others[2], others[3]];
+            points.iter().flat_map(|a| points.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b).collect()
         }),
-        ("bridge", |l, o| {
-            let halves = [[l, o[1]], [o[2], o[3]]];
+        ("two halves joined by one server", |leader, others| {
+            let halves = [[leader, others[1]], [others[2], others[3]]];
             halves[0].iter().flat_map(|a| halves[1].iter().flat_map(move |b| [(*a, *b), (*b, *a)])).collect()
         }),
-        ("the leader is heard by one only", |l, o| o[1..].iter().map(|n| (l, *n)).collect()),
-        ("nothing reaches the leader", |l, o| o.iter().map(|n| (*n, l)).collect()),
-        ("chain", |l, o| {
-            let chain = [o[0], l, o[1], o[2], o[3]];
-            let far = |a: usize, b: usize| a.abs_diff(b) > 1;
+        ("only one server hears the leader", |leader, others| {
+            others[1..].iter().map(|other| (leader, *other)).collect()
+        }),
+        ("the leader hears no one", |leader, others| others.iter().map(|other| (*other, leader)).collect()),
+        ("chain", |leader, others| {
+            let chain = [others[0], leader, others[1], others[2], others[3]];
+            let is_apart = |a: usize, b: usize| a.abs_diff(b) > 1;
             (0..5)
                 .flat_map(|a| (0..5).map(move |b| (a, b)))
-                .filter(|(a, b)| far(*a, *b))
+                .filter(|(a, b)| is_apart(*a, *b))
                 .map(|(a, b)| (chain[a], chain[b]))
                 .collect()
         }),
     ];
     for (name, cut) in cases {
-        let mut fleet = settled(5, 5, 9, five_voters);
+        let mut fleet = settled_fleet(5, 5, 9, five_voters);
         let leader = fleet.leader().expect("a leader");
-        let others: Vec<usize> = (0..5).filter(|n| *n != leader).collect();
+        let others: Vec<usize> = (0..5).filter(|server| *server != leader).collect();
         fleet.cut = cut(leader, &others).into_iter().collect();
-        fleet.run(fleet.now + SECOND).expect("sound");
-        let (from, hub) = (fleet.told.len(), others[0]);
-        let before = fleet.record(hub).map_or(0, |r| r.state().applied);
+        fleet.run(fleet.now + SECOND).expect("no violation");
+        let (first_event, observer) = (fleet.told.len(), others[0]);
+        let applied =
+            |fleet: &VirtualRecord| fleet.record(observer).map_or(0, |replica| replica.state().applied);
+        let before = applied(&fleet);
         let mut random = ChaCha8Rng::seed_from_u64(1);
-        run_clients(&mut fleet, &mut random, 5, 5 * SECOND).expect("sound");
-        let after = fleet.record(hub).map_or(0, |r| r.state().applied);
+        run_clients(&mut fleet, &mut random, 5, 5 * SECOND).expect("no violation");
+        let after = applied(&fleet);
         assert!(after > before + 30, "{name}: {before} to {after}");
-        let led = fleet.told[from..]
+        let new_leaders = fleet.told[first_event..]
             .iter()
-            .filter(|(.., t)| matches!(t, Event::RoleChanged { to: Role::Leader, .. }))
+            .filter(|(.., event)| matches!(event, Event::RoleChanged { to: Role::Leader, .. }))
             .count();
-        assert!(led <= 2, "{name}: {led} leaders in 5 s");
+        assert!(new_leaders <= 2, "{name}: {new_leaders} leaders in 5 s");
         fleet.cut.clear();
-        fleet.until(10 * SECOND, |f| f.settled(5)).unwrap_or_else(|why| panic!("{name}: {why}"));
+        fleet.until(10 * SECOND, |fleet| fleet.settled(5)).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "{name}");
     }
 }
 
 #[test]
 fn a_server_with_a_lost_or_rolled_back_disk_returns_with_a_new_replica() {
-    for set_back in [false, true] {
-        let mut fleet = settled(5, 3, 4, short_timeouts);
+    for is_rollback in [false, true] {
+        let mut fleet = settled_fleet(5, 3, 4, short_timeouts);
         let mut random = ChaCha8Rng::seed_from_u64(4);
-        let voter =
-            (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
+        let voter = any_follower(&fleet, 5);
         let image = fleet.image(voter);
-        let number = fleet.record(voter).map(Replica::replica_id);
-        run_clients(&mut fleet, &mut random, 5, 2 * SECOND).expect("sound");
-        match set_back {
-            true => fleet.put_back(voter, image),
-            false => fleet.lose_disk(voter),
+        let old_replica = fleet.record(voter).map(Replica::replica_id);
+        run_clients(&mut fleet, &mut random, 5, 2 * SECOND).expect("no violation");
+        if is_rollback {
+            fleet.put_back(voter, image);
+        } else {
+            fleet.lose_disk(voter);
         }
         fleet.start(voter);
-        fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-        let now = fleet.record(voter).map(Replica::replica_id);
-        assert_ne!(number, now, "set back: {set_back}");
-        assert_eq!(fleet.aside.len(), usize::from(set_back), "{:?}", fleet.aside);
-        let state = fleet.record(voter).expect("runs").state();
-        assert_eq!(state.members.values().filter(|m| m.name == format!("m{voter}")).count(), 1);
-        run_clients(&mut fleet, &mut random, 5, SECOND).expect("sound");
+        fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+        let new_replica = fleet.record(voter).map(Replica::replica_id);
+        assert_ne!(old_replica, new_replica, "rollback: {is_rollback}");
+        assert_eq!(fleet.aside.len(), usize::from(is_rollback), "{:?}", fleet.aside);
+        let state = fleet.record(voter).expect("the server runs").state();
+        let name = format!("m{voter}");
+        assert_eq!(state.members.values().filter(|member| member.name == name).count(), 1);
+        run_clients(&mut fleet, &mut random, 5, SECOND).expect("no violation");
         assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_voter_that_is_gone_for_long_is_replaced_and_returns_as_a_learner() {
-    let mut fleet = settled(5, 3, 6, short_timeouts);
-    let voter = (0..5).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
+fn a_voter_that_is_silent_for_long_is_replaced_and_returns_as_a_learner() {
+    let mut fleet = settled_fleet(5, 3, 6, short_timeouts);
+    let voter = any_follower(&fleet, 5);
     fleet.kill(voter, false);
-    let replaced = |f: &VirtualRecord| {
-        let stands = f.leader().and_then(|n| f.record(n)).map(|r| r.status(f.now));
-        stands.is_some_and(|s| {
-            s.replicas.iter().filter(|c| c.is_voter).count() == 3
-                && !s.replicas.iter().any(|c| c.is_voter && c.server == format!("m{voter}"))
+    let is_replaced = |fleet: &VirtualRecord| {
+        let leader = fleet.leader().and_then(|server| fleet.record(server));
+        leader.map(|replica| replica.status(fleet.now)).is_some_and(|status| {
+            status.replicas.iter().filter(|replica| replica.is_voter).count() == 3
+                && !status
+                    .replicas
+                    .iter()
+                    .any(|replica| replica.is_voter && replica.server == format!("m{voter}"))
         })
     };
-    fleet.until(10 * SECOND, replaced).expect("replaced");
+    fleet.until(10 * SECOND, is_replaced).expect("replaced");
     fleet.start(voter);
-    fleet.until(10 * SECOND, |f| f.settled(3)).expect("settled");
+    fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
     assert_eq!(fleet.record(voter).map(Replica::role), Some(Role::Learner));
 }
 
 #[test]
 fn a_fleet_that_lost_all_disks_bootstraps_a_new_store() {
-    let mut fleet = settled(3, 3, 8, short_timeouts);
-    let first = fleet.record(0).map(Replica::store_id);
-    (0..3).for_each(|n| fleet.lose_disk(n));
-    (0..3).for_each(|n| fleet.start(n));
-    fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_ne!(fleet.record(0).map(Replica::store_id), first);
-    assert_eq!(fleet.told.iter().filter(|(.., t)| matches!(t, Event::Bootstrapped { .. })).count(), 2);
-    // With disks it is the old one, whatever the order.
-    let second = fleet.record(0).map(Replica::store_id);
-    (0..3).for_each(|n| fleet.kill(n, true));
-    for n in [2, 0, 1] {
-        fleet.start(n);
-        fleet.run(fleet.now + SECOND).expect("sound");
+    let mut fleet = settled_fleet(3, 3, 8, short_timeouts);
+    let first_store = fleet.record(0).map(Replica::store_id);
+    (0..3).for_each(|server| fleet.lose_disk(server));
+    (0..3).for_each(|server| fleet.start(server));
+    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    assert_ne!(fleet.record(0).map(Replica::store_id), first_store);
+    let is_bootstrap = |event: &Event| matches!(event, Event::Bootstrapped { .. });
+    assert_eq!(fleet.told.iter().filter(|(.., event)| is_bootstrap(event)).count(), 2);
+    // With their disks the servers keep the store, in whatever order they start.
+    let second_store = fleet.record(0).map(Replica::store_id);
+    (0..3).for_each(|server| fleet.kill(server, true));
+    for server in [2, 0, 1] {
+        fleet.start(server);
+        fleet.run(fleet.now + SECOND).expect("no violation");
     }
-    fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(0).map(Replica::store_id), second);
+    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    assert_eq!(fleet.record(0).map(Replica::store_id), second_store);
 }
 
 #[test]
 fn a_diverged_replica_is_quarantined_and_rebuilt() {
-    let mut fleet = settled(3, 3, 2, short_timeouts);
+    let mut fleet = settled_fleet(3, 3, 2, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(2);
-    let voter = (0..3).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
+    let voter = any_follower(&fleet, 3);
     fleet.spoil(voter, 1);
-    fleet.until(10 * SECOND, |f| !f.aside.is_empty()).expect("found");
+    fleet.until(10 * SECOND, |fleet| !fleet.aside.is_empty()).expect("quarantined");
     assert_eq!(fleet.aside[0].0, voter);
-    fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    run_clients(&mut fleet, &mut random, 3, SECOND).expect("sound");
+    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
     assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
 }
 
 #[test]
 fn replicas_that_all_diverge_freeze_until_an_operator_adopts_one() {
-    let mut fleet = settled(3, 3, 2, short_timeouts);
+    let mut fleet = settled_fleet(3, 3, 2, short_timeouts);
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
-    assert!(fleet.adopt(0).is_err_and(|why| why.contains("nothing is to be decided")));
-    // Each of three differs from both others.
+    fleet.run(fleet.now + SECOND).expect("no violation");
+    assert!(fleet.adopt(0).is_err_and(|error| error.contains("nothing is to be decided")));
+    // Each of the three replicas differs from both others.
     fleet.spoil(0, 1);
     fleet.spoil(1, 2);
-    let frozen = |f: &VirtualRecord| (0..3).all(|n| f.record(n).is_some_and(|r| r.status(f.now).frozen));
-    fleet.until(10 * SECOND, frozen).expect("frozen");
-    assert!(fleet.aside.is_empty(), "nobody can tell which is wrong: {:?}", fleet.aside);
+    let all_frozen = |fleet: &VirtualRecord| {
+        (0..3).all(|server| fleet.record(server).is_some_and(|replica| replica.status(fleet.now).frozen))
+    };
+    fleet.until(10 * SECOND, all_frozen).expect("frozen");
+    assert!(fleet.aside.is_empty(), "quarantined without a majority: {:?}", fleet.aside);
     let leader = fleet.leader().expect("a leader");
-    let before = fleet.record(leader).map(|r| r.state().applied);
+    let applied = |fleet: &VirtualRecord| fleet.record(leader).map(|replica| replica.state().applied);
+    let before = applied(&fleet);
     fleet.write(leader, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
-    assert_eq!(fleet.record(leader).map(|r| r.state().applied), before, "written although frozen");
-    fleet.adopt(2).expect("decided");
-    fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    let state = fleet.record(0).expect("runs").state();
+    fleet.run(fleet.now + SECOND).expect("no violation");
+    assert_eq!(applied(&fleet), before, "written although frozen");
+    fleet.adopt(2).expect("adopted");
+    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    let state = fleet.record(0).expect("the server runs").state();
     assert!(
         state.get("x").is_some() && state.history().any(|line| line.description.starts_with("adopted from"))
     );
     fleet.write(1, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
-    assert_eq!(fleet.record(0).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
+    fleet.run(fleet.now + SECOND).expect("no violation");
+    assert_eq!(version_at(&fleet, 0, "x"), Some(2));
 }
 
 #[test]
-fn adopting_a_replica_that_was_only_cut_off_undoes_nothing() {
-    let mut fleet = settled(5, 3, 21, short_timeouts);
+fn adopting_a_replica_that_was_only_partitioned_leaves_the_majority_unchanged() {
+    let mut fleet = settled_fleet(5, 3, 21, short_timeouts);
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
-    let first = fleet.record(0).map(Replica::store_id);
-    let cut = 4;
-    fleet.cut.extend((0..4).flat_map(|n| [(n, cut), (cut, n)]));
+    fleet.run(fleet.now + SECOND).expect("no violation");
+    let first_store = fleet.record(0).map(Replica::store_id);
+    let partitioned = 4;
+    fleet.cut.extend((0..4).flat_map(|server| [(server, partitioned), (partitioned, server)]));
     fleet
-        .until(20 * SECOND, |f| f.record(cut).is_some_and(|r| r.status(f.now).leader.is_none()))
-        .expect("cut off");
-    fleet.run(fleet.now + 2 * SECOND).expect("sound");
-    fleet.adopt(cut).expect("it can't know better");
+        .until(20 * SECOND, |fleet| {
+            fleet.record(partitioned).is_some_and(|replica| replica.status(fleet.now).leader.is_none())
+        })
+        .expect("partitioned");
+    fleet.run(fleet.now + 2 * SECOND).expect("no violation");
+    fleet.adopt(partitioned).expect("allowed, as the server knows no leader");
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("sound");
+    fleet.run(fleet.now + SECOND).expect("no violation");
     fleet.cut.clear();
-    fleet.run(fleet.now + 5 * SECOND).expect("sound");
+    fleet.run(fleet.now + 5 * SECOND).expect("no violation");
     assert!(
-        (0..4).all(|n| fleet.record(n).map(Replica::store_id) == first),
-        "the majority has left its record"
+        (0..4).all(|server| fleet.record(server).map(Replica::store_id) == first_store),
+        "the majority has left its store"
     );
     assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
-    assert!(fleet.told.iter().any(|(_, n, t)| *n < 4 && matches!(t, Event::CompetingStore { .. })));
-    // Without its copy it joins the one that most hold.
-    fleet.lose_disk(cut);
-    fleet.start(cut);
-    fleet.until(20 * SECOND, |f| f.settled(3)).expect("settled");
-    assert_eq!(fleet.record(cut).map(Replica::store_id), first);
-    assert_eq!(fleet.record(cut).and_then(|r| r.state().get("x")).map(|held| held.version), Some(2));
+    assert!(fleet
+        .told
+        .iter()
+        .any(|(_, server, event)| *server < 4 && matches!(event, Event::CompetingStore { .. })));
+    // Without its replica the server joins the store that most servers have.
+    fleet.lose_disk(partitioned);
+    fleet.start(partitioned);
+    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    assert_eq!(fleet.record(partitioned).map(Replica::store_id), first_store);
+    assert_eq!(version_at(&fleet, partitioned, "x"), Some(2));
 }
 
 #[test]
 fn a_replica_killed_while_it_catches_up_resumes_the_transfer() {
-    fn slow(config: &mut Config) {
+    fn slow_catch_up(config: &mut Config) {
         short_timeouts(config);
         config.catch_up_bytes_per_second = 400 << 10;
     }
-    let mut fleet = settled(3, 3, 12, slow);
-    let behind = (0..3).find(|n| fleet.record(*n).is_some_and(|r| r.role() == Role::Voter)).expect("a voter");
-    fleet.kill(behind, false);
+    let mut fleet = settled_fleet(3, 3, 12, slow_catch_up);
+    let lagging = any_follower(&fleet, 3);
+    fleet.kill(lagging, false);
     let leader = fleet.leader().expect("a leader");
-    for n in 0..30 {
-        let whole =
-            umberloom_replicated_store::Entry::document(&format!("big{n}"), vec![n as u8; 30_000], None);
-        fleet.propose(leader, whole);
-        fleet.run(fleet.now + 50_000).expect("sound");
+    for number in 0..30 {
+        let entries = Entry::document(&format!("big{number}"), vec![number as u8; 30_000], None);
+        fleet.propose(leader, entries);
+        fleet.run(fleet.now + 50_000).expect("no violation");
     }
     for _ in 0..40 {
         (0..110).for_each(|_| fleet.write(leader, "x", None));
-        fleet.run(fleet.now + 100_000).expect("sound");
+        fleet.run(fleet.now + 100_000).expect("no violation");
     }
-    fleet.start(behind);
-    let progress = |f: &VirtualRecord| f.record(behind).and_then(|r| r.status(f.now).catching_up);
+    fleet.start(lagging);
+    let progress = |fleet: &VirtualRecord| {
+        fleet.record(lagging).and_then(|replica| replica.status(fleet.now).catching_up)
+    };
     let mut highest = 0;
     for _ in 0..3 {
         fleet
-            .until(20 * SECOND, |f| progress(f).is_some_and(|(there, _)| there >= highest + 4))
-            .expect("pieces");
-        let (there, all) = progress(&fleet).expect("under way");
-        assert!(there >= highest, "{there} of {all}, {highest} were there before");
-        highest = there;
-        fleet.kill(behind, true);
-        fleet.start(behind);
+            .until(20 * SECOND, |fleet| progress(fleet).is_some_and(|(received, _)| received >= highest + 4))
+            .expect("chunks received");
+        let (received, total) = progress(&fleet).expect("a transfer in progress");
+        assert!(received >= highest, "{received} of {total}, {highest} had been received before");
+        highest = received;
+        fleet.kill(lagging, true);
+        fleet.start(lagging);
     }
-    fleet.until(30 * SECOND, |f| f.settled(3)).expect("settled");
-    assert!(fleet.told.iter().any(|(_, n, t)| *n == behind && matches!(t, Event::CaughtUp { .. })));
+    fleet.until(30 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    assert!(fleet
+        .told
+        .iter()
+        .any(|(_, server, event)| *server == lagging && matches!(event, Event::CaughtUp { .. })));
 }
 
-/// Injects faults drawn from a seed while clients write and read; then none.
-fn run_random_faults(seed: u64, count: usize) -> Result<(), String> {
+/// Injects faults drawn from a seed while clients write and read, then ends all faults and checks the
+/// outcome.
+fn run_random_faults(seed: u64, servers: usize) -> Result<(), String> {
     let adjust = if seed.is_multiple_of(2) { short_timeouts } else { five_voters };
-    let voters = if seed.is_multiple_of(2) { 3.min(count) } else { 5 };
-    let mut fleet = VirtualRecord::new(count, seed, adjust);
-    fleet.until(30 * SECOND, |f| f.settled(voters))?;
+    let voters = if seed.is_multiple_of(2) { 3.min(servers) } else { 5 };
+    let mut fleet = VirtualRecord::new(servers, seed, adjust);
+    fleet.until(30 * SECOND, |fleet| fleet.settled(voters))?;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut lost = 0;
+    let mut disk_lost = false;
     for _ in 0..14 {
-        let span = random.random_range(100_000..SECOND);
-        run_clients(&mut fleet, &mut random, count, span)?;
-        let (a, b) = (random.random_range(0..count), random.random_range(0..count));
+        let duration = random.random_range(100_000..SECOND);
+        run_clients(&mut fleet, &mut random, servers, duration)?;
+        let (server, other) = (random.random_range(0..servers), random.random_range(0..servers));
         match random.random_range(0..9) {
-            0 | 1 if a != b => drop(fleet.cut.insert((a, b))),
+            0 | 1 if server != other => drop(fleet.cut.insert((server, other))),
             2 => fleet.cut.clear(),
-            3 => fleet.kill(a, random.random_bool(0.5)),
-            4 if !fleet.runs(a) => fleet.start(a),
-            5 => fleet.pause(a, random.random_range(50_000..3 * SECOND)),
+            3 => fleet.kill(server, random.random_bool(0.5)),
+            4 if !fleet.runs(server) => fleet.start(server),
+            5 => fleet.pause(server, random.random_range(50_000..3 * SECOND)),
             6 => (fleet.loss, fleet.late) = (random.random_range(0.0..0.3), 60_000),
-            // A minority may lose its disks, one at a time and with time to come back between.
-            7 if lost == 0 && (0..count).all(|n| fleet.runs(n)) => {
-                lost = 1;
-                fleet.lose_disk(a);
-                fleet.start(a);
+            // One disk is lost per run, and only while all servers run: a lost majority would lose writes.
+            7 if !disk_lost && (0..servers).all(|server| fleet.runs(server)) => {
+                disk_lost = true;
+                fleet.lose_disk(server);
+                fleet.start(server);
             }
             _ => (fleet.loss, fleet.late) = (0.0, 2_000),
         }
@@ -417,15 +457,16 @@
     (fleet.loss, fleet.late) = (0.0, 2_000);
     fleet.cut.clear();
     fleet.run(fleet.now + 3 * SECOND)?;
-    (0..count).filter(|n| !fleet.runs(*n)).collect::<Vec<_>>().into_iter().for_each(|n| fleet.start(n));
-    fleet.until(30 * SECOND, |f| f.settled(voters))?;
-    run_clients(&mut fleet, &mut random, count, SECOND)?;
+    let stopped: Vec<usize> = (0..servers).filter(|server| !fleet.runs(*server)).collect();
+    stopped.into_iter().for_each(|server| fleet.start(server));
+    fleet.until(30 * SECOND, |fleet| fleet.settled(voters))?;
+    run_clients(&mut fleet, &mut random, servers, SECOND)?;
     fleet.run(fleet.now + SECOND)?;
-    let found = breaches(&fleet.operations);
-    if found.is_empty() {
+    let violations = breaches(&fleet.operations);
+    if violations.is_empty() {
         Ok(())
     } else {
-        Err(found.join("\n"))
+        Err(violations.join("\n"))
     }
 }
 
