--- a/crates/replicated-store/src/divergence.rs
+++ b/crates/replicated-store/src/divergence.rs
@@ -50,8 +50,8 @@
         return Verdict::NoDivergence;
     }
     let matching = others.iter().filter(|other| other.matches == Some(true)).count();
-    let with_us = usize::from(is_voter) + matching;
-    if with_us >= quorum {
+    let agreeing_with_us = usize::from(is_voter) + matching;
+    if agreeing_with_us >= quorum {
         return Verdict::PeersDiverged(diverged.iter().map(|other| other.replica_id).collect());
     }
     let largest_group = largest_agreeing_group(&diverged);
@@ -62,8 +62,9 @@
     // from voters whose positions are at different entries.
     let not_compared = others.iter().filter(|other| other.matches.is_none()).count();
     let indices_differ = diverged.windows(2).any(|pair| pair[0].position.applied != pair[1].position.applied);
-    let undecided =
-        with_us + not_compared >= quorum || largest_group.len() + not_compared >= quorum || indices_differ;
+    let undecided = agreeing_with_us + not_compared >= quorum
+        || largest_group.len() + not_compared >= quorum
+        || indices_differ;
     if undecided {
         return Verdict::NoDivergence;
     }
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -29,9 +29,9 @@
     for part in parts {
         hasher.update(&(part.len() as u64).to_le_bytes()).update(part);
     }
-    let mut first = Digest::default();
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-    first
+    let mut truncated = Digest::default();
+    truncated.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+    truncated
 }
 
 /// A log entry in its encoded form. `postcard` encodes it by position: the order of the fields is the stored
--- a/crates/replicated-store/src/export.rs
+++ b/crates/replicated-store/src/export.rs
@@ -125,8 +125,8 @@
 
     /// Decodes an export file and checks its digest.
     pub fn from_bytes(bytes: &[u8]) -> Result<Export, ExportError> {
-        let rest = bytes.strip_prefix(TITLE).ok_or(ExportError::NotAnExport)?;
-        let (expected, content) = rest.split_first_chunk::<16>().ok_or(ExportError::TooShort)?;
+        let after_title = bytes.strip_prefix(TITLE).ok_or(ExportError::NotAnExport)?;
+        let (expected, content) = after_title.split_first_chunk::<16>().ok_or(ExportError::TooShort)?;
         if digest(&[content]) != *expected {
             return Err(ExportError::DigestMismatch);
         }
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -83,7 +83,7 @@
 
 /// A snapshot in memory.
 #[derive(Clone, Debug)]
-pub struct KeptSnapshot {
+pub struct LogSnapshot {
     /// Index of the last entry that the snapshot includes.
     pub index: u64,
     /// Digest and length of the snapshot.
@@ -271,8 +271,8 @@
     }
 
     /// The latest snapshot.
-    pub fn latest_snapshot(&self) -> KeptSnapshot {
-        KeptSnapshot {
+    pub fn latest_snapshot(&self) -> LogSnapshot {
+        LogSnapshot {
             index: self.snapshot_metadata.index,
             manifest: self.manifest,
             bytes: self.snapshot_bytes.clone(),
@@ -352,18 +352,18 @@
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
         let conf_state = self.snapshot_metadata.get_conf_state();
         let members = [&conf_state.voters, &conf_state.learners, &conf_state.learners_next];
-        let has_receiver = members.iter().any(|ids| ids.contains(&to));
+        let includes_receiver = members.iter().any(|ids| ids.contains(&to));
         // A member that requests a snapshot by itself had no disk space for the previous one: it gets one
         // that includes all entries committed by now.
         let requested = if request_index > 0 { self.hard_state.commit.max(request_index) } else { 0 };
-        let needed = match self.requested_snapshot.get() {
+        let min_index = match self.requested_snapshot.get() {
             // A snapshot from before the receiver was admitted is of no use to the receiver.
-            0 if !has_receiver => self.snapshot_metadata.index + 1,
+            0 if !includes_receiver => self.snapshot_metadata.index + 1,
             0 => requested,
             pending => pending,
         };
-        if self.snapshot_metadata.index < needed {
-            self.requested_snapshot.set(needed);
+        if self.snapshot_metadata.index < min_index {
+            self.requested_snapshot.set(min_index);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         self.requested_snapshot.set(0);
--- a/crates/replicated-store/src/log/stored.rs
+++ b/crates/replicated-store/src/log/stored.rs
@@ -66,8 +66,8 @@
         let mut has_identity = false;
         let mut state = Vec::new();
         let mut entries = Vec::new();
-        for (space, rows) in rows {
-            match space {
+        for (keyspace, rows) in rows {
+            match keyspace {
                 IDENTITY => has_identity |= stored.read_identity(&rows)?,
                 SNAPSHOT => state = rows.into_iter().flat_map(|(_, chunk)| chunk).collect(),
                 ENTRIES => entries = rows,
--- a/crates/replicated-store/src/replica/comparison.rs
+++ b/crates/replicated-store/src/replica/comparison.rs
@@ -118,7 +118,7 @@
     /// Compares replicas by their statuses. A verdict is acted on only if it still holds after all live
     /// voters have reported again: otherwise a status from before the other replicas went wrong too could
     /// quarantine the last replica that is right.
-    pub(super) fn check_divergence(&mut self, now: Micros, fresh_for: Micros) {
+    pub(super) fn check_divergence(&mut self, now: Micros, status_max_age: Micros) {
         // Removed replicas are forgotten. Servers without disks draw a new replica id at each start, so the
         // map would grow.
         let members = &self.state.members;
@@ -129,7 +129,7 @@
         let others: Vec<(u64, Option<&Peer>)> = voters
             .iter()
             .filter(|id| **id != own_id)
-            .map(|id| (*id, self.live_peer(now, fresh_for, *id)))
+            .map(|id| (*id, self.live_peer(now, status_max_age, *id)))
             .collect();
         let comparisons: Vec<PeerComparison> =
             others.iter().map(|(id, peer)| self.compare_with(*id, *peer)).collect();
@@ -150,10 +150,10 @@
     }
 
     /// The peer with this replica, if its last status is recent.
-    fn live_peer(&self, now: Micros, fresh_for: Micros, replica_id: u64) -> Option<&Peer> {
+    fn live_peer(&self, now: Micros, status_max_age: Micros, replica_id: u64) -> Option<&Peer> {
         self.peers
             .values()
-            .find(|peer| peer.status.replica_id == replica_id && now < peer.heard_at + fresh_for)
+            .find(|peer| peer.status.replica_id == replica_id && now < peer.heard_at + status_max_age)
     }
 
     fn compare_with(&self, replica_id: u64, peer: Option<&Peer>) -> PeerComparison {
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -39,15 +39,15 @@
     /// Runs at each status interval: joins or bootstraps a store, looks for competing stores and divergence,
     /// changes the membership if this server leads, and sends a status to all peers.
     pub(super) fn run_periodic_checks(&mut self, now: Micros) {
-        let fresh_for = 4 * self.status_interval();
-        self.join_requests.retain(|_, request| now < request.received_at + fresh_for);
+        let status_max_age = 4 * self.status_interval();
+        self.join_requests.retain(|_, request| now < request.received_at + status_max_age);
         if self.identity.replica_id == 0 || self.identity.store_id.is_none() {
-            self.join_or_bootstrap(now, fresh_for);
+            self.join_or_bootstrap(now, status_max_age);
         } else {
-            self.request_admission(now, fresh_for);
-            self.check_competing_stores(now, fresh_for);
+            self.request_admission(now, status_max_age);
+            self.check_competing_stores(now, status_max_age);
         }
-        self.check_divergence(now, fresh_for);
+        self.check_divergence(now, status_max_age);
         if self.role == Role::Leader {
             self.adjust_membership(now);
         }
@@ -101,8 +101,8 @@
 
     /// Runs while this server has no replica: joins the store of other members, or bootstraps one if no
     /// member of the complete fleet has one.
-    fn join_or_bootstrap(&mut self, now: Micros, fresh_for: Micros) {
-        let is_live = |peer: &Peer| now < peer.heard_at + fresh_for;
+    fn join_or_bootstrap(&mut self, now: Micros, status_max_age: Micros) {
+        let is_live = |peer: &Peer| now < peer.heard_at + status_max_age;
         // Members have more than one store only after adoptions by an operator: the one on more servers is
         // joined.
         let mut servers_by_store: BTreeMap<StoreId, usize> = BTreeMap::new();
@@ -139,14 +139,14 @@
     }
 
     /// Asks the leader to admit this replica, unless it is a member already.
-    fn request_admission(&mut self, now: Micros, fresh_for: Micros) {
+    fn request_admission(&mut self, now: Micros, status_max_age: Micros) {
         if self.state.members.contains_key(&self.identity.replica_id) {
             return;
         }
         let leader = self
             .peers
             .values()
-            .filter(|peer| now < peer.heard_at + fresh_for)
+            .filter(|peer| now < peer.heard_at + status_max_age)
             .filter(|peer| peer.status.store_id == self.identity.store_id)
             .find_map(|peer| peer.status.leader.clone());
         if let Some(leader) = leader {
@@ -158,19 +158,21 @@
 
     /// Looks for another store that has a leader, and decides whether it has replaced this one or competes
     /// with it.
-    fn check_competing_stores(&mut self, now: Micros, fresh_for: Micros) {
+    fn check_competing_stores(&mut self, now: Micros, status_max_age: Micros) {
         let own_store = self.identity.store_id;
-        let is_led = |peer: &&Peer| {
+        let reports_other_leader = |peer: &&Peer| {
             let status = &peer.status;
             let is_other_store = !status.store_id.is_none() && status.store_id != own_store;
-            now < peer.heard_at + fresh_for && is_other_store && status.leader.is_some()
+            now < peer.heard_at + status_max_age && is_other_store && status.leader.is_some()
         };
         let election_timeout = self.config.election_timeout;
         let is_leaderless = self.leader.name.is_none()
             && now >= self.leader.heard_at + LEADERLESS_ELECTIONS * election_timeout;
         let frozen = self.comparison.frozen;
         let has_adopted = |peer: &Peer| frozen && peer.status.adopted_from == own_store;
-        let Some(peer) = self.peers.values().filter(is_led).max_by_key(|peer| has_adopted(peer)) else {
+        let Some(peer) =
+            self.peers.values().filter(reports_other_leader).max_by_key(|peer| has_adopted(peer))
+        else {
             self.competing_store = StoreId::NONE;
             return;
         };
@@ -215,15 +217,15 @@
 
     /// Rejects an adoption while the store has a leader or may still elect one, unless it is frozen.
     fn check_adoption(&self, now: Micros) -> Result<(), RequestError> {
-        let refusal = |reason: &str| Err(RequestError::NotAllowed(reason.to_owned()));
+        let reject = |reason: &str| Err(RequestError::NotAllowed(reason.to_owned()));
         if self.comparison.frozen {
             return Ok(());
         }
         if self.leader.name.is_some() && self.rollback_check.is_none() {
-            return refusal("the record has a leader and continues: nothing is to be decided");
+            return reject("the record has a leader and continues: nothing is to be decided");
         }
         if now < self.leaderless_since + LEADERLESS_ELECTIONS * self.config.election_timeout {
-            return refusal("a leader may still be elected: try again in a few seconds");
+            return reject("a leader may still be elected: try again in a few seconds");
         }
         Ok(())
     }
--- a/crates/replicated-store/src/replica/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -351,9 +351,10 @@
     /// Sends a message directly, or through a member that reaches the receiver if this server does not.
     fn send(&mut self, to: &MemberName, message: &PeerMessage, priority: Priority) {
         let bytes = message::encode(message);
-        let is_relay =
+        let reaches_receiver =
             |name: &&MemberName| self.peers.get(*name).is_some_and(|peer| peer.status.reachable.contains(to));
-        let relay = if self.reachable.contains(to) { None } else { self.reachable.iter().find(is_relay) };
+        let relay =
+            if self.reachable.contains(to) { None } else { self.reachable.iter().find(reaches_receiver) };
         let action = match relay {
             Some(relay) => {
                 let message = PeerMessage::Relay { to: to.clone(), message: bytes };
--- a/crates/replicated-store/src/replica/raft_driver.rs
+++ b/crates/replicated-store/src/replica/raft_driver.rs
@@ -98,9 +98,9 @@
 
     /// Calls the Raft library, if this server has a replica. A panic in the library quarantines the replica
     /// and does not stop the server.
-    pub(super) fn with_raft<T>(&mut self, act: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
+    pub(super) fn with_raft<T>(&mut self, call: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
         let node = self.node.as_mut()?;
-        match catch_panic(|| act(node)) {
+        match catch_panic(|| call(node)) {
             Ok(result) => {
                 // The library draws its election timeouts from the system's random numbers. They are replaced
                 // by ones drawn from the seed, so that a test run can be reproduced.
--- a/crates/replicated-store/src/replica/snapshots.rs
+++ b/crates/replicated-store/src/replica/snapshots.rs
@@ -174,8 +174,8 @@
         let Some(node) = &self.node else { return };
         let log = node.store();
         let applied_since = self.state.applied.saturating_sub(log.latest_snapshot().index);
-        let is_long = applied_since >= COMPACT_AFTER_ENTRIES || log.entry_bytes() >= COMPACT_AFTER_BYTES;
-        if applied_since > 0 && (is_long || log.is_snapshot_requested()) {
+        let is_log_long = applied_since >= COMPACT_AFTER_ENTRIES || log.entry_bytes() >= COMPACT_AFTER_BYTES;
+        if applied_since > 0 && (is_log_long || log.is_snapshot_requested()) {
             self.make_snapshot();
         }
     }
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -119,7 +119,7 @@
     /// The replica's status for operators.
     pub fn status(&self, now: Micros) -> ReplicaStatus {
         let node = self.node.as_ref();
-        let replicas = self.state.members.iter().map(|(id, member)| self.view_of(now, *id, member));
+        let replicas = self.state.members.iter().map(|(id, member)| self.replica_view(now, *id, member));
         let leader = &self.leader.name;
         ReplicaStatus {
             store_id: self.identity.store_id,
@@ -139,7 +139,7 @@
         }
     }
 
-    fn view_of(&self, now: Micros, replica_id: u64, member: &Member) -> ReplicaView {
+    fn replica_view(&self, now: Micros, replica_id: u64, member: &Member) -> ReplicaView {
         let peer = self.peers.get(member.name.as_str()).filter(|peer| peer.status.replica_id == replica_id);
         ReplicaView {
             replica_id,
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -176,8 +176,13 @@
     }
 
     /// Applies a membership change, whose encoded form `change` advances the rolling digest.
-    pub fn apply_members(&mut self, index: u64, change: &[u8], act: impl FnOnce(&mut BTreeMap<u64, Member>)) {
-        act(&mut self.members);
+    pub fn apply_members(
+        &mut self,
+        index: u64,
+        change: &[u8],
+        apply_change: impl FnOnce(&mut BTreeMap<u64, Member>),
+    ) {
+        apply_change(&mut self.members);
         self.advance_digest(index, &[b"members", change]);
     }
 
@@ -193,7 +198,11 @@
         if index == self.applied {
             return Some(self.rolling_digest);
         }
-        self.recent_digests.iter().rev().find(|(at, _)| *at == index).map(|(_, digest)| *digest)
+        self.recent_digests
+            .iter()
+            .rev()
+            .find(|(entry_index, _)| *entry_index == index)
+            .map(|(_, digest)| *digest)
     }
 
     fn apply_envelope(&mut self, index: u64, envelope: &Envelope) -> Outcome {
--- a/crates/replicated-store/src/transfer.rs
+++ b/crates/replicated-store/src/transfer.rs
@@ -126,15 +126,15 @@
         if now < self.started_at + ROTATE_SOURCES_AFTER {
             return sources.first();
         }
-        let turn = (now / CHUNK_TIMEOUT) as usize % sources.len().max(1);
-        sources.get(turn)
+        let source_index = (now / CHUNK_TIMEOUT) as usize % sources.len().max(1);
+        sources.get(source_index)
     }
 
     /// Stores a received chunk. Returns whether it belongs to this snapshot and was missing.
     pub fn handle_chunk(&mut self, chunk: SnapshotChunk) -> bool {
         let SnapshotChunk { digest, index, bytes } = chunk;
-        let belongs = digest == self.manifest.digest && index < self.manifest.chunk_count();
-        if !belongs || bytes.len() != self.chunk_length(index) || self.chunks.contains_key(&index) {
+        let is_in_snapshot = digest == self.manifest.digest && index < self.manifest.chunk_count();
+        if !is_in_snapshot || bytes.len() != self.chunk_length(index) || self.chunks.contains_key(&index) {
             return false;
         }
         if let Some(requested_at) = self.in_flight.remove(&index) {
--- a/crates/replicated-store/src/voter_selection.rs
+++ b/crates/replicated-store/src/voter_selection.rs
@@ -144,25 +144,27 @@
 }
 
 /// Whether a majority of the candidates selected by `is_voter` is reachable.
-fn has_quorum(all: &[Candidate], policy: &VoterPolicy, is_voter: impl Fn(&Candidate) -> bool) -> bool {
-    let voters: Vec<&Candidate> = all.iter().filter(|candidate| is_voter(candidate)).collect();
+fn has_quorum(candidates: &[Candidate], policy: &VoterPolicy, is_voter: impl Fn(&Candidate) -> bool) -> bool {
+    let voters: Vec<&Candidate> = candidates.iter().filter(|candidate| is_voter(candidate)).collect();
     let reachable = voters.iter().filter(|voter| voter.is_reachable(policy)).count();
     !voters.is_empty() && reachable >= quorum(voters.len())
 }
 
 /// Whether a majority of the voters is reachable both before and after a change by which `gained` becomes a
 /// voter and `lost` stop voting.
-fn keeps_quorum(all: &[Candidate], policy: &VoterPolicy, gained: Option<u64>, lost: &[u64]) -> bool {
+fn keeps_quorum(candidates: &[Candidate], policy: &VoterPolicy, gained: Option<u64>, lost: &[u64]) -> bool {
     let votes_after = |candidate: &Candidate| {
         let is_gained = Some(candidate.replica_id) == gained;
         (candidate.is_voter || is_gained) && !lost.contains(&candidate.replica_id)
     };
-    has_quorum(all, policy, |candidate| candidate.is_voter) && has_quorum(all, policy, votes_after)
+    has_quorum(candidates, policy, |candidate| candidate.is_voter)
+        && has_quorum(candidates, policy, votes_after)
 }
 
 /// Number of voters in a zone, not counting the replica `except`.
-fn voters_in_zone(all: &[Candidate], zone: &str, except: Option<u64>) -> usize {
-    all.iter()
+fn voters_in_zone(candidates: &[Candidate], zone: &str, except: Option<u64>) -> usize {
+    candidates
+        .iter()
         .filter(|candidate| candidate.is_voter && candidate.zone == zone)
         .filter(|candidate| Some(candidate.replica_id) != except)
         .count()
@@ -172,27 +174,27 @@
 /// server name.
 pub fn next_change(
     policy: &VoterPolicy,
-    all: &[Candidate],
+    candidates: &[Candidate],
     join_requests: &BTreeMap<String, u64>,
 ) -> Option<MembershipChange> {
-    admission(policy, all, join_requests)
-        .or_else(|| removal(policy, all))
-        .or_else(|| voter_change(policy, all))
+    admission(policy, candidates, join_requests)
+        .or_else(|| removal(policy, candidates))
+        .or_else(|| voter_change(policy, candidates))
 }
 
 /// Admits a replica that asks for it. A server that lost its disk comes back with a new replica; its old one
 /// is removed in the same change. Admissions take precedence over all other changes.
 fn admission(
     policy: &VoterPolicy,
-    all: &[Candidate],
+    candidates: &[Candidate],
     join_requests: &BTreeMap<String, u64>,
 ) -> Option<MembershipChange> {
-    let is_member = |id: u64| all.iter().any(|candidate| candidate.replica_id == id);
+    let is_member = |id: u64| candidates.iter().any(|candidate| candidate.replica_id == id);
     let new_replicas = join_requests.iter().filter(|(_, id)| !is_member(**id));
     for (server, replica_id) in new_replicas {
-        let old_replicas = all.iter().filter(|candidate| candidate.name == *server);
+        let old_replicas = candidates.iter().filter(|candidate| candidate.name == *server);
         let replaces: Vec<u64> = old_replicas.map(|candidate| candidate.replica_id).collect();
-        if keeps_quorum(all, policy, None, &replaces) {
+        if keeps_quorum(candidates, policy, None, &replaces) {
             return Some(MembershipChange::AddLearner { replica_id: *replica_id, replaces });
         }
     }
@@ -200,41 +202,43 @@
 }
 
 /// Removes a replica whose server is no longer configured.
-fn removal(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
+fn removal(policy: &VoterPolicy, candidates: &[Candidate]) -> Option<MembershipChange> {
     let can_be_removed = |candidate: &&Candidate| {
-        !candidate.is_configured && keeps_quorum(all, policy, None, &[candidate.replica_id])
+        !candidate.is_configured && keeps_quorum(candidates, policy, None, &[candidate.replica_id])
     };
-    let candidate = all.iter().find(can_be_removed)?;
+    let candidate = candidates.iter().find(can_be_removed)?;
     Some(MembershipChange::Remove { replica_id: candidate.replica_id })
 }
 
 /// Replaces the voter that has been silent longest, or adds a voter if there are too few, or removes one if
 /// there are too many.
-fn voter_change(policy: &VoterPolicy, all: &[Candidate]) -> Option<MembershipChange> {
-    let voters: Vec<&Candidate> = all.iter().filter(|candidate| candidate.is_voter).collect();
-    let failed = voters
+fn voter_change(policy: &VoterPolicy, candidates: &[Candidate]) -> Option<MembershipChange> {
+    let voters: Vec<&Candidate> = candidates.iter().filter(|candidate| candidate.is_voter).collect();
+    let failed_voter = voters
         .iter()
         .filter(|voter| voter.silent_for >= policy.replace_after)
         .max_by_key(|voter| voter.silent_for);
-    let successor = best_learner(policy, all, failed.map(|voter| voter.replica_id));
-    match (successor, failed) {
-        (Some(successor), Some(failed)) => {
-            let (new_voter, old_voter) = (successor.replica_id, failed.replica_id);
-            keeps_quorum(all, policy, Some(new_voter), &[old_voter])
+    let successor = best_learner(policy, candidates, failed_voter.map(|voter| voter.replica_id));
+    match (successor, failed_voter) {
+        (Some(successor), Some(failed_voter)) => {
+            let (new_voter, old_voter) = (successor.replica_id, failed_voter.replica_id);
+            keeps_quorum(candidates, policy, Some(new_voter), &[old_voter])
                 .then_some(MembershipChange::Replace { new_voter, old_voter })
         }
         (None, Some(_)) => None,
         (Some(successor), None)
-            if voters.len() < policy.voters && keeps_quorum(all, policy, Some(successor.replica_id), &[]) =>
+            if voters.len() < policy.voters
+                && keeps_quorum(candidates, policy, Some(successor.replica_id), &[]) =>
         {
             Some(MembershipChange::Promote { replica_id: successor.replica_id })
         }
         (_, None) if voters.len() > policy.voters => {
             let surplus = voters.iter().max_by_key(|voter| {
-                (voters_in_zone(all, &voter.zone, None), voter.load, voter.name.clone())
+                (voters_in_zone(candidates, &voter.zone, None), voter.load, voter.name.clone())
             })?;
             let replica_id = surplus.replica_id;
-            keeps_quorum(all, policy, None, &[replica_id]).then_some(MembershipChange::Demote { replica_id })
+            keeps_quorum(candidates, policy, None, &[replica_id])
+                .then_some(MembershipChange::Demote { replica_id })
         }
         (_, None) => None,
     }
@@ -244,43 +248,48 @@
 /// `failed_voter`, then the least loaded, then the first by name.
 fn best_learner<'a>(
     policy: &VoterPolicy,
-    all: &'a [Candidate],
+    candidates: &'a [Candidate],
     failed_voter: Option<u64>,
 ) -> Option<&'a Candidate> {
-    all.iter()
+    candidates
+        .iter()
         .filter(|candidate| !candidate.is_voter && candidate.is_configured)
         .filter(|candidate| candidate.caught_up && candidate.is_reachable(policy))
         .min_by_key(|candidate| {
-            (voters_in_zone(all, &candidate.zone, failed_voter), candidate.load, candidate.name.clone())
+            (
+                voters_in_zone(candidates, &candidate.zone, failed_voter),
+                candidate.load,
+                candidate.name.clone(),
+            )
         })
 }
 
 /// The change that makes a server a voter or a learner on an operator's request. The number of voters stays
 /// the same, since [`next_change`] would undo any other change; it grows by one only if there are too few
-/// voters. `leader` stays a voter when another replica is promoted.
+/// voters. `leader_id` stays a voter when another replica is promoted.
 pub fn requested_change(
     policy: &VoterPolicy,
-    all: &[Candidate],
-    leader: u64,
+    candidates: &[Candidate],
+    leader_id: u64,
     server: &str,
     is_voter: bool,
 ) -> Result<MembershipChange, VoterChangeError> {
     let server_name = || server.to_owned();
-    let candidate = all.iter().find(|candidate| candidate.name == server);
+    let candidate = candidates.iter().find(|candidate| candidate.name == server);
     let candidate = candidate.ok_or_else(|| VoterChangeError::NoReplica { server: server_name() })?;
     let change = match (candidate.is_voter, is_voter) {
         (true, true) => return Err(VoterChangeError::AlreadyVotes { server: server_name() }),
         (false, false) => return Err(VoterChangeError::AlreadyLearns { server: server_name() }),
-        (false, true) => requested_promotion(policy, all, leader, candidate)?,
-        (true, false) => requested_demotion(policy, all, candidate)?,
+        (false, true) => requested_promotion(policy, candidates, leader_id, candidate)?,
+        (true, false) => requested_demotion(policy, candidates, candidate)?,
     };
-    let keeps = match change {
+    let quorum_kept = match change {
         MembershipChange::Replace { new_voter, old_voter } => {
-            keeps_quorum(all, policy, Some(new_voter), &[old_voter])
+            keeps_quorum(candidates, policy, Some(new_voter), &[old_voter])
         }
-        _ => keeps_quorum(all, policy, Some(candidate.replica_id), &[]),
+        _ => keeps_quorum(candidates, policy, Some(candidate.replica_id), &[]),
     };
-    if keeps {
+    if quorum_kept {
         Ok(change)
     } else {
         Err(VoterChangeError::QuorumLost)
@@ -289,19 +298,19 @@
 
 fn requested_promotion(
     policy: &VoterPolicy,
-    all: &[Candidate],
-    leader: u64,
+    candidates: &[Candidate],
+    leader_id: u64,
     candidate: &Candidate,
 ) -> Result<MembershipChange, VoterChangeError> {
     if !candidate.caught_up {
         return Err(VoterChangeError::NotCaughtUp { server: candidate.name.clone() });
     }
-    let voters = all.iter().filter(|other| other.is_voter);
+    let voters = candidates.iter().filter(|other| other.is_voter);
     if voters.clone().count() < policy.voters {
         return Ok(MembershipChange::Promote { replica_id: candidate.replica_id });
     }
-    let old_voter = voters.filter(|voter| voter.replica_id != leader).max_by_key(|voter| {
-        let in_zone = voters_in_zone(all, &voter.zone, None);
+    let old_voter = voters.filter(|voter| voter.replica_id != leader_id).max_by_key(|voter| {
+        let in_zone = voters_in_zone(candidates, &voter.zone, None);
         (!voter.is_reachable(policy), in_zone, voter.load, voter.name.clone())
     });
     Ok(match old_voter {
@@ -314,13 +323,13 @@
 
 fn requested_demotion(
     policy: &VoterPolicy,
-    all: &[Candidate],
+    candidates: &[Candidate],
     candidate: &Candidate,
 ) -> Result<MembershipChange, VoterChangeError> {
-    let successor = all
+    let successor = candidates
         .iter()
         .filter(|other| !other.is_voter && other.caught_up && other.is_reachable(policy))
-        .min_by_key(|other| (voters_in_zone(all, &other.zone, None), other.load, other.name.clone()))
+        .min_by_key(|other| (voters_in_zone(candidates, &other.zone, None), other.load, other.name.clone()))
         .ok_or(VoterChangeError::NoSuccessor)?;
     Ok(MembershipChange::Replace { new_voter: successor.replica_id, old_voter: candidate.replica_id })
 }
--- a/crates/replicated-store/src/voter_selection/tests.rs
+++ b/crates/replicated-store/src/voter_selection/tests.rs
@@ -24,9 +24,9 @@
     [three_voters(), vec![fourth]].concat()
 }
 
-fn with_silent(index: usize, silent_for: Micros, mut all: Vec<Candidate>) -> Vec<Candidate> {
-    all[index].silent_for = silent_for;
-    all
+fn with_silent(index: usize, silent_for: Micros, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
+    candidates[index].silent_for = silent_for;
+    candidates
 }
 
 fn replace(new_voter: u64, old_voter: u64) -> MembershipChange {
@@ -85,15 +85,17 @@
             None,
         ),
     ];
-    for (all, joins, expected) in cases {
-        assert_eq!(next_change(&POLICY, &all, joins), expected, "{all:?}");
+    for (candidates, joins, expected) in cases {
+        assert_eq!(next_change(&POLICY, &candidates, joins), expected, "{candidates:?}");
     }
 }
 
 #[test]
 fn requested_change_replaces_one_voter_and_is_rejected_without_a_quorum() {
     let four = || three_voters_and(candidate(4, "b", false, 0));
-    let request = |all: &[Candidate], server, is_voter| requested_change(&POLICY, all, 1, server, is_voter);
+    let request = |candidates: &[Candidate], server, is_voter| {
+        requested_change(&POLICY, candidates, 1, server, is_voter)
+    };
 
     assert_eq!(request(&four(), "n4", true), Ok(replace(4, 3)));
     assert_eq!(request(&with_silent(1, 9, four()), "n4", true), Ok(replace(4, 2)));
@@ -118,9 +120,9 @@
             caught_up: *caught_up,
             ..candidate(id, &zone.to_string(), *is_voter, *silent_for)
         };
-        let all: Vec<Candidate> = (1..).zip(&drawn).map(draw).collect();
+        let candidates: Vec<Candidate> = (1..).zip(&drawn).map(draw).collect();
         let joins = BTreeMap::from([(format!("n{joining}"), 99)]);
-        let (gained, lost) = match next_change(&POLICY, &all, &joins) {
+        let (gained, lost) = match next_change(&POLICY, &candidates, &joins) {
             None => return Ok(()),
             Some(MembershipChange::AddLearner { replaces, .. }) => (None, replaces),
             Some(MembershipChange::Promote { replica_id }) => (Some(replica_id), vec![]),
@@ -130,7 +132,7 @@
             }
         };
         let count = |is_voter: &dyn Fn(&Candidate) -> bool| {
-            let voters: Vec<_> = all.iter().filter(|c| is_voter(c)).collect();
+            let voters: Vec<_> = candidates.iter().filter(|c| is_voter(c)).collect();
             let reachable = voters.iter().filter(|c| c.silent_for < POLICY.reachable_within).count();
             (reachable, voters.len())
         };
