--- a/crates/replicated-store/tests/stored_format.rs
+++ b/crates/replicated-store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Format compatibility with the version of commit 604394b: the messages, log entries, stores and exports that it
-//! wrote are decoded to the same values, and messages and entries are encoded to the same bytes.
+//! Format compatibility with the version of commit 604394b: the messages, log entries, stores and exports
+//! that it wrote are decoded to the same values, and messages and entries are encoded to the same bytes.
 
 use std::path::Path;
 
