--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -165,8 +165,8 @@
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Readable name of the entry's kind. It goes into the history and so into the rolling digest: all
-    /// program versions must return the same text.
+    /// Readable name of the entry's kind. It goes into the stored history, which must be the same at every
+    /// replica: the texts must not change.
     pub fn kind_name(&self) -> &'static str {
         match (self.kind, self.format_version) {
             (NOTE, FORMAT_VERSION) => "note",
--- a/crates/replicated-store/src/voter_selection.rs
+++ b/crates/replicated-store/src/voter_selection.rs
@@ -46,31 +46,31 @@
 pub enum MembershipChange {
     /// Admits a replica as a learner.
     AddLearner {
-        /// The new replica.
+        /// Id of the new replica.
         replica_id: u64,
-        /// Earlier replicas of the same server, which are removed.
+        /// Ids of earlier replicas of the same server, which are removed.
         replaces: Vec<u64>,
     },
     /// Makes a learner a voter.
     Promote {
-        /// The learner.
+        /// Id of the learner.
         replica_id: u64,
     },
     /// Makes a learner a voter and a voter a learner.
     Replace {
-        /// The learner that becomes a voter.
+        /// Id of the learner that becomes a voter.
         new_voter: u64,
-        /// The voter that becomes a learner.
+        /// Id of the voter that becomes a learner.
         old_voter: u64,
     },
     /// Makes a voter a learner.
     Demote {
-        /// The voter.
+        /// Id of the voter.
         replica_id: u64,
     },
     /// Removes a replica whose server is no longer configured.
     Remove {
-        /// The replica.
+        /// Id of the replica.
         replica_id: u64,
     },
 }
@@ -109,25 +109,25 @@
     /// The server has no replica.
     #[error("{server} has no replica of the record")]
     NoReplica {
-        /// The server.
+        /// Name of the server.
         server: String,
     },
     /// The server votes already.
     #[error("{server} votes already")]
     AlreadyVotes {
-        /// The server.
+        /// Name of the server.
         server: String,
     },
     /// The server is a learner already.
     #[error("{server} is a learner already")]
     AlreadyLearns {
-        /// The server.
+        /// Name of the server.
         server: String,
     },
     /// The server's replica lacks too many entries to vote.
     #[error("{server} has not caught up")]
     NotCaughtUp {
-        /// The server.
+        /// Name of the server.
         server: String,
     },
     /// No reachable learner has caught up and could vote instead.
