--- a/crates/replicated-store/src/log/stored.rs
+++ b/crates/replicated-store/src/log/stored.rs
@@ -14,60 +14,60 @@
 use crate::state::State;
 use crate::transfer::SnapshotChunk;
 
-/// A replica as a store holds it.
+/// A replica as read from the on-disk store.
 #[derive(Clone, Debug, Default)]
 pub struct StoredReplica {
-    /// Its identity.
+    /// Identity of the replica.
     pub identity: ReplicaIdentity,
     pub(super) hard_state: HardState,
     pub(super) snapshot_metadata: SnapshotMetadata,
-    /// The state of the snapshot.
+    /// The snapshot's state; `None` without a snapshot.
     pub state: Option<State>,
     pub(super) snapshot_bytes: Vec<u8>,
     pub(super) manifest: Manifest,
     pub(super) entries: VecDeque<Entry>,
-    /// Chunks of a snapshot that was being fetched.
+    /// Chunks of a snapshot whose transfer was not finished.
     pub incoming_chunks: Vec<SnapshotChunk>,
 }
 
-/// Why the rows of a store make no replica.
+/// Why a replica cannot be read from the rows of a store.
 #[derive(Debug, Error)]
 pub enum StoredReplicaError {
     /// The identity cannot be decoded.
-    #[error("copy: {0}")]
+    #[error("the identity of the replica cannot be decoded: {0}")]
     Identity(#[source] postcard::Error),
     /// The Raft hard state cannot be decoded.
-    #[error("hard: {0}")]
+    #[error("the Raft hard state cannot be decoded: {0}")]
     HardState(#[source] protobuf::ProtobufError),
     /// The metadata of the snapshot cannot be decoded.
-    #[error("snapshot: {0}")]
+    #[error("the metadata of the snapshot cannot be decoded: {0}")]
     SnapshotMetadata(#[source] protobuf::ProtobufError),
     /// A log entry cannot be decoded.
-    #[error("an entry: {0}")]
+    #[error("a log entry cannot be decoded: {0}")]
     Entry(#[source] protobuf::ProtobufError),
     /// An entry is missing.
-    #[error("entry {found} where {expected} was expected")]
+    #[error("found entry {found}, expected entry {expected}")]
     MissingEntry {
-        /// Index of the entry that is there.
+        /// Index of the entry that was found.
         found: u64,
-        /// Index of the entry that should be.
+        /// Index of the entry that should be in its place.
         expected: u64,
     },
     /// The state of the snapshot cannot be decoded.
-    #[error("the state can't be read")]
+    #[error("the state of the snapshot cannot be decoded")]
     State,
 }
 
 impl StoredReplica {
-    /// Reads a replica from all rows of [`super::KEYSPACES`]; `Ok(None)` if there is none. It may take long, so the thread
-    /// that reads the disk calls it.
+    /// Reads a replica from all rows of [`super::KEYSPACES`]; `Ok(None)` if they have no identity. It can
+    /// take long, so call it on the thread that reads the disk.
     pub fn read(rows: Vec<(u8, Vec<Row>)>) -> Result<Option<StoredReplica>, StoredReplicaError> {
         let mut stored = StoredReplica::default();
         let mut has_identity = false;
         let mut state = Vec::new();
         let mut entries = Vec::new();
-        for (space, rows) in rows {
-            match space {
+        for (keyspace, rows) in rows {
+            match keyspace {
                 IDENTITY => has_identity |= stored.read_identity(&rows)?,
                 SNAPSHOT => state = rows.into_iter().flat_map(|(_, chunk)| chunk).collect(),
                 ENTRIES => entries = rows,
@@ -84,7 +84,7 @@
         Ok(has_identity.then_some(stored))
     }
 
-    /// Reads the identity and the Raft state; whether there is an identity.
+    /// Reads the identity and the Raft state. Returns whether the rows have an identity.
     fn read_identity(&mut self, rows: &[Row]) -> Result<bool, StoredReplicaError> {
         let mut has_identity = false;
         for (name, value) in rows {
@@ -107,7 +107,7 @@
         Ok(has_identity)
     }
 
-    /// Reads the entries after the snapshot, which must be without a gap.
+    /// Reads the entries after the snapshot; a gap between them is an error.
     fn read_entries(&mut self, rows: &[Row]) -> Result<(), StoredReplicaError> {
         let snapshot_index = self.snapshot_metadata.index;
         for (_, value) in rows {
@@ -131,8 +131,8 @@
     }
 }
 
-/// A chunk from its row, whose name is the digest of its snapshot and the index. An index that cannot be read is none that
-/// a snapshot has.
+/// Decodes a chunk from its row, whose key is the digest of the snapshot and the index of the chunk. A
+/// malformed index becomes `u32::MAX`, which no snapshot has.
 fn read_chunk((name, bytes): Row) -> Option<SnapshotChunk> {
     let (digest, index) = name.split_first_chunk::<16>()?;
     let index = index.try_into().map_or(u32::MAX, u32::from_be_bytes);
--- a/crates/replicated-store/src/voter_selection/tests.rs
+++ b/crates/replicated-store/src/voter_selection/tests.rs
@@ -20,13 +20,13 @@
     vec![candidate(1, "a", true, 0), candidate(2, "b", true, 0), candidate(3, "c", true, 0)]
 }
 
-fn three_voters_and(more: Candidate) -> Vec<Candidate> {
-    [three_voters(), vec![more]].concat()
+fn three_voters_and(fourth: Candidate) -> Vec<Candidate> {
+    [three_voters(), vec![fourth]].concat()
 }
 
-fn with_silent(index: usize, silent_for: Micros, mut all: Vec<Candidate>) -> Vec<Candidate> {
-    all[index].silent_for = silent_for;
-    all
+fn with_silent(index: usize, silent_for: Micros, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
+    candidates[index].silent_for = silent_for;
+    candidates
 }
 
 fn replace(new_voter: u64, old_voter: u64) -> MembershipChange {
@@ -39,7 +39,7 @@
     let none = BTreeMap::new();
     let joins = BTreeMap::from([("n2".to_owned(), 12)]);
     let cases = [
-        // The bootstrapped voter, and one that has caught up.
+        // A learner that has caught up joins the bootstrapping voter; one that has not must wait.
         (
             vec![candidate(1, "a", true, 0), candidate(2, "b", false, 0)],
             &none,
@@ -50,25 +50,26 @@
             &none,
             None,
         ),
-        // Another zone first.
+        // A learner in a zone without a voter is preferred.
         (
             vec![candidate(1, "a", true, 0), candidate(2, "a", false, 0), candidate(3, "b", false, 0)],
             &none,
             Some(Promote { replica_id: 3 }),
         ),
         (three_voters_and(candidate(4, "b", false, 0)), &none, None),
-        // Gone, but not for long; for long; and with nobody to take its place.
+        // A voter has been silent for a short time; for long; for long, with no learner to replace it.
         (with_silent(1, 20, three_voters_and(candidate(4, "b", false, 0))), &none, None),
         (with_silent(1, 40, three_voters_and(candidate(4, "b", false, 0))), &none, Some(replace(4, 2))),
         (with_silent(1, 40, three_voters()), &none, None),
-        // Two of three are gone: nothing may be changed.
+        // Two of three voters are silent: no change is allowed.
         (with_silent(0, 40, with_silent(1, 40, three_voters_and(candidate(4, "b", false, 0)))), &none, None),
-        // A disk was lost: its server has a new replica.
+        // A server has lost its disk and asks to join with a new replica.
         (with_silent(1, 5, three_voters()), &joins, Some(AddLearner { replica_id: 12, replaces: vec![2] })),
-        // With another voter gone, removing the old replica leaves one of two: it waits.
+        // Another voter is silent: removing the old replica would leave one reachable voter of two, so it has
+        // to wait.
         (with_silent(0, 5, with_silent(1, 5, three_voters())), &joins, None),
         (three_voters_and(candidate(4, "a", true, 0)), &none, Some(Demote { replica_id: 4 })),
-        // Not configured any more: it is removed, unless that would cost a majority.
+        // A server that is no longer configured is removed, unless that would lose the majority.
         (
             three_voters_and(Candidate { is_configured: false, ..candidate(4, "b", false, 9) }),
             &none,
@@ -84,21 +85,23 @@
             None,
         ),
     ];
-    for (all, joins, expected) in cases {
-        assert_eq!(next_change(&POLICY, &all, joins), expected, "{all:?}");
+    for (candidates, joins, expected) in cases {
+        assert_eq!(next_change(&POLICY, &candidates, joins), expected, "{candidates:?}");
     }
 }
 
 #[test]
-fn requested_change_moves_one_vote_and_is_refused_without_a_quorum() {
+fn requested_change_replaces_one_voter_and_is_rejected_without_a_quorum() {
     let four = || three_voters_and(candidate(4, "b", false, 0));
-    let request = |all: &[Candidate], server, is_voter| requested_change(&POLICY, all, 1, server, is_voter);
+    let request = |candidates: &[Candidate], server, is_voter| {
+        requested_change(&POLICY, candidates, 1, server, is_voter)
+    };
 
     assert_eq!(request(&four(), "n4", true), Ok(replace(4, 3)));
     assert_eq!(request(&with_silent(1, 9, four()), "n4", true), Ok(replace(4, 2)));
     assert_eq!(request(&four(), "n2", false), Ok(replace(4, 2)));
-    let refused = request(&three_voters()[..2], "n1", true).expect_err("it votes");
-    assert_eq!(refused.to_string(), "n1 votes already");
+    let error = request(&three_voters()[..2], "n1", true).expect_err("n1 is a voter");
+    assert_eq!(error.to_string(), "n1 votes already");
     assert!(
         request(&three_voters(), "n2", false).is_err_and(|error| error.to_string().contains("in its place"))
     );
@@ -106,7 +109,8 @@
 }
 
 proptest! {
-    /// Whatever is there, no change leaves a majority of the voters away, before or after it.
+    /// For any candidates, a change is made only while a majority of the voters is reachable both before and
+    /// after it.
     #[test]
     fn no_change_costs_a_quorum(
         drawn in prop::collection::vec((0u8..3, any::<bool>(), 0u64..50, any::<bool>()), 1..8),
@@ -116,9 +120,9 @@
             caught_up: *caught_up,
             ..candidate(id, &zone.to_string(), *is_voter, *silent_for)
         };
-        let all: Vec<Candidate> = (1..).zip(&drawn).map(draw).collect();
+        let candidates: Vec<Candidate> = (1..).zip(&drawn).map(draw).collect();
         let joins = BTreeMap::from([(format!("n{joining}"), 99)]);
-        let (gained, lost) = match next_change(&POLICY, &all, &joins) {
+        let (gained, lost) = match next_change(&POLICY, &candidates, &joins) {
             None => return Ok(()),
             Some(MembershipChange::AddLearner { replaces, .. }) => (None, replaces),
             Some(MembershipChange::Promote { replica_id }) => (Some(replica_id), vec![]),
@@ -128,7 +132,7 @@
             }
         };
         let count = |is_voter: &dyn Fn(&Candidate) -> bool| {
-            let voters: Vec<_> = all.iter().filter(|c| is_voter(c)).collect();
+            let voters: Vec<_> = candidates.iter().filter(|c| is_voter(c)).collect();
             let reachable = voters.iter().filter(|c| c.silent_for < POLICY.reachable_within).count();
             (reachable, voters.len())
         };
