--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -1,8 +1,9 @@
-//! One FastCGI connection of a load balancer: an actor with a mailbox for responses and for the listener's commands.
+//! One FastCGI connection of a load balancer: an actor with a mailbox for responses and for the listener's
+//! commands.
 //!
-//! [`Connection::run`] writes what is queued, reads what has arrived, and waits for either; [`input`] turns records
-//! into messages for admission, [`request`] checks a request's parameters, [`output`] queues and writes responses, and
-//! [`close`] ends the stream so that no response is lost.
+//! [`Connection::run`] writes what is queued, reads what has arrived, and waits for either; [`input`] turns
+//! records into messages for admission, [`request`] checks a request's parameters, [`output`] queues and
+//! writes responses, and [`close`] ends the stream so that no response is lost.
 
 mod close;
 mod input;
@@ -31,24 +32,27 @@
 use crate::wire::fastcgi;
 use crate::wire::responder::{Responder, MAX_BODY_BYTES, MAX_OPEN_REQUESTS, MAX_PARAMS_BYTES};
 
-/// Messages that may wait: a response for each open request, and at most one of each kind of the listener's commands.
+/// Capacity of the mailbox in messages: a response for each open request, and at most one of each kind of
+/// listener command.
 pub(super) const MAILBOX_CAPACITY: usize = 2 * MAX_OPEN_REQUESTS;
-/// Nothing more is read while more than this waits to be written.
+/// Reading pauses while this many bytes wait to be written.
 const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
-/// A peer that takes no bytes for this long is disconnected.
+/// A connection whose peer accepts no bytes for this long is closed.
 const WRITE_TIMEOUT: Micros = 30_000_000;
-/// The first request of a new connection, and any later request once its first byte is there, must be complete within
-/// this time. Load balancers connect when they have something to send and send it in one go; a peer that sends nothing,
-/// or never completes a request, must be closed within 3 s and takes a place that others need. After its first request a
-/// connection may be silent for as long as the listener's idle timeout.
+/// Time limit for receiving a complete request: on a new connection from its start, later from a request's
+/// first byte. Load balancers connect when they have a request and send it in one go. A peer that sends
+/// nothing, or never completes a request, must be disconnected within 3 s, as it occupies a table entry that
+/// others need. After its first request a connection may be silent for as long as the listener's idle
+/// timeout.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// Bytes read without completing a request: those of [`MAX_OPEN_REQUESTS`] requests of the greatest length. A peer that
-/// sends more is closed.
+/// Limit on the bytes read without completing a request: the size of [`MAX_OPEN_REQUESTS`] requests of
+/// maximum length. The connection of a peer that sends more is closed.
 const MAX_BYTES_WITHOUT_REQUEST: usize = MAX_OPEN_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES);
-/// Memory of an open request besides its body: its fields, and later its result.
+/// Memory booked for an open request in addition to its parameters and body: its fields, and later its
+/// result.
 const REQUEST_OVERHEAD_BYTES: usize = 6 * 1024;
 
-/// What all connections share.
+/// Configuration and state that all connections share.
 #[derive(Clone)]
 pub struct ConnectionContext {
     /// Mailbox of the admission actor.
@@ -59,30 +63,31 @@
     pub tenants: Rc<Vec<String>>,
     /// The load hint that goes with every response.
     pub load_hint: LoadHint,
-    /// Which optional fields requests carry here.
+    /// Which optional fields the requests of this deployment carry.
     pub shape: Shape,
-    /// Most connections at once.
+    /// Maximum number of simultaneous connections.
     pub max_connections: usize,
-    /// The last serial that was given to a request.
+    /// The serial number most recently assigned to a request; unique within this process.
     pub last_serial: Rc<Cell<u64>>,
-    /// The bound on memory.
+    /// Limits the memory that peers can make this process use.
     pub budget: Budget,
-    /// The clock.
+    /// Clock for timeouts and request times.
     pub clock: Clock,
-    /// The log.
+    /// Logger for events of connections.
     pub log: Logger,
 }
 
-/// A request that was received and not answered.
+/// A request that was received and is not answered yet.
 #[derive(Clone)]
 struct OpenRequest {
+    /// Distinguishes the request from all others of this process.
     serial: u64,
-    /// Set once admission knows the request.
+    /// `None` until the request is passed to admission.
     id: Option<RequestId>,
 }
 
 impl OpenRequest {
-    /// The message that nobody waits for this request any more; `None` if admission does not know it.
+    /// The message that cancels the request in admission; `None` if it was not passed to admission.
     fn into_cancellation(self) -> Option<AdmissionMessage> {
         let serial = self.serial;
         self.id.map(|id| AdmissionMessage::Cancelled { id, serial })
@@ -92,42 +97,50 @@
 /// Why [`Connection::wait`] returned.
 enum Wakeup {
     Command(ConnectionCommand),
+    /// The socket can be read or written, a request is overdue, or the mailbox is closed.
     Ready,
+    /// The peer has accepted no bytes for [`WRITE_TIMEOUT`].
     WriteTimeout,
 }
 
-/// The actor of one connection.
+/// The actor that serves one connection.
 pub struct Connection {
     stream: Async<TcpStream>,
     context: ConnectionContext,
     activity: Rc<ConnectionActivity>,
     commands: Receiver<ConnectionCommand>,
+    /// Sender to this actor's own mailbox, copied into each request so that its response arrives here.
     own_mailbox: Sender<ConnectionCommand>,
+    /// Bytes read from the socket that are not parsed yet.
     buffer: Buffer,
     responder: Responder,
+    /// Requests that are not answered yet, by their slot on the connection.
     open_requests: BTreeMap<u16, OpenRequest>,
+    /// Memory booked for the connection's buffers.
     charge: Charge,
     /// Bytes at the front of the responder's output that are written already.
     written_bytes: usize,
-    /// When the peer last took bytes, or had taken all.
+    /// When the peer last accepted bytes, or when nothing was left to write.
     last_write_progress: Micros,
-    /// Since when a complete request is awaited.
+    /// Start of the timeout for a complete request; `None` while no request is awaited.
     request_awaited_since: Option<Micros>,
     /// Bytes read since the last complete request.
     bytes_without_request: usize,
-    /// The peer sends no more, or nothing more is read from it.
+    /// The peer has closed its side, or nothing more is read from it.
     input_closed: bool,
-    /// Closes as soon as no request is open.
+    /// The connection closes as soon as no request is open on it.
     draining: bool,
-    /// Its place is needed: it closes unless a complete request has arrived by now.
+    /// A new connection needs this one's table entry: it closes unless a complete request has arrived by now.
     evicted: bool,
+    /// Whether any bytes were written to the peer.
     has_written: bool,
-    /// There is no place for it: until then a request on it is rejected, and nothing is served.
+    /// Set on a connection beyond the table's capacity: requests received until this time are rejected, then
+    /// it closes.
     reject_until: Option<Micros>,
 }
 
 impl Connection {
-    /// A connection that was just accepted, with its mailbox; `None` if there is no memory for it.
+    /// Creates the actor of an accepted connection, and its mailbox; `None` if there is no memory for it.
     pub fn new(
         stream: Async<TcpStream>,
         context: ConnectionContext,
@@ -161,13 +174,13 @@
         Some((connection, own_mailbox))
     }
 
-    /// The same connection, which rejects requests received within `period` and then closes.
+    /// Changes the connection to reject requests received within `period` microseconds and then close.
     pub fn rejecting_for(mut self, period: Micros) -> Connection {
         self.reject_until = Some(self.context.clock.now() + period);
         self
     }
 
-    /// Serves the connection until it is over.
+    /// Serves the connection until it is closed or lost.
     pub async fn run(mut self) {
         let ended = loop {
             match self.step().await {
@@ -180,7 +193,7 @@
             Ok(()) => self.close().await,
             Err(e) => debug!(self.context.log, "connection lost"; "error" => %e),
         }
-        // Nobody can receive responses to requests that are still open.
+        // Requests that are still open can no longer be answered: they are cancelled.
         let open_requests = std::mem::take(&mut self.open_requests);
         for message in open_requests.into_values().filter_map(OpenRequest::into_cancellation) {
             if self.context.admission.send(message).await.is_err() {
@@ -189,7 +202,7 @@
         }
     }
 
-    /// One round of writing, reading and waiting; `true` when the connection is to be closed.
+    /// Handles commands, writes, and reads or waits once; returns `true` when the connection is to be closed.
     async fn step(&mut self) -> std::io::Result<bool> {
         while let Ok(command) = self.commands.try_recv() {
             self.handle_command(command);
@@ -209,7 +222,7 @@
         Ok(false)
     }
 
-    /// Reads once and handles what has arrived; whether anything has.
+    /// Reads once and handles the bytes received; returns whether there were any.
     async fn read(&mut self) -> std::io::Result<bool> {
         match stream::read(&self.stream, &mut self.buffer)? {
             ReadResult::Bytes(bytes) => {
@@ -218,7 +231,8 @@
                 return Ok(true);
             }
             ReadResult::Closed => self.stop_reading(),
-            // Only now, so that after a stall what lies in the socket is read first.
+            // Checked only when the socket is empty, so that after a stall requests already received are read
+            // first.
             ReadResult::WouldBlock if self.is_request_overdue() || self.is_evictable() => {
                 debug!(self.context.log, "closed: no complete request received");
                 self.stop_reading();
@@ -228,7 +242,7 @@
         Ok(false)
     }
 
-    /// Waits until there is something to do.
+    /// Waits for a command, the socket, or a timeout.
     async fn wait(&mut self) -> std::io::Result<()> {
         let now = self.context.clock.now();
         let command = async { Ok(self.commands.recv().await.map_or(Wakeup::Ready, Wakeup::Command)) };
@@ -269,22 +283,25 @@
         Ok(())
     }
 
+    /// Handles a response or a command of the listener.
     fn handle_command(&mut self, command: ConnectionCommand) {
         match command {
             ConnectionCommand::Respond { slot, serial, response } => self.respond(slot, serial, &response),
-            // A connection that never sent a complete request loses its place even with a part of one received, but a
-            // complete request that lies unread in the socket was given to this server and gets its response.
+            // A connection that never sent a complete request is evicted even if part of one was received. A
+            // complete request that is still unread in the socket was handed to this server and gets its
+            // response.
             ConnectionCommand::CloseIfIdle if !self.activity.has_requested.get() => self.evicted = true,
             ConnectionCommand::CloseIfIdle => self.draining |= self.responder.open_requests() == 0,
             ConnectionCommand::Close => {}
         }
     }
 
+    /// Notes the time at which the connection last carried bytes.
     fn record_activity(&self) {
         self.activity.last_active.set(self.context.clock.now());
     }
 
-    /// Books the memory that the connection takes; if there is no room for it, nothing more is read.
+    /// Books the memory that the connection's buffers take. If the budget is exceeded, nothing more is read.
     fn update_charge(&mut self) {
         let bytes = self.buffer.allocated_bytes()
             + self.responder.buffered_bytes()
--- a/crates/server/src/peers/connection/close.rs
+++ b/crates/server/src/peers/connection/close.rs
@@ -1,4 +1,4 @@
-//! When a connection is over, and how it is closed without losing a response.
+//! Decides when a connection is finished, and closes it without losing a response.
 
 use std::net::Shutdown;
 use std::time::Duration;
@@ -9,27 +9,28 @@
 use crate::peers::stream::{self, ReadResult};
 use crate::wire::buffer::Buffer;
 
-/// After our end of the stream, the peer has this long to end its own: well over the time within which a request may
-/// cross a close.
+/// How long the peer has to close its side after this server has closed its own. Well over the time in which
+/// a request can cross the close on the network.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// And no more bytes than this are read from it meanwhile.
+/// Limit on the bytes read and discarded while waiting for the peer to close.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
 impl Connection {
-    /// Whether nothing is left to do on the connection, given whether something has just been read.
+    /// Whether nothing is left to do on the connection. `busy` says whether bytes were read in this step.
     pub(super) fn is_finished(&self, busy: bool) -> bool {
         let nothing_owed = self.responder.complete_requests() == 0 && self.unwritten_bytes() == 0;
         let quiet = !busy && self.responder.open_requests() == 0 && self.buffer.unread().is_empty();
         nothing_owed && (self.input_closed || self.responder.is_close_requested() || (self.draining && quiet))
     }
 
-    /// Its place is needed, and it never sent a complete request.
+    /// Whether its table entry is needed for a new connection and it never sent a complete request.
     pub(super) fn is_evictable(&self) -> bool {
         self.evicted && self.responder.complete_requests() == 0 && !self.activity.has_requested.get()
     }
 
-    /// Rejects the requests that are complete by now, without waiting for more, and closes: for a peer that finds no
-    /// place at all. Its request may have been written long ago, and a close without an answer would lose it.
+    /// Rejects the requests that are complete by now, without waiting for more, and closes. Used when the
+    /// table and its overflow are full: the request may have been written long ago, and a close without a
+    /// response would lose it.
     pub async fn reject_received_and_close(mut self) {
         self.reject_until = Some(0);
         while let Ok(ReadResult::Bytes(bytes)) = stream::read(&self.stream, &mut self.buffer) {
@@ -38,23 +39,24 @@
             }
             self.handle_input(bytes).await;
         }
-        // The connection ends here in any case: what can't be written or shut down is lost with it.
+        // The connection is dropped in any case, so errors of the last write and the shutdown are ignored.
         let _ = self.write();
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Closes so that no response is lost: our end first, then all that the peer still sends is read. A close with
-    /// unread bytes would be a reset, which may overtake a response or our end of the stream; and a load balancer
-    /// sends a request that crosses the close again only if it sees an orderly end.
+    /// Closes without losing a response: shuts down the sending side, then reads until the peer closes.
+    /// Closing with unread bytes would send a reset, which may overtake a response or the end of the stream;
+    /// and a load balancer resends a request that crosses the close only if it sees an orderly end.
     pub(super) async fn close(&mut self) {
-        // A stream that is gone already needs no end.
+        // Fails if the connection is already lost, and then there is nothing to shut down.
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
-        // Where nothing was written, no response is on its way: only what is there is read, as its place is needed.
+        // If nothing was written, no response is in transit: only bytes already received are read, without
+        // waiting, as the table entry may be needed.
         let timeout = if self.has_written { LINGER_TIMEOUT } else { Duration::ZERO };
         stream::with_timeout(timeout, self.discard_input()).await;
     }
 
-    /// Reads until the peer closes, or has sent [`MAX_LINGER_BYTES`].
+    /// Reads and discards until the peer closes or has sent [`MAX_LINGER_BYTES`].
     async fn discard_input(&self) {
         let mut buffer = Buffer::new(4 * 1024);
         let mut remaining = MAX_LINGER_BYTES;
@@ -64,7 +66,7 @@
                 ReadResult::Bytes(bytes) => {
                     buffer.consume(bytes);
                     remaining = remaining.saturating_sub(bytes);
-                    // A peer that never stops sending would keep all others waiting.
+                    // A peer that never stops sending must not block the other connections.
                     future::yield_now().await;
                 }
                 ReadResult::Closed => return,
--- a/crates/server/src/peers/connection/input.rs
+++ b/crates/server/src/peers/connection/input.rs
@@ -1,4 +1,4 @@
-//! From bytes to messages for admission.
+//! Turns received bytes into messages for admission, and limits how long a request may take to arrive.
 
 use slog::debug;
 use umberloom::interface::Micros;
@@ -7,18 +7,20 @@
 use crate::wire::responder::Incoming;
 
 impl Connection {
+    /// Whether to read from the socket: not after its input was closed, and not while too much waits to be
+    /// written.
     pub(super) fn wants_input(&self) -> bool {
         !self.input_closed && self.unwritten_bytes() < MAX_UNWRITTEN_BYTES
     }
 
-    /// Handles what is in the buffer after so many bytes were read into it.
+    /// Handles the buffer's content after `bytes` more bytes were read into it.
     pub(super) async fn handle_input(&mut self, bytes: usize) {
         self.bytes_without_request += bytes;
         self.handle_records().await;
         self.track_partial_request();
     }
 
-    /// Nothing more is read; requests that are not complete are dropped.
+    /// Stops reading for good and drops requests that are not complete.
     pub(super) fn stop_reading(&mut self) {
         self.input_closed = true;
         self.request_awaited_since = None;
@@ -26,19 +28,19 @@
         self.buffer.consume(usize::MAX);
     }
 
-    /// Whether the time for a complete request is over.
+    /// Whether [`Connection::request_deadline`] has passed.
     pub(super) fn is_request_overdue(&self) -> bool {
         self.request_deadline().is_some_and(|until| self.context.clock.now() >= until)
     }
 
-    /// When a connection without a complete request is closed.
+    /// When the connection is closed if no complete request arrives; `None` if there is no limit now.
     pub(super) fn request_deadline(&self) -> Option<Micros> {
         let complete_by = self.request_awaited_since.map(|since| since + REQUEST_TIMEOUT);
         complete_by.into_iter().chain(self.reject_until).min()
     }
 
-    /// Starts the timeout of a request of which a part has arrived. A peer that sends without end must not be read
-    /// for ever either.
+    /// Starts the timeout of a partly received request. Also stops reading from a peer that sends without end
+    /// and never completes a request.
     fn track_partial_request(&mut self) {
         let has_partial_request = self.responder.open_requests() > self.responder.complete_requests();
         if has_partial_request || !self.buffer.unread().is_empty() {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Takes all complete records off the buffer.
+    /// Handles all complete records in the buffer and removes them from it.
     async fn handle_records(&mut self) {
         loop {
             match self.responder.handle_record(self.buffer.unread()) {
@@ -74,14 +76,14 @@
 
     async fn handle_incoming(&mut self, incoming: Incoming) {
         let message = match incoming {
-            // Its slot stays taken until admission has let go of it: there can't be more responses on their way than
-            // there may be open requests.
+            // The slot stays in use until admission has answered the cancellation, so that the responses in
+            // transit never outnumber the open requests that the mailbox has room for.
             Incoming::Abort(slot) => {
                 self.open_requests.get(&slot).cloned().and_then(OpenRequest::into_cancellation)
             }
             Incoming::Request { slot, params, body, too_long } => {
                 if !too_long {
-                    // Any complete request shows a peer that speaks the protocol.
+                    // Any complete request proves that the peer speaks the protocol.
                     self.activity.has_requested.set(true);
                 }
                 self.request_awaited_since = None;
@@ -93,7 +95,7 @@
             }
         };
         if let Some(message) = message {
-            // Admission is gone only when the program ends.
+            // Fails only if admission has ended, which happens at process exit.
             let _ = self.context.admission.send(message).await;
         }
     }
--- a/crates/server/src/peers/connection/output.rs
+++ b/crates/server/src/peers/connection/output.rs
@@ -1,15 +1,15 @@
-//! Responses, and the bytes that wait to be written.
+//! Queues responses and writes them to the socket.
 
 use super::Connection;
 use crate::messages::caller::Response;
 use crate::peers::stream;
 use crate::wire::cgi;
 
-/// An output buffer that has been written completely shrinks to this.
+/// The output buffer shrinks to this many bytes once all of it is written.
 const IDLE_OUTPUT_CAPACITY: usize = 8 * 1024;
 
 impl Connection {
-    /// Queues the response to a request, unless that was answered already.
+    /// Queues the response to the request in `slot`, unless that request was answered already.
     pub(super) fn respond(&mut self, slot: u16, serial: u64, response: &Response) {
         if self.open_requests.get(&slot).is_none_or(|request| request.serial != serial) {
             return;
@@ -22,11 +22,12 @@
         self.responder.respond(slot, &content);
     }
 
+    /// Bytes queued and not written yet.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.responder.output.len() - self.written_bytes
     }
 
-    /// Writes as much as the socket takes without waiting.
+    /// Writes as much queued output as the socket accepts without waiting.
     pub(super) fn write(&mut self) -> std::io::Result<()> {
         let written = stream::write(&self.stream, &self.responder.output[self.written_bytes..])?;
         self.written_bytes += written;
--- a/crates/server/src/peers/connection/request.rs
+++ b/crates/server/src/peers/connection/request.rs
@@ -1,4 +1,4 @@
-//! A complete request: its parameters are checked, its memory is booked, and it goes to admission.
+//! Validates a complete request, books its memory and passes it to admission.
 
 use slog::debug;
 use umberloom::interface::RequestId;
@@ -15,14 +15,14 @@
     Work(ValidWork),
 }
 
-/// Work, with the positions of its class and tenant in the settings.
+/// A valid request for work, with the indices of its class and tenant in the settings.
 struct ValidWork {
     request: Box<WorkRequest>,
     class: usize,
     tenant: usize,
 }
 
-/// Why a request is answered with status 400.
+/// Why a request is answered with HTTP status 400.
 #[derive(Debug, thiserror::Error)]
 enum InvalidRequest {
     #[error("longer than allowed")]
@@ -42,8 +42,8 @@
 }
 
 impl Connection {
-    /// The message for admission, unless the request is answered here: one that is not valid, or for which there is
-    /// no memory.
+    /// Returns the message for admission, or `None` if the request is answered here: while draining or
+    /// without a free table entry, if it is not valid, or if there is no memory for it.
     pub(super) fn accept_request(
         &mut self,
         slot: u16,
@@ -52,8 +52,8 @@
         body: Vec<u8>,
         too_long: bool,
     ) -> Option<AdmissionMessage> {
-        // Once the listener drains, what is still read is rejected here: a response that waited for admission might not
-        // be written before the process ends.
+        // Requests read while draining are rejected here: a response that has to wait for admission might not
+        // be written before the process exits.
         if self.reject_until.is_some() || self.activity.closing.get() {
             self.reject_overloaded(slot);
             self.draining = true;
@@ -119,7 +119,8 @@
     Ok(ValidRequest::Work(ValidWork { request: Box::new(request), class, tenant }))
 }
 
-/// Position of the request's tenant; 0 where no tenants are configured. Where there are, every request needs one.
+/// Index of the request's tenant in the settings. 0 if no tenants are configured; otherwise every request
+/// must name one.
 fn find_tenant(name: Option<&String>, tenants: &[String]) -> Result<usize, InvalidRequest> {
     if tenants.is_empty() {
         return Ok(0);
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -1,7 +1,7 @@
-//! The listening socket, and the connections that it accepted.
+//! The listening socket and the connections accepted from it.
 //!
-//! How many connections there may be, and which of them is closed when a place is needed, is decided by
-//! [`ConnectionTable`]; this actor accepts, starts an actor for each connection and passes the decisions on.
+//! [`ConnectionTable`] decides how many connections there may be and which one is closed to make room for
+//! another. This actor accepts connections, starts an actor for each and carries out those decisions.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,27 +23,29 @@
 use crate::messages::caller::{ConnectionActivity, ConnectionCommand};
 use crate::messages::listener::ListenerCommand;
 
-/// Commands that may wait in the mailbox.
+/// Capacity of the mailbox in commands.
 pub const MAILBOX_CAPACITY: usize = 64;
-/// Time between looks for idle connections.
+/// Interval between checks for idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A connection beyond the table's capacity has this long to send a request, which is rejected.
+/// How long a connection beyond the table's capacity may send requests, which are all rejected.
 const REJECT_PERIOD: Micros = 250_000;
-/// Accepting is tried again after this time if the system had no descriptor for it.
+/// Delay before accepting again after an error, such as a lack of descriptors, and between checks of the
+/// accept queue while draining.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What the listener knows of a connection.
+/// The listener's record of a connection.
 struct ConnectionEntry {
     mailbox: Sender<ConnectionCommand>,
     activity: Rc<ConnectionActivity>,
-    /// It found no place: its requests are rejected.
+    /// It is beyond the table's capacity: its requests are rejected.
     rejecting: bool,
+    /// When it was first asked to close since it last was active.
     close_requested_at: Cell<Option<Micros>>,
 }
 
 impl ConnectionEntry {
-    /// Sends the command only to an empty mailbox: a connection that is slow to take its messages must keep room there
-    /// for its responses.
+    /// Asks the connection to close if it is idle. The command is sent only to an empty mailbox: a connection
+    /// that is slow to take its messages must keep room there for its responses.
     fn close_if_idle(&self, now: Micros) {
         if !self.mailbox.is_empty() || self.mailbox.try_send(ConnectionCommand::CloseIfIdle).is_err() {
             return;
@@ -69,18 +71,18 @@
 /// Why [`Listener::wait`] returned.
 enum Wakeup {
     Accepted(TcpStream),
-    /// `None`: all senders are gone.
+    /// `None` if all senders are gone.
     Command(Option<ListenerCommand>),
     ConnectionClosed(u64),
     IdleCheck,
-    /// While draining, connections that wait to be accepted are to be looked at again.
+    /// It is time to accept from the backlog again; only while draining.
     Backlog,
 }
 
-/// The actor.
+/// The actor that accepts connections of load balancers.
 pub struct Listener<'a> {
     executor: Rc<LocalExecutor<'a>>,
-    /// `None` once it is closed for draining.
+    /// `None` once draining has closed it.
     socket: Option<Async<TcpListener>>,
     context: ConnectionContext,
     commands: Receiver<ListenerCommand>,
@@ -89,10 +91,10 @@
     connections: BTreeMap<u64, ConnectionEntry>,
     draining: bool,
     last_id: u64,
-    /// Connections report their end here.
+    /// Each connection sends its id here when it ends.
     closed_sender: Sender<u64>,
     closed: Receiver<u64>,
-    /// When idle connections are looked for next, whatever else happens.
+    /// When the next check for idle connections is due.
     next_idle_check: Instant,
     table_full_throttle: LogThrottle,
     accept_error_throttle: RefCell<LogThrottle>,
@@ -100,7 +102,8 @@
 }
 
 impl<'a> Listener<'a> {
-    /// Accepts from `socket`, as many connections at once as `table` has places.
+    /// Creates the actor, which accepts from `socket` within the capacity of `table`. `idle_timeout` is in
+    /// microseconds.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         (socket, table): (Async<TcpListener>, ConnectionTable),
@@ -129,13 +132,13 @@
         }
     }
 
-    /// Accepts and looks after connections until it has drained and none is left.
+    /// Accepts connections until draining has closed the socket and no connection is left.
     pub async fn run(mut self) {
         while self.socket.is_some() || !self.connections.is_empty() {
             match self.wait().await {
                 Wakeup::Accepted(stream) => {
                     self.admit(stream).await;
-                    // What has arrived with it is read before the next one needs its place.
+                    // Lets the new connection read what it has received before the next one may evict it.
                     future::yield_now().await;
                 }
                 Wakeup::ConnectionClosed(id) => drop(self.connections.remove(&id)),
@@ -151,8 +154,8 @@
         }
     }
 
-    /// The next thing to do. An idle check that is due comes first, however much else there is: what keeps places free
-    /// must not depend on a lull.
+    /// Waits for the next event. An idle check that is due comes first: it keeps table entries free and must
+    /// not depend on a pause in the traffic.
     async fn wait(&self) -> Wakeup {
         if Instant::now() >= self.next_idle_check {
             return Wakeup::IdleCheck;
@@ -184,7 +187,8 @@
         self.connections.len() >= self.table.capacity()
     }
 
-    /// A connection that was asked to close is about to make room: better wait than reject the next one.
+    /// Whether to pause accepting: the table is full and a connection that was asked to close is about to
+    /// make room, so the next connection waits instead of being rejected.
     fn is_place_expected(&self) -> bool {
         self.is_table_full()
             && self.table.should_pause_accept(self.context.clock.now(), &self.connection_states())
@@ -197,7 +201,7 @@
                     Ok(stream) => return Wakeup::Accepted(stream),
                     Err(e) => debug!(self.log, "accepted connection lost"; "error" => %e),
                 },
-                // The peer has left already.
+                // The peer closed the connection before it was accepted.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     self.log_accept_error(&e);
@@ -207,12 +211,13 @@
         }
     }
 
-    /// Starts the actor of a new connection, or closes it where there is no place even to reject its requests.
+    /// Starts the actor of a new connection. If there is no room even to reject its requests later, rejects
+    /// those already received and closes it.
     async fn admit(&mut self, stream: TcpStream) {
         let admission = self.decide_admission();
-        // Without it responses are only later.
+        // If this fails, responses are only delayed.
         let _ = stream.set_nodelay(true);
-        // Sets it non-blocking too, whichever way it was accepted.
+        // Also makes the stream non-blocking, however it was accepted.
         let Ok(stream) = Async::new(stream) else { return };
         let activity = Rc::new(ConnectionActivity::default());
         activity.closing.set(self.draining);
@@ -223,7 +228,7 @@
             Admission::RejectRequests => {
                 self.start(connection.rejecting_for(REJECT_PERIOD), mailbox, activity, true);
             }
-            // Nothing runs: its caller learns at once that it is to try another server.
+            // No request runs, and its caller learns at once to try another server.
             Admission::Close => connection.reject_received_and_close().await,
         }
     }
@@ -242,7 +247,7 @@
         let closed = self.closed_sender.clone();
         let served = async move {
             connection.run().await;
-            // The listener is gone only when the program ends.
+            // Fails only if the listener has ended, which happens at process exit.
             let _ = closed.send(id).await;
         };
         self.executor.spawn(served).detach();
@@ -251,7 +256,7 @@
         }
     }
 
-    /// Whether a new connection finds a place.
+    /// Decides whether a new connection is served, and asks another one to close if it has to make room.
     fn decide_admission(&mut self) -> Admission {
         if !self.is_table_full() {
             return Admission::Accept;
@@ -267,6 +272,7 @@
         decision.admission
     }
 
+    /// Logs that the table is full, at a limited rate.
     fn log_table_full(&mut self) {
         let Some(suppressed) = self.table_full_throttle.tell(Instant::now()) else { return };
         let is_busy = |entry: &&ConnectionEntry| entry.activity.open_requests.get() > 0;
@@ -282,6 +288,7 @@
         }
     }
 
+    /// Asks idle connections to close: those past the idle timeout, and as many more as the table needs.
     fn close_idle(&self) {
         let now = self.context.clock.now();
         let states = self.connection_states();
@@ -292,29 +299,29 @@
         }
     }
 
-    /// Accepts nothing more; each connection closes once no request is open on it.
+    /// Stops serving new requests; each connection closes once no request is open on it.
     async fn drain(&mut self) {
         self.draining = true;
         for entry in self.connections.values() {
             entry.activity.closing.set(true);
-            // Only to wake it: a mailbox without room has other messages to wake for.
+            // Only wakes the actor: if the mailbox is full, its other messages do that.
             let _ = entry.mailbox.try_send(ConnectionCommand::Close);
         }
         self.accept_backlog().await;
     }
 
-    /// Connections that wait to be accepted may carry complete requests, which this server has: all are accepted before
-    /// the socket closes. An error of one of them is not the end of the others, and without a descriptor the socket
-    /// stays open until connections have ended.
+    /// Accepts all connections of the backlog before the socket closes, as they may carry complete requests
+    /// that this server already holds. An aborted connection does not stop this. If no descriptor is free,
+    /// the socket stays open until connections have ended.
     async fn accept_backlog(&mut self) {
-        // Out of the reactor first, so that the close follows the last accept at once: a connection that arrives between
-        // them is reset.
+        // Deregistered from the reactor first, so that the close immediately follows the last accept: a
+        // connection that arrives between the two is reset.
         let Some(Ok(socket)) = self.socket.take().map(Async::into_inner) else { return };
         loop {
             match socket.accept() {
                 Ok((stream, _)) => {
                     self.admit(stream).await;
-                    // Peers that connect without end must not keep the others from ending.
+                    // Peers that keep connecting must not stop the open connections from finishing.
                     future::yield_now().await;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -1,4 +1,4 @@
-//! Connections on loopback against a listener; the test itself takes the place of admission.
+//! Connects to a listener over loopback; the test itself stands in for admission.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -15,7 +15,7 @@
 use crate::wire::responder::MAX_OPEN_REQUESTS;
 use umberloom_settings::shape::Shape;
 
-/// Longest wait for anything that must come.
+/// Time limit for an expected event.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 type Client = Async<TcpStream>;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Asks for a health check and leaves it unanswered.
+    /// A client whose health check is left unanswered, so that its connection stays busy.
     async fn busy_client(&self) -> Client {
         let mut client = self.connect().await;
         send_health_check(&mut client).await;
@@ -51,7 +51,8 @@
         client
     }
 
-    /// A connection without a listener, whose actor has looked at it once and waits, with the other end of it.
+    /// Starts the actor of a connection without a listener and lets it run until it waits. Returns the
+    /// client's end.
     async fn single_connection(&self) -> (Client, Rc<ConnectionActivity>, Sender<ConnectionCommand>) {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
@@ -67,7 +68,7 @@
         (client, activity, mailbox)
     }
 
-    /// A connection that has asked, was answered and stays.
+    /// A client whose health check was answered and whose connection stays open and idle.
     async fn idle_client(&self) -> Client {
         let mut client = self.connect().await;
         send_health_check(&mut client).await;
@@ -110,7 +111,7 @@
     async_io::block_on(executor.run(script(bench)));
 }
 
-/// What a health check is in bytes.
+/// The FastCGI records of a health check.
 fn health_check_bytes() -> Vec<u8> {
     let mut params = Vec::new();
     for (name, value) in [("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")] {
@@ -130,7 +131,7 @@
     client.write_all(&health_check_bytes()).await.expect("written");
 }
 
-/// The protocol status of the next answer, or `None` where the connection ends before one.
+/// The protocol status of the next response; `None` if the connection ends before one.
 async fn next_status(client: &mut Client) -> Option<u8> {
     let mut bytes = Vec::new();
     loop {
@@ -157,7 +158,7 @@
             assert_eq!(next_status(&mut idle).await, None);
             true
         };
-        // Each comes well within the time between two looks.
+        // The connections arrive more often than idle checks are made.
         let traffic = async {
             for _ in 0..150 {
                 drop(bench.connect().await);
@@ -175,10 +176,12 @@
         let mut served = [bench.busy_client().await, bench.busy_client().await];
         let mut more = bench.connect().await;
         send_health_check(&mut more).await;
-        // Overloaded, and then the end: its caller goes elsewhere.
+        // The request is rejected as overloaded (status 2) and the connection closed: its caller goes
+        // elsewhere.
         assert_eq!(next_status(&mut more).await, Some(2));
         assert_eq!(next_status(&mut more).await, None);
-        // With somebody silent at the door as well there is only a close.
+        // With the one overflow connection taken by a silent client, a further one is closed without a
+        // response.
         let _silent = bench.connect().await;
         let mut closed = bench.connect().await;
         assert_eq!(next_status(&mut closed).await, None);
@@ -214,7 +217,7 @@
         ))
         .await;
         let _second = bench.idle_client().await;
-        // The table is full; the first is told to go, and this one comes into its place.
+        // The table is full: the first connection is asked to close, and the third is accepted in its place.
         let mut third = bench.connect().await;
         send_health_check(&mut third).await;
         bench.answer_health_check().await;
@@ -233,7 +236,7 @@
         rejecting: false,
         close_requested_at: Cell::new(None),
     };
-    // Its actor waits for admission, and takes nothing for a long while.
+    // Stands for an actor that waits for admission and takes no messages for a long time.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
     entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
     for slot in 0..MAX_OPEN_REQUESTS {
@@ -244,21 +247,21 @@
     assert_eq!(answers.count(), MAX_OPEN_REQUESTS);
 }
 
-/// Written at once: nothing of the server runs between this and what the test does next.
+/// Writes without yielding, so that no server task runs between this and the next step of the test.
 fn write_now(client: &Client, bytes: &[u8]) {
     use std::io::Write;
     assert_eq!(client.get_ref().write(bytes).expect("written"), bytes.len());
 }
 
-/// What comes until the connection ends, and whether it ends in order, without a reset.
+/// The bytes received until the connection ends, and whether it ends orderly, without a reset.
 async fn read_to_end(client: &mut Client) -> (Vec<u8>, bool) {
     let mut bytes = Vec::new();
     let ended = within(client.read_to_end(&mut bytes)).await;
     (bytes, ended.is_ok())
 }
 
-/// Guards against a request that was written whole, waits unread, and is dropped as its connection never asked before: the
-/// word that its place is needed comes between its last byte and the reading.
+/// Guards against dropping a complete, unread request on the first use of a connection: the command to close
+/// if idle arrives after the request's last byte and before it is read.
 #[test]
 fn unread_complete_request_is_answered_before_eviction() {
     with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
@@ -270,7 +273,8 @@
     });
 }
 
-/// And one that never comes whole gets an orderly end, not a reset over its unread bytes.
+/// Guards against a reset because of unread bytes: a connection with a partial request is closed in an
+/// orderly way.
 #[test]
 fn evicted_connection_with_partial_request_closes_without_reset() {
     with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
@@ -284,12 +288,13 @@
     });
 }
 
-/// Guards against a connection that is never told to close, as its mailbox had no room for the command.
+/// Guards against a connection that stays open while draining because its mailbox had no room for the
+/// command.
 #[test]
 fn draining_reaches_a_connection_whose_mailbox_is_full() {
     with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
         let (mut client, activity, mailbox) = bench.single_connection().await;
-        // Who has asked may be silent for as long as the listener lets it.
+        // After its first request the connection may be silent for the listener's idle timeout.
         send_health_check(&mut client).await;
         bench.answer_health_check().await;
         assert_eq!(next_status(&mut client).await, Some(0));
@@ -303,8 +308,8 @@
     });
 }
 
-/// Guards against a request that is read while draining and passed on, so that its answer waits for others and
-/// may not be written any more.
+/// Guards against passing a request read while draining on to admission: its response has to wait and may not
+/// be written before the process exits.
 #[test]
 fn request_read_while_draining_is_rejected_at_once() {
     with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
@@ -318,13 +323,14 @@
     });
 }
 
-/// Guards against a reset of requests that were written whole to connections that wait to be accepted, or for which there
-/// is no place at all: each gets an answer.
+/// Guards against resetting complete requests on connections that wait in the accept queue, or that find the
+/// table and its overflow full: each request gets a response.
 #[test]
 fn requests_in_the_backlog_are_answered_at_the_end() {
     with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
         let busy = [bench.busy_client().await, bench.busy_client().await];
-        // In one go, so that the listener finds them all in the backlog with the command to drain before them.
+        // Done without yielding, so that the listener handles the drain command with all of them in the
+        // backlog.
         let mut waiting = Vec::new();
         bench.commands.try_send(ListenerCommand::Drain).expect("room");
         for _ in 0..20 {
@@ -337,7 +343,7 @@
             assert_eq!(next_status(client).await, Some(2));
             assert_eq!(next_status(client).await, None);
         }
-        // The socket is closed, and what was open before is still answered.
+        // The socket is closed, and requests that were open before are still answered.
         Async::<TcpStream>::connect(bench.address).await.expect_err("refused");
         for message in bench.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
@@ -349,7 +355,8 @@
     });
 }
 
-/// The same while the server serves: who finds neither a place nor one at the door is told so, if it has asked.
+/// The same without draining: a complete request on a connection that finds the table and its overflow full
+/// is rejected before the close.
 #[test]
 fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
     with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
--- a/crates/server/src/peers/mod.rs
+++ b/crates/server/src/peers/mod.rs
@@ -1,6 +1,7 @@
-//! The actors of everything outside the process, each with a mailbox: load balancers ([`listener`], [`connection`]), the
-//! render farm agent ([`agent`]), dependencies ([`dependency`], [`ajp`]), the announce service ([`registration`]) and
-//! the other servers ([`fleet`]). They alone do I/O; the bytes are those of [`crate::wire`].
+//! The actors that talk to other processes, each with a mailbox: load balancers ([`listener`],
+//! [`connection`]), the render farm agent ([`agent`]), dependencies ([`dependency`], [`ajp`]), the announce
+//! service ([`registration`]) and the other servers ([`fleet`]). Only they do network I/O; [`crate::wire`]
+//! encodes and decodes what they send and receive.
 
 pub mod agent;
 pub mod ajp;
--- a/crates/server/src/peers/stream.rs
+++ b/crates/server/src/peers/stream.rs
@@ -1,4 +1,4 @@
-//! Reading and writing a stream a step at a time, never waiting.
+//! Non-blocking reads and writes of a TCP stream, and timeouts.
 
 use std::future::Future;
 use std::io::{self, ErrorKind, Read, Write};
@@ -13,15 +13,15 @@
 /// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// So many bytes were read.
+    /// The number of bytes that were read.
     Bytes(usize),
-    /// Nothing has arrived.
+    /// There is nothing to read at present.
     WouldBlock,
-    /// The peer will send no more.
+    /// The peer has closed its sending side.
     Closed,
 }
 
-/// Reads once into a buffer that has room.
+/// Reads once, without waiting, into a buffer that must have room.
 pub fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> io::Result<ReadResult> {
     loop {
         match stream.get_ref().read(buffer.spare_capacity()) {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes as much as the socket takes without waiting; returns the number of bytes.
+/// Writes as much as the socket accepts without waiting; returns the number of bytes written.
 pub fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     let mut done = 0;
     while done < bytes.len() {
@@ -52,7 +52,7 @@
     Ok(done)
 }
 
-/// Writes all of it, waiting as needed.
+/// Writes all bytes, waiting as needed.
 pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     loop {
         bytes = &bytes[write(stream, bytes)?..];
@@ -63,7 +63,8 @@
     }
 }
 
-/// The result of `work`, or `None` if it takes longer. After a stall, work that has ended meanwhile counts.
+/// The result of `work`, or `None` if it takes longer than `span`. Work that finished during a stall of the
+/// process counts as in time.
 pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(span).await;
@@ -72,7 +73,7 @@
     .await
 }
 
-/// Whether a connection that should be silent still is: neither ended nor with anything to read.
+/// Whether an idle connection can be reused: it was not closed by the peer and has nothing to read.
 pub fn is_silent(stream: &Async<TcpStream>) -> bool {
     let mut byte = [0];
     matches!(stream.get_ref().peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
