--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -1,4 +1,4 @@
-//! The link to the render farm agent: commands out, notices in, and a new link where one breaks.
+//! The link to the render farm agent: sends commands, receives notices, and reconnects when the link is lost.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -17,24 +17,24 @@
 use crate::wire::jsonl::{self, Command, Notice};
 use crate::wire::MalformedInput;
 
-/// Messages that may wait in the mailbox.
+/// Capacity of the mailbox in messages, and of the command log in commands.
 pub const MAILBOX_CAPACITY: usize = 4096;
-/// Bytes written at once.
+/// Bytes of commands taken from the command log at once.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
-/// Time between attempts to connect.
+/// Delay before the next attempt after one that failed, or after a link that ended before its greeting.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// Time until the next attempt after malformed input.
+/// Delay before the next attempt after malformed input.
 const MALFORMED_BACKOFF: Duration = Duration::from_millis(200);
-/// Time for one attempt to connect.
+/// Time limit for one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The actor.
+/// The actor that keeps the link to the agent.
 pub struct AgentActor {
     address: SocketAddr,
     mailbox: Receiver<AgentActorMessage>,
     admission: Sender<AdmissionMessage>,
     command_log: CommandLog,
-    /// Number of the last notice that was read.
+    /// Sequence number of the last notice that was read; 0 before the first.
     last_notice: u64,
     log: Logger,
 }
@@ -43,24 +43,27 @@
 struct Link {
     stream: Async<TcpStream>,
     buffer: Buffer,
+    /// Bytes to be written.
     output: Vec<u8>,
+    /// Whether the agent's greeting has arrived; the commands of the log are sent only after it.
     greeted: bool,
 }
 
-/// Why a link is over.
+/// Why a link ended.
 enum LinkEnd {
     Lost(std::io::Error),
     ClosedByAgent,
     Malformed(MalformedInput),
     /// The agent is at another address now.
     AddressChanged,
-    /// Admission is gone: so is the program.
+    /// Admission has ended, which happens at process exit.
     ShuttingDown,
 }
 
 impl LinkEnd {
-    /// Time until the next attempt. After malformed input the same bytes may come again: they are read no faster than
-    /// this. An agent that had greeted was there a moment ago, and its notices need not wait.
+    /// Delay before the next attempt to connect. After malformed input the agent may send the same bytes
+    /// again, so the delay limits how often they are read. An agent that had sent its greeting was running a
+    /// moment ago: the next attempt is made at once, so that its notices are not delayed.
     fn backoff(&self, greeted: bool) -> Duration {
         match self {
             LinkEnd::Malformed(_) => MALFORMED_BACKOFF,
@@ -71,7 +74,7 @@
 }
 
 impl AgentActor {
-    /// A link that is not made yet.
+    /// Creates the actor; it connects once it runs.
     pub fn new(
         address: SocketAddr,
         mailbox: Receiver<AgentActorMessage>,
@@ -81,10 +84,10 @@
         AgentActor { address, mailbox, admission, command_log: CommandLog::default(), last_notice: 0, log }
     }
 
-    /// Keeps a link up for as long as admission is there.
+    /// Keeps a link up until admission has ended.
     pub async fn run(mut self) {
         loop {
-            // Without a link too the address may change.
+            // The address may also change while there is no link.
             self.drain_mailbox();
             let connected =
                 stream::with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await;
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Serves one link until it is over; whether the agent has greeted on it.
+    /// Serves one link until it ends; returns why it ended and whether the agent has sent its greeting on it.
     async fn serve_link(&mut self, stream: Async<TcpStream>) -> (LinkEnd, bool) {
         let subscribe = Command::Subscribe { seq: self.last_notice }.encode();
         let buffer = Buffer::new(jsonl::MAX_LINE_BYTES);
@@ -126,12 +129,12 @@
             if let Err(end) = self.step(&mut link).await {
                 return (end, link.greeted);
             }
-            // An agent that never stops sending must not keep all others waiting.
+            // An agent that never stops sending must not block the other actors.
             future::yield_now().await;
         }
     }
 
-    /// Writes what is queued, reads what has arrived, or waits for either.
+    /// Writes commands and handles what has arrived; waits if there was neither.
     async fn step(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
         if self.drain_mailbox() {
             return Err(LinkEnd::AddressChanged);
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Waits until the link can be read or written, or a message is there.
+    /// Waits until the link can be read or written (`None`) or a message arrives. A full command log takes no
+    /// messages.
     async fn wait(&self, link: &Link) -> Result<Option<AgentActorMessage>, LinkEnd> {
         let has_room = self.command_log.len() < MAILBOX_CAPACITY;
         let message = async {
@@ -174,8 +178,9 @@
         future::or(readable, future::or(writable, message)).await
     }
 
-    /// Handles the messages that are there; `true` if the agent's address has changed. What was written to the old
-    /// address and may not have been read there is in the command log, which replays it on the new link.
+    /// Handles waiting messages while the command log has room; returns whether the agent's address has
+    /// changed. Commands written to the old address that may not have been read there stay in the command
+    /// log, which replays them on the new link.
     fn drain_mailbox(&mut self) -> bool {
         let mut address_changed = false;
         while self.command_log.len() < MAILBOX_CAPACITY {
@@ -185,7 +190,7 @@
         address_changed
     }
 
-    /// `true` if the agent's address has changed.
+    /// Handles one message; returns whether the agent's address has changed.
     fn handle_message(&mut self, message: &AgentActorMessage) -> bool {
         match message {
             AgentActorMessage::Command(command) => {
@@ -199,6 +204,7 @@
         }
     }
 
+    /// Handles all complete lines in the buffer.
     async fn handle_lines(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
         while let Some(end) = link.buffer.unread().iter().position(|&b| b == b'\n') {
             let read = jsonl::parse_notice(&link.buffer.unread()[..end]);
@@ -225,6 +231,7 @@
         Ok(())
     }
 
+    /// Updates the command log and passes the notice on to admission.
     async fn handle_notice(&mut self, notice: Notice) -> Result<(), LinkEnd> {
         let message = match notice {
             Notice::Greeting { starting, uptime } => {
@@ -251,7 +258,8 @@
                 debug!(self.log, "agent rejected command"; "command" => &command, "request" => &id);
                 AdmissionMessage::AgentRejected { command, id }
             }
-            // Were the link closed over it, the next one would bring it again.
+            // The link is not closed because of it: the agent would send the same notice again on the next
+            // one.
             Notice::Invalid { id } => {
                 warn!(self.log, "invalid notice from agent"; "request" => &id);
                 self.command_log.run_ended(&id);
--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -1,4 +1,4 @@
-//! Calls to a dependency that speaks AJP: one at a time on a connection, as over HTTP.
+//! Calls to a dependency over AJP: one at a time on a connection, as over HTTP.
 
 use std::io::{Error, ErrorKind};
 use std::net::TcpStream;
@@ -12,21 +12,21 @@
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{self, Reply};
 
-/// A connection that was idle for longer is pinged before it is used.
+/// A connection that was idle for at least this long is pinged before it is reused.
 pub const PING_AFTER_IDLE: Duration = Duration::from_secs(1);
-/// How long the answer may take. A connection without one by then is closed, and nothing ran on it.
+/// Time limit for the answer to a ping. A connection without one is closed; no call was sent on it.
 pub const PING_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How a dependency is called over AJP.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AjpConfig {
-    /// The secret that it requires.
+    /// The secret that the dependency requires, if any.
     pub secret: Option<String>,
-    /// Size of a packet in bytes, configured alike at both ends.
+    /// Maximum size of a packet in bytes, configured alike at both ends.
     pub packet_bytes: usize,
 }
 
-/// Whether the other end answers a ping.
+/// Whether the peer answers a ping within [`PING_TIMEOUT`].
 pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
     let mut caller = Caller::new(ajp.packet_bytes);
     let ping = async {
@@ -39,7 +39,7 @@
     matches!(stream::with_timeout(PING_TIMEOUT, ping).await, Some(Ok(())))
 }
 
-/// One call and its reply, in the form of a reply over HTTP.
+/// Makes one call and returns its reply in the form of an HTTP reply.
 pub async fn exchange(
     stream: &Async<TcpStream>,
     ajp: &AjpConfig,
@@ -67,7 +67,7 @@
             }
             Event::Body(_) => return Err(ErrorKind::InvalidData.into()),
             Event::End(reuse) => {
-                // Bytes after the end belong to no call: such a connection is not reused.
+                // Bytes after the end belong to no call, so the connection is not reused.
                 reply.keep_alive = reuse && buffer.unread().is_empty();
                 return Ok(reply);
             }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Writes what is queued and reads until the next event.
+/// Writes the queued packets and reads until the next event.
 async fn next_event(
     stream: &Async<TcpStream>,
     caller: &mut Caller,
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -1,5 +1,5 @@
-//! Commands that the agent is not known to have read. They are replayed on a new link, so that it goes on where the
-//! last one broke.
+//! Commands that the agent has not acknowledged. They are replayed on a new link, so that no command is lost
+//! when a link breaks.
 
 use std::collections::VecDeque;
 
@@ -10,34 +10,38 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntryKind {
-    /// Begins or stops a run.
+    /// Starts or resumes a run.
     Run,
+    /// Pauses a run.
     Pause,
-    /// Answers a call.
+    /// Answers or skips a call.
     Reply,
-    /// Made on one link only.
+    /// Asks for gauges or a health check. It is not replayed on a new link.
     Query,
-    /// A sample that the log itself asks for, to mark the end of the missed notices.
+    /// A sample that the log itself requests; its answer marks the end of the missed notices.
     Marker,
 }
 
 #[derive(Debug)]
 struct Entry {
+    /// Number of the command in this log; the agent echoes it in the answer to a query.
     number: u64,
     kind: EntryKind,
     id: RequestId,
-    /// The tag under which admission made the query.
+    /// The tag that admission gave the query; 0 for other commands.
     tag: u64,
+    /// The encoded command.
     line: Vec<u8>,
 }
 
-/// Commands in the order given, those written on the present link first.
+/// Unacknowledged commands in their order; those already written on the current link come first.
 #[derive(Debug, Default)]
 pub struct CommandLog {
     entries: VecDeque<Entry>,
+    /// Number of entries at the front that were written on the current link.
     written: usize,
     last_number: u64,
-    /// On a new link, the sample whose answer says that all missed notices are in.
+    /// On a new link, the number of the sample whose answer shows that all missed notices have been received.
     marker: Option<u64>,
 }
 
@@ -68,11 +72,12 @@
         };
         let unwritten = || self.entries.iter().skip(self.written);
         if kind == EntryKind::Pause && unwritten().any(|e| e.kind == kind && e.id == *id) {
-            // Pauses are sent again and again; without a link they must not accumulate.
+            // Admission repeats pauses; without a link they must not accumulate.
             return;
         }
         if matches!(command, AgentCommand::SampleGauges(_)) && unwritten().any(|e| e.kind == kind) {
-            // Neither must samples: admission asks for one after the other, whether or not they are answered.
+            // Admission keeps requesting samples whether or not they are answered; they must not accumulate
+            // either.
             return;
         }
         self.last_number = number;
@@ -80,7 +85,8 @@
         self.entries.push_back(entry);
     }
 
-    /// Lines to write next, as many as fit in `most` bytes but at least one if there is any.
+    /// Takes the lines to write next: as many as fit in `most` bytes, but at least one if any may be written
+    /// now.
     pub fn take_lines(&mut self, most: usize) -> Vec<u8> {
         let mut out = Vec::new();
         while let Some(entry) = self.entries.get(self.written) {
@@ -94,9 +100,9 @@
         out
     }
 
-    /// A new link has been greeted: nothing is known to have been read of what was written on the last
-    /// one. Until the answer to a sample marks the end of the missed notices, nothing else is written:
-    /// a run that ended meanwhile must not be started again.
+    /// Prepares for a new link after its greeting: all commands written on the last link and not acknowledged
+    /// are to be written again. Until the answer to a sample marks the end of the missed notices, nothing
+    /// else is written, as a run that ended meanwhile must not be started again.
     pub fn restart_link(&mut self) {
         self.entries.retain(|e| !matches!(e.kind, EntryKind::Query | EntryKind::Marker));
         self.written = 0;
@@ -108,8 +114,8 @@
         self.marker = Some(self.last_number);
     }
 
-    /// The answer to sample `name` has arrived: all commands written before it have been read. Returns the tag of the
-    /// query, if admission made it.
+    /// Handles the answer to sample `name`, which acknowledges all commands written before it. Returns the
+    /// tag of the query if admission made it.
     pub fn sample_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let written = self.entries.iter().take(self.written);
@@ -123,25 +129,25 @@
         tag
     }
 
-    /// The answer to health check `name` has arrived. The agent answers these out of turn, so it acknowledges no other
-    /// command. Returns the tag of the query.
+    /// Handles the answer to health check `name`. The agent answers these out of order, so it acknowledges no
+    /// other command. Returns the tag of the query.
     pub fn health_check_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let at = self.entries.iter().take(self.written).position(|e| e.number == number)?;
         self.remove(at).map(|e| e.tag)
     }
 
-    /// The run of this request is over: no command about it matters any more.
+    /// Removes all commands for this request, whose run has ended.
     pub fn run_ended(&mut self, id: &str) {
         self.remove_matching(|e| &*e.id == id);
     }
 
-    /// The run of this request waits for a call: replies to earlier ones have been read.
+    /// Removes replies to earlier calls of this request: its run waits for a new call, so it has read them.
     pub fn run_waits_for_call(&mut self, id: &str) {
         self.remove_matching(|e| e.kind == EntryKind::Reply && &*e.id == id);
     }
 
-    /// How many commands there are.
+    /// Number of commands in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -13,7 +13,7 @@
     AgentCommand::Launch { id: id.into(), class: "c".into(), body: vec![1] }
 }
 
-/// A journal on a link that has caught up.
+/// A command log on a new link, with the answer to its first sample received.
 fn linked() -> CommandLog {
     let mut journal = CommandLog::default();
     journal.restart_link();
@@ -48,7 +48,7 @@
     journal.push(&launch("later"));
     journal.restart_link();
     assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
-    // Missed notices come before the answer: one run has ended, one has asked for its next call.
+    // Missed notices come before the answer to the sample: one run has ended, one waits for its next call.
     journal.run_ended("ended");
     journal.run_waits_for_call("b");
     assert_eq!(journal.take_lines(9_999), b"");
--- a/crates/server/src/peers/dependency.rs
+++ b/crates/server/src/peers/dependency.rs
@@ -1,5 +1,5 @@
-//! Calls to one dependency: one at a time on a connection, over a few connections kept open to each of its endpoints.
-//! The platform's records service is one of them, at the address that the configuration names.
+//! Calls to one dependency: one at a time on a connection, over a few connections kept open to each of its
+//! endpoints. The platform's records service is one such dependency, at the address in the configuration.
 
 mod call;
 mod pool;
@@ -24,19 +24,19 @@
 pub use pool::SocketBudget;
 use pool::{IdlePool, SharedIdlePool, SocketPermit};
 
-/// Commands that may wait in the mailbox.
+/// Capacity of the mailbox in commands.
 pub const MAILBOX_CAPACITY: usize = 4096;
-/// Time between looks for connections that have been idle for too long.
+/// Interval between checks for connections that have been idle for too long and for calls that have ended.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where an actor's calls go.
+/// Where the calls of an actor go, and over which protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallTarget {
-    /// Path of its calls.
+    /// URL path of the calls.
     pub path: Rc<str>,
-    /// The platform's address, where this is its records service.
+    /// Address of the platform if the dependency is its records service; used for calls that name no address.
     pub platform: Option<SocketAddr>,
-    /// Set where calls are made over AJP; otherwise they are made over HTTP.
+    /// Set if calls are made over AJP; otherwise they are made over HTTP.
     pub ajp: Option<Rc<AjpConfig>>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The actor.
+/// The actor that makes the calls to one dependency.
 pub struct DependencyClient<'a> {
     executor: Rc<LocalExecutor<'a>>,
     target: CallTarget,
@@ -57,11 +57,12 @@
     clock: Clock,
     log: Logger,
     pool: SharedIdlePool,
+    /// Calls in flight, and those that ended since the last check; dropping a task cancels its call.
     calls: BTreeMap<CallId, Task<()>>,
 }
 
 impl<'a> DependencyClient<'a> {
-    /// Calls to `target`, as long as there are sockets for them.
+    /// Creates the actor for calls to `target`; calls for which there is no socket are rejected.
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         (target, sockets): (CallTarget, SocketBudget),
@@ -75,7 +76,7 @@
         DependencyClient { executor, target, sockets, commands, admission, clock, log, pool, calls }
     }
 
-    /// Makes calls for as long as there are senders of commands, and then until the last call has ended.
+    /// Makes calls until all senders of commands are gone and the last call has ended.
     pub async fn run(mut self) {
         let mut next_idle_check = Instant::now() + IDLE_CHECK_INTERVAL;
         loop {
@@ -100,13 +101,13 @@
                 }
             }
         }
-        // The operator's file no longer names this dependency: calls in flight end as they began.
+        // The operator's file no longer names this dependency: calls in flight are completed, not cancelled.
         for (_, call) in std::mem::take(&mut self.calls) {
             call.await;
         }
     }
 
-    /// `false` once admission is gone.
+    /// Handles one command; returns `false` once admission has ended.
     async fn handle_command(&mut self, command: DependencyCommand) -> bool {
         match command {
             DependencyCommand::Call(call) => {
@@ -116,7 +117,8 @@
             }
             DependencyCommand::Cancel(id) => drop(self.calls.remove(&id)),
             DependencyCommand::SetAddress(address) => {
-                // Connections of calls still in flight go back to the old pool, which ends with them.
+                // Calls still in flight return their connections to the old pool, which is dropped after the
+                // last one.
                 self.target.platform = Some(address);
                 self.pool = IdlePool::new(&self.sockets);
             }
@@ -124,7 +126,7 @@
         true
     }
 
-    /// Starts a call, or reports that it can't start; `false` once admission is gone.
+    /// Starts a call, or reports to admission that it can't start; returns `false` once admission has ended.
     async fn start_call(&mut self, call: Call) -> bool {
         let address = call.address.or(self.target.platform);
         let (Some(address), Some(permit)) = (address, self.sockets.acquire()) else {
@@ -143,6 +145,7 @@
         true
     }
 
+    /// Makes the call and reports its outcome to admission.
     fn call_and_report(
         &self,
         address: SocketAddr,
@@ -159,7 +162,7 @@
             let (outcome, body) = call::make_call(address, &target, &pool, &call, timeout).await;
             drop(permit);
             let duration = clock.now() - started_at;
-            // Admission is gone only when the program ends.
+            // Fails only if admission has ended, which happens at process exit.
             let _ =
                 admission.send(AdmissionMessage::CallEnded { id: call.id, outcome, duration, body }).await;
         }
--- a/crates/server/src/peers/dependency/call.rs
+++ b/crates/server/src/peers/dependency/call.rs
@@ -18,7 +18,7 @@
 /// A call with less time left than this is not sent.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Makes one call; how it ended, with the body of a good reply.
+/// Makes one call; returns its outcome and the body of the reply, if there was one.
 pub(super) async fn make_call(
     address: SocketAddr,
     target: &CallTarget,
@@ -28,15 +28,15 @@
 ) -> (Outcome, Vec<u8>) {
     let started_at = Instant::now();
     let Some(stream) = connect(address, target, pool, timeout).await else {
-        // Nothing was written, so nothing ran.
+        // Nothing was written, so the call never ran.
         return (Outcome::Unreachable, Vec::new());
     };
-    // Without it the call is only later.
+    // If this fails, the call is only delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let remaining = timeout.saturating_sub(started_at.elapsed());
     if remaining < MIN_TIMEOUT {
-        // Connected too late, or the process was stalled meanwhile: a call whose time is over is not sent, as its place
-        // may be another's.
+        // Connecting took too long, or the process was stalled. A call whose time is over is not sent, as its
+        // capacity at the dependency may already be in use for another call.
         return (Outcome::Unreachable, Vec::new());
     }
     let sent = send_call(&stream, address, target, call, remaining);
@@ -53,7 +53,7 @@
     }
 }
 
-/// A connection that is idle, or else a new one; `None` if there is no connection within this time.
+/// An idle connection, or else a new one; `None` if connecting fails or takes longer than `timeout`.
 async fn connect(
     address: SocketAddr,
     target: &CallTarget,
@@ -69,11 +69,13 @@
         if ajp::is_alive(&stream, ajp).await {
             return Some(stream);
         }
-        // Nothing of the call has been written: a connection that does not answer is closed, and the next one tried.
+        // Nothing of the call has been written, so a connection that does not answer is closed and the next
+        // one tried.
     }
     stream::with_timeout(timeout, Async::<TcpStream>::connect(address)).await?.ok()
 }
 
+/// Sends the call over the target's protocol and reads its reply.
 async fn send_call(
     stream: &Async<TcpStream>,
     address: SocketAddr,
@@ -108,7 +110,7 @@
         };
         let unread_bytes = buffer.unread().len();
         match http::parse_reply(buffer.unread(), closed) {
-            // Its length was not stated: it may as well have been cut off here.
+            // A reply without an explicit length that ends with the connection may have been truncated.
             Ok(Some(reply))
                 if closed && reply.encoded_bytes == unread_bytes && !reply.has_explicit_length() =>
             {
@@ -125,7 +127,7 @@
     }
 }
 
-/// What a reply says about the call. Only the header `Op-Not-Begun` proves that it never ran.
+/// The outcome that a reply reports. Only the header `Op-Not-Begun` proves that the call never ran.
 pub(super) fn classify_reply(reply: &Reply) -> Outcome {
     let not_begun = reply.header("op-not-begun") == Some("1");
     match reply.status {
--- a/crates/server/src/peers/dependency/pool.rs
+++ b/crates/server/src/peers/dependency/pool.rs
@@ -1,4 +1,5 @@
-//! Sockets of calls to dependencies: a budget that all dependencies share, and connections kept open for reuse.
+//! Sockets of calls to dependencies: a budget that all dependencies share, and connections kept open for
+//! reuse.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,22 +11,22 @@
 
 use crate::peers::stream;
 
-/// An idle connection is not used after this: the service closes it after 10 s.
+/// An idle connection is not reused after this time, as the service closes it after 10 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Idle connections that are kept, over all dependencies.
+/// Maximum number of idle connections over all dependencies.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// The descriptors that all dependencies share.
+/// The socket descriptors that calls to all dependencies share.
 #[derive(Clone, Debug)]
 pub struct SocketBudget {
-    /// Calls that may still start.
+    /// Number of further calls that may start.
     available: Rc<Cell<usize>>,
-    /// Idle connections, over all dependencies.
+    /// Number of idle connections over all dependencies.
     idle: Rc<Cell<usize>>,
 }
 
 impl SocketBudget {
-    /// For so many calls at once.
+    /// A budget for `calls` calls at once.
     pub fn new(calls: usize) -> SocketBudget {
         SocketBudget { available: Rc::new(Cell::new(calls)), idle: Rc::default() }
     }
@@ -52,16 +53,17 @@
 /// The idle connections of one dependency, shared with its calls in flight.
 pub(super) type SharedIdlePool = Rc<RefCell<IdlePool>>;
 
-/// Idle connections by endpoint, each with the one used last at the end.
+/// Idle connections by endpoint, the most recently used one last.
 #[derive(Debug)]
 pub(super) struct IdlePool {
     by_address: BTreeMap<SocketAddr, VecDeque<IdleConnection>>,
-    /// Idle connections over all pools.
+    /// Number of idle connections over all pools.
     count: Rc<Cell<usize>>,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
+    /// When it became idle.
     since: Instant,
     stream: Async<TcpStream>,
 }
@@ -72,7 +74,7 @@
         Rc::new(RefCell::new(pool))
     }
 
-    /// An idle connection that can still be used, and for how long it was idle.
+    /// Takes an idle connection that can still be used; returns it with the time it was idle.
     pub(super) fn take(&mut self, address: SocketAddr) -> Option<(Async<TcpStream>, Duration)> {
         let idle = self.by_address.get_mut(&address)?;
         while let Some(IdleConnection { since, stream }) = idle.pop_back() {
@@ -84,7 +86,7 @@
         None
     }
 
-    /// Keeps a connection for later calls, if there is room.
+    /// Keeps a connection for later calls, or closes it if there are [`MAX_IDLE_CONNECTIONS`] already.
     pub(super) fn put(&mut self, address: SocketAddr, stream: Async<TcpStream>) {
         if self.count.get() < MAX_IDLE_CONNECTIONS {
             self.count.set(self.count.get() + 1);
--- a/crates/server/src/peers/dependency/tests.rs
+++ b/crates/server/src/peers/dependency/tests.rs
@@ -9,7 +9,8 @@
 use crate::peers::stream;
 use crate::wire::http;
 
-/// Plays `script` with the actor's mailboxes against a service at this listener.
+/// Runs `script` with an actor for the dependency at a local listener, the actor's mailbox and that of
+/// admission.
 fn with_dependency<F: std::future::Future<Output = ()>>(
     max_calls: usize,
     script: impl FnOnce(Async<std::net::TcpListener>, Sender<DependencyCommand>, Receiver<AdmissionMessage>) -> F,
@@ -35,7 +36,7 @@
     Clock::default().now() + 100_000_000
 }
 
-/// Reads one request without a body; `false` if the connection ends before.
+/// Reads one request without a body; `false` if the connection ends before the request does.
 async fn read_request(stream: &mut Async<TcpStream>) -> bool {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -106,7 +107,7 @@
             let reply = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             stream::write_all(&stream, reply).await.expect("written");
             assert_eq!(next_outcome(&mail).await, ("a".to_owned(), Outcome::Ok));
-            // Closed while it stands idle: the next call needs another.
+            // Closes the idle connection, so that the next call needs a new one.
             drop(stream);
         }
     });
--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -1,5 +1,5 @@
-//! This server's entry at the announce service, from which load balancers learn the list of servers: the actor reports
-//! steadily whether this server accepts work, as an entry lapses without reports.
+//! This server's entry at the announce service, from which load balancers learn the list of servers. The
+//! actor reports periodically whether this server accepts work, as an entry expires without reports.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -15,39 +15,41 @@
 use crate::messages::registration::RegistrationCommand;
 use crate::wire::http;
 
-/// Commands that may wait in the mailbox.
+/// Capacity of the mailbox in commands.
 pub const MAILBOX_CAPACITY: usize = 16;
-/// Time between reports; an entry lapses 3 s after the last.
+/// Interval between reports; an entry expires 3 s after the last one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// Time for one report.
+/// Time limit for one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// While the service is down all servers together make no more attempts than this: no more
-/// than these meet it when it returns, and no entry lapses until then. Each server's own attempts are drawn at random.
+/// Limit on the attempts of all servers together while the service is down: no more than these arrive at once
+/// when it returns, and no entry expires until then. The times of each server's attempts are random.
 const FLEET_RETRY_RATE: ProbeRate = ProbeRate { window: 100_000, max_probes: 10.0 };
-/// No server waits longer than this between two attempts.
+/// Longest delay of a server between two attempts while the service is down, in microseconds.
 const MAX_RETRY_INTERVAL: Micros = 1_050_000;
-/// After so many reports in a row without an answer the service counts as unreachable.
+/// Number of consecutive unconfirmed reports after which the service counts as unreachable.
 const UNREACHABLE_AFTER: u32 = 4;
 
-/// The actor.
+/// The actor that reports to the announce service.
 pub struct Registration {
     address: SocketAddr,
     path: String,
     commands: Receiver<RegistrationCommand>,
-    /// Whether this server takes work, once that is known.
+    /// Whether this server accepts work; `None` until the first command says so.
     accepting: Option<bool>,
-    /// Reports in a row that got no answer.
+    /// Number of consecutive reports that were not confirmed.
     failed_reports: u32,
-    /// The state in the last of these: the service may read it yet, after a newer one.
+    /// The state in the last unconfirmed report: the service may still read it after a newer report.
     unconfirmed_state: Option<bool>,
-    /// Draws the times of attempts while the service is down.
+    /// Randomizes the times of attempts while the service is down.
     pacer: ProbePacer,
+    /// The connection of the last report, if it can be reused.
     connection: Option<Async<TcpStream>>,
     log: Logger,
 }
 
 impl Registration {
-    /// Reports of the server `name`, one of so many; the seed may be the same for all of them.
+    /// Creates the actor for the server `name`, one of `servers`. All of them may have the same seed, as
+    /// their names differ.
     pub fn new(
         address: SocketAddr,
         name: &str,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Reports steadily from the first command on, and at once when the state changes.
+    /// Reports periodically from the first command on, and at once when a command arrives.
     pub async fn run(mut self) {
         while let Some(command) = self.next_command().await {
             if let Some(command) = command {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Waits until it is time to report, or for a command that comes before that; `None` at the end.
+    /// Waits until the next report is due (`Some(None)`) or a command arrives before that; `None` once all
+    /// senders are gone.
     async fn next_command(&mut self) -> Option<Option<RegistrationCommand>> {
         let span = self.report_delay();
         let pause = async {
@@ -100,8 +103,8 @@
         future::or(async { self.commands.recv().await.ok().map(Some) }, pause).await
     }
 
-    /// Time until the next report. One that timed out may still be read, and replaces a newer state then: that is
-    /// reported again soon.
+    /// Delay until the next report. The service may still read a report that timed out, which would replace a
+    /// newer state, so the newer state is reported again soon.
     fn report_delay(&mut self) -> Duration {
         let overtaken = self.unconfirmed_state.is_some_and(|state| self.accepting != Some(state));
         if self.failed_reports == 0 && !overtaken {
@@ -120,8 +123,9 @@
         }
     }
 
-    /// A report without an answer may have counted all the same; it is repeated soon, on a connection of its own, as its
-    /// reply would be taken for that of the next. Only several in a row are logged.
+    /// Records the result of a report. An unconfirmed report may have taken effect all the same. It is
+    /// repeated soon on a new connection, because on the old one its late reply would be taken for that of
+    /// the next report. Only several in a row are logged as an unreachable service.
     fn handle_report_result(&mut self, reported: bool, confirmed: bool) {
         if !confirmed {
             self.connection = None;
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Sends one report; whether the service has confirmed it.
+    /// Sends one report; returns whether the service has confirmed it.
     async fn send_report(&mut self, accepting: bool) -> bool {
         let body = format!("{{\"accepting\":\"{accepting}\"}}");
         let host = self.address.to_string();
--- a/crates/server/src/peers/registration/tests.rs
+++ b/crates/server/src/peers/registration/tests.rs
@@ -8,8 +8,8 @@
     list
 }
 
-/// Guards against servers that all try a list that is down every 100 ms in step, and all at once when it returns: with the
-/// same seed in all their settings each has draws of its own.
+/// Guards against servers that all retry every 100 ms in step while the announce service is down, and all at
+/// once when it returns. All have the same seed in their settings, yet each has random delays of its own.
 #[test]
 fn reconnect_attempts_of_all_servers_are_spread_over_time() {
     for servers in [1, 6, 20, 30] {
@@ -32,14 +32,14 @@
             "{servers}: {most}"
         );
     }
-    // At any size an entry is renewed well before it would lapse.
+    // In a fleet of any size an entry is renewed well before it would expire.
     let mut large = list("n0", 300);
     large.handle_report_result(true, false);
     assert!((0..1_000).all(|_| large.report_delay() <= Duration::from_micros(MAX_RETRY_INTERVAL)));
 }
 
-/// Guards against a list on which a server that leaves takes work: the report of before was given up, and is read after the
-/// newer one.
+/// Guards against the announce service listing a leaving server as accepting: an earlier report that timed
+/// out is read after the newer one.
 #[test]
 fn state_that_an_unconfirmed_report_may_overwrite_is_reported_again_soon() {
     let mut list = list("n0", 1);
@@ -51,7 +51,7 @@
     assert!(list.report_delay() < REPORT_INTERVAL / 2);
     list.handle_report_result(false, true);
     assert_eq!(list.report_delay(), REPORT_INTERVAL);
-    // The same word can't be overtaken by itself.
+    // A late report of the same state does no harm, so no early repeat is needed.
     list.handle_report_result(false, false);
     list.handle_report_result(false, true);
     assert_eq!(list.report_delay(), REPORT_INTERVAL);
