--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -1,7 +1,9 @@
-//! This server's part in its fleet: the sockets around [`Membership`], which decides who is reachable.
+//! Runs this server's membership in its fleet: does the network I/O for [`Membership`], which decides who is
+//! reachable.
 //!
-//! Requests for work never wait for any of it. Every queue here has a bound and drops what does not fit, which the
-//! protocol takes for a network that drops messages; what others send is bounded in length before it is read.
+//! Requests for work never wait for this actor. Every queue here is bounded and drops what does not fit,
+//! which the protocol handles like messages lost on the network. The length of what others send is checked
+//! before it is read.
 
 mod event_log;
 mod link;
@@ -35,25 +37,29 @@
 use sockets::ReturnAddresses;
 use streams::{InboundFrame, InboundStreams, OutboundStreams};
 
-/// Commands that may wait in the mailbox.
+/// Capacity of the mailbox in commands.
 pub const MAILBOX_CAPACITY: usize = 512;
-/// Streams that others may have open beyond one for each peer: of guests, of operators, and those that a restart left.
+/// Number of inbound streams allowed beyond one for each peer: for guests, operators, and streams left open
+/// by a restarted peer.
 const EXTRA_STREAMS: usize = 8;
-/// Memory of one stream: its longest frame, read and waiting.
+/// Memory of one stream: a frame of maximum length being read, and another one waiting to be handled.
 const STREAM_BYTES: usize = 2 * MAX_CONTENT_BYTES;
-/// One in so many peers' streams has its memory in use at a time, as streams are short.
+/// Of the peers' streams, one in this number is assumed to use its memory at a time, as streams are
+/// short-lived.
 const PEERS_PER_STREAM_IN_USE: usize = 8;
-/// Least time between two reports to admission of who is reachable.
+/// Minimum interval between two reports to admission of which members are reachable.
 const REACHABILITY_REPORT_INTERVAL: Micros = 100_000;
-/// Pause after an error of accept.
+/// Delay before accepting again after an error.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Descriptors of a fleet of so many peers: two sockets, a stream to and from each peer, and some more streams.
+/// File descriptors that a fleet with this number of peers needs: two sockets, a stream to and from each
+/// peer, and [`EXTRA_STREAMS`].
 pub fn descriptor_count(peers: usize) -> usize {
     2 + 2 * peers + EXTRA_STREAMS
 }
 
-/// Memory of a fleet of so many peers, in bytes. With a replicated store, bulk frames wait for each peer too.
+/// Memory in bytes that a fleet with this number of peers needs. With a replicated store, bulk frames wait
+/// for each peer too.
 pub fn memory_bytes(peers: usize, replicated_store: bool) -> usize {
     let streams = (peers / PEERS_PER_STREAM_IN_USE + EXTRA_STREAMS) * STREAM_BYTES;
     let bulk = peers * link::BULK_QUEUE_CAPACITY * MAX_CONTENT_BYTES / 2;
@@ -62,16 +68,19 @@
 
 /// Why [`FleetActor::wait`] returned.
 enum Wakeup {
-    /// `None`: all senders are gone.
+    /// `None` if all senders are gone.
     Command(Option<FleetCommand>),
+    /// Datagrams can be read.
     DatagramsReady,
+    /// A frame, or the end, of a stream that somebody opened to this server.
     Inbound(InboundFrame),
     Accepted(TcpStream),
     Disk(DiskEvent),
+    /// A timeout of membership or replication is due.
     Timeout,
 }
 
-/// The actor.
+/// The actor that connects this server with the other members of its fleet.
 pub struct FleetActor<'a> {
     membership: Membership,
     key: Key,
@@ -79,29 +88,33 @@
     sockets: FleetSockets,
     commands: Receiver<FleetCommand>,
     admission: Sender<AdmissionMessage>,
+    /// Addresses of the peers.
     addresses: BTreeMap<MemberName, SocketAddr>,
     outbound: OutboundStreams<'a>,
     inbound: InboundStreams<'a>,
     return_addresses: ReturnAddresses,
     started_at: Instant,
+    /// The reachability that admission was last told.
     reported: Reachability,
+    /// When reachability was last checked for a report.
     reported_at: Micros,
+    /// Usage of the distributed quotas, for operators' requests.
     quotas: Vec<QuotaReport>,
     build_info: BuildInfo,
     replication: Option<ReplicationActor>,
-    /// How loaded this server is, in percent.
+    /// Load of this server in percent.
     load: u8,
     log: Logger,
-    /// Booked for as long as the actor lives.
+    /// Memory booked until the actor ends.
     _charge: Charge,
 }
 
 impl<'a> FleetActor<'a> {
-    /// A server of this fleet, whose process started at `boot_id`, a Unix time in microseconds.
+    /// Creates the actor of this server, whose process started at `boot_id`, a Unix time in microseconds.
     ///
     /// # Errors
-    /// If the configuration is not valid; all that is wrong with it is named.
-    #[expect(clippy::too_many_arguments, reason = "each is a part of its own, handed over once at the start")]
+    /// If the configuration is invalid; the text lists all errors.
+    #[expect(clippy::too_many_arguments, reason = "unrelated values, each passed once at startup")]
     pub fn new(
         executor: Rc<LocalExecutor<'a>>,
         sockets: FleetSockets,
@@ -146,11 +159,12 @@
         })
     }
 
+    /// Microseconds since the actor was created.
     fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Runs until this server's departure has been announced.
+    /// Runs until this server's departure has been announced or all senders of commands are gone.
     pub async fn run(mut self) {
         loop {
             let wakeup = self.wait().await;
@@ -180,7 +194,7 @@
         }
     }
 
-    /// The next thing to do, without preference: a flood of one kind must not hide the others.
+    /// Waits for the next event. No kind has priority, so that a flood of one kind does not delay the others.
     async fn wait(&self) -> Wakeup {
         let command = async { Wakeup::Command(self.commands.recv().await.ok()) };
         let datagrams = async {
@@ -235,11 +249,12 @@
                     replication.leave(now);
                 }
             }
-            // Ends the actor: see `run`.
+            // Handled by `run`, which ends the actor.
             FleetCommand::AnnounceDeparture => {}
         }
     }
 
+    /// Changes the peers, their addresses and the settings while the actor runs.
     fn reconfigure(&mut self, now: Micros, config: FleetConfig) {
         let FleetConfig { membership: config, peer_addresses, build_info, replicated_store } = config;
         if let (Some(replication), Some(settings)) = (&mut self.replication, replicated_store) {
@@ -247,7 +262,8 @@
         }
         self.inbound.set_max_streams(config.peers.len() + EXTRA_STREAMS);
         self.addresses = addresses_by_name(&config, peer_addresses);
-        // Streams to peers that are gone, or have another address, end with what they carry.
+        // All outbound streams are closed and their queued frames lost, as peers may be gone or have a new
+        // address.
         self.outbound.close_all();
         self.membership.reconfigure(now, config);
         self.membership.set_build_info(now, build_info.clone());
@@ -273,7 +289,7 @@
         }
     }
 
-    /// Lets the replica act, and sends responses to requests about the replicated store.
+    /// Handles due timeouts of replication and sends responses to requests about the replicated store.
     fn run_replication(&mut self, now: Micros) {
         let Some(replication) = &mut self.replication else { return };
         replication.handle_timeout(now, &mut self.membership, self.load);
@@ -297,7 +313,7 @@
                 channel: message.channel,
                 payload: message.payload,
             };
-            // If admission has no time for it now, leases have to wait: they are asked for again.
+            // If admission's mailbox is full, the message is dropped: requests for leases are repeated.
             let _ = self.admission.try_send(AdmissionMessage::Fleet(event));
         }
         for event in self.membership.take_events() {
@@ -333,7 +349,7 @@
         }
     }
 
-    /// Tells admission who is reachable, if that has changed.
+    /// Tells admission which members are reachable, if that has changed.
     fn report_reachability(&mut self, now: Micros) {
         if now < self.reported_at + REACHABILITY_REPORT_INTERVAL {
             return;
@@ -344,7 +360,7 @@
             return;
         }
         let event = FleetEvent::ReachabilityChanged(reachability.clone());
-        // A mailbox without room is tried again next time.
+        // If admission's mailbox is full, the report is tried again after the next interval.
         if self.admission.try_send(AdmissionMessage::Fleet(event)).is_ok() {
             self.reported = reachability;
         }
@@ -364,6 +380,7 @@
     }
 }
 
+/// Maps each peer's name to its address; `addresses` is in the order of the configured peers.
 fn addresses_by_name(
     config: &umberloom_membership::Config,
     addresses: Vec<SocketAddr>,
--- a/crates/server/src/peers/fleet/event_log.rs
+++ b/crates/server/src/peers/fleet/event_log.rs
@@ -1,9 +1,9 @@
-//! What membership reports, as lines of the log.
+//! Logs the events that membership reports.
 
 use slog::{info, warn, Logger};
 use umberloom_membership::{Event, Micros};
 
-/// Writes one line.
+/// Writes one log line for the event.
 pub(super) fn log_event(log: &Logger, now: Micros, event: Event) {
     match event {
         Event::PartitionStatusChanged { from, to, cause } => {
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -1,4 +1,5 @@
-//! The tasks of streams between servers: one writes to a peer, one serves a stream that somebody opened to this server.
+//! The tasks of streams between servers: one writes to a peer, one serves a stream that somebody opened to
+//! this server.
 
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
@@ -12,31 +13,33 @@
 use crate::peers::stream;
 use crate::wire::fleet::{self, FrameKind, HEADER_BYTES};
 
-/// Frames that may wait to be written to a member; more are dropped, as on a network.
+/// Number of frames that may wait to be written to a member; further ones are dropped, as on a lossy network.
 pub(super) const QUEUE_CAPACITY: usize = 64;
-/// The same for bulk frames.
+/// Number of bulk frames that may wait to be written to a member; further ones are dropped.
 pub(super) const BULK_QUEUE_CAPACITY: usize = 16;
-/// A peer that takes no bytes for this long, or does not accept a connection, is given up; what waits is lost.
+/// Time limit for connecting to a peer and for writing one frame. After a timed-out write the connection is
+/// closed and the frame lost; after a failed attempt to connect all queued frames are lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connection to a peer that failed.
+/// Delay after a failed attempt to connect to a peer.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(250);
-/// A stream that carries nothing for this long is closed by its opener; the other end waits twice as long.
+/// The opener closes a stream that was idle for this long; the other end closes it after twice as long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A frame must be complete within this time of its first byte.
+/// Time limit for receiving the rest of a frame after its first byte.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes read at once.
+/// Maximum number of bytes read at once.
 const READ_BYTES: usize = 4_096;
 
 /// What was received on a stream that somebody opened.
 pub(super) enum Received {
+    /// The kind and content of a frame.
     Frame(FrameKind, Vec<u8>),
-    /// The stream is over.
+    /// The stream has ended.
     Closed,
 }
 
-/// Writes frames to a peer, over a connection made when there is one to write. A peer that accepts and never reads
-/// holds up nobody but itself. Bulk frames go when nothing else waits: a snapshot on its way must make nobody look
-/// dead.
+/// Writes frames to a peer, over a connection that is opened when there is a frame to write. A peer that
+/// accepts the connection and never reads delays only its own frames. Bulk frames are written only when no
+/// other frame waits: a snapshot in transfer must not delay the messages that show this server to be alive.
 pub(super) async fn write_to(address: SocketAddr, urgent: Receiver<Vec<u8>>, bulk: Receiver<Vec<u8>>) {
     let mut connection: Option<Async<TcpStream>> = None;
     loop {
@@ -48,7 +51,7 @@
             }
             Next::Done => return,
         };
-        // A connection whose end has arrived is made anew: the peer has restarted, or closed it as idle.
+        // A connection that the peer has closed, after a restart or as idle, is replaced by a new one.
         let open = match connection.take().filter(stream::is_silent) {
             Some(open) => Ok(open),
             None => connect(address).await,
@@ -60,21 +63,23 @@
             }
             Err(_) => {
                 Timer::after(CONNECT_BACKOFF).await;
-                // What has waited meanwhile is outdated.
+                // Frames that were queued meanwhile are outdated.
                 while urgent.try_recv().is_ok() || bulk.try_recv().is_ok() {}
             }
         }
     }
 }
 
+/// What [`next_frame`] returns.
 enum Next {
     Frame(Vec<u8>),
-    /// There was none for [`IDLE_TIMEOUT`].
+    /// There was no frame for [`IDLE_TIMEOUT`].
     Idle,
-    /// There will be none.
+    /// The queue is closed.
     Done,
 }
 
+/// Waits for the next frame to write; urgent frames go before bulk frames.
 async fn next_frame(urgent: &Receiver<Vec<u8>>, bulk: &Receiver<Vec<u8>>) -> Next {
     let urgent = async { urgent.recv().await.map_or(Next::Done, Next::Frame) };
     let bulk = async {
@@ -93,7 +98,7 @@
 async fn connect(address: SocketAddr) -> Result<Async<TcpStream>> {
     let connected = stream::with_timeout(WRITE_TIMEOUT, Async::<TcpStream>::connect(address)).await;
     let connection = connected.ok_or(ErrorKind::TimedOut)??;
-    // Without it frames are only later.
+    // If this fails, frames are only delayed.
     let _ = connection.get_ref().set_nodelay(true);
     Ok(connection)
 }
@@ -122,11 +127,12 @@
         }
     };
     future::or(read, write).await;
-    // The actor is gone only when the program ends.
+    // Fails only if the actor has ended, which happens at process exit.
     let _ = inbound.send(InboundFrame { stream_id, received: Received::Closed }).await;
 }
 
-/// The next frame; `None` if the stream has been idle, or sends what is no frame.
+/// Reads the next frame; `None` if the stream was idle for too long, the frame took too long, or its header
+/// is invalid.
 async fn read_frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut first = [0; 1];
@@ -136,14 +142,14 @@
     stream::with_timeout(FRAME_TIMEOUT, read_rest(stream, first[0])).await.unwrap_or(Ok(None))
 }
 
-/// The frame that begins with this byte.
+/// Reads the rest of the frame whose first byte is `first`.
 async fn read_rest(stream: &Async<TcpStream>, first: u8) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut header = [0; HEADER_BYTES];
     header[0] = first;
     reader.read_exact(&mut header[1..]).await?;
     let Some((kind, length)) = fleet::parse_header(header) else { return Ok(None) };
-    // The length is bounded, and only what arrives takes memory beyond the first read.
+    // The length is bounded, and memory beyond the first read is allocated only for bytes that arrive.
     let mut content = Vec::with_capacity(length.min(READ_BYTES));
     let mut bytes = [0; READ_BYTES];
     while content.len() < length {
--- a/crates/server/src/peers/fleet/operator_requests.rs
+++ b/crates/server/src/peers/fleet/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators (`umberloom fleet …`) on the fleet's port, and this server's view of the fleet.
+//! Handles operators' requests (`umberloom fleet …`), which arrive on the fleet's port.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,7 +13,7 @@
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 
 impl FleetActor<'_> {
-    /// Handles a sealed request that arrived on this stream.
+    /// Handles a sealed request that arrived on stream `stream_id`.
     pub(super) fn handle_request(&mut self, now: Micros, stream_id: u64, content: &[u8]) {
         let request = match self.key.open::<FleetRequest>(content, content.len()) {
             Ok(request) => request,
@@ -30,7 +30,7 @@
         self.respond(stream_id, number, reply);
     }
 
-    /// Seals and queues a response; a stream that is gone has nobody left to read it.
+    /// Seals a response and queues it on its stream; it is dropped if the stream has ended.
     pub(super) fn respond(&mut self, stream_id: u64, number: u64, reply: FleetReply) {
         let response = self.key.seal(&FleetResponse { number, reply });
         self.inbound.send(stream_id, encode_frame(FrameKind::Response, &response));
@@ -47,6 +47,7 @@
         replication.handle_request(now, unix_ms, source, request);
     }
 
+    /// The evidence for the state of a member, or the names of all members if `name` is none of them.
     fn explain(&mut self, now: Micros, name: &str) -> FleetReply {
         if let Some(evidence) = self.membership.explain(now, name) {
             return FleetReply::Explain(evidence);
@@ -55,6 +56,7 @@
         FleetReply::UnknownMember(members.iter().map(|member| member.name.to_string()).collect())
     }
 
+    /// This server's view of the fleet.
     fn view(&self, now: Micros) -> FleetView {
         let membership = &self.membership;
         let quotas = self.quotas.iter().map(|quota| (quota.dependency.to_string(), quota.status.clone()));
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -1,8 +1,8 @@
-//! This server's replica of the fleet's replicated store: [`Replica`] decides, a thread of its own writes to the disk,
+//! Runs this server's replica of the fleet's replicated store: [`Replica`] decides, the disk thread writes,
 //! and operators' requests wait here for their responses.
 //!
-//! Requests for work never wait for any of it. A disk that fails, is full or holds what can't be read costs this server
-//! its part in the replicated store until the disk works again, and nothing else.
+//! Requests for work never wait for the replica. A disk that fails, is full or holds unreadable data costs
+//! this server its part in the replicated store until the disk works again, and nothing else.
 
 mod disk;
 mod event_log;
@@ -25,45 +25,50 @@
 use requests::RequestQueue;
 pub use requests::RequestSource;
 
-/// Time between two updates of which members are reachable; responses that are late are looked for as often.
+/// Interval between updates of which members are reachable, and between checks of pending operators'
+/// requests.
 const REACHABILITY_INTERVAL: Micros = 50_000;
-/// Rounds of actions in a row: without a disk each one may bring more, as all is durable at once.
+/// Maximum rounds of actions in a row: without a disk each round may cause another, as every batch is durable
+/// at once.
 const MAX_ACTION_ROUNDS: usize = 64;
 
-/// A batch that has not been handed to the disk's thread, with the number under which the replica knows it.
+/// A batch that has not been handed to the disk thread, with the number that the replica gave it.
 struct UnwrittenBatch {
     number: u64,
     batch: WriteBatch,
 }
 
-/// The replica of this server and all that it needs: the disk's thread, the way to other members, and operators'
-/// requests.
+/// Runs this server's replica: connects it with the disk thread, the other members and operators' requests.
 pub struct ReplicationActor {
     settings: Settings,
-    /// `None` while the store is closed.
+    /// `None` while the store is closed or being opened.
     replica: Option<Replica>,
     /// `None` without a disk, and while the store is closed.
     writer: Option<Writer>,
     disk_event_sender: Sender<DiskEvent>,
     disk_events: Receiver<DiskEvent>,
-    /// Batches for which the thread's queue has no room yet.
+    /// Batches for which the disk thread's queue has no room yet.
     unwritten: VecDeque<UnwrittenBatch>,
+    /// When the closed store is opened again.
     reopen_at: Option<Micros>,
+    /// Delay before the next reopening.
     reopen_backoff: Micros,
+    /// When the store was last opened.
     opened_at: Micros,
-    /// The replica on the disk is not to be used: the next opening sets it aside.
+    /// The replica on the disk must not be used: it is quarantined when the store is opened next.
     quarantine_on_open: bool,
-    /// The disk was full: a snapshot later than this one is needed, whose rows may find room.
+    /// Set after the disk was full: a snapshot later than this index is needed, which may be smaller and fit.
     snapshot_after: Option<u64>,
     next_reachability_update: Micros,
     next_scrub: Micros,
+    /// Seed of the next replica's random numbers; changes with each one.
     seed: u64,
     requests: RequestQueue,
     log: Logger,
 }
 
 impl ReplicationActor {
-    /// Starts; the disk is opened by its own thread.
+    /// Creates the actor and starts to open the store on its disk thread.
     pub fn new(now: Micros, settings: Settings, seed: u64, log: Logger) -> ReplicationActor {
         let (disk_event_sender, disk_events) = bounded(DISK_EVENT_CAPACITY);
         let mut actor = ReplicationActor {
@@ -88,13 +93,13 @@
         actor
     }
 
-    /// Events of the disk's thread, for [`ReplicationActor::handle_disk_event`]. Ask again after each: a store that is
-    /// reopened has another channel.
+    /// Events of the disk's thread, for [`ReplicationActor::handle_disk_event`]. Ask again after each: a
+    /// store that is reopened has another channel.
     pub fn disk_events(&self) -> Receiver<DiskEvent> {
         self.disk_events.clone()
     }
 
-    /// Handles a message of another member's replica.
+    /// Handles a message from another member's replica.
     pub fn handle_message(&mut self, now: Micros, from: &MemberName, boot_id: u64, bytes: &[u8]) {
         if let Some(replica) = &mut self.replica {
             replica.handle_message(now, from, boot_id, bytes);
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Other members belong to the fleet from now on.
+    /// Applies changed settings, among them the fleet's members.
     pub fn reconfigure(&mut self, settings: Settings) {
         if let Some(replica) = &mut self.replica {
             replica.set_peers(settings.config.peers.clone());
@@ -121,7 +126,7 @@
         self.settings = settings;
     }
 
-    /// This server shuts down.
+    /// Tells the replica that this server shuts down.
     pub fn leave(&mut self, now: Micros) {
         if let Some(replica) = &mut self.replica {
             replica.leave(now);
@@ -136,7 +141,7 @@
         replica.min(reopen).min(requests)
     }
 
-    /// Does what is due by now, and carries out what the replica wants.
+    /// Handles what is due by now and executes the replica's actions.
     pub fn handle_timeout(&mut self, now: Micros, membership: &mut Membership, load: u8) {
         if self.reopen_at.is_some_and(|at| now >= at) {
             self.open_disk(now);
@@ -148,17 +153,17 @@
         if now >= self.next_scrub {
             self.next_scrub = now + self.settings.scrub;
             if let Some(writer) = &self.writer {
-                // A thread that is busy is asked again next time.
+                // If the disk thread is busy, the scrub is requested again after the next interval.
                 let _ = writer.scrub();
             }
         }
         self.execute_actions(now, membership);
         self.requests.answer_pending(now, self.replica.as_mut());
-        // A write that was proposed again may have brought more actions.
+        // Proposing a write again may have caused more actions.
         self.execute_actions(now, membership);
     }
 
-    /// Responses to operators' requests.
+    /// Takes the responses to operators' requests that are ready.
     pub fn take_responses(&mut self) -> Vec<(RequestSource, StoreResponse)> {
         self.requests.take_responses()
     }
@@ -173,6 +178,8 @@
         replica.set_reachable(reachable, load);
     }
 
+    /// Executes the replica's actions until there are no more, or until batches wait for room in the disk
+    /// thread's queue.
     fn execute_actions(&mut self, now: Micros, membership: &mut Membership) {
         for _ in 0..MAX_ACTION_ROUNDS {
             let Some(replica) = &mut self.replica else { return };
@@ -196,7 +203,7 @@
         }
     }
 
-    /// Sends messages and queues batches; the reason if the replica is to be set aside.
+    /// Sends messages and queues batches; returns the reason if the replica is to be quarantined.
     fn execute_round(
         &mut self,
         now: Micros,
@@ -221,7 +228,7 @@
         quarantine
     }
 
-    /// Hands batches to the disk's thread, as many as it has room for. Without a disk they are durable at once.
+    /// Hands batches to the disk thread until its queue is full. Without a disk they are durable at once.
     fn write_batches(&mut self, now: Micros) {
         while let Some(UnwrittenBatch { number, batch }) = self.unwritten.pop_front() {
             match (&self.writer, &mut self.replica) {
--- a/crates/server/src/peers/fleet/replication/disk.rs
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -1,4 +1,4 @@
-//! Opening the store on the disk, and what to do when the disk fails.
+//! Opens the store on the disk and handles failures of the disk.
 
 use async_channel::bounded;
 use slog::{error, info, warn};
@@ -10,32 +10,34 @@
 
 use super::ReplicationActor;
 
-/// Batches that may wait for the disk's thread.
+/// Number of batches that may wait for the disk thread.
 const WRITE_QUEUE_CAPACITY: usize = 64;
-/// Events of that thread that may wait to be taken; it waits itself where there are more.
+/// Number of events of the disk thread that may wait to be handled; the thread blocks while there are more.
 pub(super) const DISK_EVENT_CAPACITY: usize = 256;
-/// A disk that failed is opened again after this time, which doubles with each failure.
+/// Initial delay before a failed disk is opened again; it doubles with each failure up to
+/// [`MAX_REOPEN_BACKOFF`].
 pub(super) const MIN_REOPEN_BACKOFF: Micros = 250_000;
 const MAX_REOPEN_BACKOFF: Micros = 8_000_000;
-/// After a disk has been in use for this long, the backoff starts from its least again.
+/// Once a disk has been in use for this long, the delay after its next failure is [`MIN_REOPEN_BACKOFF`]
+/// again.
 const BACKOFF_RESET_AFTER: Micros = 10_000_000;
 
-/// What the disk's thread reports.
+/// An event that the disk thread reports.
 pub enum DiskEvent {
-    /// The store is open.
+    /// The store was opened.
     Opened(Box<OpenedReplica>),
-    /// Anything else.
+    /// Any other event of the store's writer.
     Writer(WriterEvent),
 }
 
-/// A store that was opened, and the replica in it, which is decoded by the disk's thread as that may take long.
+/// An opened store and the replica found in it, which the disk thread decodes because that may take long.
 pub struct OpenedReplica {
     replica: Result<Option<StoredReplica>, StoredReplicaError>,
     store: OpenedStore,
 }
 
 impl ReplicationActor {
-    /// Starts a thread that opens the store. Without a folder each start is one from nothing.
+    /// Starts a thread that opens the store. Without a configured folder the replica starts empty each time.
     pub(super) fn open_disk(&mut self, now: Micros) {
         self.reopen_at = None;
         let Some(folder) = self.settings.folder.clone() else {
@@ -52,7 +54,7 @@
                 }
                 other => DiskEvent::Writer(other),
             };
-            // Nobody listens any more if this store was closed.
+            // Fails if the store was closed meanwhile, and then nobody needs the event.
             let _ = events.send_blocking(event);
         };
         match Writer::open(RealDisk, config, &KEYSPACES, quarantine, WRITE_QUEUE_CAPACITY, report) {
@@ -64,19 +66,19 @@
         }
     }
 
-    /// Closes the store and opens it again after the backoff.
+    /// Closes the store and schedules its reopening after the backoff.
     pub(super) fn schedule_reopen(&mut self, now: Micros) {
         self.replica = None;
-        // The old thread ends by itself once it has done what it was given.
+        // Without a writer, the old thread ends once it has processed its queue.
         self.writer = None;
         self.unwritten.clear();
-        // What it still reports is about a store that is closed.
+        // With a new channel, events that the old thread still reports about the closed store are discarded.
         (self.disk_event_sender, self.disk_events) = bounded(DISK_EVENT_CAPACITY);
         self.reopen_at = Some(now + self.reopen_backoff);
         self.reopen_backoff = (2 * self.reopen_backoff).min(MAX_REOPEN_BACKOFF);
     }
 
-    /// Handles an event of the disk's thread.
+    /// Handles an event of the disk thread.
     pub fn handle_disk_event(&mut self, now: Micros, event: DiskEvent) {
         let event = match event {
             DiskEvent::Opened(opened) => return self.handle_opened(now, *opened),
@@ -98,7 +100,7 @@
     fn handle_durable(&mut self, now: Micros, number: u64) {
         let Some(replica) = &mut self.replica else { return };
         if replica.installed_snapshot() > 0 {
-            // A snapshot has found room.
+            // A snapshot did fit on the disk.
             self.snapshot_after = None;
         }
         replica.persisted(now, number);
@@ -147,7 +149,8 @@
             let installed = self.replica.as_ref().map_or(0, Replica::installed_snapshot);
             self.snapshot_after = Some(installed.max(self.snapshot_after.unwrap_or(0)));
         }
-        // A thread that found damage while it wrote has said so; the next one sets it aside.
+        // If the thread found damage while writing, it has recorded that, and the next thread quarantines the
+        // store.
         self.schedule_reopen(now);
     }
 }
--- a/crates/server/src/peers/fleet/replication/event_log.rs
+++ b/crates/server/src/peers/fleet/replication/event_log.rs
@@ -1,12 +1,13 @@
-//! What the replica reports, as lines of the log.
+//! Logs the events that the replica reports.
 
 use slog::{error, info, warn, Logger};
 use umberloom_replicated_store::Event;
 
-/// Writes one line. Ids of stores and replicas are written in hexadecimal, as `fleet record status` shows them.
+/// Writes one log line for the event. Ids of stores and replicas are written in hexadecimal, as `fleet record
+/// status` shows them.
 pub(super) fn log_event(log: &Logger, event: Event) {
     match event {
-        // What an earlier store of this fleet held, if there was one, is not in it.
+        // A warning, because a bootstrapped store has none of the content of an earlier store of this fleet.
         Event::Bootstrapped { store_id } => {
             warn!(log, "replicated store bootstrapped"; "store" => format!("{store_id:016x}"));
         }
--- a/crates/server/src/peers/fleet/replication/requests.rs
+++ b/crates/server/src/peers/fleet/replication/requests.rs
@@ -1,26 +1,26 @@
-//! Operators' requests about the replicated store: those that wait for a read or a write, and responses.
+//! Operators' requests about the replicated store that wait for a read or a write, and their responses.
 
 use umberloom_replicated_store::{Entry, EntryId, Micros, ReadOutcome, Replica, RequestError};
 
 use crate::wire::replicated_store::{StoreRequest, StoreResponse, MAX_PART_BYTES};
 
-/// How long a request may wait.
+/// How long a request may wait for its read or write.
 const REQUEST_TIMEOUT: Micros = 4_000_000;
-/// How often a write that no leader has accepted is proposed again, and how often one that was accepted and may have
-/// been lost since.
+/// Interval at which a write that no leader has accepted is proposed again.
 const PROPOSE_INTERVAL: Micros = 100_000;
+/// Interval at which an accepted write is proposed again, as it may have been lost since.
 const ACCEPTED_PROPOSE_INTERVAL: Micros = 10 * PROPOSE_INTERVAL;
-/// Requests that may wait at once.
+/// Maximum number of requests that wait at once.
 const MAX_PENDING_REQUESTS: usize = 256;
-/// Names of documents listed where the one asked for does not exist.
+/// Maximum number of document names listed if the requested document does not exist.
 const MAX_LISTED_DOCUMENTS: usize = 64;
 
-/// Where a request came from.
+/// Where a request came from, and where its response goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSource {
     /// The stream on which it arrived.
     pub stream_id: u64,
-    /// Its number there, drawn by its sender.
+    /// Its number on that stream, chosen at random by its sender.
     pub number: u64,
 }
 
@@ -34,19 +34,23 @@
     Write(PendingWrite),
     /// A read of the latest state.
     Read {
+        /// Identifies the read in the replica.
         ticket: u64,
+        /// Name of the document.
         name: String,
+        /// Offset in bytes from which on it is read.
         from: u64,
     },
 }
 
 struct PendingWrite {
     id: EntryId,
-    /// When the operator asked, a Unix time in milliseconds.
+    /// When the request arrived, a Unix time in milliseconds.
     at_ms: u64,
     entry: Entry,
+    /// When it was last proposed.
     proposed_at: Micros,
-    /// What came of proposing it; once accepted it stays so.
+    /// Result of proposing it; stays `Ok` once a leader has accepted it.
     proposal: Option<Result<(), RequestError>>,
 }
 
@@ -55,8 +59,8 @@
         matches!(self.proposal, Some(Ok(())))
     }
 
-    /// Proposes it if that is due. Lost on the way or with a leader it is proposed again under its number, and applied
-    /// once.
+    /// Proposes the write if that is due. One that was lost on the network or with a leader is proposed again
+    /// under the same id, so it is applied only once.
     fn propose_if_due(&mut self, now: Micros, replica: &mut Replica) {
         let accepted = self.is_accepted();
         let interval = if accepted { ACCEPTED_PROPOSE_INTERVAL } else { PROPOSE_INTERVAL };
@@ -68,10 +72,10 @@
         self.proposed_at = now;
     }
 
-    /// The response once its time is over.
+    /// The response to a write that has timed out.
     fn timeout_response(&self) -> StoreResponse {
         match &self.proposal {
-            // It may be applied yet: its sender must not take it for rejected.
+            // It may still be applied, so the response must not say that it was rejected.
             Some(Ok(())) => rejected(&RequestError::TimedOut),
             Some(Err(e)) => rejected(e),
             None => rejected(&RequestError::NoLeader),
@@ -79,7 +83,7 @@
     }
 }
 
-/// Requests that wait, and responses that are ready.
+/// Pending requests, and responses that are ready.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     pending: Vec<PendingRequest>,
@@ -91,12 +95,13 @@
         !self.pending.is_empty()
     }
 
+    /// Rejects a request that came while there is no replica.
     pub(super) fn reject_without_replica(&mut self, source: RequestSource, reason: &str) {
         let text = format!("this server has no part in the record: {reason}");
         self.responses.push((source, StoreResponse::Rejected(text)));
     }
 
-    /// Answers a request, or lets it wait.
+    /// Answers a request at once, or queues it until its read or write is done.
     pub(super) fn handle_request(
         &mut self,
         now: Micros,
@@ -117,7 +122,8 @@
         }
     }
 
-    /// Answers requests whose read or write is done or whose time is over, and proposes writes again.
+    /// Answers requests whose read or write is done or has timed out, and proposes the other writes again
+    /// when due.
     pub(super) fn answer_pending(&mut self, now: Micros, replica: Option<&mut Replica>) {
         let Some(replica) = replica else {
             let lost = self.pending.drain(..);
@@ -156,13 +162,14 @@
     }
 }
 
-/// What becomes of a request.
+/// How a request is handled.
 enum Disposition {
     Answered(StoreResponse),
-    /// It waits for other members.
+    /// It has to wait for other members.
     Waits(PendingKind),
 }
 
+/// Answers a request, or starts its read or write.
 fn begin_request(now: Micros, at_ms: u64, request: StoreRequest, replica: &mut Replica) -> Disposition {
     let response = match request {
         StoreRequest::Status => StoreResponse::Status(Box::new(replica.status(now))),
@@ -200,13 +207,15 @@
     StoreResponse::Rejected(error.to_string())
 }
 
-/// At most [`MAX_PART_BYTES`] from this byte on.
+/// At most [`MAX_PART_BYTES`] of `bytes`, starting at offset `from`.
 fn part_from(bytes: &[u8], from: u64) -> Vec<u8> {
     let start = (from as usize).min(bytes.len());
     let end = bytes.len().min(start + MAX_PART_BYTES);
     bytes[start..end].to_vec()
 }
 
+/// The part of a document that starts at offset `from`, or the names of existing documents if there is none
+/// of this name.
 fn read_document(replica: &Replica, now: Micros, name: &str, from: u64) -> StoreResponse {
     let Some(document) = replica.state().get(name) else {
         let names = replica.state().documents().map(|(name, _)| name.clone());
--- a/crates/server/src/peers/fleet/sockets.rs
+++ b/crates/server/src/peers/fleet/sockets.rs
@@ -6,19 +6,19 @@
 use async_io::Async;
 use umberloom_membership::wire::MAX_DATAGRAM_LEN;
 
-/// Datagrams received in a row before others have their turn.
+/// Number of datagrams received in a row before other events are handled.
 const MAX_DATAGRAMS_IN_A_ROW: usize = 32;
-/// Senders of datagrams that are remembered.
+/// Number of sender addresses of datagrams that are remembered.
 const MAX_RETURN_ADDRESSES: usize = 256;
 
-/// The sockets, bound before anything is served.
+/// The fleet's sockets, bound at startup before requests are served.
 pub struct FleetSockets {
     pub(super) datagrams: Async<UdpSocket>,
     pub(super) listener: Async<TcpListener>,
 }
 
 impl FleetSockets {
-    /// Binds datagrams and streams to the same address.
+    /// Binds the datagram socket and the stream listener to the same address.
     ///
     /// # Errors
     /// If either can't be bound; the text names the address.
@@ -29,10 +29,10 @@
         Ok(FleetSockets { datagrams, listener })
     }
 
-    /// Hands over datagrams that have arrived, with their senders, until there is none or others have waited for long
-    /// enough.
+    /// Calls `handle` with each received datagram and its sender, for at most [`MAX_DATAGRAMS_IN_A_ROW`]
+    /// datagrams.
     pub(super) fn receive_datagrams(&self, mut handle: impl FnMut(&[u8], SocketAddr)) {
-        // A byte more than allowed, so that a longer datagram is seen to be too long.
+        // One byte more than the limit, so that membership sees when a datagram is too long.
         let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..MAX_DATAGRAMS_IN_A_ROW {
             let Ok((size, from)) = self.datagrams.get_ref().recv_from(&mut bytes) else { return };
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Sends without waiting.
+    /// Sends a datagram without waiting.
     pub(super) fn send_datagram(&self, bytes: &[u8], to: SocketAddr) {
-        // A send queue that is full drops it, as the network might.
+        // If the send queue is full the datagram is dropped, as it might be on the network.
         let _ = self.datagrams.get_ref().send_to(bytes, to);
     }
 }
 
-/// Where datagrams came from, for answers to them, under numbers that membership passes around.
+/// Sender addresses of recent datagrams, for replies to them. Membership refers to them by id.
 #[derive(Default)]
 pub(super) struct ReturnAddresses {
-    /// The newest at the end.
+    /// In order of their ids, the newest last.
     addresses: VecDeque<ReturnAddress>,
     last_id: u64,
 }
@@ -61,7 +61,8 @@
 }
 
 impl ReturnAddresses {
-    /// The number of an address, which is remembered until [`MAX_RETURN_ADDRESSES`] others have come.
+    /// The id of an address, which is remembered until [`MAX_RETURN_ADDRESSES`] others have been added after
+    /// it.
     pub(super) fn id_of(&mut self, address: SocketAddr) -> u64 {
         if let Some(known) = self.addresses.iter().rev().find(|known| known.address == address) {
             return known.id;
@@ -74,7 +75,7 @@
         self.last_id
     }
 
-    /// The address of this number, if it is remembered.
+    /// The address with this id, if it is still remembered.
     pub(super) fn get(&self, id: u64) -> Option<SocketAddr> {
         self.addresses.iter().find(|known| known.id == id).map(|known| known.address)
     }
--- a/crates/server/src/peers/fleet/streams.rs
+++ b/crates/server/src/peers/fleet/streams.rs
@@ -1,4 +1,4 @@
-//! Streams to peers, one for each, and streams that others opened to this server.
+//! Outbound streams, one to each peer, and inbound streams that others opened to this server.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 
 use super::link::{self, Received};
 
-/// Frames that may wait to be handled, from all inbound streams.
+/// Number of frames from all inbound streams that may wait to be handled.
 const INBOUND_CAPACITY: usize = 64;
 
 /// Streams to peers, opened when the first frame is sent.
@@ -24,7 +24,7 @@
 struct OutboundStream {
     urgent: Sender<Vec<u8>>,
     bulk: Sender<Vec<u8>>,
-    /// Writes both; dropping it closes the stream.
+    /// Writes the frames of both queues; dropping it closes the stream.
     _writer: Task<()>,
 }
 
@@ -33,21 +33,22 @@
         OutboundStreams { executor, streams: BTreeMap::new() }
     }
 
-    /// Queues a frame for a peer. Where no room is left it is dropped, as on a network.
+    /// Queues a frame for a peer. If the queue is full the frame is dropped, as it might be on the network.
     pub(super) fn send(&mut self, to: &MemberName, address: SocketAddr, frame: Vec<u8>) {
         let _ = self.stream(to, address).urgent.try_send(frame);
     }
 
-    /// The same for a frame that may wait until nothing else does.
+    /// Queues a bulk frame, which is written when no other frame waits. It is dropped if the queue is full.
     pub(super) fn send_bulk(&mut self, to: &MemberName, address: SocketAddr, frame: Vec<u8>) {
         let _ = self.stream(to, address).bulk.try_send(frame);
     }
 
-    /// Closes all streams, with what they carry.
+    /// Closes all streams; their queued frames are lost.
     pub(super) fn close_all(&mut self) {
         self.streams.clear();
     }
 
+    /// The queues of the stream to this peer, which is created if there is none.
     fn stream(&mut self, to: &MemberName, address: SocketAddr) -> &OutboundStream {
         let executor = &self.executor;
         self.streams.entry(to.clone()).or_insert_with(|| {
@@ -59,7 +60,7 @@
     }
 }
 
-/// What was received on an inbound stream.
+/// A frame received on an inbound stream, or its end.
 pub(super) struct InboundFrame {
     pub(super) stream_id: u64,
     pub(super) received: Received,
@@ -77,7 +78,7 @@
 
 struct InboundStream {
     replies: Sender<Vec<u8>>,
-    /// Reads and writes; dropping it closes the stream.
+    /// Reads and writes the stream; dropping it closes the stream.
     _task: Task<()>,
 }
 
@@ -91,14 +92,14 @@
         self.max_streams = max_streams;
     }
 
-    /// Takes in a new stream. Where there are too many the oldest is closed: those are what a restart or a cut has
-    /// left behind.
+    /// Serves a new stream. If there are too many, the oldest is closed: the oldest are those left over from
+    /// a restart or a network partition.
     pub(super) fn accept(&mut self, stream: TcpStream) {
         if self.streams.len() >= self.max_streams {
             self.streams.pop_first();
         }
         let Ok(stream) = Async::new(stream) else { return };
-        // Without it answers are only later.
+        // If this fails, replies are only delayed.
         let _ = stream.get_ref().set_nodelay(true);
         self.last_id += 1;
         let (replies, queued) = bounded(link::QUEUE_CAPACITY);
@@ -107,7 +108,7 @@
         self.streams.insert(self.last_id, InboundStream { replies, _task: task });
     }
 
-    /// The next frame on any stream.
+    /// Waits for the next frame on any stream, or the end of one.
     pub(super) async fn receive(&self) -> InboundFrame {
         match self.frames.recv().await {
             Ok(frame) => frame,
@@ -115,13 +116,14 @@
         }
     }
 
-    /// Queues a frame on a stream, if that is still open. Where no room is left it is dropped.
+    /// Queues a frame on a stream. It is dropped if the stream has ended or its queue is full.
     pub(super) fn send(&self, stream_id: u64, frame: Vec<u8>) {
         if let Some(stream) = self.streams.get(&stream_id) {
             let _ = stream.replies.try_send(frame);
         }
     }
 
+    /// Closes a stream.
     pub(super) fn remove(&mut self, stream_id: u64) {
         self.streams.remove(&stream_id);
     }
