--- a/crates/server/src/peers/connection/request.rs
+++ b/crates/server/src/peers/connection/request.rs
@@ -29,15 +29,15 @@
     TooLong,
     #[error(transparent)]
     Params(#[from] cgi::InvalidParams),
-    #[error("times far from now")]
+    #[error("arrival time or timeout out of range")]
     TimesFarOff,
-    #[error("no budget")]
+    #[error("no HTTP_BUDGET_MS")]
     NoTimeout,
-    #[error("no known class")]
+    #[error("unknown class")]
     UnknownClass,
-    #[error("no known tenant")]
+    #[error("unknown tenant")]
     UnknownTenant,
-    #[error("no tenant")]
+    #[error("no tenant given")]
     NoTenant,
 }
 
