--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -95,15 +95,15 @@
     return_addresses: ReturnAddresses,
     started_at: Instant,
     /// The reachability that admission was last told.
-    reported: Reachability,
+    reported_reachability: Reachability,
     /// When reachability was last checked for a report.
-    reported_at: Micros,
+    reachability_checked_at: Micros,
     /// Usage of the distributed quotas, for operators' requests.
     quotas: Vec<QuotaReport>,
     build_info: BuildInfo,
     replication: Option<ReplicationActor>,
-    /// Load of this server in percent.
-    load: u8,
+    /// Load of this server.
+    load_percent: u8,
     log: Logger,
     /// Memory booked until the actor ends.
     _charge: Charge,
@@ -131,8 +131,8 @@
         let max_inbound = config.peers.len() + EXTRA_STREAMS;
         let addresses = addresses_by_name(&config, peer_addresses);
         let membership = Membership::new(0, config, boot_id, seed);
-        let mut membership =
-            membership.map_err(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
+        let mut membership = membership
+            .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
         membership.set_build_info(0, build_info.clone());
         let replication =
             replicated_store.map(|settings| ReplicationActor::new(0, settings, seed ^ boot_id, log.clone()));
@@ -148,12 +148,12 @@
             inbound: InboundStreams::new(executor, max_inbound),
             return_addresses: ReturnAddresses::default(),
             started_at: Instant::now(),
-            reported: Reachability::default(),
-            reported_at: 0,
+            reported_reachability: Reachability::default(),
+            reachability_checked_at: 0,
             quotas: Vec::new(),
             build_info,
             replication,
-            load: 0,
+            load_percent: 0,
             log,
             _charge: charge,
         })
@@ -218,8 +218,8 @@
                 Err(_) => future::pending().await,
             }
         };
-        let own = future::race(self.accept(), future::race(disk, timeout));
-        future::race(command, future::race(future::race(datagrams, inbound), own)).await
+        let local = future::race(self.accept(), future::race(disk, timeout));
+        future::race(command, future::race(future::race(datagrams, inbound), local)).await
     }
 
     async fn accept(&self) -> Wakeup {
@@ -238,7 +238,7 @@
         match command {
             FleetCommand::Send { to, channel, payload } => self.membership.send(now, &to, channel, payload),
             FleetCommand::SetLoad(percent) => {
-                self.load = percent;
+                self.load_percent = percent;
                 self.membership.set_load(percent);
             }
             FleetCommand::PublishQuotas(quotas) => self.quotas = quotas,
@@ -292,7 +292,7 @@
     /// Handles due timeouts of replication and sends responses to requests about the replicated store.
     fn run_replication(&mut self, now: Micros) {
         let Some(replication) = &mut self.replication else { return };
-        replication.handle_timeout(now, &mut self.membership, self.load);
+        replication.handle_timeout(now, &mut self.membership, self.load_percent);
         for (source, response) in replication.take_responses() {
             self.respond(source.stream_id, source.number, FleetReply::Store(response));
         }
@@ -351,18 +351,18 @@
 
     /// Tells admission which members are reachable, if that has changed.
     fn report_reachability(&mut self, now: Micros) {
-        if now < self.reported_at + REACHABILITY_REPORT_INTERVAL {
+        if now < self.reachability_checked_at + REACHABILITY_REPORT_INTERVAL {
             return;
         }
-        self.reported_at = now;
+        self.reachability_checked_at = now;
         let reachability = self.reachability(now);
-        if reachability == self.reported {
+        if reachability == self.reported_reachability {
             return;
         }
         let event = FleetEvent::ReachabilityChanged(reachability.clone());
         // If admission's mailbox is full, the report is tried again after the next interval.
         if self.admission.try_send(AdmissionMessage::Fleet(event)).is_ok() {
-            self.reported = reachability;
+            self.reported_reachability = reachability;
         }
     }
 
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -44,12 +44,12 @@
     let mut connection: Option<Async<TcpStream>> = None;
     loop {
         let frame = match next_frame(&urgent, &bulk).await {
-            Next::Frame(frame) => frame,
-            Next::Idle => {
+            NextFrame::Frame(frame) => frame,
+            NextFrame::Idle => {
                 connection = None;
                 continue;
             }
-            Next::Done => return,
+            NextFrame::QueueClosed => return,
         };
         // A connection that the peer has closed, after a restart or as idle, is replaced by a new one.
         let open = match connection.take().filter(stream::is_silent) {
@@ -71,26 +71,26 @@
 }
 
 /// What [`next_frame`] returns.
-enum Next {
+enum NextFrame {
     Frame(Vec<u8>),
     /// There was no frame for [`IDLE_TIMEOUT`].
     Idle,
     /// The queue is closed.
-    Done,
+    QueueClosed,
 }
 
 /// Waits for the next frame to write; urgent frames go before bulk frames.
-async fn next_frame(urgent: &Receiver<Vec<u8>>, bulk: &Receiver<Vec<u8>>) -> Next {
-    let urgent = async { urgent.recv().await.map_or(Next::Done, Next::Frame) };
+async fn next_frame(urgent: &Receiver<Vec<u8>>, bulk: &Receiver<Vec<u8>>) -> NextFrame {
+    let urgent = async { urgent.recv().await.map_or(NextFrame::QueueClosed, NextFrame::Frame) };
     let bulk = async {
         match bulk.recv().await {
-            Ok(frame) => Next::Frame(frame),
+            Ok(frame) => NextFrame::Frame(frame),
             Err(_) => future::pending().await,
         }
     };
     let idle = async {
         Timer::after(IDLE_TIMEOUT).await;
-        Next::Idle
+        NextFrame::Idle
     };
     future::or(urgent, future::or(bulk, idle)).await
 }
@@ -135,26 +135,29 @@
 /// is invalid.
 async fn read_frame(stream: &Async<TcpStream>) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
-    let mut first = [0; 1];
-    let begun = stream::with_timeout(2 * IDLE_TIMEOUT, reader.read_exact(&mut first)).await;
-    let Some(begun) = begun else { return Ok(None) };
-    begun?;
-    stream::with_timeout(FRAME_TIMEOUT, read_rest(stream, first[0])).await.unwrap_or(Ok(None))
+    let mut first_byte = [0; 1];
+    let first_read = stream::with_timeout(2 * IDLE_TIMEOUT, reader.read_exact(&mut first_byte)).await;
+    let Some(first_read) = first_read else { return Ok(None) };
+    first_read?;
+    stream::with_timeout(FRAME_TIMEOUT, read_remaining_frame(stream, first_byte[0])).await.unwrap_or(Ok(None))
 }
 
-/// Reads the rest of the frame whose first byte is `first`.
-async fn read_rest(stream: &Async<TcpStream>, first: u8) -> Result<Option<(FrameKind, Vec<u8>)>> {
+/// Reads the rest of the frame whose first byte is `first_byte`.
+async fn read_remaining_frame(
+    stream: &Async<TcpStream>,
+    first_byte: u8,
+) -> Result<Option<(FrameKind, Vec<u8>)>> {
     let mut reader = stream;
     let mut header = [0; HEADER_BYTES];
-    header[0] = first;
+    header[0] = first_byte;
     reader.read_exact(&mut header[1..]).await?;
     let Some((kind, length)) = fleet::parse_header(header) else { return Ok(None) };
     // The length is bounded, and memory beyond the first read is allocated only for bytes that arrive.
     let mut content = Vec::with_capacity(length.min(READ_BYTES));
     let mut bytes = [0; READ_BYTES];
     while content.len() < length {
-        let wanted = (length - content.len()).min(bytes.len());
-        let read = reader.read(&mut bytes[..wanted]).await?;
+        let max_read = (length - content.len()).min(bytes.len());
+        let read = reader.read(&mut bytes[..max_read]).await?;
         if read == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -142,11 +142,11 @@
     }
 
     /// Handles what is due by now and executes the replica's actions.
-    pub fn handle_timeout(&mut self, now: Micros, membership: &mut Membership, load: u8) {
+    pub fn handle_timeout(&mut self, now: Micros, membership: &mut Membership, load_percent: u8) {
         if self.reopen_at.is_some_and(|at| now >= at) {
             self.open_disk(now);
         }
-        self.update_reachability(now, membership, load);
+        self.update_reachability(now, membership, load_percent);
         if let Some(replica) = self.replica.as_mut().filter(|replica| now >= replica.next_timeout()) {
             replica.handle_timeout(now);
         }
@@ -168,14 +168,14 @@
         self.requests.take_responses()
     }
 
-    fn update_reachability(&mut self, now: Micros, membership: &mut Membership, load: u8) {
+    fn update_reachability(&mut self, now: Micros, membership: &mut Membership, load_percent: u8) {
         let Some(replica) = &mut self.replica else { return };
         if now < self.next_reachability_update {
             return;
         }
         self.next_reachability_update = now + REACHABILITY_INTERVAL;
         let reachable = membership.reachable(now).into_iter().map(|(name, _)| name);
-        replica.set_reachable(reachable, load);
+        replica.set_reachable(reachable, load_percent);
     }
 
     /// Executes the replica's actions until there are no more, or until batches wait for room in the disk
@@ -210,7 +210,7 @@
         membership: &mut Membership,
         actions: Vec<Action>,
     ) -> Option<String> {
-        let mut quarantine = None;
+        let mut quarantine_reason = None;
         for action in actions {
             match action {
                 Action::Send { to, bytes, priority: Priority::Heartbeat | Priority::Vote } => {
@@ -222,10 +222,10 @@
                 Action::Persist { number, batch } => {
                     self.unwritten.push_back(UnwrittenBatch { number, batch });
                 }
-                Action::Quarantine { reason } => quarantine = Some(reason),
+                Action::Quarantine { reason } => quarantine_reason = Some(reason),
             }
         }
-        quarantine
+        quarantine_reason
     }
 
     /// Hands batches to the disk thread until its queue is full. Without a disk they are durable at once.
--- a/crates/server/src/peers/fleet/replication/disk.rs
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -146,8 +146,8 @@
         let retry_in_ms = self.reopen_backoff / 1_000;
         warn!(self.log, "store disk failed"; "error" => %error, "retry_in_ms" => retry_in_ms);
         if matches!(error, StoreError::Full { .. }) {
-            let installed = self.replica.as_ref().map_or(0, Replica::installed_snapshot);
-            self.snapshot_after = Some(installed.max(self.snapshot_after.unwrap_or(0)));
+            let installed_index = self.replica.as_ref().map_or(0, Replica::installed_snapshot);
+            self.snapshot_after = Some(installed_index.max(self.snapshot_after.unwrap_or(0)));
         }
         // If the thread found damage while writing, it has recorded that, and the next thread quarantines the
         // store.
--- a/crates/server/src/peers/fleet/replication/requests.rs
+++ b/crates/server/src/peers/fleet/replication/requests.rs
@@ -38,8 +38,8 @@
         ticket: u64,
         /// Name of the document.
         name: String,
-        /// Offset in bytes from which on it is read.
-        from: u64,
+        /// Offset in bytes where the part to read starts.
+        offset: u64,
     },
 }
 
@@ -115,7 +115,7 @@
         }
         match begin_request(now, at_ms, request, replica) {
             Disposition::Answered(response) => self.responses.push((source, response)),
-            Disposition::Waits(kind) => {
+            Disposition::Pending(kind) => {
                 let deadline = now + REQUEST_TIMEOUT;
                 self.pending.push(PendingRequest { source, kind, deadline });
             }
@@ -126,8 +126,8 @@
     /// when due.
     pub(super) fn answer_pending(&mut self, now: Micros, replica: Option<&mut Replica>) {
         let Some(replica) = replica else {
-            let lost = self.pending.drain(..);
-            self.responses.extend(lost.map(|request| (request.source, rejected(&RequestError::Outside))));
+            let pending = self.pending.drain(..);
+            self.responses.extend(pending.map(|request| (request.source, rejected(&RequestError::Outside))));
             return;
         };
         let finished_reads = replica.take_finished_reads();
@@ -135,9 +135,9 @@
         self.pending.retain_mut(|request| {
             let timed_out = now >= request.deadline;
             let response = match &mut request.kind {
-                PendingKind::Read { ticket, name, from } => {
+                PendingKind::Read { ticket, name, offset } => {
                     match finished_reads.iter().find(|(finished, _)| finished == ticket) {
-                        Some((_, ReadOutcome::Ready)) => Some(read_document(replica, now, name, *from)),
+                        Some((_, ReadOutcome::Ready)) => Some(read_document(replica, now, name, *offset)),
                         Some((_, ReadOutcome::Failed(e))) => Some(rejected(e)),
                         None => timed_out.then(|| rejected(&RequestError::TimedOut)),
                     }
@@ -166,7 +166,7 @@
 enum Disposition {
     Answered(StoreResponse),
     /// It has to wait for other members.
-    Waits(PendingKind),
+    Pending(PendingKind),
 }
 
 /// Answers a request, or starts its read or write.
@@ -181,12 +181,12 @@
         StoreRequest::Adopt => accepted(replica.adopt(now, at_ms)),
         StoreRequest::ReadDocument { name, latest: false, from } => read_document(replica, now, &name, from),
         StoreRequest::ReadDocument { name, latest: true, from } => match replica.request_read(now) {
-            Ok(ticket) => return Disposition::Waits(PendingKind::Read { ticket, name, from }),
+            Ok(ticket) => return Disposition::Pending(PendingKind::Read { ticket, name, offset: from }),
             Err(e) => rejected(&e),
         },
         StoreRequest::Write { id, entry } => {
             let write = PendingWrite { id, at_ms, entry, proposed_at: 0, proposal: None };
-            return Disposition::Waits(PendingKind::Write(write));
+            return Disposition::Pending(PendingKind::Write(write));
         }
         StoreRequest::Export(from) => match replica.export().map(|export| export.to_bytes()) {
             Some(bytes) => StoreResponse::ExportPart(part_from(&bytes, from), bytes.len() as u64),
@@ -207,16 +207,16 @@
     StoreResponse::Rejected(error.to_string())
 }
 
-/// At most [`MAX_PART_BYTES`] of `bytes`, starting at offset `from`.
-fn part_from(bytes: &[u8], from: u64) -> Vec<u8> {
-    let start = (from as usize).min(bytes.len());
+/// At most [`MAX_PART_BYTES`] of `bytes`, starting at `offset`.
+fn part_from(bytes: &[u8], offset: u64) -> Vec<u8> {
+    let start = (offset as usize).min(bytes.len());
     let end = bytes.len().min(start + MAX_PART_BYTES);
     bytes[start..end].to_vec()
 }
 
-/// The part of a document that starts at offset `from`, or the names of existing documents if there is none
+/// The part of a document that starts at `offset`, or the names of existing documents if there is none
 /// of this name.
-fn read_document(replica: &Replica, now: Micros, name: &str, from: u64) -> StoreResponse {
+fn read_document(replica: &Replica, now: Micros, name: &str, offset: u64) -> StoreResponse {
     let Some(document) = replica.state().get(name) else {
         let names = replica.state().documents().map(|(name, _)| name.clone());
         return StoreResponse::UnknownDocument(names.take(MAX_LISTED_DOCUMENTS).collect());
@@ -227,7 +227,7 @@
         index: document.index,
         by: document.author.clone(),
         length: bytes.len() as u64,
-        part: part_from(bytes, from),
+        part: part_from(bytes, offset),
         age_ms: replica.status(now).leader_heard_ms,
     }
 }
--- a/crates/server/src/peers/fleet/sockets.rs
+++ b/crates/server/src/peers/fleet/sockets.rs
@@ -23,9 +23,9 @@
     /// # Errors
     /// If either can't be bound; the text names the address.
     pub fn bind(address: SocketAddr) -> Result<FleetSockets, String> {
-        let fail = |e: std::io::Error| format!("fleet: listen on {address}: {e}");
-        let datagrams = UdpSocket::bind(address).and_then(Async::new).map_err(fail)?;
-        let listener = TcpListener::bind(address).and_then(Async::new).map_err(fail)?;
+        let bind_error = |e: std::io::Error| format!("fleet: listen on {address}: {e}");
+        let datagrams = UdpSocket::bind(address).and_then(Async::new).map_err(bind_error)?;
+        let listener = TcpListener::bind(address).and_then(Async::new).map_err(bind_error)?;
         Ok(FleetSockets { datagrams, listener })
     }
 
@@ -64,8 +64,8 @@
     /// The id of an address, which is remembered until [`MAX_RETURN_ADDRESSES`] others have been added after
     /// it.
     pub(super) fn id_of(&mut self, address: SocketAddr) -> u64 {
-        if let Some(known) = self.addresses.iter().rev().find(|known| known.address == address) {
-            return known.id;
+        if let Some(entry) = self.addresses.iter().rev().find(|entry| entry.address == address) {
+            return entry.id;
         }
         if self.addresses.len() == MAX_RETURN_ADDRESSES {
             self.addresses.pop_front();
@@ -77,6 +77,6 @@
 
     /// The address with this id, if it is still remembered.
     pub(super) fn get(&self, id: u64) -> Option<SocketAddr> {
-        self.addresses.iter().find(|known| known.id == id).map(|known| known.address)
+        self.addresses.iter().find(|entry| entry.id == id).map(|entry| entry.address)
     }
 }
--- a/crates/server/src/peers/fleet/streams.rs
+++ b/crates/server/src/peers/fleet/streams.rs
@@ -102,9 +102,9 @@
         // If this fails, replies are only delayed.
         let _ = stream.get_ref().set_nodelay(true);
         self.last_id += 1;
-        let (replies, queued) = bounded(link::QUEUE_CAPACITY);
-        let served = link::serve(self.last_id, stream, self.sender.clone(), queued);
-        let task = self.executor.spawn(served);
+        let (replies, queued_replies) = bounded(link::QUEUE_CAPACITY);
+        let serve = link::serve(self.last_id, stream, self.sender.clone(), queued_replies);
+        let task = self.executor.spawn(serve);
         self.streams.insert(self.last_id, InboundStream { replies, _task: task });
     }
 
