--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -206,22 +206,22 @@
 
     /// Handles all complete lines in the buffer.
     async fn handle_lines(&mut self, link: &mut Link) -> Result<(), LinkEnd> {
-        while let Some(end) = link.buffer.unread().iter().position(|&b| b == b'\n') {
-            let read = jsonl::parse_notice(&link.buffer.unread()[..end]);
-            link.buffer.consume(end + 1);
-            let (notice, number) = read.map_err(LinkEnd::Malformed)?;
+        while let Some(line_end) = link.buffer.unread().iter().position(|&b| b == b'\n') {
+            let parsed = jsonl::parse_notice(&link.buffer.unread()[..line_end]);
+            link.buffer.consume(line_end + 1);
+            let (notice, seq) = parsed.map_err(LinkEnd::Malformed)?;
             if matches!(notice, Notice::Greeting { .. }) && !link.greeted {
                 link.greeted = true;
                 self.command_log.restart_link();
             }
-            if number.is_some_and(|n| n <= self.last_notice) {
+            if seq.is_some_and(|seq| seq <= self.last_notice) {
                 continue;
             }
-            if let Some(n) = number {
-                if n > self.last_notice + 1 {
-                    warn!(self.log, "agent notices missed"; "last" => self.last_notice, "next" => n);
+            if let Some(seq) = seq {
+                if seq > self.last_notice + 1 {
+                    warn!(self.log, "agent notices missed"; "last" => self.last_notice, "next" => seq);
                 }
-                self.last_notice = n;
+                self.last_notice = seq;
             }
             self.handle_notice(notice).await?;
         }
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -50,7 +50,7 @@
     pub fn push(&mut self, command: &AgentCommand) {
         let number = self.last_number + 1;
         let name = number.to_string();
-        let none: RequestId = "".into();
+        let no_request: RequestId = "".into();
         let (kind, id, tag, encoded) = match command {
             AgentCommand::Launch { id, class, body } => {
                 (EntryKind::Run, id, 0, Command::Launch { id, class, body: encode_base64(body) })
@@ -64,10 +64,10 @@
                 (EntryKind::Reply, id, 0, Command::Forgo { id, seq: *notice_seq })
             }
             AgentCommand::SampleGauges(tag) => {
-                (EntryKind::Query, &none, *tag, Command::Sample { tag: &name })
+                (EntryKind::Query, &no_request, *tag, Command::Sample { tag: &name })
             }
             AgentCommand::RunHealthCheck(tag) => {
-                (EntryKind::Query, &none, *tag, Command::Exercise { tag: &name })
+                (EntryKind::Query, &no_request, *tag, Command::Exercise { tag: &name })
             }
         };
         let unwritten = || self.entries.iter().skip(self.written);
@@ -85,13 +85,13 @@
         self.entries.push_back(entry);
     }
 
-    /// Takes the lines to write next: as many as fit in `most` bytes, but at least one if any may be written
+    /// Takes the lines to write next: as many as fit in `max_bytes`, but at least one if any may be written
     /// now.
-    pub fn take_lines(&mut self, most: usize) -> Vec<u8> {
+    pub fn take_lines(&mut self, max_bytes: usize) -> Vec<u8> {
         let mut out = Vec::new();
         while let Some(entry) = self.entries.get(self.written) {
-            let waits = self.marker.is_some_and(|mark| entry.number != mark);
-            if waits || (!out.is_empty() && out.len() + entry.line.len() > most) {
+            let must_wait = self.marker.is_some_and(|marker| entry.number != marker);
+            if must_wait || (!out.is_empty() && out.len() + entry.line.len() > max_bytes) {
                 break;
             }
             out.extend_from_slice(&entry.line);
@@ -119,13 +119,13 @@
     pub fn sample_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
         let written = self.entries.iter().take(self.written);
-        let at = written.enumerate().find(|(_, e)| e.number == number).map(|(at, _)| at)?;
+        let index = written.enumerate().find(|(_, e)| e.number == number).map(|(index, _)| index)?;
         if self.marker == Some(number) {
             self.marker = None;
         }
-        let tag = self.entries.get(at).filter(|e| e.kind == EntryKind::Query).map(|e| e.tag);
-        self.entries.drain(..=at);
-        self.written -= at + 1;
+        let tag = self.entries.get(index).filter(|e| e.kind == EntryKind::Query).map(|e| e.tag);
+        self.entries.drain(..=index);
+        self.written -= index + 1;
         tag
     }
 
@@ -133,8 +133,8 @@
     /// other command. Returns the tag of the query.
     pub fn health_check_answered(&mut self, name: &str) -> Option<u64> {
         let number: u64 = name.parse().ok()?;
-        let at = self.entries.iter().take(self.written).position(|e| e.number == number)?;
-        self.remove(at).map(|e| e.tag)
+        let index = self.entries.iter().take(self.written).position(|e| e.number == number)?;
+        self.remove(index).map(|e| e.tag)
     }
 
     /// Removes all commands for this request, whose run has ended.
@@ -152,17 +152,17 @@
         self.entries.len()
     }
 
-    fn remove_matching(&mut self, which: impl Fn(&Entry) -> bool) {
-        for at in (0..self.entries.len()).rev() {
-            if which(&self.entries[at]) {
-                self.remove(at);
+    fn remove_matching(&mut self, predicate: impl Fn(&Entry) -> bool) {
+        for index in (0..self.entries.len()).rev() {
+            if predicate(&self.entries[index]) {
+                self.remove(index);
             }
         }
     }
 
-    fn remove(&mut self, at: usize) -> Option<Entry> {
-        self.written -= usize::from(at < self.written);
-        self.entries.remove(at)
+    fn remove(&mut self, index: usize) -> Option<Entry> {
+        self.written -= usize::from(index < self.written);
+        self.entries.remove(index)
     }
 }
 
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -14,78 +14,78 @@
 }
 
 /// A command log on a new link, with the answer to its first sample received.
-fn linked() -> CommandLog {
-    let mut journal = CommandLog::default();
-    journal.restart_link();
-    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
-    assert_eq!(journal.sample_answered("1"), None);
-    journal
+fn caught_up_log() -> CommandLog {
+    let mut command_log = CommandLog::default();
+    command_log.restart_link();
+    assert_eq!(ops(&command_log.take_lines(9_999)), ["sample "]);
+    assert_eq!(command_log.sample_answered("1"), None);
+    command_log
 }
 
 #[test]
 fn commands_are_written_once_and_in_order() {
-    let mut journal = linked();
-    journal.push(&launch("a"));
-    journal.push(&AgentCommand::SampleGauges(40));
-    journal.push(&AgentCommand::Pause("a".into()));
-    assert_eq!(ops(&journal.take_lines(1)), ["launch a"]);
-    assert_eq!(ops(&journal.take_lines(9_999)), ["sample ", "freeze a"]);
-    assert_eq!(journal.take_lines(9_999), b"");
-    assert_eq!((journal.sample_answered("3"), journal.len()), (Some(40), 1));
-    assert_eq!(journal.sample_answered("3"), None);
+    let mut command_log = caught_up_log();
+    command_log.push(&launch("a"));
+    command_log.push(&AgentCommand::SampleGauges(40));
+    command_log.push(&AgentCommand::Pause("a".into()));
+    assert_eq!(ops(&command_log.take_lines(1)), ["launch a"]);
+    assert_eq!(ops(&command_log.take_lines(9_999)), ["sample ", "freeze a"]);
+    assert_eq!(command_log.take_lines(9_999), b"");
+    assert_eq!((command_log.sample_answered("3"), command_log.len()), (Some(40), 1));
+    assert_eq!(command_log.sample_answered("3"), None);
 }
 
 #[test]
 fn commands_that_may_not_have_been_read_are_replayed_on_a_new_link() {
-    let mut journal = linked();
-    journal.push(&launch("read"));
-    journal.push(&AgentCommand::SampleGauges(1));
-    journal.push(&launch("ended"));
-    journal.push(&launch("a"));
-    journal.push(&AgentCommand::DeliverReply { id: "b".into(), body: vec![] });
-    journal.take_lines(9_999);
-    journal.sample_answered("3");
-    journal.push(&launch("later"));
-    journal.restart_link();
-    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
+    let mut command_log = caught_up_log();
+    command_log.push(&launch("read"));
+    command_log.push(&AgentCommand::SampleGauges(1));
+    command_log.push(&launch("ended"));
+    command_log.push(&launch("a"));
+    command_log.push(&AgentCommand::DeliverReply { id: "b".into(), body: vec![] });
+    command_log.take_lines(9_999);
+    command_log.sample_answered("3");
+    command_log.push(&launch("later"));
+    command_log.restart_link();
+    assert_eq!(ops(&command_log.take_lines(9_999)), ["sample "]);
     // Missed notices come before the answer to the sample: one run has ended, one waits for its next call.
-    journal.run_ended("ended");
-    journal.run_waits_for_call("b");
-    assert_eq!(journal.take_lines(9_999), b"");
-    assert_eq!(journal.sample_answered("8"), None);
-    assert_eq!(ops(&journal.take_lines(9_999)), ["launch a", "launch later"]);
+    command_log.run_ended("ended");
+    command_log.run_waits_for_call("b");
+    assert_eq!(command_log.take_lines(9_999), b"");
+    assert_eq!(command_log.sample_answered("8"), None);
+    assert_eq!(ops(&command_log.take_lines(9_999)), ["launch a", "launch later"]);
 }
 
 #[test]
 fn queries_of_a_lost_link_are_not_replayed() {
-    let mut journal = linked();
-    journal.push(&AgentCommand::SampleGauges(5));
-    journal.push(&AgentCommand::RunHealthCheck(6));
-    journal.take_lines(9_999);
-    journal.restart_link();
-    journal.restart_link();
-    assert_eq!(journal.len(), 1);
-    assert_eq!(journal.sample_answered("2"), None);
-    assert_eq!(ops(&journal.take_lines(9_999)), ["sample "]);
+    let mut command_log = caught_up_log();
+    command_log.push(&AgentCommand::SampleGauges(5));
+    command_log.push(&AgentCommand::RunHealthCheck(6));
+    command_log.take_lines(9_999);
+    command_log.restart_link();
+    command_log.restart_link();
+    assert_eq!(command_log.len(), 1);
+    assert_eq!(command_log.sample_answered("2"), None);
+    assert_eq!(ops(&command_log.take_lines(9_999)), ["sample "]);
 }
 
 #[test]
 fn health_check_answer_does_not_acknowledge_earlier_commands() {
-    let mut journal = linked();
-    journal.push(&launch("a"));
-    journal.push(&AgentCommand::RunHealthCheck(6));
-    journal.take_lines(9_999);
-    assert_eq!((journal.health_check_answered("3"), journal.len()), (Some(6), 1));
-    assert_eq!(journal.health_check_answered("nonsense"), None);
+    let mut command_log = caught_up_log();
+    command_log.push(&launch("a"));
+    command_log.push(&AgentCommand::RunHealthCheck(6));
+    command_log.take_lines(9_999);
+    assert_eq!((command_log.health_check_answered("3"), command_log.len()), (Some(6), 1));
+    assert_eq!(command_log.health_check_answered("nonsense"), None);
 }
 
 #[test]
 fn pauses_and_samples_do_not_accumulate_without_a_link() {
-    let mut journal = linked();
-    journal.restart_link();
+    let mut command_log = caught_up_log();
+    command_log.restart_link();
     for _ in 0..100 {
-        journal.push(&AgentCommand::Pause("a".into()));
-        journal.push(&AgentCommand::SampleGauges(1));
+        command_log.push(&AgentCommand::Pause("a".into()));
+        command_log.push(&AgentCommand::SampleGauges(1));
     }
-    assert_eq!(journal.len(), 3);
+    assert_eq!(command_log.len(), 3);
 }
--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -182,14 +182,14 @@
 
     /// Serves the connection until it is closed or lost.
     pub async fn run(mut self) {
-        let ended = loop {
+        let result = loop {
             match self.step().await {
                 Ok(false) => {}
                 Ok(true) => break Ok(()),
                 Err(e) => break Err(e),
             }
         };
-        match ended {
+        match result {
             Ok(()) => self.close().await,
             Err(e) => debug!(self.context.log, "connection lost"; "error" => %e),
         }
@@ -209,12 +209,12 @@
         }
         self.draining |= self.activity.closing.get();
         self.write()?;
-        let busy = self.wants_input() && self.read().await?;
+        let has_read = self.wants_input() && self.read().await?;
         self.update_charge();
-        if self.is_finished(busy) {
+        if self.is_finished(has_read) {
             return Ok(true);
         }
-        if busy {
+        if has_read {
             future::yield_now().await;
             return Ok(false);
         }
@@ -262,15 +262,15 @@
             if self.unwritten_bytes() == 0 {
                 return future::pending().await;
             }
-            let until = self.last_write_progress + WRITE_TIMEOUT;
-            Timer::after(Duration::from_micros(until.saturating_sub(now))).await;
+            let deadline = self.last_write_progress + WRITE_TIMEOUT;
+            Timer::after(Duration::from_micros(deadline.saturating_sub(now))).await;
             Ok(Wakeup::WriteTimeout)
         };
         let request_overdue = async {
-            let Some(until) = self.request_deadline().filter(|_| self.wants_input()) else {
+            let Some(deadline) = self.request_deadline().filter(|_| self.wants_input()) else {
                 return future::pending().await;
             };
-            Timer::after(Duration::from_micros(until.saturating_sub(now))).await;
+            Timer::after(Duration::from_micros(deadline.saturating_sub(now))).await;
             Ok(Wakeup::Ready)
         };
         let timeout = future::or(write_timeout, request_overdue);
--- a/crates/server/src/peers/connection/close.rs
+++ b/crates/server/src/peers/connection/close.rs
@@ -16,11 +16,12 @@
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
 impl Connection {
-    /// Whether nothing is left to do on the connection. `busy` says whether bytes were read in this step.
-    pub(super) fn is_finished(&self, busy: bool) -> bool {
-        let nothing_owed = self.responder.complete_requests() == 0 && self.unwritten_bytes() == 0;
-        let quiet = !busy && self.responder.open_requests() == 0 && self.buffer.unread().is_empty();
-        nothing_owed && (self.input_closed || self.responder.is_close_requested() || (self.draining && quiet))
+    /// Whether nothing is left to do on the connection. `has_read` says whether bytes were read in this step.
+    pub(super) fn is_finished(&self, has_read: bool) -> bool {
+        let responses_written = self.responder.complete_requests() == 0 && self.unwritten_bytes() == 0;
+        let input_idle = !has_read && self.responder.open_requests() == 0 && self.buffer.unread().is_empty();
+        responses_written
+            && (self.input_closed || self.responder.is_close_requested() || (self.draining && input_idle))
     }
 
     /// Whether its table entry is needed for a new connection and it never sent a complete request.
@@ -60,8 +61,8 @@
     async fn discard_input(&self) {
         let mut buffer = Buffer::new(4 * 1024);
         let mut remaining = MAX_LINGER_BYTES;
-        while let Ok(read) = stream::read(&self.stream, &mut buffer) {
-            match read {
+        while let Ok(result) = stream::read(&self.stream, &mut buffer) {
+            match result {
                 _ if remaining == 0 => return,
                 ReadResult::Bytes(bytes) => {
                     buffer.consume(bytes);
--- a/crates/server/src/peers/connection/input.rs
+++ b/crates/server/src/peers/connection/input.rs
@@ -30,7 +30,7 @@
 
     /// Whether [`Connection::request_deadline`] has passed.
     pub(super) fn is_request_overdue(&self) -> bool {
-        self.request_deadline().is_some_and(|until| self.context.clock.now() >= until)
+        self.request_deadline().is_some_and(|deadline| self.context.clock.now() >= deadline)
     }
 
     /// When the connection is closed if no complete request arrives; `None` if there is no limit now.
--- a/crates/server/src/peers/dependency/call.rs
+++ b/crates/server/src/peers/dependency/call.rs
@@ -39,8 +39,8 @@
         // capacity at the dependency may already be in use for another call.
         return (Outcome::Unreachable, Vec::new());
     }
-    let sent = send_call(&stream, address, target, call, remaining);
-    match stream::with_timeout(remaining, sent).await {
+    let exchange = send_call(&stream, address, target, call, remaining);
+    match stream::with_timeout(remaining, exchange).await {
         // Dropping the stream closes the connection.
         None => (Outcome::TimedOut, Vec::new()),
         Some(Err(_)) => (Outcome::ConnectionLost, Vec::new()),
@@ -61,8 +61,8 @@
     timeout: Duration,
 ) -> Option<Async<TcpStream>> {
     loop {
-        let taken = pool.borrow_mut().take(address);
-        let Some((stream, idle)) = taken else { break };
+        let idle_connection = pool.borrow_mut().take(address);
+        let Some((stream, idle)) = idle_connection else { break };
         let Some(ajp) = target.ajp.as_ref().filter(|_| idle >= ajp::PING_AFTER_IDLE) else {
             return Some(stream);
         };
@@ -117,8 +117,8 @@
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             Ok(Some(reply)) => {
-                let nothing_behind = reply.encoded_bytes == unread_bytes && !closed;
-                return Ok(Reply { keep_alive: reply.keep_alive && nothing_behind, ..reply });
+                let is_reusable = reply.encoded_bytes == unread_bytes && !closed;
+                return Ok(Reply { keep_alive: reply.keep_alive && is_reusable, ..reply });
             }
             Ok(None) if closed || buffer.is_full() => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(None) => {}
--- a/crates/server/src/peers/dependency/pool.rs
+++ b/crates/server/src/peers/dependency/pool.rs
@@ -76,8 +76,8 @@
 
     /// Takes an idle connection that can still be used; returns it with the time it was idle.
     pub(super) fn take(&mut self, address: SocketAddr) -> Option<(Async<TcpStream>, Duration)> {
-        let idle = self.by_address.get_mut(&address)?;
-        while let Some(IdleConnection { since, stream }) = idle.pop_back() {
+        let connections = self.by_address.get_mut(&address)?;
+        while let Some(IdleConnection { since, stream }) = connections.pop_back() {
             self.count.set(self.count.get() - 1);
             if since.elapsed() < IDLE_TIMEOUT && stream::is_silent(&stream) {
                 return Some((stream, since.elapsed()));
@@ -98,11 +98,11 @@
     /// Closes connections that have been idle for too long.
     pub(super) fn expire(&mut self) {
         let count = self.count.clone();
-        self.by_address.retain(|_, idle| {
-            let before = idle.len();
-            idle.retain(|connection| connection.since.elapsed() < IDLE_TIMEOUT);
-            count.set(count.get() + idle.len() - before);
-            !idle.is_empty()
+        self.by_address.retain(|_, connections| {
+            let count_before = connections.len();
+            connections.retain(|connection| connection.since.elapsed() < IDLE_TIMEOUT);
+            count.set(count.get() + connections.len() - count_before);
+            !connections.is_empty()
         });
     }
 }
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -51,8 +51,8 @@
             return;
         }
         let last_active = self.activity.last_active.get();
-        let earlier_request = self.close_requested_at.get().filter(|at| *at >= last_active);
-        self.close_requested_at.set(earlier_request.or(Some(now)));
+        let earlier_request_at = self.close_requested_at.get().filter(|at| *at >= last_active);
+        self.close_requested_at.set(earlier_request_at.or(Some(now)));
     }
 
     fn state(&self, id: u64) -> ConnectionState {
@@ -93,7 +93,7 @@
     last_id: u64,
     /// Each connection sends its id here when it ends.
     closed_sender: Sender<u64>,
-    closed: Receiver<u64>,
+    closed_receiver: Receiver<u64>,
     /// When the next check for idle connections is due.
     next_idle_check: Instant,
     table_full_throttle: LogThrottle,
@@ -111,7 +111,7 @@
         commands: Receiver<ListenerCommand>,
         idle_timeout: Micros,
     ) -> Listener<'a> {
-        let (closed_sender, closed) = async_channel::bounded(table.total_capacity().max(1));
+        let (closed_sender, closed_receiver) = async_channel::bounded(table.total_capacity().max(1));
         let log = context.log.clone();
         Listener {
             executor,
@@ -124,7 +124,7 @@
             draining: false,
             last_id: 0,
             closed_sender,
-            closed,
+            closed_receiver,
             next_idle_check: Instant::now() + IDLE_CHECK_INTERVAL,
             table_full_throttle: LogThrottle::default(),
             accept_error_throttle: RefCell::default(),
@@ -160,7 +160,8 @@
         if Instant::now() >= self.next_idle_check {
             return Wakeup::IdleCheck;
         }
-        let closed = async { self.closed.recv().await.map_or(Wakeup::IdleCheck, Wakeup::ConnectionClosed) };
+        let closed =
+            async { self.closed_receiver.recv().await.map_or(Wakeup::IdleCheck, Wakeup::ConnectionClosed) };
         let command = async { Wakeup::Command(self.commands.recv().await.ok()) };
         let accepted = async {
             match &self.socket {
@@ -168,7 +169,7 @@
                     Timer::after(ACCEPT_BACKOFF).await;
                     Wakeup::Backlog
                 }
-                Some(socket) if !self.is_place_expected() => self.accept(socket).await,
+                Some(socket) if !self.should_pause_accept() => self.accept(socket).await,
                 _ => future::pending().await,
             }
         };
@@ -189,7 +190,7 @@
 
     /// Whether to pause accepting: the table is full and a connection that was asked to close is about to
     /// make room, so the next connection waits instead of being rejected.
-    fn is_place_expected(&self) -> bool {
+    fn should_pause_accept(&self) -> bool {
         self.is_table_full()
             && self.table.should_pause_accept(self.context.clock.now(), &self.connection_states())
     }
@@ -245,12 +246,12 @@
         let entry = ConnectionEntry { mailbox, activity, rejecting, close_requested_at: Cell::new(None) };
         self.connections.insert(id, entry);
         let closed = self.closed_sender.clone();
-        let served = async move {
+        let task = async move {
             connection.run().await;
             // Fails only if the listener has ended, which happens at process exit.
             let _ = closed.send(id).await;
         };
-        self.executor.spawn(served).detach();
+        self.executor.spawn(task).detach();
         if self.is_table_full() {
             self.close_idle();
         }
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -16,11 +16,11 @@
 use umberloom_settings::shape::Shape;
 
 /// Time limit for an expected event.
-const PATIENCE: Duration = Duration::from_secs(20);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Client = Async<TcpStream>;
 
-struct Bench {
+struct TestServer {
     address: std::net::SocketAddr,
     messages: Receiver<AdmissionMessage>,
     unanswered: Rc<RefCell<Vec<AdmissionMessage>>>,
@@ -29,14 +29,14 @@
     executor: Rc<LocalExecutor<'static>>,
 }
 
-impl Bench {
+impl TestServer {
     async fn connect(&self) -> Client {
         Async::<TcpStream>::connect(self.address).await.expect("connected")
     }
 
     /// Answers the next health check.
     async fn answer_health_check(&self) {
-        match within(self.messages.recv()).await {
+        match within_timeout(self.messages.recv()).await {
             Ok(AdmissionMessage::HealthCheck(check)) => check.reply_to.respond(Response::Health(true)),
             other => panic!("{other:?}"),
         }
@@ -46,7 +46,7 @@
     async fn busy_client(&self) -> Client {
         let mut client = self.connect().await;
         send_health_check(&mut client).await;
-        let message = within(self.messages.recv()).await.expect("a message");
+        let message = within_timeout(self.messages.recv()).await.expect("a message");
         self.unanswered.borrow_mut().push(message);
         client
     }
@@ -78,14 +78,14 @@
     }
 }
 
-async fn within<T>(work: impl Future<Output = T>) -> T {
-    stream::with_timeout(PATIENCE, work).await.expect("nothing within the time limit")
+async fn within_timeout<T>(work: impl Future<Output = T>) -> T {
+    stream::with_timeout(EVENT_TIMEOUT, work).await.expect("no event within the time limit")
 }
 
 fn with_listener<F: Future<Output = ()>>(
-    places: ConnectionTable,
-    idle: Micros,
-    script: impl FnOnce(Bench) -> F,
+    table: ConnectionTable,
+    idle_timeout: Micros,
+    script: impl FnOnce(TestServer) -> F,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -98,17 +98,23 @@
         tenants: Rc::new(vec![]),
         load_hint: Rc::default(),
         shape: Shape { passes_deadline: true, marks_retry: false },
-        max_connections: places.capacity(),
+        max_connections: table.capacity(),
         last_serial: Rc::default(),
         budget: Budget::new(1 << 24),
         clock: Default::default(),
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let listener = Listener::new(executor.clone(), (socket, places), context.clone(), received, idle);
+    let listener = Listener::new(executor.clone(), (socket, table), context.clone(), received, idle_timeout);
     executor.spawn(listener.run()).detach();
-    let bench =
-        Bench { address, messages, unanswered: Rc::default(), commands, context, executor: executor.clone() };
-    async_io::block_on(executor.run(script(bench)));
+    let server = TestServer {
+        address,
+        messages,
+        unanswered: Rc::default(),
+        commands,
+        context,
+        executor: executor.clone(),
+    };
+    async_io::block_on(executor.run(script(server)));
 }
 
 /// The FastCGI records of a health check.
@@ -141,19 +147,19 @@
             }
             bytes.drain(..record.size);
         }
-        let mut more = [0; 512];
-        match within(client.read(&mut more)).await {
+        let mut chunk = [0; 512];
+        match within_timeout(client.read(&mut chunk)).await {
             Ok(0) | Err(_) => return None,
-            Ok(n) => bytes.extend_from_slice(&more[..n]),
+            Ok(n) => bytes.extend_from_slice(&chunk[..n]),
         }
     }
 }
 
 #[test]
 fn idle_connection_is_closed_during_steady_traffic() {
-    let places = ConnectionTable::new(68, &[1]);
-    with_listener(places, 150_000, |bench| async move {
-        let mut idle = bench.idle_client().await;
+    let table = ConnectionTable::new(68, &[1]);
+    with_listener(table, 150_000, |server| async move {
+        let mut idle = server.idle_client().await;
         let closed = async {
             assert_eq!(next_status(&mut idle).await, None);
             true
@@ -161,31 +167,31 @@
         // The connections arrive more often than idle checks are made.
         let traffic = async {
             for _ in 0..150 {
-                drop(bench.connect().await);
+                drop(server.connect().await);
                 Timer::after(Duration::from_millis(20)).await;
             }
             false
         };
-        assert!(future::or(closed, traffic).await, "no look while there was traffic");
+        assert!(future::or(closed, traffic).await, "no idle check during steady traffic");
     });
 }
 
 #[test]
 fn full_table_rejects_new_requests_at_once_and_serves_the_open_ones() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut served = [bench.busy_client().await, bench.busy_client().await];
-        let mut more = bench.connect().await;
-        send_health_check(&mut more).await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let mut served = [server.busy_client().await, server.busy_client().await];
+        let mut rejected = server.connect().await;
+        send_health_check(&mut rejected).await;
         // The request is rejected as overloaded (status 2) and the connection closed: its caller goes
         // elsewhere.
-        assert_eq!(next_status(&mut more).await, Some(2));
-        assert_eq!(next_status(&mut more).await, None);
+        assert_eq!(next_status(&mut rejected).await, Some(2));
+        assert_eq!(next_status(&mut rejected).await, None);
         // With the one overflow connection taken by a silent client, a further one is closed without a
         // response.
-        let _silent = bench.connect().await;
-        let mut closed = bench.connect().await;
+        let _silent = server.connect().await;
+        let mut closed = server.connect().await;
         assert_eq!(next_status(&mut closed).await, None);
-        for message in bench.unanswered.borrow_mut().drain(..) {
+        for message in server.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
@@ -197,12 +203,12 @@
 
 #[test]
 fn connection_without_requests_is_evicted_for_a_new_one() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = bench.busy_client().await;
-        let mut silent = bench.connect().await;
-        let mut next = bench.connect().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let _busy = server.busy_client().await;
+        let mut silent = server.connect().await;
+        let mut next = server.connect().await;
         send_health_check(&mut next).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut next).await, Some(0));
         assert_eq!(next_status(&mut silent).await, None);
     });
@@ -210,17 +216,17 @@
 
 #[test]
 fn accept_waits_for_a_connection_that_was_asked_to_close() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut first = bench.idle_client().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let mut first = server.idle_client().await;
         Timer::after(Duration::from_micros(
             2 * umberloom_connection_admission::connection_table::SETTLE_TIME,
         ))
         .await;
-        let _second = bench.idle_client().await;
+        let _second = server.idle_client().await;
         // The table is full: the first connection is asked to close, and the third is accepted in its place.
-        let mut third = bench.connect().await;
+        let mut third = server.connect().await;
         send_health_check(&mut third).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut third).await, Some(0));
         assert_eq!(next_status(&mut first).await, None);
     });
@@ -256,7 +262,7 @@
 /// The bytes received until the connection ends, and whether it ends orderly, without a reset.
 async fn read_to_end(client: &mut Client) -> (Vec<u8>, bool) {
     let mut bytes = Vec::new();
-    let ended = within(client.read_to_end(&mut bytes)).await;
+    let ended = within_timeout(client.read_to_end(&mut bytes)).await;
     (bytes, ended.is_ok())
 }
 
@@ -264,11 +270,11 @@
 /// if idle arrives after the request's last byte and before it is read.
 #[test]
 fn unread_complete_request_is_answered_before_eviction() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, _, mailbox) = bench.single_connection().await;
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, _, mailbox) = server.single_connection().await;
         write_now(&client, &health_check_bytes());
         mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut client).await, Some(0));
     });
 }
@@ -277,10 +283,10 @@
 /// orderly way.
 #[test]
 fn evicted_connection_with_partial_request_closes_without_reset() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
         let bytes = health_check_bytes();
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
-            let (mut client, _, mailbox) = bench.single_connection().await;
+            let (mut client, _, mailbox) = server.single_connection().await;
             write_now(&client, &bytes[..cut]);
             mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
             assert_eq!(read_to_end(&mut client).await, (Vec::new(), true), "{cut}");
@@ -292,11 +298,11 @@
 /// command.
 #[test]
 fn draining_reaches_a_connection_whose_mailbox_is_full() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, mailbox) = bench.single_connection().await;
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, activity, mailbox) = server.single_connection().await;
         // After its first request the connection may be silent for the listener's idle timeout.
         send_health_check(&mut client).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut client).await, Some(0));
         while mailbox
             .try_send(ConnectionCommand::Respond { slot: 9, serial: 0, response: Response::Failed })
@@ -312,14 +318,14 @@
 /// be written before the process exits.
 #[test]
 fn request_read_while_draining_is_rejected_at_once() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, mailbox) = bench.single_connection().await;
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, activity, mailbox) = server.single_connection().await;
         write_now(&client, &health_check_bytes());
         activity.closing.set(true);
         mailbox.try_send(ConnectionCommand::Close).expect("room");
         assert_eq!(next_status(&mut client).await, Some(2));
         assert_eq!(next_status(&mut client).await, None);
-        assert!(bench.messages.is_empty());
+        assert!(server.messages.is_empty());
     });
 }
 
@@ -327,14 +333,14 @@
 /// table and its overflow full: each request gets a response.
 #[test]
 fn requests_in_the_backlog_are_answered_at_the_end() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let busy = [bench.busy_client().await, bench.busy_client().await];
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let busy = [server.busy_client().await, server.busy_client().await];
         // Done without yielding, so that the listener handles the drain command with all of them in the
         // backlog.
         let mut waiting = Vec::new();
-        bench.commands.try_send(ListenerCommand::Drain).expect("room");
+        server.commands.try_send(ListenerCommand::Drain).expect("room");
         for _ in 0..20 {
-            let client = std::net::TcpStream::connect(bench.address).expect("connected");
+            let client = std::net::TcpStream::connect(server.address).expect("connected");
             let client = Async::new(client).expect("registered");
             write_now(&client, &health_check_bytes());
             waiting.push(client);
@@ -344,8 +350,8 @@
             assert_eq!(next_status(client).await, None);
         }
         // The socket is closed, and requests that were open before are still answered.
-        Async::<TcpStream>::connect(bench.address).await.expect_err("refused");
-        for message in bench.unanswered.borrow_mut().drain(..) {
+        Async::<TcpStream>::connect(server.address).await.expect_err("refused");
+        for message in server.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
@@ -359,11 +365,11 @@
 /// is rejected before the close.
 #[test]
 fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = [bench.busy_client().await, bench.busy_client().await];
-        let _at_door = bench.connect().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let _busy = [server.busy_client().await, server.busy_client().await];
+        let _in_overflow = server.connect().await;
         for _ in 0..5 {
-            let client = std::net::TcpStream::connect(bench.address).expect("connected");
+            let client = std::net::TcpStream::connect(server.address).expect("connected");
             let mut client = Async::new(client).expect("registered");
             write_now(&client, &health_check_bytes());
             assert_eq!(next_status(&mut client).await, Some(2));
--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -92,22 +92,22 @@
     /// Waits until the next report is due (`Some(None)`) or a command arrives before that; `None` once all
     /// senders are gone.
     async fn next_command(&mut self) -> Option<Option<RegistrationCommand>> {
-        let span = self.report_delay();
-        let pause = async {
+        let delay = self.report_delay();
+        let report_due = async {
             if self.accepting.is_none() {
                 return future::pending().await;
             }
-            Timer::after(span).await;
+            Timer::after(delay).await;
             Some(None)
         };
-        future::or(async { self.commands.recv().await.ok().map(Some) }, pause).await
+        future::or(async { self.commands.recv().await.ok().map(Some) }, report_due).await
     }
 
     /// Delay until the next report. The service may still read a report that timed out, which would replace a
     /// newer state, so the newer state is reported again soon.
     fn report_delay(&mut self) -> Duration {
-        let overtaken = self.unconfirmed_state.is_some_and(|state| self.accepting != Some(state));
-        if self.failed_reports == 0 && !overtaken {
+        let may_be_overwritten = self.unconfirmed_state.is_some_and(|state| self.accepting != Some(state));
+        if self.failed_reports == 0 && !may_be_overwritten {
             return REPORT_INTERVAL;
         }
         if self.failed_reports == 0 {
@@ -126,17 +126,17 @@
     /// Records the result of a report. An unconfirmed report may have taken effect all the same. It is
     /// repeated soon on a new connection, because on the old one its late reply would be taken for that of
     /// the next report. Only several in a row are logged as an unreachable service.
-    fn handle_report_result(&mut self, reported: bool, confirmed: bool) {
+    fn handle_report_result(&mut self, reported_state: bool, confirmed: bool) {
         if !confirmed {
             self.connection = None;
-            self.unconfirmed_state = Some(reported);
+            self.unconfirmed_state = Some(reported_state);
         }
-        let failed_before = self.failed_reports;
-        self.failed_reports = if confirmed { 0 } else { failed_before.saturating_add(1) };
+        let previous_failures = self.failed_reports;
+        self.failed_reports = if confirmed { 0 } else { previous_failures.saturating_add(1) };
         if self.failed_reports == UNREACHABLE_AFTER {
             info!(self.log, "announce service unreachable"; "failed_reports" => self.failed_reports);
-        } else if confirmed && failed_before >= UNREACHABLE_AFTER {
-            info!(self.log, "announce service reachable"; "failed_reports" => failed_before);
+        } else if confirmed && previous_failures >= UNREACHABLE_AFTER {
+            info!(self.log, "announce service reachable"; "failed_reports" => previous_failures);
         }
     }
 
--- a/crates/server/src/peers/stream.rs
+++ b/crates/server/src/peers/stream.rs
@@ -39,17 +39,17 @@
 
 /// Writes as much as the socket accepts without waiting; returns the number of bytes written.
 pub fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
-    let mut done = 0;
-    while done < bytes.len() {
-        match stream.get_ref().write(&bytes[done..]) {
+    let mut written = 0;
+    while written < bytes.len() {
+        match stream.get_ref().write(&bytes[written..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => done += n,
+            Ok(n) => written += n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    Ok(done)
+    Ok(written)
 }
 
 /// Writes all bytes, waiting as needed.
@@ -63,11 +63,11 @@
     }
 }
 
-/// The result of `work`, or `None` if it takes longer than `span`. Work that finished during a stall of the
-/// process counts as in time.
-pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
+/// The result of `work`, or `None` if it takes longer than `timeout`. Work that finished during a stall of
+/// the process counts as in time.
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
-        Timer::after(span).await;
+        Timer::after(timeout).await;
         None
     })
     .await
