--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -72,7 +72,7 @@
     Command(Option<FleetCommand>),
     /// Datagrams can be read.
     DatagramsReady,
-    /// A frame, or the end, of a stream that somebody opened to this server.
+    /// A frame, or the end, of a stream that another process opened to this server.
     Inbound(InboundFrame),
     Accepted(TcpStream),
     Disk(DiskEvent),
@@ -94,7 +94,7 @@
     inbound: InboundStreams<'a>,
     return_addresses: ReturnAddresses,
     started_at: Instant,
-    /// The reachability that admission was last told.
+    /// The reachability last reported to admission.
     reported_reachability: Reachability,
     /// When reachability was last checked for a report.
     reachability_checked_at: Micros,
--- a/crates/server/src/peers/fleet/link.rs
+++ b/crates/server/src/peers/fleet/link.rs
@@ -1,5 +1,5 @@
-//! The tasks of streams between servers: one writes to a peer, one serves a stream that somebody opened to
-//! this server.
+//! The tasks of streams between servers: one writes to a peer, one serves a stream that another process
+//! opened to this server.
 
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
@@ -29,7 +29,7 @@
 /// Maximum number of bytes read at once.
 const READ_BYTES: usize = 4_096;
 
-/// What was received on a stream that somebody opened.
+/// What was received on a stream that another process opened.
 pub(super) enum Received {
     /// The kind and content of a frame.
     Frame(FrameKind, Vec<u8>),
@@ -103,7 +103,7 @@
     Ok(connection)
 }
 
-/// Reads frames from a stream that somebody opened until it ends, and writes replies to it.
+/// Reads frames from a stream that another process opened until it ends, and writes replies to it.
 pub(super) async fn serve(
     stream_id: u64,
     stream: Async<TcpStream>,
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -93,8 +93,8 @@
         actor
     }
 
-    /// Events of the disk's thread, for [`ReplicationActor::handle_disk_event`]. Ask again after each: a
-    /// store that is reopened has another channel.
+    /// Events of the disk thread, for [`ReplicationActor::handle_disk_event`]. Call this again after each
+    /// event: a reopened store uses another channel.
     pub fn disk_events(&self) -> Receiver<DiskEvent> {
         self.disk_events.clone()
     }
--- a/crates/server/src/peers/fleet/replication/disk.rs
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -149,8 +149,8 @@
             let installed_index = self.replica.as_ref().map_or(0, Replica::installed_snapshot);
             self.snapshot_after = Some(installed_index.max(self.snapshot_after.unwrap_or(0)));
         }
-        // If the thread found damage while writing, it has recorded that, and the next thread quarantines the
-        // store.
+        // Damage found while writing is reported in `error`; the next thread quarantines the file on opening
+        // it.
         self.schedule_reopen(now);
     }
 }
