--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -1,4 +1,4 @@
-//! Connections on loopback against a listener; the test itself takes the place of admission.
+//! Connects to a listener over loopback; the test itself stands in for admission.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -15,12 +15,12 @@
 use crate::wire::responder::MAX_OPEN_REQUESTS;
 use umberloom_settings::shape::Shape;
 
-/// Longest wait for anything that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for an expected event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Client = Async<TcpStream>;
 
-struct Bench {
+struct TestServer {
     address: std::net::SocketAddr,
     messages: Receiver<AdmissionMessage>,
     unanswered: Rc<RefCell<Vec<AdmissionMessage>>>,
@@ -29,29 +29,30 @@
     executor: Rc<LocalExecutor<'static>>,
 }
 
-impl Bench {
+impl TestServer {
     async fn connect(&self) -> Client {
         Async::<TcpStream>::connect(self.address).await.expect("connected")
     }
 
     /// Answers the next health check.
     async fn answer_health_check(&self) {
-        match within(self.messages.recv()).await {
+        match within_timeout(self.messages.recv()).await {
             Ok(AdmissionMessage::HealthCheck(check)) => check.reply_to.respond(Response::Health(true)),
             other => panic!("{other:?}"),
         }
     }
 
-    /// Asks for a health check and leaves it unanswered.
+    /// A client whose health check is left unanswered, so that its connection stays busy.
     async fn busy_client(&self) -> Client {
         let mut client = self.connect().await;
         send_health_check(&mut client).await;
-        let message = within(self.messages.recv()).await.expect("a message");
+        let message = within_timeout(self.messages.recv()).await.expect("a message");
         self.unanswered.borrow_mut().push(message);
         client
     }
 
-    /// A connection without a listener, whose actor has looked at it once and waits, with the other end of it.
+    /// Starts the actor of a connection without a listener and lets it run until it waits. Returns the
+    /// client's end.
     async fn single_connection(&self) -> (Client, Rc<ConnectionActivity>, Sender<ConnectionCommand>) {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
@@ -67,7 +68,7 @@
         (client, activity, mailbox)
     }
 
-    /// A connection that has asked, was answered and stays.
+    /// A client whose health check was answered and whose connection stays open and idle.
     async fn idle_client(&self) -> Client {
         let mut client = self.connect().await;
         send_health_check(&mut client).await;
@@ -77,14 +78,14 @@
     }
 }
 
-async fn within<T>(work: impl Future<Output = T>) -> T {
-    stream::with_timeout(PATIENCE, work).await.expect("nothing within the time limit")
+async fn within_timeout<T>(work: impl Future<Output = T>) -> T {
+    stream::with_timeout(EVENT_TIMEOUT, work).await.expect("no event within the time limit")
 }
 
 fn with_listener<F: Future<Output = ()>>(
-    places: ConnectionTable,
-    idle: Micros,
-    script: impl FnOnce(Bench) -> F,
+    table: ConnectionTable,
+    idle_timeout: Micros,
+    script: impl FnOnce(TestServer) -> F,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -97,20 +98,26 @@
         tenants: Rc::new(vec![]),
         load_hint: Rc::default(),
         shape: Shape { passes_deadline: true, marks_retry: false },
-        max_connections: places.capacity(),
+        max_connections: table.capacity(),
         last_serial: Rc::default(),
         budget: Budget::new(1 << 24),
         clock: Default::default(),
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let listener = Listener::new(executor.clone(), (socket, places), context.clone(), received, idle);
+    let listener = Listener::new(executor.clone(), (socket, table), context.clone(), received, idle_timeout);
     executor.spawn(listener.run()).detach();
-    let bench =
-        Bench { address, messages, unanswered: Rc::default(), commands, context, executor: executor.clone() };
-    async_io::block_on(executor.run(script(bench)));
+    let server = TestServer {
+        address,
+        messages,
+        unanswered: Rc::default(),
+        commands,
+        context,
+        executor: executor.clone(),
+    };
+    async_io::block_on(executor.run(script(server)));
 }
 
-/// What a health check is in bytes.
+/// The FastCGI records of a health check.
 fn health_check_bytes() -> Vec<u8> {
     let mut params = Vec::new();
     for (name, value) in [("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")] {
@@ -130,7 +137,7 @@
     client.write_all(&health_check_bytes()).await.expect("written");
 }
 
-/// The protocol status of the next answer, or `None` where the connection ends before one.
+/// The protocol status of the next response; `None` if the connection ends before one.
 async fn next_status(client: &mut Client) -> Option<u8> {
     let mut bytes = Vec::new();
     loop {
@@ -140,49 +147,51 @@
             }
             bytes.drain(..record.size);
         }
-        let mut more = [0; 512];
-        match within(client.read(&mut more)).await {
+        let mut chunk = [0; 512];
+        match within_timeout(client.read(&mut chunk)).await {
             Ok(0) | Err(_) => return None,
-            Ok(n) => bytes.extend_from_slice(&more[..n]),
+            Ok(n) => bytes.extend_from_slice(&chunk[..n]),
         }
     }
 }
 
 #[test]
 fn idle_connection_is_closed_during_steady_traffic() {
-    let places = ConnectionTable::new(68, &[1]);
-    with_listener(places, 150_000, |bench| async move {
-        let mut idle = bench.idle_client().await;
+    let table = ConnectionTable::new(68, &[1]);
+    with_listener(table, 150_000, |server| async move {
+        let mut idle = server.idle_client().await;
         let closed = async {
             assert_eq!(next_status(&mut idle).await, None);
             true
         };
-        // Each comes well within the time between two looks.
+        // The connections arrive more often than idle checks are made.
         let traffic = async {
             for _ in 0..150 {
-                drop(bench.connect().await);
+                drop(server.connect().await);
                 Timer::after(Duration::from_millis(20)).await;
             }
             false
         };
-        assert!(future::or(closed, traffic).await, "no look while there was traffic");
+        assert!(future::or(closed, traffic).await, "no idle check during steady traffic");
     });
 }
 
 #[test]
 fn full_table_rejects_new_requests_at_once_and_serves_the_open_ones() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut served = [bench.busy_client().await, bench.busy_client().await];
-        let mut more = bench.connect().await;
-        send_health_check(&mut more).await;
-        // Overloaded, and then the end: its caller goes elsewhere.
-        assert_eq!(next_status(&mut more).await, Some(2));
-        assert_eq!(next_status(&mut more).await, None);
-        // With somebody silent at the door as well there is only a close.
-        let _silent = bench.connect().await;
-        let mut closed = bench.connect().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let mut served = [server.busy_client().await, server.busy_client().await];
+        let mut rejected = server.connect().await;
+        send_health_check(&mut rejected).await;
+        // The request is rejected as overloaded (status 2) and the connection closed: its caller goes
+        // elsewhere.
+        assert_eq!(next_status(&mut rejected).await, Some(2));
+        assert_eq!(next_status(&mut rejected).await, None);
+        // With the one overflow connection taken by a silent client, a further one is closed without a
+        // response.
+        let _silent = server.connect().await;
+        let mut closed = server.connect().await;
         assert_eq!(next_status(&mut closed).await, None);
-        for message in bench.unanswered.borrow_mut().drain(..) {
+        for message in server.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
@@ -194,12 +203,12 @@
 
 #[test]
 fn connection_without_requests_is_evicted_for_a_new_one() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = bench.busy_client().await;
-        let mut silent = bench.connect().await;
-        let mut next = bench.connect().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let _busy = server.busy_client().await;
+        let mut silent = server.connect().await;
+        let mut next = server.connect().await;
         send_health_check(&mut next).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut next).await, Some(0));
         assert_eq!(next_status(&mut silent).await, None);
     });
@@ -207,17 +216,17 @@
 
 #[test]
 fn accept_waits_for_a_connection_that_was_asked_to_close() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let mut first = bench.idle_client().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let mut first = server.idle_client().await;
         Timer::after(Duration::from_micros(
             2 * umberloom_connection_admission::connection_table::SETTLE_TIME,
         ))
         .await;
-        let _second = bench.idle_client().await;
-        // The table is full; the first is told to go, and this one comes into its place.
-        let mut third = bench.connect().await;
+        let _second = server.idle_client().await;
+        // The table is full: the first connection is asked to close, and the third is accepted in its place.
+        let mut third = server.connect().await;
         send_health_check(&mut third).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut third).await, Some(0));
         assert_eq!(next_status(&mut first).await, None);
     });
@@ -233,7 +242,7 @@
         rejecting: false,
         close_requested_at: Cell::new(None),
     };
-    // Its actor waits for admission, and takes nothing for a long while.
+    // Stands for an actor that waits for admission and takes no messages for a long time.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
     entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
     for slot in 0..MAX_OPEN_REQUESTS {
@@ -244,39 +253,40 @@
     assert_eq!(answers.count(), MAX_OPEN_REQUESTS);
 }
 
-/// Written at once: nothing of the server runs between this and what the test does next.
+/// Writes without yielding, so that no server task runs between this and the next step of the test.
 fn write_now(client: &Client, bytes: &[u8]) {
     use std::io::Write;
     assert_eq!(client.get_ref().write(bytes).expect("written"), bytes.len());
 }
 
-/// What comes until the connection ends, and whether it ends in order, without a reset.
+/// The bytes received until the connection ends, and whether it ends orderly, without a reset.
 async fn read_to_end(client: &mut Client) -> (Vec<u8>, bool) {
     let mut bytes = Vec::new();
-    let ended = within(client.read_to_end(&mut bytes)).await;
+    let ended = within_timeout(client.read_to_end(&mut bytes)).await;
     (bytes, ended.is_ok())
 }
 
-/// Guards against a request that was written whole, waits unread, and is dropped as its connection never asked before: the
-/// word that its place is needed comes between its last byte and the reading.
+/// Guards against dropping a complete, unread request on the first use of a connection: the command to close
+/// if idle arrives after the request's last byte and before it is read.
 #[test]
 fn unread_complete_request_is_answered_before_eviction() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, _, mailbox) = bench.single_connection().await;
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, _, mailbox) = server.single_connection().await;
         write_now(&client, &health_check_bytes());
         mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut client).await, Some(0));
     });
 }
 
-/// And one that never comes whole gets an orderly end, not a reset over its unread bytes.
+/// Guards against a reset because of unread bytes: a connection with a partial request is closed in an
+/// orderly way.
 #[test]
 fn evicted_connection_with_partial_request_closes_without_reset() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
         let bytes = health_check_bytes();
         for cut in [0, 1, 8, bytes.len() / 2, bytes.len() - 1] {
-            let (mut client, _, mailbox) = bench.single_connection().await;
+            let (mut client, _, mailbox) = server.single_connection().await;
             write_now(&client, &bytes[..cut]);
             mailbox.try_send(ConnectionCommand::CloseIfIdle).expect("room");
             assert_eq!(read_to_end(&mut client).await, (Vec::new(), true), "{cut}");
@@ -284,14 +294,15 @@
     });
 }
 
-/// Guards against a connection that is never told to close, as its mailbox had no room for the command.
+/// Guards against a connection that stays open while draining because its mailbox had no room for the
+/// command.
 #[test]
 fn draining_reaches_a_connection_whose_mailbox_is_full() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, mailbox) = bench.single_connection().await;
-        // Who has asked may be silent for as long as the listener lets it.
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, activity, mailbox) = server.single_connection().await;
+        // After its first request the connection may be silent for the listener's idle timeout.
         send_health_check(&mut client).await;
-        bench.answer_health_check().await;
+        server.answer_health_check().await;
         assert_eq!(next_status(&mut client).await, Some(0));
         while mailbox
             .try_send(ConnectionCommand::Respond { slot: 9, serial: 0, response: Response::Failed })
@@ -303,32 +314,33 @@
     });
 }
 
-/// Guards against a request that is read while draining and passed on, so that its answer waits for others and
-/// may not be written any more.
+/// Guards against passing a request read while draining on to admission: its response has to wait and may not
+/// be written before the process exits.
 #[test]
 fn request_read_while_draining_is_rejected_at_once() {
-    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |bench| async move {
-        let (mut client, activity, mailbox) = bench.single_connection().await;
+    with_listener(ConnectionTable::new(9, &[1]), 60_000_000, |server| async move {
+        let (mut client, activity, mailbox) = server.single_connection().await;
         write_now(&client, &health_check_bytes());
         activity.closing.set(true);
         mailbox.try_send(ConnectionCommand::Close).expect("room");
         assert_eq!(next_status(&mut client).await, Some(2));
         assert_eq!(next_status(&mut client).await, None);
-        assert!(bench.messages.is_empty());
+        assert!(server.messages.is_empty());
     });
 }
 
-/// Guards against a reset of requests that were written whole to connections that wait to be accepted, or for which there
-/// is no place at all: each gets an answer.
+/// Guards against resetting complete requests on connections that wait in the accept queue, or that find the
+/// table and its overflow full: each request gets a response.
 #[test]
 fn requests_in_the_backlog_are_answered_at_the_end() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let busy = [bench.busy_client().await, bench.busy_client().await];
-        // In one go, so that the listener finds them all in the backlog with the command to drain before them.
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let busy = [server.busy_client().await, server.busy_client().await];
+        // Done without yielding, so that the listener handles the drain command with all of them in the
+        // backlog.
         let mut waiting = Vec::new();
-        bench.commands.try_send(ListenerCommand::Drain).expect("room");
+        server.commands.try_send(ListenerCommand::Drain).expect("room");
         for _ in 0..20 {
-            let client = std::net::TcpStream::connect(bench.address).expect("connected");
+            let client = std::net::TcpStream::connect(server.address).expect("connected");
             let client = Async::new(client).expect("registered");
             write_now(&client, &health_check_bytes());
             waiting.push(client);
@@ -337,9 +349,9 @@
             assert_eq!(next_status(client).await, Some(2));
             assert_eq!(next_status(client).await, None);
         }
-        // The socket is closed, and what was open before is still answered.
-        Async::<TcpStream>::connect(bench.address).await.expect_err("refused");
-        for message in bench.unanswered.borrow_mut().drain(..) {
+        // The socket is closed, and requests that were open before are still answered.
+        Async::<TcpStream>::connect(server.address).await.expect_err("refused");
+        for message in server.unanswered.borrow_mut().drain(..) {
             let AdmissionMessage::HealthCheck(check) = message else { panic!("{message:?}") };
             check.reply_to.respond(Response::Health(true));
         }
@@ -349,14 +361,15 @@
     });
 }
 
-/// The same while the server serves: who finds neither a place nor one at the door is told so, if it has asked.
+/// The same without draining: a complete request on a connection that finds the table and its overflow full
+/// is rejected before the close.
 #[test]
 fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
-    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |bench| async move {
-        let _busy = [bench.busy_client().await, bench.busy_client().await];
-        let _at_door = bench.connect().await;
+    with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
+        let _busy = [server.busy_client().await, server.busy_client().await];
+        let _in_overflow = server.connect().await;
         for _ in 0..5 {
-            let client = std::net::TcpStream::connect(bench.address).expect("connected");
+            let client = std::net::TcpStream::connect(server.address).expect("connected");
             let mut client = Async::new(client).expect("registered");
             write_now(&client, &health_check_bytes());
             assert_eq!(next_status(&mut client).await, Some(2));
