--- a/crates/server/src/admission/arrivals.rs
+++ b/crates/server/src/admission/arrivals.rs
@@ -69,7 +69,7 @@
         // The same key of two tenants is two keys: neither may get the other's result.
         let has_tenants = !self.settings.tenants.is_empty();
         let key = if has_tenants { format!("{}/{key}", request.tenant) } else { key };
-        request.work.subject_key = Some(key);
+        request.work.dedup_key = Some(key);
         Ok(())
     }
 
@@ -102,7 +102,7 @@
         request: &Request,
         read_delay: Micros,
     ) -> Result<KeyLookup, Response> {
-        let Some(key) = request.work.subject_key.clone() else { return Ok(KeyLookup::default()) };
+        let Some(key) = request.work.dedup_key.clone() else { return Ok(KeyLookup::default()) };
         let subject = Subject { class: request.class, key };
         // A duplicate counts by when it reached the machine, however late it is read. While the first attempt is in
         // flight no other may run, though its key has expired.
--- a/crates/server/src/admission/mod.rs
+++ b/crates/server/src/admission/mod.rs
@@ -47,9 +47,9 @@
 pub use mailboxes::Mailboxes;
 
 /// Bound on the messages that wait in this actor's mailbox.
-pub const MAILBOX: usize = 256;
+pub const MAILBOX_CAPACITY: usize = 256;
 /// Bound on the messages that are read before a step.
-const MAX_MESSAGES_PER_STEP: usize = 4 * MAILBOX;
+const MAX_MESSAGES_PER_STEP: usize = 4 * MAILBOX_CAPACITY;
 
 /// What the actor works with.
 pub struct AdmissionParts {
--- a/crates/server/src/admission/tests/mod.rs
+++ b/crates/server/src/admission/tests/mod.rs
@@ -120,7 +120,7 @@
             sender: 4,
             queued_kb: 20.0,
             rank: 0.5,
-            subject_key: resource_key.map(String::from),
+            dedup_key: resource_key.map(String::from),
             idempotency_key: idempotency_key.map(String::from),
         }
     }
@@ -145,7 +145,7 @@
             work,
             body: body.to_vec(),
             reply_to: self.reply_to(),
-            charge: Budget::new(1).take(0).expect("nothing"),
+            charge: Budget::new(1).charge(0).expect("nothing"),
         };
         self.actor.handle_message(now, AdmissionMessage::Request(Box::new(request)));
         self.last_serial
--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -138,7 +138,7 @@
             plan,
             class: &request.work.class,
             priority_level: (request.work.rank * levels as f64) as u16,
-            resource_key: request.work.subject_key.as_deref(),
+            resource_key: request.work.dedup_key.as_deref(),
             call_deadline: deadline,
             request_deadline: request.deadline,
             is_retry: request.had_call_plan,
--- a/crates/server/src/dependency_calls/tests.rs
+++ b/crates/server/src/dependency_calls/tests.rs
@@ -22,7 +22,7 @@
         config: operator.dependencies,
         mailboxes: BTreeMap::from([(Rc::from("records"), mailbox)]),
         shared_quotas: Vec::new(),
-        charge: Budget::new(1).take(0).expect("nothing"),
+        charge: Budget::new(1).charge(0).expect("nothing"),
     };
     let log = Logger::root(slog::Discard, slog::o!());
     let quota_leases = QuotaLeases::new(None, 1, log.clone());
@@ -46,7 +46,7 @@
             sender: 1,
             queued_kb: 1.0,
             rank: 0.5,
-            subject_key: None,
+            dedup_key: None,
             idempotency_key: None,
         },
         body: Vec::new(),
@@ -60,7 +60,7 @@
         last_reply_at: None,
         duplicate_of: None,
         awaits_original: false,
-        _charge: Budget::new(1).take(0).expect("nothing"),
+        _charge: Budget::new(1).charge(0).expect("nothing"),
     }
 }
 
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -31,7 +31,7 @@
             dependency.load_balancing.servers = self.config.settings.servers;
         }
         let bytes = operator.dependencies.fallback_cache.max_bytes;
-        let charge = self.budget.take(bytes).ok_or(FallbackCacheMemoryError { bytes })?;
+        let charge = self.budget.charge(bytes).ok_or(FallbackCacheMemoryError { bytes })?;
         self.replace_dependencies(&operator.services);
         let mailboxes = self
             .dependencies
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -128,7 +128,7 @@
     let FleetStart { sockets, config, build_info, seed, admission, budget, log } = start;
     let (mailbox, inbox) = bounded(MAILBOX_CAPACITY);
     let bytes = memory_bytes(config.membership.peers.len(), config.record.is_some());
-    let charge = budget.take(bytes).ok_or(StartupError::FleetMemory { bytes })?;
+    let charge = budget.charge(bytes).ok_or(StartupError::FleetMemory { bytes })?;
     let boot_id = boot_id();
     let actor_config = actor_config(&config, build_info);
     let fleet = FleetActor::new(
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -103,7 +103,7 @@
 }
 
 fn open_mailboxes() -> (Senders, Inboxes) {
-    let (admission, admission_inbox) = bounded(admission::MAILBOX);
+    let (admission, admission_inbox) = bounded(admission::MAILBOX_CAPACITY);
     let (agent, agent_inbox) = bounded(agent::MAILBOX_CAPACITY);
     let (records, records_inbox) = bounded(dependency::MAILBOX_CAPACITY);
     let (registration, registration_inbox) = bounded(registration::MAILBOX_CAPACITY);
--- a/crates/server/src/memory/budget.rs
+++ b/crates/server/src/memory/budget.rs
@@ -14,13 +14,13 @@
     }
 
     /// Takes `bytes` from the budget; `None` where it has fewer left.
-    pub fn take(&self, bytes: usize) -> Option<Charge> {
+    pub fn charge(&self, bytes: usize) -> Option<Charge> {
         let mut charge = Charge { budget: self.clone(), bytes: 0 };
         charge.resize(bytes).then_some(charge)
     }
 
     /// Bytes that are left.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.0.get()
     }
 }
@@ -35,7 +35,7 @@
 impl Charge {
     /// Changes the charge to `bytes`; `false`, and nothing changed, where the budget has too few left for that.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        let available = self.budget.left() + self.bytes;
+        let available = self.budget.available() + self.bytes;
         let Some(left) = available.checked_sub(bytes) else { return false };
         self.budget.0.set(left);
         self.bytes = bytes;
--- a/crates/server/src/memory/budget/tests.rs
+++ b/crates/server/src/memory/budget/tests.rs
@@ -3,12 +3,12 @@
 #[test]
 fn a_charge_is_bounded_by_the_budget_and_given_back_when_dropped() {
     let budget = Budget::new(100);
-    let mut charge = budget.take(60).expect("room");
-    assert!(budget.take(41).is_none());
-    assert_eq!(budget.left(), 40);
+    let mut charge = budget.charge(60).expect("room");
+    assert!(budget.charge(41).is_none());
+    assert_eq!(budget.available(), 40);
     assert!(charge.resize(100) && !charge.resize(101));
-    assert_eq!(budget.left(), 0);
+    assert_eq!(budget.available(), 0);
     assert!(charge.resize(10));
     drop(charge);
-    assert_eq!(budget.left(), 100);
+    assert_eq!(budget.available(), 100);
 }
--- a/crates/server/src/memory/request_table.rs
+++ b/crates/server/src/memory/request_table.rs
@@ -68,7 +68,7 @@
 impl OpenRequest {
     /// What it is about, where it has a key.
     pub fn subject(&self) -> Option<Subject> {
-        let key = self.work.subject_key.clone()?;
+        let key = self.work.dedup_key.clone()?;
         Some(Subject { class: self.class, key })
     }
 }
--- a/crates/server/src/messages/caller.rs
+++ b/crates/server/src/messages/caller.rs
@@ -36,14 +36,14 @@
     /// Its place from 0 to under 1 among all requests.
     pub rank: f64,
     /// The key of what it reads: requests with the same one have the same result.
-    pub subject_key: Option<String>,
+    pub dedup_key: Option<String>,
     /// The idempotency key (`Once-Key`): all attempts of one request carry the same.
     pub idempotency_key: Option<String>,
 }
 
 impl WorkRequest {
     /// Whether its times are within [`MAX_TIME_OFFSET`] at this Unix time.
-    pub fn is_timely(&self, unix_now: Micros) -> bool {
+    pub fn has_plausible_times(&self, unix_now: Micros) -> bool {
         let received_near_now = self.received_at.abs_diff(unix_now) <= MAX_TIME_OFFSET;
         received_near_now && self.timeout.unwrap_or(0) <= MAX_TIME_OFFSET
     }
--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -134,7 +134,7 @@
         activity: Rc<ConnectionActivity>,
     ) -> Option<(Connection, Sender<ConnectionCommand>)> {
         let (own_mailbox, commands) = async_channel::bounded(MAILBOX_CAPACITY);
-        let charge = context.budget.take(0)?;
+        let charge = context.budget.charge(0)?;
         let now = context.clock.now();
         activity.last_active.set(now);
         let responder = Responder::new(context.max_connections);
--- a/crates/server/src/peers/connection/request.rs
+++ b/crates/server/src/peers/connection/request.rs
@@ -72,7 +72,7 @@
             }
         };
         let bytes = params.len() + body.len() + REQUEST_OVERHEAD_BYTES;
-        let Some(charge) = self.context.budget.take(bytes) else {
+        let Some(charge) = self.context.budget.charge(bytes) else {
             self.reject_overloaded(slot);
             return None;
         };
@@ -107,7 +107,7 @@
         CgiRequest::HealthCheck(is_deep) => return Ok(ValidRequest::HealthCheck { is_deep }),
         CgiRequest::Work(request) => request,
     };
-    if !request.is_timely(context.clock.unix()) {
+    if !request.has_plausible_times(context.clock.unix()) {
         return Err(InvalidRequest::TimesFarOff);
     }
     if context.shape.passes_deadline && request.timeout.is_none() {
--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -180,7 +180,7 @@
         sender,
         queued_kb,
         rank,
-        subject_key: params.text("HTTP_RESOURCE_KEY"),
+        dedup_key: params.text("HTTP_RESOURCE_KEY"),
         idempotency_key: idempotency_key.map(String::from),
     })
 }
--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!((work.id.as_str(), work.class.as_str()), ("9b1f03aa5c7e2d41", "desk-search"));
     assert_eq!((work.received_at, work.timeout, work.sender), (1_764_576_000_123_000, Some(480_000), 4));
     assert_eq!((work.queued_kb, work.rank), (24.5, 0.625));
-    assert_eq!(work.subject_key.as_deref(), Some("7f3a9c21e0b4d655"));
+    assert_eq!(work.dedup_key.as_deref(), Some("7f3a9c21e0b4d655"));
     assert_eq!(work.idempotency_key, None, "absent unless sent");
     assert_eq!((work.tenant, work.cost, work.is_retry), (None, None, false), "absent unless sent");
 }
@@ -94,13 +94,17 @@
 #[test]
 fn times_far_from_now_are_not_timely() {
     let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
-    assert!(work.is_timely(work.received_at) && work.is_timely(work.received_at + MAX_TIME_OFFSET));
     assert!(
-        work.is_timely(work.received_at - MAX_TIME_OFFSET)
-            && !work.is_timely(work.received_at + MAX_TIME_OFFSET + 1)
+        work.has_plausible_times(work.received_at)
+            && work.has_plausible_times(work.received_at + MAX_TIME_OFFSET)
     );
-    assert!(!work.is_timely(0));
-    assert!(!WorkRequest { timeout: Some(MAX_TIME_OFFSET + 1), ..work }.is_timely(1_764_576_000_123_000));
+    assert!(
+        work.has_plausible_times(work.received_at - MAX_TIME_OFFSET)
+            && !work.has_plausible_times(work.received_at + MAX_TIME_OFFSET + 1)
+    );
+    assert!(!work.has_plausible_times(0));
+    assert!(!WorkRequest { timeout: Some(MAX_TIME_OFFSET + 1), ..work }
+        .has_plausible_times(1_764_576_000_123_000));
 }
 
 #[test]
