--- a/crates/server/src/admission/mailboxes.rs
+++ b/crates/server/src/admission/mailboxes.rs
@@ -73,7 +73,7 @@
     }
 
     fn warn_full_mailbox(&mut self, mailbox: &'static str) {
-        if let Some(suppressed) = self.full_mailbox_throttle.tell(Instant::now()) {
+        if let Some(suppressed) = self.full_mailbox_throttle.record(Instant::now()) {
             warn!(self.log, "mailbox full"; "mailbox" => mailbox, "suppressed" => suppressed);
         }
     }
--- a/crates/server/src/lifecycle/log_throttle.rs
+++ b/crates/server/src/lifecycle/log_throttle.rs
@@ -14,7 +14,7 @@
 
 impl LogThrottle {
     /// Counts an event at `now`. `Some` if a line is due, with the number of events since the last line that had none.
-    pub fn tell(&mut self, now: Instant) -> Option<u64> {
+    pub fn record(&mut self, now: Instant) -> Option<u64> {
         if self.last_logged.is_some_and(|last| now < last + INTERVAL) {
             self.suppressed += 1;
             return None;
--- a/crates/server/src/lifecycle/log_throttle/tests.rs
+++ b/crates/server/src/lifecycle/log_throttle/tests.rs
@@ -4,8 +4,8 @@
 fn one_line_a_second_counts_the_suppressed_ones() {
     let (mut throttle, start) = (LogThrottle::default(), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
-    assert_eq!(throttle.tell(at(0)), Some(0));
-    assert_eq!((throttle.tell(at(1)), throttle.tell(at(999))), (None, None));
-    assert_eq!(throttle.tell(at(1000)), Some(2));
-    assert_eq!(throttle.tell(at(1001)), None);
+    assert_eq!(throttle.record(at(0)), Some(0));
+    assert_eq!((throttle.record(at(1)), throttle.record(at(999))), (None, None));
+    assert_eq!(throttle.record(at(1000)), Some(2));
+    assert_eq!(throttle.record(at(1001)), None);
 }
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -268,7 +268,7 @@
     }
 
     fn log_table_full(&mut self) {
-        let Some(suppressed) = self.table_full_throttle.tell(Instant::now()) else { return };
+        let Some(suppressed) = self.table_full_throttle.record(Instant::now()) else { return };
         let is_busy = |entry: &&ConnectionEntry| entry.activity.open_requests.get() > 0;
         let busy = self.connections.values().filter(is_busy).count();
         let rejecting = self.connections.values().filter(|entry| entry.rejecting).count();
@@ -277,7 +277,7 @@
     }
 
     fn log_accept_error(&self, error: &std::io::Error) {
-        if let Some(suppressed) = self.accept_error_throttle.borrow_mut().tell(Instant::now()) {
+        if let Some(suppressed) = self.accept_error_throttle.borrow_mut().record(Instant::now()) {
             warn!(self.log, "accept failed"; "error" => %error, "suppressed" => suppressed);
         }
     }
