--- a/crates/ajp/src/caller.rs
+++ b/crates/ajp/src/client.rs
@@ -1,13 +1,13 @@
 //! The end that asks.
 
-use crate::packet::{self, From};
+use crate::packet::{self, Sender};
 use crate::request::Request;
 use crate::response::{Head, Response};
-use crate::{Malformed, Unwritable};
+use crate::{DecodeError, EncodeError};
 
 const CPING: u8 = 10;
 /// What a part of a request's body takes besides its bytes.
-const AROUND: usize = packet::HEADER + 2;
+const AROUND: usize = packet::HEADER_BYTES + 2;
 
 /// What came.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,25 +38,25 @@
 
 /// One connection, seen from the end that asks.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct ClientConnection {
     largest: usize,
     state: State,
     /// What is to be written to the other end; the host empties it.
-    pub out: Vec<u8>,
+    pub output: Vec<u8>,
 }
 
-impl Caller {
+impl ClientConnection {
     /// A new connection, whose packets are no larger than this; out of range it is brought into it.
-    pub fn new(largest: usize) -> Caller {
-        let largest = largest.clamp(packet::USUAL, packet::LARGEST);
-        Caller { largest, state: State::Idle, out: Vec::new() }
+    pub fn new(largest: usize) -> ClientConnection {
+        let largest = largest.clamp(packet::DEFAULT_PACKET_BYTES, packet::MAX_PACKET_BYTES);
+        ClientConnection { largest, state: State::Idle, output: Vec::new() }
     }
 
     /// Sends a request. A body is stated by its length and its first part goes along; the rest is sent as it is asked
     /// for. Headers that do not fit a packet change nothing.
-    pub fn ask(&mut self, request: &Request, body: &[u8]) -> Result<(), Unwritable> {
+    pub fn send_request(&mut self, request: &Request, body: &[u8]) -> Result<(), EncodeError> {
         if self.state != State::Idle {
-            return Err(Unwritable::OutOfTurn);
+            return Err(EncodeError::OutOfTurn);
         }
         let mut content = Vec::new();
         if body.is_empty() {
@@ -67,10 +67,10 @@
             stated.headers.push(("content-length".to_owned(), body.len().to_string()));
             stated.write(&mut content)?;
         }
-        if content.len() + packet::HEADER > self.largest {
-            return Err(Unwritable::TooLong);
+        if content.len() + packet::HEADER_BYTES > self.largest {
+            return Err(EncodeError::TooLong);
         }
-        packet::write(&mut self.out, From::Caller, &content);
+        packet::write_packet(&mut self.output, Sender::Client, &content);
         self.state = State::Asked { left: body.to_vec(), sent: 0, head: false };
         if !body.is_empty() {
             self.send_part(usize::from(u16::MAX));
@@ -79,11 +79,11 @@
     }
 
     /// Asks whether anybody is there, on a connection that was idle for long.
-    pub fn ping(&mut self) -> Result<(), Unwritable> {
+    pub fn send_ping(&mut self) -> Result<(), EncodeError> {
         if self.state != State::Idle {
-            return Err(Unwritable::OutOfTurn);
+            return Err(EncodeError::OutOfTurn);
         }
-        packet::write(&mut self.out, From::Caller, &[CPING]);
+        packet::write_packet(&mut self.output, Sender::Client, &[CPING]);
         self.state = State::Pinged;
         Ok(())
     }
@@ -100,18 +100,20 @@
         }
         *sent += part.len();
         // Without anything left an empty packet says so.
-        packet::write(&mut self.out, From::Caller, &content);
+        packet::write_packet(&mut self.output, Sender::Client, &content);
     }
 
     /// Takes the first packet off `bytes`: how many bytes it took (0: it is not yet whole) and what came of it. What
     /// asks for more of the body is answered here. After an error nothing more may be taken.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Event>), Malformed> {
-        let Some(packet) = packet::packet(bytes, From::Callee, self.largest)? else { return Ok((0, None)) };
+    pub fn decode(&mut self, bytes: &[u8]) -> Result<(usize, Option<Event>), DecodeError> {
+        let Some(packet) = packet::parse_packet(bytes, Sender::Server, self.largest)? else {
+            return Ok((0, None));
+        };
         let response = Response::read(&bytes[packet.content.clone()])?;
         Ok((packet.size, self.heed(response)?))
     }
 
-    fn heed(&mut self, response: Response) -> Result<Option<Event>, Malformed> {
+    fn heed(&mut self, response: Response) -> Result<Option<Event>, DecodeError> {
         match (&mut self.state, response) {
             (State::Pinged, Response::Pong) => {
                 self.state = State::Idle;
@@ -130,7 +132,7 @@
                 self.state = if reuse { State::Idle } else { State::Over };
                 Ok(Some(Event::End(reuse)))
             }
-            _ => Err(Malformed("an answer out of turn")),
+            _ => Err(DecodeError("an answer out of turn")),
         }
     }
 
--- a/crates/ajp/src/codes.rs
+++ b/crates/ajp/src/codes.rs
@@ -68,7 +68,7 @@
 ];
 
 /// What a header's code begins with; no name is as long as that.
-pub const CODED: u16 = 0xa000;
+pub const CODED_HEADER_PREFIX: u16 = 0xa000;
 
 /// The method with this code.
 pub fn method(code: u8) -> Option<&'static str> {
@@ -85,7 +85,10 @@
 }
 
 fn header_code(names: &[&str], name: &str) -> Option<u16> {
-    names.iter().position(|n| n.eq_ignore_ascii_case(name)).map(|place| CODED + place as u16 + 1)
+    names
+        .iter()
+        .position(|n| n.eq_ignore_ascii_case(name))
+        .map(|place| CODED_HEADER_PREFIX + place as u16 + 1)
 }
 
 /// The name of a request's header with this code.
--- a/crates/ajp/src/request.rs
+++ b/crates/ajp/src/request.rs
@@ -2,12 +2,12 @@
 
 use crate::codes::{self, attribute};
 use crate::data::{self, Reader};
-use crate::{Malformed, Unwritable};
+use crate::{DecodeError, EncodeError};
 
 /// Code of a forward request.
 pub const FORWARD: u8 = 2;
 /// Headers that one request may have, and attributes likewise.
-pub const MOST: usize = 256;
+pub const MAX_FIELDS: usize = 256;
 
 /// A request, with what the reference lets stand in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -72,8 +72,8 @@
     }
 
     /// The stated length of its body; `None` where none is stated. Two lengths that differ are an error.
-    pub fn content_length(&self) -> Result<Option<u64>, Malformed> {
-        let bad = Malformed("a content length that is no number");
+    pub fn content_length(&self) -> Result<Option<u64>, DecodeError> {
+        let bad = DecodeError("a content length that is no number");
         let mut found = None;
         for (_, value) in self.headers.iter().filter(|(n, _)| n == "content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
@@ -81,7 +81,7 @@
             }
             let length: u64 = value.parse().map_err(|_| bad)?;
             if found.is_some_and(|before| before != length) {
-                return Err(Malformed("two content lengths that differ"));
+                return Err(DecodeError("two content lengths that differ"));
             }
             found = Some(length);
         }
@@ -94,7 +94,7 @@
     }
 
     /// Reads the content of a packet behind its code.
-    pub fn read(reader: &mut Reader) -> Result<Request, Malformed> {
+    pub fn read(reader: &mut Reader) -> Result<Request, DecodeError> {
         let code = reader.byte()?;
         let mut request = Request {
             method: codes::method(code).unwrap_or_default().to_owned(),
@@ -108,8 +108,8 @@
             ..Request::default()
         };
         let count = usize::from(reader.integer()?);
-        if count > MOST {
-            return Err(Malformed("too many headers"));
+        if count > MAX_FIELDS {
+            return Err(DecodeError("too many headers"));
         }
         for _ in 0..count {
             let header = (header_name(reader)?, reader.text()?);
@@ -118,22 +118,22 @@
         let mut seen = 0;
         while request.read_attribute(reader)? {
             seen += 1;
-            if seen > MOST {
-                return Err(Malformed("too many attributes"));
+            if seen > MAX_FIELDS {
+                return Err(DecodeError("too many attributes"));
             }
         }
-        if !reader.left().is_empty() {
-            return Err(Malformed("bytes behind the end of a request"));
+        if !reader.remaining().is_empty() {
+            return Err(DecodeError("bytes behind the end of a request"));
         }
         match (code, request.method.is_empty()) {
-            (codes::STORED_METHOD, true) => Err(Malformed("a stored method that is not there")),
-            (_, true) => Err(Malformed("no known method")),
+            (codes::STORED_METHOD, true) => Err(DecodeError("a stored method that is not there")),
+            (_, true) => Err(DecodeError("no known method")),
             _ => Ok(request),
         }
     }
 
     /// `false` at the end of them.
-    fn read_attribute(&mut self, reader: &mut Reader) -> Result<bool, Malformed> {
+    fn read_attribute(&mut self, reader: &mut Reader) -> Result<bool, DecodeError> {
         match reader.byte()? {
             attribute::DONE => return Ok(false),
             attribute::QUERY_STRING => self.query = Some(reader.text()?),
@@ -144,7 +144,7 @@
                 if self.method.is_empty() {
                     self.method = method;
                 } else if self.method != method {
-                    return Err(Malformed("two methods that differ"));
+                    return Err(DecodeError("two methods that differ"));
                 }
             }
             attribute::SSL_KEY_SIZE => {
@@ -158,7 +158,7 @@
             code => {
                 // Of a code that is not known the form is not known either.
                 let known = KEPT.iter().find(|(c, _)| *c == code);
-                let (_, name) = known.ok_or(Malformed("no known attribute"))?;
+                let (_, name) = known.ok_or(DecodeError("no known attribute"))?;
                 self.attributes.push(((*name).to_owned(), reader.text()?));
             }
         }
@@ -166,7 +166,7 @@
     }
 
     /// Writes the content of a packet, its code first.
-    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), Unwritable> {
+    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), EncodeError> {
         out.push(FORWARD);
         let code = codes::method_code(&self.method);
         out.push(code.unwrap_or(codes::STORED_METHOD));
@@ -174,8 +174,8 @@
         texts.into_iter().try_for_each(|text| data::write_string(out, text))?;
         data::write_integer(out, self.server_port);
         out.push(u8::from(self.is_ssl));
-        if self.headers.len() > MOST || self.attributes.len() > MOST - 4 {
-            return Err(Unwritable::TooLong);
+        if self.headers.len() > MAX_FIELDS || self.attributes.len() > MAX_FIELDS - 4 {
+            return Err(EncodeError::TooLong);
         }
         data::write_integer(out, self.headers.len() as u16);
         for (name, value) in &self.headers {
@@ -191,7 +191,7 @@
         }
         if let Some(secret) = &self.secret {
             out.push(attribute::SECRET);
-            data::write_integer(out, u16::try_from(secret.len()).map_err(|_| Unwritable::TooLong)?);
+            data::write_integer(out, u16::try_from(secret.len()).map_err(|_| EncodeError::TooLong)?);
             out.extend_from_slice(secret);
             out.push(0);
         }
@@ -207,7 +207,7 @@
     }
 }
 
-fn write_attribute(out: &mut Vec<u8>, name: &str, value: &str) -> Result<(), Unwritable> {
+fn write_attribute(out: &mut Vec<u8>, name: &str, value: &str) -> Result<(), EncodeError> {
     if let Some(size) = value.parse().ok().filter(|_| name == KEY_SIZE) {
         out.push(attribute::SSL_KEY_SIZE);
         data::write_integer(out, size);
@@ -223,14 +223,14 @@
     data::write_string(out, value)
 }
 
-fn header_name(reader: &mut Reader) -> Result<String, Malformed> {
+fn header_name(reader: &mut Reader) -> Result<String, DecodeError> {
     let length = reader.integer()?;
-    if length & 0xff00 == codes::CODED {
-        return codes::request_header(length).map(String::from).ok_or(Malformed("no known header code"));
+    if length & 0xff00 == codes::CODED_HEADER_PREFIX {
+        return codes::request_header(length).map(String::from).ok_or(DecodeError("no known header code"));
     }
-    let name = data::text(reader.string_of(length)?.unwrap_or_default())?;
+    let name = data::text(reader.string_with_length(length)?.unwrap_or_default())?;
     if name.is_empty() || !name.bytes().all(is_token) {
-        return Err(Malformed("a header without a name"));
+        return Err(DecodeError("a header without a name"));
     }
     Ok(name.to_ascii_lowercase())
 }
--- a/crates/ajp/src/response.rs
+++ b/crates/ajp/src/response.rs
@@ -2,7 +2,7 @@
 
 use crate::codes;
 use crate::data::{self, Reader};
-use crate::{Malformed, Unwritable};
+use crate::{DecodeError, EncodeError};
 
 /// Codes of its packets.
 pub mod code {
@@ -19,7 +19,7 @@
 }
 
 /// Headers that one answer may have.
-pub const MOST: usize = 256;
+pub const MAX_HEADERS: usize = 256;
 
 /// Status and headers of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
 impl Response {
     /// Reads the content of a packet.
-    pub fn read(content: &[u8]) -> Result<Response, Malformed> {
+    pub fn read(content: &[u8]) -> Result<Response, DecodeError> {
         let mut reader = Reader::new(content);
         let response = match reader.byte()? {
             code::HEADERS => Response::Head(read_head(&mut reader)?),
@@ -57,40 +57,40 @@
                 let length = usize::from(reader.integer()?);
                 let part = reader.bytes(length)?.to_vec();
                 // Implementations put a zero byte behind it, of which the reference says nothing.
-                let end = reader.left();
+                let end = reader.remaining();
                 if end != b"\0" && !end.is_empty() {
-                    return Err(Malformed("bytes behind a part of a body"));
+                    return Err(DecodeError("bytes behind a part of a body"));
                 }
                 return Ok(Response::Body(part));
             }
             code::END => Response::End(reader.boolean()?),
             code::GET_BODY => Response::GetBody(reader.integer()?),
             code::CPONG => Response::Pong,
-            _ => return Err(Malformed("no known answer")),
+            _ => return Err(DecodeError("no known answer")),
         };
-        match reader.left() {
+        match reader.remaining() {
             [] => Ok(response),
-            _ => Err(Malformed("bytes behind the end of an answer")),
+            _ => Err(DecodeError("bytes behind the end of an answer")),
         }
     }
 }
 
-fn read_head(reader: &mut Reader) -> Result<Head, Malformed> {
+fn read_head(reader: &mut Reader) -> Result<Head, DecodeError> {
     let (status, reason) = (reader.integer()?, reader.text()?);
     if !(100..1_000).contains(&status) {
-        return Err(Malformed("a status that is none"));
+        return Err(DecodeError("a status that is none"));
     }
     let count = usize::from(reader.integer()?);
-    if count > MOST {
-        return Err(Malformed("too many headers"));
+    if count > MAX_HEADERS {
+        return Err(DecodeError("too many headers"));
     }
     let mut headers = Vec::new();
     for _ in 0..count {
         let length = reader.integer()?;
-        let name = if length & 0xff00 == codes::CODED {
-            codes::response_header(length).map(String::from).ok_or(Malformed("no known header code"))?
+        let name = if length & 0xff00 == codes::CODED_HEADER_PREFIX {
+            codes::response_header(length).map(String::from).ok_or(DecodeError("no known header code"))?
         } else {
-            data::text(reader.string_of(length)?.unwrap_or_default())?.to_ascii_lowercase()
+            data::text(reader.string_with_length(length)?.unwrap_or_default())?.to_ascii_lowercase()
         };
         headers.push((name, reader.text()?));
     }
@@ -103,12 +103,12 @@
     status: u16,
     reason: &str,
     headers: &[(&str, &str)],
-) -> Result<(), Unwritable> {
+) -> Result<(), EncodeError> {
     out.push(code::HEADERS);
     data::write_integer(out, status);
     data::write_string(out, reason)?;
-    if headers.len() > MOST {
-        return Err(Unwritable::TooLong);
+    if headers.len() > MAX_HEADERS {
+        return Err(EncodeError::TooLong);
     }
     data::write_integer(out, headers.len() as u16);
     for (name, value) in headers {
--- a/crates/ajp/tests/both_ends.rs
+++ b/crates/ajp/tests/both_ends.rs
@@ -2,25 +2,25 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use umberloom_ajp::callee::{Callee, Event};
-use umberloom_ajp::caller::{self, Caller};
-use umberloom_ajp::packet::{self, From};
+use umberloom_ajp::client::{self, ClientConnection};
+use umberloom_ajp::packet::{self, Sender};
 use umberloom_ajp::request::Request;
 use umberloom_ajp::response::Response;
-use umberloom_ajp::Unwritable;
+use umberloom_ajp::server::{Event, ServerConnection};
+use umberloom_ajp::EncodeError;
 
-const USUAL: usize = packet::USUAL;
+const USUAL: usize = packet::DEFAULT_PACKET_BYTES;
 
 /// Everything that both ends say until neither has more, the callee answering as soon as the request is whole. The
 /// request that came, its body, and the answer's body.
 fn exchange(request: &Request, body: &[u8], answer: &[u8], cut: usize) -> (Request, Vec<u8>, Vec<u8>) {
-    let (mut caller, mut callee) = (Caller::new(USUAL), Callee::new(USUAL));
-    caller.ask(request, body).expect("it fits");
+    let (mut caller, mut callee) = (ClientConnection::new(USUAL), ServerConnection::new(USUAL));
+    caller.send_request(request, body).expect("it fits");
     let (mut came, mut heard, mut replied) = (None, Vec::new(), Vec::new());
     let (mut up, mut down) = (Vec::new(), Vec::new());
     loop {
-        up.append(&mut caller.out);
-        down.append(&mut callee.out);
+        up.append(&mut caller.output);
+        down.append(&mut callee.output);
         if up.is_empty() && down.is_empty() {
             break;
         }
@@ -28,7 +28,7 @@
         let mut seen = 0;
         while seen < up.len() {
             seen = (seen + cut).min(up.len());
-            while let (used @ 1.., event) = callee.take(&up[..seen]).expect("sound") {
+            while let (used @ 1.., event) = callee.decode(&up[..seen]).expect("sound") {
                 up.drain(..used);
                 seen -= used;
                 match event {
@@ -37,25 +37,25 @@
                     other => panic!("{other:?}"),
                 }
                 if callee.awaits_body() {
-                    callee.ask_more();
+                    callee.request_body_chunk();
                 } else {
                     callee
-                        .answer(200, "OK", &[("Content-Type", "x/y"), ("X-Own", "z")], answer, true)
+                        .send_response(200, "OK", &[("Content-Type", "x/y"), ("X-Own", "z")], answer, true)
                         .expect("owed");
                 }
             }
         }
         assert!(up.is_empty());
-        while let (used @ 1.., event) = caller.take(&down).expect("sound") {
+        while let (used @ 1.., event) = caller.decode(&down).expect("sound") {
             down.drain(..used);
             match event {
-                Some(caller::Event::Head(head)) => {
+                Some(client::Event::Head(head)) => {
                     assert_eq!(head.headers[0], ("content-type".to_owned(), "x/y".to_owned()));
                     assert_eq!((head.status, head.headers[1].0.as_str()), (200, "x-own"));
                 }
-                Some(caller::Event::Body(part)) => replied.extend(part),
-                Some(caller::Event::End(reuse)) => assert!(reuse),
-                Some(caller::Event::Pong) => panic!("no ping was sent"),
+                Some(client::Event::Body(part)) => replied.extend(part),
+                Some(client::Event::End(reuse)) => assert!(reuse),
+                Some(client::Event::Pong) => panic!("no ping was sent"),
                 None => {}
             }
         }
@@ -93,30 +93,30 @@
 
 #[test]
 fn pings_are_answered_between_requests_only() {
-    let (mut caller, mut callee) = (Caller::new(USUAL), Callee::new(USUAL));
-    caller.ping().expect("idle");
-    assert_eq!(caller.ask(&full(), b""), Err(Unwritable::OutOfTurn));
-    assert_eq!(callee.take(&caller.out), Ok((5, Some(Event::Ping))));
-    callee.pong();
-    assert_eq!(caller.take(&callee.out), Ok((5, Some(caller::Event::Pong))));
-    caller.out.clear();
-    caller.ask(&full(), b"").expect("idle again");
-    assert!(matches!(callee.take(&caller.out), Ok((_, Some(Event::Request(_))))));
+    let (mut caller, mut callee) = (ClientConnection::new(USUAL), ServerConnection::new(USUAL));
+    caller.send_ping().expect("idle");
+    assert_eq!(caller.send_request(&full(), b""), Err(EncodeError::OutOfTurn));
+    assert_eq!(callee.decode(&caller.output), Ok((5, Some(Event::Ping))));
+    callee.send_pong();
+    assert_eq!(caller.decode(&callee.output), Ok((5, Some(client::Event::Pong))));
+    caller.output.clear();
+    caller.send_request(&full(), b"").expect("idle again");
+    assert!(matches!(callee.decode(&caller.output), Ok((_, Some(Event::Request(_))))));
     let ping = [0x12, 0x34, 0, 1, 10];
-    assert!(callee.take(&ping).is_err(), "in the middle of a request");
+    assert!(callee.decode(&ping).is_err(), "in the middle of a request");
     // While a body is awaited a ping is no part of it either.
-    let mut callee = Callee::new(USUAL);
-    let mut caller = Caller::new(USUAL);
-    caller.ask(&full(), &[1; 10]).expect("idle");
-    let (used, _) = callee.take(&caller.out).expect("sound");
-    assert!(callee.take(&ping).is_err() && callee.take(&caller.out[used..]).is_ok());
+    let mut callee = ServerConnection::new(USUAL);
+    let mut caller = ClientConnection::new(USUAL);
+    caller.send_request(&full(), &[1; 10]).expect("idle");
+    let (used, _) = callee.decode(&caller.output).expect("sound");
+    assert!(callee.decode(&ping).is_err() && callee.decode(&caller.output[used..]).is_ok());
 }
 
 #[test]
 fn shutdown_is_an_event_and_nothing_more() {
-    let mut callee = Callee::new(USUAL);
-    assert_eq!(callee.take(&[0x12, 0x34, 0, 1, 7]), Ok((5, Some(Event::Shutdown))));
-    assert!(callee.is_idle() && callee.out.is_empty());
+    let mut callee = ServerConnection::new(USUAL);
+    assert_eq!(callee.decode(&[0x12, 0x34, 0, 1, 7]), Ok((5, Some(Event::Shutdown))));
+    assert!(callee.is_idle() && callee.output.is_empty());
 }
 
 fn with_body(stated: &str, parts: &[&[u8]]) -> Result<Vec<u8>, &'static str> {
@@ -124,17 +124,17 @@
     request.headers.push(("content-length".into(), stated.to_owned()));
     let mut content = Vec::new();
     request.write(&mut content).expect("short");
-    let (mut callee, mut bytes, mut heard) = (Callee::new(USUAL), Vec::new(), Vec::new());
-    packet::write(&mut bytes, From::Caller, &content);
-    callee.take(&bytes).map_err(|e| e.0)?;
+    let (mut callee, mut bytes, mut heard) = (ServerConnection::new(USUAL), Vec::new(), Vec::new());
+    packet::write_packet(&mut bytes, Sender::Client, &content);
+    callee.decode(&bytes).map_err(|e| e.0)?;
     for part in parts {
         bytes.clear();
         let content = [&(part.len() as u16).to_be_bytes()[..], part].concat();
-        packet::write(&mut bytes, From::Caller, &content);
-        if let (_, Some(Event::Body(part, _))) = callee.take(&bytes).map_err(|e| e.0)? {
+        packet::write_packet(&mut bytes, Sender::Client, &content);
+        if let (_, Some(Event::Body(part, _))) = callee.decode(&bytes).map_err(|e| e.0)? {
             heard.extend(part);
         }
-        callee.ask_more();
+        callee.request_body_chunk();
     }
     Ok(heard)
 }
@@ -152,23 +152,23 @@
 
 #[test]
 fn a_part_that_nobody_asked_for_is_an_error() {
-    let (mut caller, mut callee) = (Caller::new(USUAL), Callee::new(USUAL));
-    caller.ask(&full(), &[1; 2 * USUAL]).expect("idle");
-    let (used, _) = callee.take(&caller.out).expect("sound");
-    let part = caller.out[used..].to_vec();
-    callee.take(&part).expect("the first comes by itself");
-    assert!(callee.take(&part).is_err());
+    let (mut caller, mut callee) = (ClientConnection::new(USUAL), ServerConnection::new(USUAL));
+    caller.send_request(&full(), &[1; 2 * USUAL]).expect("idle");
+    let (used, _) = callee.decode(&caller.output).expect("sound");
+    let part = caller.output[used..].to_vec();
+    callee.decode(&part).expect("the first comes by itself");
+    assert!(callee.decode(&part).is_err());
 }
 
 #[test]
 fn a_request_refused_before_its_body_ends_the_connection() {
-    let (mut caller, mut callee) = (Caller::new(USUAL), Callee::new(USUAL));
-    caller.ask(&full(), &[1; 10 * USUAL]).expect("idle");
-    let (_, event) = callee.take(&caller.out).expect("sound");
+    let (mut caller, mut callee) = (ClientConnection::new(USUAL), ServerConnection::new(USUAL));
+    caller.send_request(&full(), &[1; 10 * USUAL]).expect("idle");
+    let (_, event) = callee.decode(&caller.output).expect("sound");
     assert!(matches!(event, Some(Event::Request(_))) && callee.awaits_body());
-    callee.answer(503, "No", &[], b"", true).expect("owed");
-    assert!(callee.is_over() && !callee.out.is_empty());
-    assert_eq!(callee.answer(200, "OK", &[], b"", true), Err(Unwritable::OutOfTurn));
+    callee.send_response(503, "No", &[], b"", true).expect("owed");
+    assert!(callee.should_close() && !callee.output.is_empty());
+    assert_eq!(callee.send_response(200, "OK", &[], b"", true), Err(EncodeError::OutOfTurn));
 }
 
 #[test]
@@ -176,8 +176,8 @@
     let mut body = vec![3, 0, 1, b'x', 0];
     for content in [&mut body, &mut vec![5, 1], &mut vec![9], &mut vec![6, 0, 9]] {
         let mut bytes = Vec::new();
-        packet::write(&mut bytes, From::Callee, content);
-        assert!(Caller::new(USUAL).take(&bytes).is_err(), "{content:?} on an idle connection");
+        packet::write_packet(&mut bytes, Sender::Server, content);
+        assert!(ClientConnection::new(USUAL).decode(&bytes).is_err(), "{content:?} on an idle connection");
     }
 }
 
@@ -226,8 +226,8 @@
             bytes[2..4].copy_from_slice(&(length as u16).to_be_bytes());
             bytes[4] = [2, 7, 8, 10][length % 4];
         }
-        let mut callee = Callee::new(USUAL);
-        if let Ok((used, _)) = callee.take(&bytes) {
+        let mut callee = ServerConnection::new(USUAL);
+        if let Ok((used, _)) = callee.decode(&bytes) {
             prop_assert!(used <= bytes.len());
         }
         if let Some(content) = bytes.get(4..) {
@@ -240,15 +240,15 @@
     fn changed_bytes_are_never_worse_than_an_error(
         request in requests(), changes in vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
-        let mut caller = Caller::new(USUAL);
-        caller.ask(&request, b"body").expect("it fits");
-        let mut bytes = std::mem::take(&mut caller.out);
+        let mut caller = ClientConnection::new(USUAL);
+        caller.send_request(&request, b"body").expect("it fits");
+        let mut bytes = std::mem::take(&mut caller.output);
         changes.iter().for_each(|(at, to)| { let at = at.index(bytes.len()); bytes[at] = *to; });
-        let mut callee = Callee::new(USUAL);
+        let mut callee = ServerConnection::new(USUAL);
         let mut at = 0;
-        while let Ok((used @ 1.., _)) = callee.take(&bytes[at..]) {
+        while let Ok((used @ 1.., _)) = callee.decode(&bytes[at..]) {
             at += used;
-            callee.ask_more();
+            callee.request_body_chunk();
         }
         prop_assert!(at <= bytes.len());
     }
--- a/crates/ajp/tests/corpus.rs
+++ b/crates/ajp/tests/corpus.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use umberloom_ajp::callee::Callee;
+use umberloom_ajp::server::ServerConnection;
 
 fn bytes(text: &str) -> Vec<u8> {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
@@ -12,7 +12,7 @@
 }
 
 fn outcome(bytes: &[u8]) -> &'static str {
-    match Callee::new(8192).take(bytes) {
+    match ServerConnection::new(8192).decode(bytes) {
         Ok((0, None)) => "awaited",
         Ok((used, Some(_))) => {
             assert!(used <= bytes.len());
--- a/crates/ajp/tests/standin.rs
+++ b/crates/ajp/tests/standin.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-use umberloom_ajp::callee::{Callee, Event};
+use umberloom_ajp::server::{Event, ServerConnection};
 use umberloom_protocol_fakes::ajp::{AjpRequest, FrontEnd};
 
 /// Serves one connection: every request is answered with its body, by the headers and the query it came with. The heads
@@ -11,14 +11,14 @@
 fn serve(listener: &TcpListener, requests: usize) -> Vec<umberloom_ajp::request::Request> {
     let (mut stream, _) = listener.accept().expect("a connection");
     let (mut callee, mut bytes, mut heads, mut body) =
-        (Callee::new(8192), Vec::new(), Vec::new(), Vec::new());
+        (ServerConnection::new(8192), Vec::new(), Vec::new(), Vec::new());
     while heads.len() < requests || !callee.is_idle() {
-        let (used, event) = callee.take(&bytes).expect("sound");
+        let (used, event) = callee.decode(&bytes).expect("sound");
         bytes.drain(..used);
         match event {
             Some(Event::Request(request)) => heads.push(*request),
             Some(Event::Body(part, _)) => body.extend(part),
-            Some(Event::Ping) => callee.pong(),
+            Some(Event::Ping) => callee.send_pong(),
             Some(other) => panic!("{other:?}"),
             None => {
                 let mut more = [0; 3_000];
@@ -29,15 +29,15 @@
         }
         if !heads.is_empty() && !callee.is_idle() {
             if callee.awaits_body() {
-                callee.ask_more();
-            } else if !callee.is_over() {
+                callee.request_body_chunk();
+            } else if !callee.should_close() {
                 let reply = std::mem::take(&mut body);
                 callee
-                    .answer(200, "OK", &[("Content-Type", "x/y"), ("X-Own", "z")], &reply, true)
+                    .send_response(200, "OK", &[("Content-Type", "x/y"), ("X-Own", "z")], &reply, true)
                     .expect("owed");
             }
         }
-        stream.write_all(&std::mem::take(&mut callee.out)).expect("written");
+        stream.write_all(&std::mem::take(&mut callee.output)).expect("written");
     }
     heads
 }
--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_io::Async;
-use umberloom_ajp::caller::{Caller, Event};
+use umberloom_ajp::client::{ClientConnection, Event};
 use umberloom_ajp::request::Request;
 
 use super::stream::{self, ReadResult};
@@ -28,9 +28,9 @@
 
 /// Whether the other end answers a ping.
 pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
-    let mut caller = Caller::new(ajp.packet_bytes);
+    let mut caller = ClientConnection::new(ajp.packet_bytes);
     let ping = async {
-        caller.ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
+        caller.send_ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
         match next_event(stream, &mut caller, &mut Buffer::new(ajp.packet_bytes)).await? {
             Event::Pong => Ok(()),
             _ => Err(Error::from(ErrorKind::InvalidData)),
@@ -51,8 +51,8 @@
     request.headers =
         headers.iter().map(|(name, value)| (name.to_ascii_lowercase(), (*value).to_owned())).collect();
     request.secret = ajp.secret.as_ref().map(|secret| secret.clone().into_bytes());
-    let mut caller = Caller::new(ajp.packet_bytes);
-    caller.ask(&request, body).map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
+    let mut caller = ClientConnection::new(ajp.packet_bytes);
+    caller.send_request(&request, body).map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
     let mut buffer = Buffer::new(ajp.packet_bytes);
     let mut reply =
         Reply { status: 0, headers: Vec::new(), body: Vec::new(), keep_alive: false, encoded_bytes: 0 };
@@ -79,14 +79,14 @@
 /// Writes what is queued and reads until the next event.
 async fn next_event(
     stream: &Async<TcpStream>,
-    caller: &mut Caller,
+    caller: &mut ClientConnection,
     buffer: &mut Buffer,
 ) -> std::io::Result<Event> {
     loop {
-        let out = std::mem::take(&mut caller.out);
+        let out = std::mem::take(&mut caller.output);
         stream::write_all(stream, &out).await?;
         let (used, event) =
-            caller.take(buffer.unread()).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
+            caller.decode(buffer.unread()).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
         buffer.consume(used);
         match event {
             Some(event) => return Ok(event),
