--- a/crates/server/src/admission/agent_events.rs
+++ b/crates/server/src/admission/agent_events.rs
@@ -61,11 +61,11 @@
     }
 
     /// Notes that a run has ended, `stopped` by preemption or not.
-    fn update_run_state(&mut self, id: &RequestId, stopped: bool) {
+    fn update_run_state(&mut self, id: &RequestId, was_aborted_by_preemption: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.preempting = false;
         // A run that was preempted leaves its request to the controller, unless it is answered.
-        let is_preempted = stopped && request.reply_to.is_some();
+        let is_preempted = was_aborted_by_preemption && request.reply_to.is_some();
         let is_paused = is_preempted && self.settings.preemption == Preemption::Pause;
         request.run = if is_paused { RunState::Paused } else { RunState::NotRunning };
         if !is_preempted {
--- a/crates/server/src/admission/arrivals.rs
+++ b/crates/server/src/admission/arrivals.rs
@@ -6,7 +6,7 @@
 use umberloom::interface::{Arrival, Class, Event, Idempotency, Micros, RequestId};
 
 use super::AdmissionActor;
-use crate::memory::idempotency_cache::{BodyDigest, CachedRequest, Subject};
+use crate::memory::idempotency_cache::{BodyDigest, CachedRequest, DedupKey};
 use crate::memory::request_table::{OpenRequest, RunState};
 use crate::messages::caller::{Request, Response};
 
@@ -29,12 +29,12 @@
     /// The request that has the key.
     duplicate_of: Option<RequestId>,
     /// The key is free, and is reserved if the request is accepted.
-    reservation: Option<Reservation>,
+    reservation: Option<KeyReservation>,
 }
 
 /// A key that keeps duplicates from running from the arrival of its first attempt on.
-struct Reservation {
-    subject: Subject,
+struct KeyReservation {
+    dedup_key: DedupKey,
     body: BodyDigest,
     expires_at: Micros,
 }
@@ -46,7 +46,7 @@
             // Nothing can run before the agent is up.
             return request.reply_to.respond(REJECTED);
         }
-        if let Err(response) = self.set_idempotency_subject(&mut request) {
+        if let Err(response) = self.set_dedup_key(&mut request) {
             return request.reply_to.respond(response);
         }
         let timing = self.timing(now, &request);
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// A request without its key could run twice, so it is malformed.
-    fn set_idempotency_subject(&self, request: &mut Request) -> Result<(), Response> {
+    fn set_dedup_key(&self, request: &mut Request) -> Result<(), Response> {
         if self.class_with_keys(request.class).is_none() {
             return Ok(());
         }
@@ -103,26 +103,26 @@
         read_delay: Micros,
     ) -> Result<KeyLookup, Response> {
         let Some(key) = request.work.dedup_key.clone() else { return Ok(KeyLookup::default()) };
-        let subject = Subject { class: request.class, key };
+        let dedup_key = DedupKey { class: request.class, key };
         // A duplicate counts by when it reached the machine, however late it is read. While the first attempt is in
         // flight no other may run, though its key has expired.
-        let reached_at = now.saturating_sub(read_delay);
-        let cached = self.idempotency_cache.get(&subject).cloned();
-        let cached =
-            cached.filter(|first| first.expires_at > reached_at || self.requests.contains(&first.id));
+        let arrived_at = now.saturating_sub(read_delay);
+        let cached = self.idempotency_cache.get(&dedup_key).cloned();
+        let cached = cached
+            .filter(|original| original.expires_at > arrived_at || self.requests.contains(&original.id));
         let Some(class) = self.class_with_keys(request.class) else {
-            return Ok(KeyLookup { duplicate_of: cached.map(|first| first.id), reservation: None });
+            return Ok(KeyLookup { duplicate_of: cached.map(|original| original.id), reservation: None });
         };
         let expires_at = now + class.idempotency_window;
         let body = self.idempotency_cache.digest(&request.body);
         match cached {
             // Another request under a key that is taken is no duplicate: it must neither run nor get the other's result.
-            Some(first) if first.body != body => Err(Response::BadRequest),
-            Some(first) => Ok(KeyLookup { duplicate_of: Some(first.id), reservation: None }),
+            Some(original) if original.body != body => Err(Response::BadRequest),
+            Some(original) => Ok(KeyLookup { duplicate_of: Some(original.id), reservation: None }),
             // Without room for its key nothing would keep a duplicate from running.
             None if !self.make_room_for_key(now) => Err(REJECTED),
             None => {
-                let reservation = Some(Reservation { subject, body, expires_at });
+                let reservation = Some(KeyReservation { dedup_key, body, expires_at });
                 Ok(KeyLookup { duplicate_of: None, reservation })
             }
         }
@@ -144,7 +144,7 @@
             duplicate_of: lookup.duplicate_of.clone(),
             is_retry: self.shape.marks_retry && work.is_retry,
         };
-        let open = OpenRequest {
+        let open_request = OpenRequest {
             id,
             class,
             work,
@@ -161,9 +161,9 @@
             awaits_original: false,
             _charge: charge,
         };
-        if let Err(open) = self.requests.insert(Box::new(open)) {
+        if let Err(duplicate_id) = self.requests.insert(Box::new(open_request)) {
             // The name is in use: the controller would mix the two requests up.
-            if let Some(reply_to) = open.reply_to {
+            if let Some(reply_to) = duplicate_id.reply_to {
                 reply_to.respond(Response::BadRequest);
             }
             return;
@@ -176,7 +176,7 @@
                 expires_at: reservation.expires_at,
                 evictable: false,
             };
-            self.idempotency_cache.insert(reservation.subject, cached);
+            self.idempotency_cache.insert(reservation.dedup_key, cached);
         }
         self.events.push(Event::Arrived(arrival));
     }
@@ -185,8 +185,9 @@
     /// name, is not this caller's.
     pub(super) fn handle_cancellation(&mut self, id: &str, serial: u64) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let is_callers = request.reply_to.as_ref().is_some_and(|reply_to| reply_to.serial() == serial);
-        if !is_callers {
+        let is_callers_request =
+            request.reply_to.as_ref().is_some_and(|reply_to| reply_to.serial() == serial);
+        if !is_callers_request {
             return;
         }
         let id = request.id.clone();
@@ -199,19 +200,21 @@
     /// Makes the request's subject known for as long as the controller wants, so that duplicates are linked to it.
     pub(super) fn retain_key(&mut self, now: Micros, id: &RequestId, expires_at: Micros) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(subject) = request.subject() else { return };
+        let Some(dedup_key) = request.dedup_key() else { return };
         let body = self.idempotency_cache.digest(&request.body);
-        let evictable = self.class_with_keys(subject.class).is_none();
+        let evictable = self.class_with_keys(dedup_key.class).is_none();
         if self.make_room_for_key(now) {
             let cached = CachedRequest { id: id.clone(), body, expires_at, evictable };
-            self.idempotency_cache.insert(subject, cached);
+            self.idempotency_cache.insert(dedup_key, cached);
         }
     }
 
     /// Makes the request's subject unknown, if this request has it.
     pub(super) fn release_key(&mut self, id: &str) {
-        let Some(subject) = self.requests.get_mut(id).and_then(|request| request.subject()) else { return };
-        self.idempotency_cache.release(&subject, id);
+        let Some(dedup_key) = self.requests.get_mut(id).and_then(|request| request.dedup_key()) else {
+            return;
+        };
+        self.idempotency_cache.release(&dedup_key, id);
     }
 
     /// Drops expired keys. A duplicate that reached the machine in time may be read later, by its deadline at most, and
--- a/crates/server/src/admission/health_checks.rs
+++ b/crates/server/src/admission/health_checks.rs
@@ -69,11 +69,11 @@
 
     /// Fails the deep health checks that the agent has not answered in time. Tags and deadlines grow together.
     pub(super) fn expire_health_checks(&mut self, now: Micros) {
-        while let Some(first) = self.health_checks.first_entry() {
-            if now < first.get().deadline {
+        while let Some(oldest) = self.health_checks.first_entry() {
+            if now < oldest.get().deadline {
                 break;
             }
-            first.remove().reply_to.respond(Response::Health(false));
+            oldest.remove().reply_to.respond(Response::Health(false));
         }
     }
 }
--- a/crates/server/src/admission/mailboxes.rs
+++ b/crates/server/src/admission/mailboxes.rs
@@ -58,9 +58,9 @@
     pub(super) fn set_accepting(&mut self, accepting: bool) {
         let registration = &self.mailboxes.registration;
         let displaced = registration.force_send(RegistrationCommand::SetAccepting(accepting));
-        if let Ok(Some(address @ RegistrationCommand::SetAddress(_))) = displaced {
+        if let Ok(Some(address_command @ RegistrationCommand::SetAddress(_))) = displaced {
             // Displaces an older `SetAccepting` at most; fails only at the end of the program.
-            let _ = registration.force_send(address);
+            let _ = registration.force_send(address_command);
         }
     }
 
--- a/crates/server/src/admission/mod.rs
+++ b/crates/server/src/admission/mod.rs
@@ -136,9 +136,9 @@
     pub async fn run(mut self) {
         let mut next_step: Micros = 0;
         while self.wait_for_input().await {
-            let early = next_step.saturating_sub(self.clock.now());
-            if early > 0 && !self.events.is_empty() {
-                Timer::after(Duration::from_micros(early)).await;
+            let wait = next_step.saturating_sub(self.clock.now());
+            if wait > 0 && !self.events.is_empty() {
+                Timer::after(Duration::from_micros(wait)).await;
                 self.read_inbox();
             }
             if self.step() {
@@ -160,9 +160,9 @@
             Ok(None)
         };
         let message = async { self.inbox.recv().await.map(Some) };
-        let Ok(first) = future::or(message, timeout).await else { return false };
+        let Ok(received) = future::or(message, timeout).await else { return false };
         self.events.extend(self.deferred_events.drain(..));
-        if let Some(message) = first {
+        if let Some(message) = received {
             self.handle_message(self.clock.now(), message);
         }
         self.read_inbox();
--- a/crates/server/src/admission/responses.rs
+++ b/crates/server/src/admission/responses.rs
@@ -25,8 +25,8 @@
 
     /// Responds with a result, also to the duplicates that wait for it.
     pub(super) fn respond_with_result(&mut self, id: &RequestId, result: Vec<u8>) {
-        if let Some(subject) = self.requests.get_mut(id).and_then(|request| request.subject()) {
-            self.idempotency_cache.store_result(&subject, id, &result);
+        if let Some(dedup_key) = self.requests.get_mut(id).and_then(|request| request.dedup_key()) {
+            self.idempotency_cache.store_result(&dedup_key, id, &result);
         }
         for duplicate in self.requests.awaiting(id) {
             self.end_duplicate(&duplicate, Some(&result));
--- a/crates/server/src/admission/tests/calls.rs
+++ b/crates/server/src/admission/tests/calls.rs
@@ -14,7 +14,7 @@
 }
 
 /// What the records service's actor has been told since the last look.
-fn calls(bench: &Bench) -> Vec<String> {
+fn take_records_commands(fixture: &Fixture) -> Vec<String> {
     let describe = |command| match command {
         DependencyCommand::Call(call) => {
             format!("Call({:?}, {:?}, {})", call.id.request, call.body, call.deadline)
@@ -22,34 +22,34 @@
         DependencyCommand::Cancel(id) => format!("Cancel({:?})", id.request),
         other => format!("{other:?}"),
     };
-    received(&bench.records).into_iter().map(describe).collect()
+    receive_all(&fixture.records).into_iter().map(describe).collect()
 }
 
 #[test]
-fn calls_are_made_delivered_cancelled_and_skipped() {
-    let mut bench = bench(Preemption::Pause);
-    bench.launched("a");
-    bench.send(needs_call(7, b"c"));
-    bench.execute(Action::Call("a".into(), 50));
-    assert_eq!(calls(&bench), [r#"Call("a", [99], 50)"#]);
-    bench.send(call_ended(Outcome::ConnectionLost, b""));
-    bench.execute(Action::Call("a".into(), 60));
-    bench.send(call_ended(Outcome::Ok, b"reply"));
+fn calls_without_a_plan_are_made_delivered_cancelled_and_skipped() {
+    let mut fixture = fixture(Preemption::Pause);
+    fixture.launch("a");
+    fixture.send(needs_call(7, b"c"));
+    fixture.execute(Action::Call("a".into(), 50));
+    assert_eq!(take_records_commands(&fixture), [r#"Call("a", [99], 50)"#]);
+    fixture.send(call_ended(Outcome::ConnectionLost, b""));
+    fixture.execute(Action::Call("a".into(), 60));
+    fixture.send(call_ended(Outcome::Ok, b"reply"));
     let deliver = AgentCommand::DeliverReply { id: "a".into(), body: b"reply".to_vec() };
-    assert_eq!(bench.commands(), [deliver]);
+    assert_eq!(fixture.take_agent_commands(), [deliver]);
     let events = [r#"NeedsCall("a")"#, r#"CallEnded("a", ConnectionLost, 3)"#, r#"CallEnded("a", Ok, 3)"#];
-    assert_eq!(bench.events(), events);
+    assert_eq!(fixture.take_events(), events);
     // The end of a call that nobody waits for changes nothing.
-    bench.send(call_ended(Outcome::Ok, b""));
-    assert_eq!((bench.commands(), bench.events().len()), (vec![], 0));
-    calls(&bench);
-    bench.send(needs_call(8, b"d"));
-    bench.execute(Action::Call("a".into(), 70));
-    bench.execute(Action::SkipCall("a".into()));
-    assert_eq!(calls(&bench), [r#"Call("a", [100], 70)"#, r#"Cancel("a")"#]);
-    assert_eq!(bench.commands(), [AgentCommand::SkipCall { id: "a".into(), notice_seq: 8 }]);
-    bench.send(needs_call(9, b"e"));
-    bench.execute(Action::Call("a".into(), 70));
-    bench.execute(Action::Fail("a".into()));
-    assert_eq!(calls(&bench), [r#"Call("a", [101], 70)"#, r#"Cancel("a")"#]);
+    fixture.send(call_ended(Outcome::Ok, b""));
+    assert_eq!((fixture.take_agent_commands(), fixture.take_events().len()), (vec![], 0));
+    take_records_commands(&fixture);
+    fixture.send(needs_call(8, b"d"));
+    fixture.execute(Action::Call("a".into(), 70));
+    fixture.execute(Action::SkipCall("a".into()));
+    assert_eq!(take_records_commands(&fixture), [r#"Call("a", [100], 70)"#, r#"Cancel("a")"#]);
+    assert_eq!(fixture.take_agent_commands(), [AgentCommand::SkipCall { id: "a".into(), notice_seq: 8 }]);
+    fixture.send(needs_call(9, b"e"));
+    fixture.execute(Action::Call("a".into(), 70));
+    fixture.execute(Action::Fail("a".into()));
+    assert_eq!(take_records_commands(&fixture), [r#"Call("a", [101], 70)"#, r#"Cancel("a")"#]);
 }
--- a/crates/server/src/admission/tests/mailboxes.rs
+++ b/crates/server/src/admission/tests/mailboxes.rs
@@ -4,14 +4,14 @@
 use crate::messages::caller::HealthCheck;
 
 #[test]
-fn readiness_never_displaces_the_registrations_new_address() {
-    let mut bench = bench(Preemption::Pause);
+fn readiness_messages_do_not_displace_a_new_registration_address() {
+    let mut fixture = fixture(Preemption::Pause);
     let address = RegistrationCommand::SetAddress(([127, 0, 0, 1], 9).into());
-    bench.actor.mailboxes.registration.try_send(address).expect("room");
+    fixture.actor.mailboxes.registration.try_send(address).expect("room");
     for ready in [true, false, true, false, true, false] {
-        bench.execute(Action::SetReady(ready));
+        fixture.execute(Action::SetReady(ready));
     }
-    let commands = received(&bench.registration);
+    let commands = receive_all(&fixture.registration);
     assert!(
         commands.contains(&address) && commands.contains(&RegistrationCommand::SetAccepting(false)),
         "{commands:?}"
@@ -19,26 +19,26 @@
 }
 
 #[test]
-fn readiness_and_the_idle_timeout_reach_the_registration_the_listener_and_health_checks() {
-    let mut bench = bench(Preemption::Pause);
-    bench.execute(Action::SetReady(false));
-    bench.execute(Action::SetReady(true));
-    bench.execute(Action::SetReady(false));
+fn readiness_and_idle_timeout_reach_registration_listener_and_health_checks() {
+    let mut fixture = fixture(Preemption::Pause);
+    fixture.execute(Action::SetReady(false));
+    fixture.execute(Action::SetReady(true));
+    fixture.execute(Action::SetReady(false));
     // In order, as the newest counts.
-    assert_eq!(bench.accepting(), [false, true, false]);
-    bench.execute(Action::CloseIdle(70));
-    assert!(matches!(received(&bench.listener).as_slice(), [ListenerCommand::CloseIdle(70)]));
-    let reply_to = bench.reply_to();
+    assert_eq!(fixture.take_accepting(), [false, true, false]);
+    fixture.execute(Action::CloseIdle(70));
+    assert!(matches!(receive_all(&fixture.listener).as_slice(), [ListenerCommand::CloseIdle(70)]));
+    let reply_to = fixture.reply_to();
     let serial = reply_to.serial();
-    bench.send(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
-    assert_eq!(bench.responses(), [(serial, Response::Health(false))]);
+    fixture.send(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
+    assert_eq!(fixture.take_responses(), [(serial, Response::Health(false))]);
 }
 
 #[test]
-fn the_load_hint_is_there_for_all_connections() {
-    let mut bench = bench(Preemption::Pause);
-    let load_hint = bench.actor.mailboxes.load_hint.clone();
+fn load_hint_is_visible_to_connections() {
+    let mut fixture = fixture(Preemption::Pause);
+    let load_hint = fixture.actor.mailboxes.load_hint.clone();
     assert_eq!(load_hint.get(), None);
-    bench.execute(Action::SetLoadHint(0.25));
+    fixture.execute(Action::SetLoadHint(0.25));
     assert_eq!(load_hint.get(), Some(0.25));
 }
--- a/crates/server/src/admission/tests/mod.rs
+++ b/crates/server/src/admission/tests/mod.rs
@@ -26,7 +26,7 @@
 const NOW: Micros = 1_764_576_000_000_000;
 
 /// An actor whose agent is up, with the receiving ends of all mailboxes.
-struct Bench {
+struct Fixture {
     actor: AdmissionActor,
     agent: Receiver<AgentActorMessage>,
     records: Receiver<DependencyCommand>,
@@ -53,15 +53,15 @@
     settings
 }
 
-fn bench(preemption: Preemption) -> Bench {
-    bench_with(settings(preemption))
+fn fixture(preemption: Preemption) -> Fixture {
+    fixture_with(settings(preemption))
 }
 
-fn bench_with_keys() -> Bench {
-    bench_with(settings_with_keys())
+fn fixture_with_keys() -> Fixture {
+    fixture_with(settings_with_keys())
 }
 
-fn bench_with(settings: Settings) -> Bench {
+fn fixture_with(settings: Settings) -> Fixture {
     let (agent_mailbox, agent) = async_channel::bounded(64);
     let (records_mailbox, records) = async_channel::bounded(64);
     let (registration_mailbox, registration) = async_channel::bounded(4);
@@ -87,7 +87,7 @@
     });
     actor.handle_agent_up(NOW, 0);
     actor.events.clear();
-    let bench = Bench {
+    let fixture = Fixture {
         actor,
         agent,
         records,
@@ -97,18 +97,23 @@
         connection_mailbox,
         last_serial: 0,
     };
-    assert_eq!(bench.accepting(), [true]);
-    bench
+    assert_eq!(fixture.take_accepting(), [true]);
+    fixture
 }
 
 /// All that has been sent to a mailbox since the last look.
-fn received<T>(mailbox: &Receiver<T>) -> Vec<T> {
+fn receive_all<T>(mailbox: &Receiver<T>) -> Vec<T> {
     std::iter::from_fn(|| mailbox.try_recv().ok()).collect()
 }
 
-impl Bench {
+impl Fixture {
     /// A request of the first class that spent a second in socket buffers.
-    fn work(&self, id: &str, resource_key: Option<&str>, idempotency_key: Option<&str>) -> WorkRequest {
+    fn work_request(
+        &self,
+        id: &str,
+        resource_key: Option<&str>,
+        idempotency_key: Option<&str>,
+    ) -> WorkRequest {
         WorkRequest {
             id: id.to_owned(),
             class: "desk-search".to_owned(),
@@ -126,8 +131,11 @@
     }
 
     /// The same with an idempotency key, received just now.
-    fn work_with_key(&self, id: &str, idempotency_key: &str) -> WorkRequest {
-        WorkRequest { received_at: self.actor.clock.unix(), ..self.work(id, None, Some(idempotency_key)) }
+    fn work_request_with_key(&self, id: &str, idempotency_key: &str) -> WorkRequest {
+        WorkRequest {
+            received_at: self.actor.clock.unix(),
+            ..self.work_request(id, None, Some(idempotency_key))
+        }
     }
 
     /// Where the response to a request or health check goes, under a serial of its own.
@@ -137,7 +145,7 @@
     }
 
     /// A request arrives; gives its serial.
-    fn arrive(&mut self, now: Micros, work: WorkRequest, tenant: usize, body: &[u8]) -> u64 {
+    fn send_work_request(&mut self, now: Micros, work: WorkRequest, tenant: usize, body: &[u8]) -> u64 {
         let request = Request {
             id: work.id.as_str().into(),
             class: 0,
@@ -152,15 +160,15 @@
     }
 
     /// A request arrives that has a resource key or none.
-    fn request(&mut self, id: &str, resource_key: Option<&str>) {
-        let work = self.work(id, resource_key, None);
-        self.arrive(NOW, work, 0, b"body");
+    fn send_request(&mut self, id: &str, resource_key: Option<&str>) {
+        let work = self.work_request(id, resource_key, None);
+        self.send_work_request(NOW, work, 0, b"body");
     }
 
     /// An attempt with an idempotency key arrives; gives the request that it is taken for a duplicate of.
-    fn attempt(&mut self, now: Micros, id: &str, tenant: usize, key: &str) -> Option<RequestId> {
-        let work = self.work_with_key(id, key);
-        self.arrive(now, work, tenant, b"");
+    fn send_attempt(&mut self, now: Micros, id: &str, tenant: usize, key: &str) -> Option<RequestId> {
+        let work = self.work_request_with_key(id, key);
+        self.send_work_request(now, work, tenant, b"");
         self.last_duplicate_of(id)
     }
 
@@ -173,11 +181,11 @@
     }
 
     /// A request arrives and is admitted.
-    fn launched(&mut self, id: &str) {
-        self.request(id, None);
+    fn launch(&mut self, id: &str) {
+        self.send_request(id, None);
         self.execute(Action::Admit(id.into()));
-        assert!(matches!(self.commands().as_slice(), [AgentCommand::Launch { .. }]));
-        self.events();
+        assert!(matches!(self.take_agent_commands().as_slice(), [AgentCommand::Launch { .. }]));
+        self.take_events();
     }
 
     fn execute(&mut self, action: Action) {
@@ -193,35 +201,35 @@
     }
 
     /// Responses since the last look, with the serials of their requests.
-    fn responses(&self) -> Vec<(u64, Response)> {
+    fn take_responses(&self) -> Vec<(u64, Response)> {
         let response = |command| match command {
             ConnectionCommand::Respond { serial, response, .. } => (serial, response),
             other => panic!("{other:?}"),
         };
-        received(&self.connection).into_iter().map(response).collect()
+        receive_all(&self.connection).into_iter().map(response).collect()
     }
 
     /// Events that the controller would get since the last look, the deferred ones last.
-    fn events(&mut self) -> Vec<String> {
+    fn take_events(&mut self) -> Vec<String> {
         let deferred = std::mem::take(&mut self.actor.deferred_events);
         self.actor.events.drain(..).chain(deferred).map(|event| format!("{event:?}")).collect()
     }
 
     /// Commands to the agent since the last look.
-    fn commands(&self) -> Vec<AgentCommand> {
+    fn take_agent_commands(&self) -> Vec<AgentCommand> {
         let command = |message| match message {
             AgentActorMessage::Command(command) => command,
             other => panic!("{other:?}"),
         };
-        received(&self.agent).into_iter().map(command).collect()
+        receive_all(&self.agent).into_iter().map(command).collect()
     }
 
     /// Whether this server takes work, as the registration has been told since the last look.
-    fn accepting(&self) -> Vec<bool> {
+    fn take_accepting(&self) -> Vec<bool> {
         let accepting = |command| match command {
             RegistrationCommand::SetAccepting(accepting) => accepting,
             other => panic!("{other:?}"),
         };
-        received(&self.registration).into_iter().map(accepting).collect()
+        receive_all(&self.registration).into_iter().map(accepting).collect()
     }
 }
--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -56,11 +56,11 @@
     /// The memory of the fallback cache.
     charge: Charge,
     plans: BTreeMap<PlanId, PlanInFlight>,
-    plan_of_request: BTreeMap<RequestId, PlanId>,
+    plan_by_request: BTreeMap<RequestId, PlanId>,
     attempts: BTreeMap<AttemptId, AttemptInFlight>,
     /// Plans that have ended since they were last taken.
     finished: Vec<FinishedPlan>,
-    last_plan: PlanId,
+    last_plan_id: PlanId,
     status_log: StatusLog,
     log: Logger,
 }
@@ -88,10 +88,10 @@
             mailboxes: settings.mailboxes,
             charge: settings.charge,
             plans: BTreeMap::new(),
-            plan_of_request: BTreeMap::new(),
+            plan_by_request: BTreeMap::new(),
             attempts: BTreeMap::new(),
             finished: Vec::new(),
-            last_plan: 0,
+            last_plan_id: 0,
             status_log: StatusLog::new(now),
             log,
         };
@@ -130,10 +130,10 @@
     ) {
         // A run that waits for another call no longer waits for the one before.
         self.cancel_plan(now, &request.id);
-        self.last_plan += 1;
-        let plan = self.last_plan;
+        self.last_plan_id += 1;
+        let plan = self.last_plan_id;
         self.plans.insert(plan, PlanInFlight { id: request.id.clone(), started_at: now, body });
-        self.plan_of_request.insert(request.id.clone(), plan);
+        self.plan_by_request.insert(request.id.clone(), plan);
         let plan_request = PlanRequest {
             plan,
             class: &request.work.class,
@@ -151,8 +151,8 @@
     /// Handles the end of an attempt.
     pub fn handle_attempt_end(&mut self, now: Micros, call: &CallId, outcome: Outcome, reply: Vec<u8>) {
         // A complete reply says that the call has ended at the dependency, and so does one that never got there.
-        let ended_there = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
-        self.quota_leases.release(call.attempt, ended_there);
+        let ended_at_dependency = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
+        self.quota_leases.release(call.attempt, ended_at_dependency);
         if self.attempts.remove(&call.attempt).is_some() {
             let mut actions = Vec::new();
             self.engine.handle_attempt_end(now, call.attempt, outcome, reply, &mut actions);
@@ -162,7 +162,7 @@
 
     /// Cancels the call plan of a request; `false` if it has none in flight.
     pub fn cancel_plan(&mut self, now: Micros, id: &str) -> bool {
-        let Some(plan) = self.plan_of_request.remove(id) else { return false };
+        let Some(plan) = self.plan_by_request.remove(id) else { return false };
         let mut actions = Vec::new();
         self.engine.cancel_plan(now, plan, &mut actions);
         self.plans.remove(&plan);
@@ -228,8 +228,8 @@
             match action {
                 Action::StartAttempt { attempt, plan, dependency, address, deadline } => {
                     if !self.start_attempt(now, attempt, plan, &dependency, &address, deadline) {
-                        let more = self.reject_attempt(now, attempt);
-                        actions.extend(more);
+                        let follow_up = self.reject_attempt(now, attempt);
+                        actions.extend(follow_up);
                     }
                 }
                 Action::CancelAttempt(attempt) => self.cancel_attempt(attempt),
@@ -289,7 +289,7 @@
 
     fn finish_plan(&mut self, now: Micros, plan: PlanId, outcome: Outcome, reply: Vec<u8>) {
         let Some(PlanInFlight { id, started_at, .. }) = self.plans.remove(&plan) else { return };
-        self.plan_of_request.remove(&id);
+        self.plan_by_request.remove(&id);
         self.finished.push(FinishedPlan { id, outcome, duration: now - started_at, reply });
     }
 }
--- a/crates/server/src/dependency_calls/status_log.rs
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -9,27 +9,27 @@
 
 /// What the dependencies were like when they were last looked at.
 pub struct StatusLog {
-    next_at: Micros,
+    next_log_at: Micros,
     previous: Vec<DependencyStatus>,
 }
 
 impl StatusLog {
     /// A log whose first look is one interval from now.
     pub fn new(now: Micros) -> StatusLog {
-        StatusLog { next_at: now + LOG_INTERVAL, previous: Vec::new() }
+        StatusLog { next_log_at: now + LOG_INTERVAL, previous: Vec::new() }
     }
 
     /// Logs what has changed since the last look, if a look is due.
     pub fn handle_timeout(&mut self, now: Micros, engine: &Engine, log: &Logger) {
-        if now < self.next_at {
+        if now < self.next_log_at {
             return;
         }
-        self.next_at = now + LOG_INTERVAL;
+        self.next_log_at = now + LOG_INTERVAL;
         let current = engine.status(now);
-        for service in &current {
-            if let Some(previous) = self.previous.iter().find(|previous| previous.name == service.name) {
-                log_breaker(previous, service, log);
-                log_endpoints(previous, service, log);
+        for dependency in &current {
+            if let Some(previous) = self.previous.iter().find(|previous| previous.name == dependency.name) {
+                log_breaker(previous, dependency, log);
+                log_endpoints(previous, dependency, log);
             }
         }
         self.previous = current;
@@ -37,7 +37,7 @@
 }
 
 fn log_breaker(previous: &DependencyStatus, current: &DependencyStatus, log: &Logger) {
-    let is_closed = |service: &DependencyStatus| service.breaker == breaker::BreakerState::Closed;
+    let is_closed = |dependency: &DependencyStatus| dependency.breaker == breaker::BreakerState::Closed;
     if is_closed(previous) != is_closed(current) {
         info!(log, "circuit breaker changed"; "dependency" => &*current.name, "closed" => is_closed(current),
             "retry_budget" => current.retry_budget, "limit" => current.limit.value,
@@ -50,8 +50,8 @@
         matches!(endpoint.state, load_balancer::EndpointState::Active { .. })
     };
     for endpoint in &current.endpoints {
-        let before = previous.endpoints.iter().find(|before| before.address == endpoint.address);
-        if before.is_some_and(|before| is_in_use(before) != is_in_use(endpoint)) {
+        let previous = previous.endpoints.iter().find(|previous| previous.address == endpoint.address);
+        if previous.is_some_and(|previous| is_in_use(previous) != is_in_use(endpoint)) {
             info!(log, "endpoint ejection changed"; "dependency" => &*current.name,
                 "address" => &*endpoint.address, "in_use" => is_in_use(endpoint), "cause" => ?endpoint.last_ejection);
         }
--- a/crates/server/src/dependency_calls/tests.rs
+++ b/crates/server/src/dependency_calls/tests.rs
@@ -79,7 +79,7 @@
 
 /// Guards against a late reply to an earlier call that is taken for the reply to the present one.
 #[test]
-fn the_next_call_of_a_run_cancels_the_plan_of_the_one_before() {
+fn next_call_of_a_run_cancels_the_previous_call_plan() {
     let (mut calls, received) = dependency_calls();
     let request = request("a");
     calls.start_plan(NOW, &request, Rc::from(&b"first"[..]), NOW + 400_000, 1);
--- a/crates/server/src/memory/budget/tests.rs
+++ b/crates/server/src/memory/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_charge_is_bounded_by_the_budget_and_given_back_when_dropped() {
+fn charge_is_limited_by_the_budget_and_returned_on_drop() {
     let budget = Budget::new(100);
     let mut charge = budget.charge(60).expect("room");
     assert!(budget.charge(41).is_none());
--- a/crates/server/src/memory/idempotency_cache.rs
+++ b/crates/server/src/memory/idempotency_cache.rs
@@ -13,7 +13,7 @@
 
 /// What a request is about. Requests with the same subject are duplicates of each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Subject {
+pub struct DedupKey {
     /// Place of the request's class in the settings.
     pub class: usize,
     /// The idempotency key or resource key.
@@ -50,9 +50,9 @@
 /// The cache, by the subjects of its requests.
 #[derive(Debug, Default)]
 pub struct IdempotencyCache {
-    entries: BTreeMap<Subject, Entry>,
+    entries: BTreeMap<DedupKey, Entry>,
     /// Subjects of the entries, oldest first.
-    insertion_order: VecDeque<Subject>,
+    insertion_order: VecDeque<DedupKey>,
     result_bytes: usize,
     hasher: RandomState,
 }
@@ -64,8 +64,8 @@
     }
 
     /// The request that has the entry of this subject, expired or not.
-    pub fn get(&self, subject: &Subject) -> Option<&CachedRequest> {
-        self.entries.get(subject).map(|entry| &entry.request)
+    pub fn get(&self, dedup_key: &DedupKey) -> Option<&CachedRequest> {
+        self.entries.get(dedup_key).map(|entry| &entry.request)
     }
 
     /// Makes room for one more entry; `false` where there is none. Expired entries go first, unless `is_in_flight` says
@@ -82,24 +82,24 @@
 
     /// Adds the entry of a subject, or extends it where the request has it already. A newer request takes the place of an
     /// older one. `false` where there is no room (see [`IdempotencyCache::make_room`]).
-    pub fn insert(&mut self, subject: Subject, request: CachedRequest) -> bool {
-        if let Some(entry) = self.entry_of(&subject, &request.id) {
+    pub fn insert(&mut self, dedup_key: DedupKey, request: CachedRequest) -> bool {
+        if let Some(entry) = self.entry_of(&dedup_key, &request.id) {
             entry.request.expires_at = request.expires_at;
             return true;
         }
-        self.remove(&subject);
+        self.remove(&dedup_key);
         if self.is_full() {
             return false;
         }
-        self.insertion_order.push_back(subject.clone());
-        self.entries.insert(subject, Entry { request, result: None });
+        self.insertion_order.push_back(dedup_key.clone());
+        self.entries.insert(dedup_key, Entry { request, result: None });
         true
     }
 
     /// Drops the subject's entry, if it belongs to this request.
-    pub fn release(&mut self, subject: &Subject, id: &str) {
-        if self.entry_of(subject, id).is_some() {
-            self.remove(subject);
+    pub fn release(&mut self, dedup_key: &DedupKey, id: &str) {
+        if self.entry_of(dedup_key, id).is_some() {
+            self.remove(dedup_key);
         }
     }
 
@@ -107,17 +107,17 @@
     ///
     /// Too many bytes drop the oldest results but never their entries: a duplicate that finds an entry without a result
     /// fails without running, while one that finds no entry would run again.
-    pub fn store_result(&mut self, subject: &Subject, id: &str, result: &[u8]) {
-        if let Some(entry) = self.entry_of(subject, id) {
-            let replaced = entry.result.replace(result.to_vec());
-            self.result_bytes -= replaced.map_or(0, |old| old.len());
+    pub fn store_result(&mut self, dedup_key: &DedupKey, id: &str, result: &[u8]) {
+        if let Some(entry) = self.entry_of(dedup_key, id) {
+            let previous = entry.result.replace(result.to_vec());
+            self.result_bytes -= previous.map_or(0, |old| old.len());
             self.result_bytes += result.len();
         }
-        for subject in &self.insertion_order {
+        for dedup_key in &self.insertion_order {
             if self.result_bytes <= MAX_RESULT_BYTES {
                 break;
             }
-            if let Some(dropped) = self.entries.get_mut(subject).and_then(|entry| entry.result.take()) {
+            if let Some(dropped) = self.entries.get_mut(dedup_key).and_then(|entry| entry.result.take()) {
                 self.result_bytes -= dropped.len();
             }
         }
@@ -131,15 +131,15 @@
 
     /// Drops the entries that have expired, unless `is_in_flight` says that their request still is.
     pub fn expire(&mut self, now: Micros, is_in_flight: impl Fn(&str) -> bool) {
-        let is_over = |request: &CachedRequest| request.expires_at <= now && !is_in_flight(&request.id);
-        let expired: Vec<Subject> = self
+        let is_expired = |request: &CachedRequest| request.expires_at <= now && !is_in_flight(&request.id);
+        let expired: Vec<DedupKey> = self
             .entries
             .iter()
-            .filter(|(_, entry)| is_over(&entry.request))
-            .map(|(subject, _)| subject.clone())
+            .filter(|(_, entry)| is_expired(&entry.request))
+            .map(|(dedup_key, _)| dedup_key.clone())
             .collect();
-        for subject in &expired {
-            self.remove(subject);
+        for dedup_key in &expired {
+            self.remove(dedup_key);
         }
     }
 
@@ -147,21 +147,22 @@
         self.entries.len() >= MAX_ENTRIES
     }
 
-    fn entry_of(&mut self, subject: &Subject, id: &str) -> Option<&mut Entry> {
-        self.entries.get_mut(subject).filter(|entry| &*entry.request.id == id)
+    fn entry_of(&mut self, dedup_key: &DedupKey, id: &str) -> Option<&mut Entry> {
+        self.entries.get_mut(dedup_key).filter(|entry| &*entry.request.id == id)
     }
 
     fn evict_oldest(&mut self) {
-        let is_evictable = |subject: &&Subject| self.get(subject).is_some_and(|request| request.evictable);
+        let is_evictable =
+            |dedup_key: &&DedupKey| self.get(dedup_key).is_some_and(|request| request.evictable);
         if let Some(oldest) = self.insertion_order.iter().find(is_evictable).cloned() {
             self.remove(&oldest);
         }
     }
 
-    fn remove(&mut self, subject: &Subject) {
-        let Some(entry) = self.entries.remove(subject) else { return };
+    fn remove(&mut self, dedup_key: &DedupKey) {
+        let Some(entry) = self.entries.remove(dedup_key) else { return };
         self.result_bytes -= entry.result.map_or(0, |result| result.len());
-        self.insertion_order.retain(|other| other != subject);
+        self.insertion_order.retain(|other| other != dedup_key);
     }
 }
 
--- a/crates/server/src/memory/request_table.rs
+++ b/crates/server/src/memory/request_table.rs
@@ -5,7 +5,7 @@
 use umberloom::interface::{Micros, RequestId};
 
 use super::budget::Charge;
-use super::idempotency_cache::Subject;
+use super::idempotency_cache::DedupKey;
 use crate::messages::caller::{ReplyTo, WorkRequest};
 
 /// The state of a request's run.
@@ -67,9 +67,9 @@
 
 impl OpenRequest {
     /// What it is about, where it has a key.
-    pub fn subject(&self) -> Option<Subject> {
+    pub fn dedup_key(&self) -> Option<DedupKey> {
         let key = self.work.dedup_key.clone()?;
-        Some(Subject { class: self.class, key })
+        Some(DedupKey { class: self.class, key })
     }
 }
 
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -25,14 +25,14 @@
 pub struct QuotaLeases {
     quotas: BTreeMap<Rc<str>, SharedQuota>,
     /// The dependency whose quota each call in flight has its permit from.
-    dependency_of_call: BTreeMap<CallId, Rc<str>>,
+    dependency_by_call: BTreeMap<CallId, Rc<str>>,
     reachability: Reachability,
     /// When this server's monotonic time began.
-    started: Instant,
+    clock_start: Instant,
     /// Seed of the quota that was added last.
     seed: u64,
     fleet: Option<Sender<FleetCommand>>,
-    reported_at: Micros,
+    last_report_at: Micros,
     last_reports: Vec<QuotaReport>,
     log: Logger,
 }
@@ -42,12 +42,12 @@
     pub fn new(fleet: Option<Sender<FleetCommand>>, seed: u64, log: Logger) -> QuotaLeases {
         QuotaLeases {
             quotas: BTreeMap::new(),
-            dependency_of_call: BTreeMap::new(),
+            dependency_by_call: BTreeMap::new(),
             reachability: Reachability::default(),
-            started: Instant::now(),
+            clock_start: Instant::now(),
             seed,
             fleet,
-            reported_at: 0,
+            last_report_at: 0,
             last_reports: Vec::new(),
             log,
         }
@@ -97,16 +97,16 @@
     pub fn acquire(&mut self, dependency: &str, call: CallId, timeout: Micros) -> Option<Micros> {
         let now = self.now();
         let Some(quota) = self.quotas.get_mut(dependency) else { return Some(timeout) };
-        let until = quota.acquire(now, call, now + timeout)?;
-        self.dependency_of_call.insert(call, Rc::from(dependency));
-        Some(until - now)
+        let permit_end = quota.acquire(now, call, now + timeout)?;
+        self.dependency_by_call.insert(call, Rc::from(dependency));
+        Some(permit_end - now)
     }
 
-    /// Releases the permit of a call that has ended here. Where the call may go on at the dependency (`ended_there` is
+    /// Releases the permit of a call that has ended here. Where the call may go on at the dependency (`ended_at_dependency` is
     /// false), the permit stays in use until the call's deadline.
-    pub fn release(&mut self, call: CallId, ended_there: bool) {
-        let Some(dependency) = self.dependency_of_call.remove(&call) else { return };
-        if !ended_there {
+    pub fn release(&mut self, call: CallId, ended_at_dependency: bool) {
+        let Some(dependency) = self.dependency_by_call.remove(&call) else { return };
+        if !ended_at_dependency {
             return;
         }
         if let Some(quota) = self.quotas.get_mut(&dependency) {
@@ -170,10 +170,10 @@
     /// once an interval.
     pub fn report(&mut self) {
         let now = self.now();
-        if self.quotas.is_empty() || now < self.reported_at + REPORT_INTERVAL {
+        if self.quotas.is_empty() || now < self.last_report_at + REPORT_INTERVAL {
             return;
         }
-        self.reported_at = now;
+        self.last_report_at = now;
         let reports: Vec<QuotaReport> = self
             .quotas
             .iter()
@@ -190,9 +190,9 @@
     }
 
     fn log_share_change(&self, report: &QuotaReport) {
-        let before = self.last_reports.iter().find(|before| before.dependency == report.dependency);
+        let previous = self.last_reports.iter().find(|previous| previous.dependency == report.dependency);
         let status = &report.status;
-        if before.is_some_and(|before| before.status.part != status.part) {
+        if previous.is_some_and(|previous| previous.status.part != status.part) {
             info!(self.log, "quota share changed"; "dependency" => &*report.dependency,
                 "share" => status.part, "quota" => status.whole, "cause" => ?status.moved.0);
         }
@@ -200,6 +200,6 @@
 
     /// Microseconds of the monotonic clock since the start.
     fn now(&self) -> Micros {
-        self.started.elapsed().as_micros() as Micros
+        self.clock_start.elapsed().as_micros() as Micros
     }
 }
