--- a/crates/server/src/messages/agent.rs
+++ b/crates/server/src/messages/agent.rs
@@ -4,47 +4,47 @@
 
 use umberloom::interface::RequestId;
 
-/// A command to the agent.
+/// A command to the render farm agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentCommand {
-    /// Run a request.
+    /// Starts a run for a request.
     Launch {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Name of its class.
+        /// Name of the request's class.
         class: String,
-        /// Its body.
+        /// Body of the request.
         body: Vec<u8>,
     },
-    /// Stop the run of this request.
+    /// Stops the run of this request (preemption).
     Pause(RequestId),
-    /// Go on with the paused run of this request.
+    /// Resumes the paused run of this request.
     Resume(RequestId),
-    /// Give a run the reply to the call that it waits for.
+    /// Delivers the reply to the downstream call that a run waits for.
     DeliverReply {
-        /// The request.
+        /// Id of the run's request.
         id: RequestId,
         /// Body of the reply.
         body: Vec<u8>,
     },
-    /// Let a run go on without the call that it waits for.
+    /// Lets a run continue without the downstream call that it waits for.
     SkipCall {
-        /// The request.
+        /// Id of the run's request.
         id: RequestId,
-        /// Number of the notice that asked for the call.
+        /// Sequence number of the agent's notice that asked for the call.
         notice_seq: u64,
     },
-    /// Sample the gauges; the answer carries this tag.
+    /// Samples the gauges; the agent's answer carries this tag.
     SampleGauges(u64),
-    /// Do the work of a deep health check; the answer carries this tag.
+    /// Does the work of a deep health check; the agent's answer carries this tag.
     RunHealthCheck(u64),
 }
 
-/// What the mailbox of the agent's actor takes.
+/// Messages to the actor that keeps the link to the agent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AgentActorMessage {
     /// A command to pass on to the agent.
     Command(AgentCommand),
-    /// The agent is at this address from now on.
+    /// Changes the address of the agent.
     SetAddress(SocketAddr),
 }
--- a/crates/server/src/messages/caller.rs
+++ b/crates/server/src/messages/caller.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, their responses, and messages to their connections.
+//! Requests from callers, the responses to them, and messages to callers' connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,47 +8,51 @@
 
 use crate::memory::budget::Charge;
 
-/// Bound on a request's timeout and on the distance of its arrival from now: an hour. Larger values are taken for
-/// mistakes, as they would spoil the admission controller's statistics of waits.
+/// Upper bound on a request's timeout and on the difference between its arrival time and now: one hour, in
+/// microseconds. Larger values are treated as errors, as they would distort the admission controller's wait
+/// statistics.
 pub const MAX_TIME_OFFSET: Micros = 3_600_000_000;
 
-/// A request for work, as its parameters state it.
+/// The parameters of a request for work, as the caller stated them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkRequest {
-    /// Name of this attempt.
+    /// Id of the request, different for each attempt.
     pub id: String,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Name of its tenant, if it names one.
+    /// Name of the request's tenant, if stated.
     pub tenant: Option<String>,
-    /// The work that its caller expects it to take, if stated.
+    /// Processing time that the caller expects the request to take, in microseconds, if stated.
     pub cost: Option<Micros>,
-    /// When it reached the machine, in Unix microseconds.
+    /// When the request reached this machine, in Unix microseconds.
     pub received_at: Micros,
-    /// How long its caller waits from then on, if stated.
+    /// How long the caller waits from `received_at` on, in microseconds, if stated.
     pub timeout: Option<Micros>,
-    /// It is marked as a retry.
+    /// Whether the caller marked the request as a retry.
     pub is_retry: bool,
-    /// Number of the balancer.
+    /// Number of the balancer that sent the request.
     pub sender: u64,
-    /// Memory that it takes while it waits, in kilobytes.
+    /// Memory that the request occupies while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// Its place from 0 to under 1 among all requests.
+    /// Quantile of the request's priority weight among all requests, from 0 to below 1.
     pub rank: f64,
-    /// The key of what it reads: requests with the same one have the same result.
+    /// Key by which duplicates are recognized: requests of one class with the same key get the same result.
+    /// It is the caller's resource key, or in a class with idempotency keys the idempotency key, which
+    /// replaces it on arrival.
     pub dedup_key: Option<String>,
-    /// The idempotency key (`Once-Key`): all attempts of one request carry the same.
+    /// The idempotency key (`Once-Key`), which is the same for all attempts of one request.
     pub idempotency_key: Option<String>,
 }
 
 impl WorkRequest {
-    /// Whether its times are within [`MAX_TIME_OFFSET`] at this Unix time.
+    /// Whether the arrival time is within [`MAX_TIME_OFFSET`] of `unix_now` (Unix microseconds), and the
+    /// timeout at most as long.
     pub fn has_plausible_times(&self, unix_now: Micros) -> bool {
         let received_near_now = self.received_at.abs_diff(unix_now) <= MAX_TIME_OFFSET;
         received_near_now && self.timeout.unwrap_or(0) <= MAX_TIME_OFFSET
     }
 
-    /// How long its caller still waits at this Unix time, if a timeout is stated.
+    /// How much longer the caller waits from `unix_now` (Unix microseconds) on, if a timeout is stated.
     pub fn remaining_timeout(&self, unix_now: Micros) -> Option<Micros> {
         let timeout = self.timeout?;
         Some(self.received_at.saturating_add(timeout).saturating_sub(unix_now))
@@ -58,113 +62,115 @@
 /// The final response to a request or health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Served, with this result.
+    /// The request was served with this result.
     Served(Vec<u8>),
-    /// Rejected: this attempt never ran.
+    /// The request was rejected; this attempt never ran.
     Rejected {
-        /// How long the caller should wait before its next attempt; 0 where nothing is advised.
+        /// How long the caller should wait before its next attempt, in microseconds; 0 means no advice.
         retry_after: Micros,
-        /// The caller should not try another server.
+        /// Whether the caller should not try another server.
         terminal: bool,
     },
-    /// Failed; it may or may not have taken effect.
+    /// The request failed; it may or may not have taken effect.
     Failed,
     /// The request is malformed.
     BadRequest,
-    /// Answer to a health check: whether this server is well.
+    /// Answer to a health check: whether this server is healthy.
     Health(bool),
-    /// The caller has aborted it.
+    /// The caller aborted the request.
     Aborted,
 }
 
-/// The load hint that goes with every answer, once the admission controller has set one.
+/// The load hint that is sent with every response, once the admission controller has set one.
 pub type LoadHint = Rc<Cell<Option<f64>>>;
 
-/// A complete, valid request.
+/// A request that was received in full and validated.
 #[derive(Debug)]
 pub struct Request {
-    /// Its name.
+    /// Id of the request.
     pub id: RequestId,
-    /// Place of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Place of its tenant in the settings, 0 where there are none.
+    /// Index of the request's tenant in the settings, 0 if the settings have no tenants.
     pub tenant: usize,
-    /// Its parameters.
+    /// Parameters of the request.
     pub work: WorkRequest,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Where its response goes.
+    /// Connection and slot that the response is sent to.
     pub reply_to: ReplyTo,
-    /// The memory that it takes, released when the request is dropped.
+    /// Memory charged for the request, released when the request is dropped.
     pub charge: Charge,
 }
 
 /// A health check.
 #[derive(Debug)]
 pub struct HealthCheck {
-    /// Whether the agent has to show that work gets done.
+    /// Whether the check is deep: the agent has to do some work to pass it.
     pub is_deep: bool,
-    /// Where its response goes.
+    /// Connection and slot that the response is sent to.
     pub reply_to: ReplyTo,
 }
 
-/// What a connection's mailbox takes.
+/// Messages to the actor of a connection.
 #[derive(Debug)]
 pub enum ConnectionCommand {
-    /// Send the response to a request.
+    /// Sends the response to a request.
     Respond {
         /// The request's slot on the connection.
         slot: u16,
-        /// What tells the request from all others of this process.
+        /// Serial number of the request, unique in this process.
         serial: u64,
         /// The response.
         response: Response,
     },
-    /// Close if nothing is in flight.
+    /// Closes the connection if no request is in flight.
     CloseIfIdle,
-    /// Look at [`ConnectionActivity::closing`].
+    /// Wakes the connection to check [`ConnectionActivity::closing`].
     Close,
 }
 
-/// Where the response to one request goes.
+/// The connection and slot that the response to one request is sent to.
 #[derive(Clone, Debug)]
 pub struct ReplyTo {
     connection: Sender<ConnectionCommand>,
     slot: u16,
-    /// Tells this request from all others of this process.
+    /// Serial number of the request, unique in this process.
     serial: u64,
 }
 
 impl ReplyTo {
-    /// The place of request `slot` on the connection with this mailbox.
+    /// Addresses the request in `slot` of the connection that has this mailbox.
     pub fn new(connection: Sender<ConnectionCommand>, slot: u16, serial: u64) -> ReplyTo {
         ReplyTo { connection, slot, serial }
     }
 
-    /// What tells the request from all others of this process, whatever their names.
+    /// Serial number of the request, unique in this process even where several requests have the same id.
     pub fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Sends the response.
+    /// Sends the response to the connection.
     pub fn respond(&self, response: Response) {
         let command = ConnectionCommand::Respond { slot: self.slot, serial: self.serial, response };
-        // The mailbox has room for one response to each request in flight (tested in `peers/listener/tests.rs`), so
-        // this fails only when the connection is closed, and then nobody waits for the response.
+        // The mailbox has room for one response to each request in flight (tested in
+        // `peers/listener/tests.rs`), so this fails only if the connection is closed, and then nobody waits
+        // for the response.
         let _ = self.connection.try_send(command);
     }
 }
 
-/// What the listener sees of a connection.
+/// State of a connection that it shares with the listener.
 #[derive(Debug, Default)]
 pub struct ConnectionActivity {
-    /// When it last carried something.
+    /// When data was last received or sent on the connection.
     pub last_active: Cell<Micros>,
-    /// Complete requests in flight on it.
+    /// Number of requests in flight that were received in full.
     pub open_requests: Cell<usize>,
-    /// It has carried a complete request.
+    /// Whether a complete request has been received on the connection.
     pub has_requested: Cell<bool>,
-    /// Set by the listener: nothing new is accepted, and the connection closes as soon as nothing is in flight. It is
-    /// a flag and not a message, as a message that finds the mailbox full would leave the connection open to the end.
+    /// Set by the listener: no new requests are accepted, and the connection closes as soon as none is in
+    /// flight. This is a flag and not a message, as a message lost to a full mailbox would leave the
+    /// connection open until the process ends.
     pub closing: Cell<bool>,
 }
--- a/crates/server/src/messages/calls.rs
+++ b/crates/server/src/messages/calls.rs
@@ -10,62 +10,63 @@
 
 use crate::memory::budget::Charge;
 
-/// Names a call by the request it is made for and the number of the attempt.
+/// Identifies a downstream call by its request and the number of the attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId {
-    /// The request.
+    /// Id of the request that the call is made for.
     pub request: RequestId,
-    /// The number of the attempt. Calls of runs without a call plan have the number 0, so that a second call for a
-    /// request takes the place of the first.
+    /// Number of the attempt. Calls without a call plan have the number 0, so that a second call for a
+    /// request replaces the first.
     pub attempt: u64,
 }
 
 impl CallId {
-    /// The call of a run whose class has no call plan.
+    /// The id of a call that is made without a call plan.
     pub fn without_plan(request: RequestId) -> CallId {
         CallId { request, attempt: 0 }
     }
 
-    /// Whether this is the call of a run whose class has no call plan.
+    /// Whether the call is made without a call plan.
     pub fn is_without_plan(&self) -> bool {
         self.attempt == 0
     }
 }
 
-/// A call to be made.
+/// A downstream call to be made.
 #[derive(Debug)]
 pub struct Call {
-    /// Its name.
+    /// Id of the call.
     pub id: CallId,
-    /// The endpoint; `None` stands for the address of the platform's records service.
+    /// Address of the endpoint; `None` means the address of the platform's records service.
     pub address: Option<SocketAddr>,
-    /// Its body.
+    /// Body of the call.
     pub body: Rc<[u8]>,
-    /// When it is given up.
+    /// When the call is abandoned.
     pub deadline: Micros,
 }
 
-/// What the mailbox of a dependency's actor takes.
+/// Messages to the actor of a dependency.
 #[derive(Debug)]
 pub enum DependencyCommand {
-    /// Make a call.
+    /// Makes a call.
     Call(Call),
-    /// Nobody waits for this call any more.
+    /// Cancels a call, as nobody waits for it any more.
     Cancel(CallId),
-    /// The platform's records service is at this address from now on. Calls in flight may end on their connections.
+    /// Changes the address of the platform's records service. Calls in flight may end on their present
+    /// connections.
     SetAddress(SocketAddr),
 }
 
-/// The quota of a dependency whose concurrent calls several servers share.
+/// The quota of a dependency: a limit on its concurrent calls that several servers share.
 #[derive(Clone, Debug)]
 pub struct SharedQuotaConfig {
     /// Name of the dependency.
     pub dependency: Rc<str>,
-    /// Its quota.
+    /// Settings of the quota.
     pub config: umberloom_quota::Config,
 }
 
-/// The dependencies and call plans of the operator's file, with the actors that reach them.
+/// The dependencies and call plans of the operator's file, with the mailboxes of the dependencies' actors.
 pub struct DependencySettings {
     /// Dependencies and call plans, validated.
     pub config: Config,
@@ -73,7 +74,7 @@
     pub mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
     /// Quotas that are shared with other servers.
     pub shared_quotas: Vec<SharedQuotaConfig>,
-    /// The memory of the fallback cache.
+    /// Memory charged for the fallback cache.
     pub charge: Charge,
 }
 
--- a/crates/server/src/messages/fleet.rs
+++ b/crates/server/src/messages/fleet.rs
@@ -8,84 +8,84 @@
 use umberloom_operator_config::Record;
 use umberloom_quota::QuotaStatus;
 
-/// Channel of the messages about distributed quotas.
+/// Membership channel of messages about distributed quotas.
 pub const QUOTA_CHANNEL: u8 = 1;
-/// Channel of the messages of the replicated store.
+/// Membership channel of the replicated store's messages.
 pub const REPLICATION_CHANNEL: u8 = 2;
 
-/// What the fleet's actor runs with.
+/// Configuration of the fleet's actor.
 #[derive(Debug)]
 pub struct FleetConfig {
-    /// This server, its peers and the timing of the protocol.
+    /// Name of this server, its peers and the timing of the membership protocol.
     pub membership: Config,
     /// Addresses of the peers, in the order of `membership.peers`.
     pub peer_addresses: Vec<SocketAddr>,
-    /// What this server runs.
+    /// Program and configuration that this server runs.
     pub build_info: BuildInfo,
-    /// The replicated store, if the operator's file has one.
+    /// Settings of the replicated store, if the operator's file has one.
     pub replicated_store: Option<Record>,
 }
 
-/// How the quota of one dependency is used on this server.
+/// Use of one dependency's quota on this server.
 #[derive(Clone, Debug)]
 pub struct QuotaReport {
     /// Name of the dependency.
     pub dependency: Rc<str>,
-    /// Its quota.
+    /// State of the quota.
     pub status: QuotaStatus,
 }
 
-/// What the mailbox of the fleet's actor takes.
+/// Messages to the fleet's actor.
 #[derive(Debug)]
 pub enum FleetCommand {
-    /// Send a message to a member.
+    /// Sends a message to a member.
     Send {
-        /// The member.
+        /// Name of the receiving member.
         to: MemberName,
-        /// What the message is about.
+        /// Channel of the message, for example [`QUOTA_CHANNEL`].
         channel: u8,
         /// The encoded message.
         payload: Vec<u8>,
     },
-    /// How loaded this server is, in percent.
+    /// Sets the load that this server reports to other members, in percent.
     SetLoad(u8),
-    /// How the distributed quotas are used, for operators who ask.
+    /// Replaces the quota reports that operators' requests are answered with.
     PublishQuotas(Vec<QuotaReport>),
-    /// Run with this from now on.
+    /// Replaces the configuration.
     Reconfigure(Box<FleetConfig>),
-    /// This server has been told to end.
+    /// Tells the other members that this server is leaving.
     Leave,
-    /// Tell the other members that this server is gone, and end.
+    /// Tells the other members that this server has left, and ends the actor.
     AnnounceDeparture,
 }
 
-/// What the fleet's actor tells the admission actor.
+/// Events that the fleet's actor sends to the admission actor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// Other members are reached, or agree, than before.
+    /// The set of reachable members, or their agreement on quota settings, has changed.
     ReachabilityChanged(Reachability),
-    /// A member has sent a message.
+    /// A message from another member was received.
     MessageReceived {
-        /// The member.
+        /// Name of the sending member.
         from: MemberName,
-        /// The start of the member's process.
+        /// Boot id of the sending process.
         boot_id: u64,
-        /// What the message is about.
+        /// Channel of the message, for example [`QUOTA_CHANNEL`].
         channel: u8,
         /// The encoded message.
         payload: Vec<u8>,
     },
 }
 
-/// Which members are reached, and whether they share quotas by the same settings.
+/// Which members are reachable, and whether they have the same quota settings as this server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
-    /// Members that are reached, with the boot ids of their processes.
+    /// Reachable members, with the boot ids of their processes.
     pub reachable: Vec<(MemberName, u64)>,
-    /// A member that is reached has other settings for distributed quotas.
+    /// Whether a reachable member has different settings for distributed quotas.
     pub quota_basis_differs: bool,
-    /// Every member in the roster is reached and has the same settings for distributed quotas.
+    /// Whether every member of the roster is reachable and has the same settings for distributed quotas.
     pub all_agree: bool,
-    /// A newer process has this server's name.
+    /// Whether this server is fenced, as a newer process uses its name.
     pub fenced: bool,
 }
--- a/crates/server/src/messages/listener.rs
+++ b/crates/server/src/messages/listener.rs
@@ -2,11 +2,11 @@
 
 use umberloom::interface::Micros;
 
-/// What the listener's mailbox takes.
+/// Messages to the listener.
 #[derive(Debug)]
 pub enum ListenerCommand {
-    /// Close connections that have carried nothing for this long.
+    /// Closes connections that have been idle for this time, in microseconds.
     CloseIdle(Micros),
-    /// Accept no more connections, and close each one as soon as nothing is in flight on it.
+    /// Stops accepting connections, and closes each one as soon as no request is in flight on it.
     Drain,
 }
--- a/crates/server/src/messages/mod.rs
+++ b/crates/server/src/messages/mod.rs
@@ -1,7 +1,8 @@
 //! Messages between actors.
 //!
-//! This module stands below all actors and knows no protocol: a request, its response and a health check are the same
-//! by whichever protocol they came, and no actor knows who sends it its messages.
+//! All actors depend on this module; it depends on none of them and on no protocol: requests, responses and
+//! health checks have the same types whichever protocol they arrive by, and no actor knows the senders of its
+//! messages.
 
 pub mod agent;
 pub mod caller;
@@ -18,52 +19,52 @@
 /// How a run ended, as the agent reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It succeeded with this result.
+    /// The run succeeded with this result.
     Success(Vec<u8>),
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped, or ended at a call as its request is over.
+    /// The run was stopped, or ended at a downstream call because its request had ended.
     Aborted,
-    /// Nothing was started, as the request is over.
+    /// No run was started, because the request had ended.
     NotStarted,
 }
 
-/// What the mailbox of the admission actor takes. Requests that the agent names are named by strings until they are
-/// looked up in the request table.
+/// Messages to the admission actor. Requests that the agent refers to are identified by strings until they
+/// are looked up in the request table.
 #[derive(Debug)]
 pub enum AdmissionMessage {
     /// A request has arrived.
     Request(Box<Request>),
     /// A health check has arrived.
     HealthCheck(HealthCheck),
-    /// Nobody waits for a request any more.
+    /// A caller no longer waits for its request.
     Cancelled {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// What tells it from others of the same name (see [`caller::ReplyTo::serial`]).
+        /// Serial number, which differs between requests with the same id (see [`caller::ReplyTo::serial`]).
         serial: u64,
     },
     /// The link to the agent is up.
     AgentUp {
-        /// How long ago the agent was started.
+        /// Time since the agent was started, in microseconds.
         uptime: Micros,
     },
     /// The link to the agent is lost.
     AgentLinkLost,
     /// A run has ended.
     RunEnded {
-        /// The request.
+        /// Id of the request.
         id: String,
         /// How the run ended.
         outcome: RunOutcome,
-        /// How long it took.
+        /// Duration of the run, in microseconds.
         duration: Micros,
     },
     /// A run waits for a downstream call.
     NeedsCall {
-        /// The request.
+        /// Id of the run's request.
         id: String,
-        /// Number of the notice that asks for the call.
+        /// Sequence number of the agent's notice that asks for the call.
         notice_seq: u64,
         /// Body of the call.
         body: Vec<u8>,
@@ -79,41 +80,42 @@
     HealthCheckEnded {
         /// Tag of the command.
         tag: u64,
-        /// Whether the work was done well.
+        /// Whether the work succeeded.
         healthy: bool,
     },
     /// The agent did not execute a command.
     AgentRejected {
         /// Name of the command in the agent's protocol.
         command: String,
-        /// The request that it was about.
+        /// Id of the request that the command was about.
         id: String,
     },
-    /// A notice from the agent about this request can't be true.
+    /// The agent sent an invalid notice about a request.
     InvalidAgentNotice {
-        /// The request.
+        /// Id of the request.
         id: String,
     },
     /// A downstream call has ended.
     CallEnded {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the call, in microseconds.
         duration: Micros,
-        /// Body of a good reply.
+        /// Body of the reply, if the call succeeded.
         body: Vec<u8>,
     },
-    /// The operator's file asks for this from now on.
+    /// The dependencies or call plans in the operator's file have changed.
     DependenciesReconfigured(Box<DependencySettings>),
-    /// An event of the fleet.
+    /// An event from the fleet's actor.
     Fleet(fleet::FleetEvent),
-    /// Notice to drain. These are moments and not spans, as the process may be stalled before the message is read.
+    /// The notice to drain. It carries points in time and not durations, as the process may be stalled before
+    /// the message is read.
     Drain {
         /// When the notice was received.
         noticed_at: Micros,
-        /// When the process is stopped.
+        /// When the process will be stopped.
         stop_at: Micros,
     },
 }
--- a/crates/server/src/messages/registration.rs
+++ b/crates/server/src/messages/registration.rs
@@ -1,12 +1,12 @@
-//! Messages to the actor that registers this server in the endpoint list.
+//! Messages to the actor that registers this server with the announce service.
 
 use std::net::SocketAddr;
 
-/// What the mailbox of the registration's actor takes.
+/// Messages to the registration's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationCommand {
-    /// Whether this server takes work.
+    /// Sets whether this server accepts work.
     SetAccepting(bool),
-    /// The service that keeps the endpoint list is at this address from now on.
+    /// Changes the address of the announce service.
     SetAddress(SocketAddr),
 }
