--- a/crates/server/src/memory/idempotency_cache.rs
+++ b/crates/server/src/memory/idempotency_cache.rs
@@ -1,39 +1,40 @@
-//! Idempotency keys and resource keys with their results: a duplicate is answered from here and does not run again.
+//! Cache of idempotency keys and resource keys with the results of their requests. A duplicate is answered
+//! from this cache instead of running again.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
 
 use umberloom::interface::{Micros, RequestId};
 
-/// Bound on the entries. An entry that is not evictable stays until it expires, as a duplicate would run again without
-/// it: where these alone fill the cache, there is no room for another.
+/// Maximum number of entries. A non-evictable entry stays until it expires, as a duplicate would run again
+/// without it; if such entries alone fill the cache, no further entry can be added.
 pub const MAX_ENTRIES: usize = 4096;
-/// Bound on the bytes of all results together.
+/// Maximum size of all results together, in bytes.
 const MAX_RESULT_BYTES: usize = 8 << 20;
 
-/// What a request is about. Requests with the same subject are duplicates of each other.
+/// The key by which duplicates are recognized: requests with the same one are duplicates of each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DedupKey {
-    /// Place of the request's class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The idempotency key or resource key.
+    /// The idempotency key, in a class that has them, otherwise the resource key.
     pub key: String,
 }
 
-/// Tells one request's body from another's by its length and a hash. The hash has a key that is drawn anew for each
-/// cache, so that callers can't construct collisions.
+/// Digest of a request body: its length and a hash. The hash is seeded with a random key for each cache, so
+/// that callers can't construct collisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyDigest {
     length: usize,
     hash: u64,
 }
 
-/// The request that a subject's entry belongs to.
+/// The request that an entry belongs to.
 #[derive(Clone, Debug)]
 pub struct CachedRequest {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// The digest of its body.
+    /// Digest of the request's body.
     pub body: BodyDigest,
     /// When the entry expires.
     pub expires_at: Micros,
@@ -47,29 +48,30 @@
     result: Option<Vec<u8>>,
 }
 
-/// The cache, by the subjects of its requests.
+/// The cache, indexed by the deduplication keys of its requests.
 #[derive(Debug, Default)]
 pub struct IdempotencyCache {
     entries: BTreeMap<DedupKey, Entry>,
-    /// Subjects of the entries, oldest first.
+    /// Keys of the entries, oldest first.
     insertion_order: VecDeque<DedupKey>,
     result_bytes: usize,
     hasher: RandomState,
 }
 
 impl IdempotencyCache {
-    /// The digest of a request's body.
+    /// Computes the digest of a request's body.
     pub fn digest(&self, body: &[u8]) -> BodyDigest {
         BodyDigest { length: body.len(), hash: self.hasher.hash_one(body) }
     }
 
-    /// The request that has the entry of this subject, expired or not.
+    /// The request whose entry has this key, whether the entry has expired or not.
     pub fn get(&self, dedup_key: &DedupKey) -> Option<&CachedRequest> {
         self.entries.get(dedup_key).map(|entry| &entry.request)
     }
 
-    /// Makes room for one more entry; `false` where there is none. Expired entries go first, unless `is_in_flight` says
-    /// that their request still is; then the oldest evictable one.
+    /// Makes room for one more entry; `false` if that is not possible. A full cache drops expired entries
+    /// first, except those whose request `is_in_flight`, and then, if it is still full, the oldest evictable
+    /// entry.
     pub fn make_room(&mut self, now: Micros, is_in_flight: impl Fn(&str) -> bool) -> bool {
         if self.is_full() {
             self.expire(now, is_in_flight);
@@ -80,8 +82,8 @@
         !self.is_full()
     }
 
-    /// Adds the entry of a subject, or extends it where the request has it already. A newer request takes the place of an
-    /// older one. `false` where there is no room (see [`IdempotencyCache::make_room`]).
+    /// Adds an entry, or changes its expiry time if the entry already belongs to this request. A newer
+    /// request replaces an older one. `false` if there is no room (see [`IdempotencyCache::make_room`]).
     pub fn insert(&mut self, dedup_key: DedupKey, request: CachedRequest) -> bool {
         if let Some(entry) = self.entry_of(&dedup_key, &request.id) {
             entry.request.expires_at = request.expires_at;
@@ -96,17 +98,18 @@
         true
     }
 
-    /// Drops the subject's entry, if it belongs to this request.
+    /// Removes the entry of this key, if it belongs to this request.
     pub fn release(&mut self, dedup_key: &DedupKey, id: &str) {
         if self.entry_of(dedup_key, id).is_some() {
             self.remove(dedup_key);
         }
     }
 
-    /// Adds the result of a request, if it has the subject's entry.
+    /// Stores the result of a request, if the entry of this key belongs to the request.
     ///
-    /// Too many bytes drop the oldest results but never their entries: a duplicate that finds an entry without a result
-    /// fails without running, while one that finds no entry would run again.
+    /// If all results together exceed their size limit, the oldest results are dropped but never their
+    /// entries: a duplicate that finds an entry without a result fails without running, while one that finds
+    /// no entry would run again.
     pub fn store_result(&mut self, dedup_key: &DedupKey, id: &str, result: &[u8]) {
         if let Some(entry) = self.entry_of(dedup_key, id) {
             let previous = entry.result.replace(result.to_vec());
@@ -123,13 +126,13 @@
         }
     }
 
-    /// The result of a request, where it is there.
+    /// The stored result of a request, if there is one.
     pub fn result(&self, id: &str) -> Option<&[u8]> {
         let entry = self.entries.values().find(|entry| &*entry.request.id == id)?;
         entry.result.as_deref()
     }
 
-    /// Drops the entries that have expired, unless `is_in_flight` says that their request still is.
+    /// Drops the entries that have expired by `now`, except those whose request `is_in_flight`.
     pub fn expire(&mut self, now: Micros, is_in_flight: impl Fn(&str) -> bool) {
         let is_expired = |request: &CachedRequest| request.expires_at <= now && !is_in_flight(&request.id);
         let expired: Vec<DedupKey> = self
--- a/crates/server/src/memory/mod.rs
+++ b/crates/server/src/memory/mod.rs
@@ -1,4 +1,5 @@
-//! What is kept in memory: requests in flight, idempotency keys with their results, and the bound on all of it.
+//! State that is held in memory: requests in flight, idempotency keys with their results, and the memory
+//! budget.
 
 pub mod budget;
 pub mod idempotency_cache;
--- a/crates/server/src/memory/request_table.rs
+++ b/crates/server/src/memory/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: arrived and not answered yet, or answered while their run still goes on.
+//! Table of the requests in flight: those not answered yet, and those answered whose run has not ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,74 +11,74 @@
 /// The state of a request's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// Not launched, or ended.
+    /// No run was launched, or it has ended.
     NotRunning,
-    /// Launched and not ended.
+    /// The run was launched and has not ended.
     Running,
-    /// Launched, and paused by preemption.
+    /// The run is paused by preemption.
     Paused,
 }
 
 /// The downstream call that a run waits for.
 #[derive(Debug)]
 pub struct PendingCall {
-    /// Number of the notice that asked for it.
+    /// Sequence number of the agent's notice that asked for the call.
     pub notice_seq: u64,
-    /// Its body.
+    /// Body of the call.
     pub body: Vec<u8>,
-    /// Whether it is being made.
+    /// Whether the call has been sent and has not ended.
     pub in_flight: bool,
 }
 
 /// A request in flight.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// Its name.
+    /// Id of the request.
     pub id: RequestId,
-    /// Place of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Its parameters.
+    /// Parameters of the request.
     pub work: WorkRequest,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Micros,
-    /// Where its response goes, until it is sent.
+    /// Connection and slot that the response is sent to; `None` once it has been sent.
     pub reply_to: Option<ReplyTo>,
-    /// The state of its run.
+    /// State of the request's run.
     pub run: RunState,
-    /// Whether it has been launched at some time, and so may have taken effect.
+    /// Whether a run was ever launched, so that the request may have taken effect.
     pub has_run: bool,
-    /// Whether its run has been told to stop and has not ended yet.
+    /// Whether the run has been told to stop and has not ended yet.
     pub preempting: bool,
-    /// The call that its run waits for.
+    /// The downstream call that the run waits for.
     pub call: Option<PendingCall>,
-    /// Whether a call plan was started for it before.
+    /// Whether a call plan has been started for the request.
     pub had_call_plan: bool,
-    /// When its run got the reply to its last call.
+    /// When the run got the reply to its last downstream call.
     pub last_reply_at: Option<Micros>,
-    /// The request that it is a duplicate of.
+    /// The original request that this one is a duplicate of.
     pub duplicate_of: Option<RequestId>,
-    /// Whether it waits for the result of that request.
+    /// Whether the request waits for the result of its original.
     pub awaits_original: bool,
-    /// The memory that it takes, released with it.
+    /// Memory charged for the request, released on drop.
     pub _charge: Charge,
 }
 
 impl OpenRequest {
-    /// What it is about, where it has a key.
+    /// The key by which duplicates of this request are recognized, if it has one.
     pub fn dedup_key(&self) -> Option<DedupKey> {
         let key = self.work.dedup_key.clone()?;
         Some(DedupKey { class: self.class, key })
     }
 }
 
-/// All requests in flight, indexed so that no lookup passes over all of them.
+/// All requests in flight, indexed so that no lookup scans all of them.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, Box<OpenRequest>>,
     by_deadline: BTreeSet<(Micros, RequestId)>,
-    /// Duplicates that wait for a result, by the request whose result it is.
+    /// Ids of the duplicates that wait for a result, by the id of their original.
     awaiting: BTreeMap<RequestId, Vec<RequestId>>,
 }
 
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the request back where one of the same name is in flight.
+    /// Returns the request if one with the same id is in flight.
     pub fn insert(&mut self, request: Box<OpenRequest>) -> Result<(), Box<OpenRequest>> {
         if self.contains(&request.id) {
             return Err(request);
@@ -97,17 +97,17 @@
         Ok(())
     }
 
-    /// A request by its name.
+    /// Looks up a request by its id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut OpenRequest> {
         self.requests.get_mut(id).map(Box::as_mut)
     }
 
-    /// Whether a request of this name is in flight.
+    /// Whether a request with this id is in flight.
     pub fn contains(&self, id: &str) -> bool {
         self.requests.contains_key(id)
     }
 
-    /// Notes that a duplicate waits for the result of the request that it duplicates.
+    /// Records that a duplicate waits for the result of its original.
     pub fn await_original(&mut self, id: &str) {
         let Some(duplicate) = self.get_mut(id).filter(|request| !request.awaits_original) else { return };
         let Some(original) = duplicate.duplicate_of.clone() else { return };
@@ -116,12 +116,12 @@
         self.awaiting.entry(original).or_default().push(id);
     }
 
-    /// Duplicates that wait for the result of this request.
+    /// Ids of the duplicates that wait for the result of this request.
     pub fn awaiting(&self, original: &str) -> Vec<RequestId> {
         self.awaiting.get(original).cloned().unwrap_or_default()
     }
 
-    /// Requests whose deadline is at `time` or before and that are not answered.
+    /// Ids of the unanswered requests whose deadline is at `time` or earlier.
     pub fn overdue(&self, time: Micros) -> Vec<RequestId> {
         let is_unanswered =
             |id: &&RequestId| self.requests.get(*id).is_some_and(|request| request.reply_to.is_some());
@@ -134,7 +134,7 @@
             .collect()
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn remove(&mut self, id: &str) {
         let Some(request) = self.requests.remove(id) else { return };
         self.by_deadline.remove(&(request.deadline, request.id));
@@ -149,13 +149,13 @@
         }
     }
 
-    /// Whether nothing is left in the table and all its indexes.
+    /// Whether the table and all its indexes are empty.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.by_deadline.is_empty() && self.awaiting.is_empty()
     }
 
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.requests.len()
