--- a/crates/server/src/dependency_calls.rs
+++ b/crates/server/src/dependency_calls.rs
@@ -1,8 +1,8 @@
 //! Downstream calls of runs whose class has a call plan.
 //!
-//! [`Engine`] decides which calls are made, and when; this module hands them to the actors of the dependencies and keeps
-//! track of plans and attempts in flight. Each attempt needs a permit from the dependency's distributed quota, where it
-//! has one (see [`QuotaLeases`]).
+//! [`Engine`] decides which calls are made and when. This module passes them to the actors of the
+//! dependencies and tracks the plans and attempts in flight. Each attempt to a dependency with a distributed
+//! quota needs a permit from that quota (see [`QuotaLeases`]).
 
 mod status_log;
 
@@ -23,13 +23,13 @@
 
 /// A call plan that has ended.
 pub struct FinishedPlan {
-    /// The request that it was for.
+    /// Id of the request that the plan was started for.
     pub id: RequestId,
-    /// How it ended.
+    /// How the plan ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Time from the plan's start to its end, in microseconds.
     pub duration: Micros,
-    /// The encoded response of all its calls, for the run.
+    /// The encoded aggregated response of the plan's calls, which the run gets; empty if there is none.
     pub reply: Vec<u8>,
 }
 
@@ -37,28 +37,29 @@
 struct PlanInFlight {
     id: RequestId,
     started_at: Micros,
-    /// Body of each of its calls.
+    /// Body that each of the plan's calls is sent with.
     body: Rc<[u8]>,
 }
 
 /// An attempt in flight.
 struct AttemptInFlight {
     call: CallId,
-    /// The mailbox that it was sent to. A dependency that is no longer configured ends with its last attempt.
+    /// The mailbox that the attempt was sent to. It keeps the actor of a dependency that is no longer
+    /// configured alive until the last attempt has ended.
     mailbox: Sender<DependencyCommand>,
 }
 
-/// All call plans in flight.
+/// The call plans in flight, with their attempts.
 pub struct DependencyCalls {
     engine: Engine,
     quota_leases: QuotaLeases,
     mailboxes: BTreeMap<Rc<str>, Sender<DependencyCommand>>,
-    /// The memory of the fallback cache.
+    /// Memory charged for the fallback cache.
     charge: Charge,
     plans: BTreeMap<PlanId, PlanInFlight>,
     plan_by_request: BTreeMap<RequestId, PlanId>,
     attempts: BTreeMap<AttemptId, AttemptInFlight>,
-    /// Plans that have ended since they were last taken.
+    /// Plans that have ended and were not taken yet.
     finished: Vec<FinishedPlan>,
     last_plan_id: PlanId,
     status_log: StatusLog,
@@ -66,7 +67,8 @@
 }
 
 impl DependencyCalls {
-    /// No calls yet. `None` for settings with mistakes, which are rejected when the file is read.
+    /// Creates the state without any plan in flight. `None` if the settings are invalid, which does not
+    /// happen as invalid settings are rejected when the operator's file is read.
     pub fn new(
         now: Micros,
         settings: DependencySettings,
@@ -99,7 +101,7 @@
         Some(calls)
     }
 
-    /// Changes the settings. Plans in flight end under the old ones.
+    /// Replaces the settings. Plans in flight finish under the old ones.
     pub fn reconfigure(&mut self, now: Micros, settings: DependencySettings) {
         if let Err(errors) = self.engine.reconfigure(now, settings.config) {
             warn!(self.log, "call plans rejected, the old ones stay"; "errors" => ?errors);
@@ -119,7 +121,7 @@
         self.engine.has_plan(class)
     }
 
-    /// Starts the call plan of a request. `levels` is the number of levels that the ranks of requests are divided into.
+    /// Starts the call plan of a request. `levels` is the number of priority levels that ranks are mapped to.
     pub fn start_plan(
         &mut self,
         now: Micros,
@@ -128,7 +130,8 @@
         deadline: Micros,
         levels: usize,
     ) {
-        // A run that waits for another call no longer waits for the one before.
+        // A run waits for one call at a time: when it asks for another, it no longer waits for the previous
+        // one.
         self.cancel_plan(now, &request.id);
         self.last_plan_id += 1;
         let plan = self.last_plan_id;
@@ -150,7 +153,7 @@
 
     /// Handles the end of an attempt.
     pub fn handle_attempt_end(&mut self, now: Micros, call: &CallId, outcome: Outcome, reply: Vec<u8>) {
-        // A complete reply says that the call has ended at the dependency, and so does one that never got there.
+        // A call has ended at the dependency if its reply is complete, or if it never got there.
         let ended_at_dependency = matches!(outcome, Outcome::Ok | Outcome::Error) || outcome.never_ran();
         self.quota_leases.release(call.attempt, ended_at_dependency);
         if self.attempts.remove(&call.attempt).is_some() {
@@ -170,19 +173,19 @@
         true
     }
 
-    /// Handles an event of the fleet, which may change how many calls this server may have in flight.
+    /// Handles an event of the fleet. It may change the number of calls that this server may have in flight.
     pub fn handle_fleet_event(&mut self, now: Micros, event: FleetEvent) {
         self.quota_leases.handle_fleet_event(event);
         self.update_concurrency_caps(now);
     }
 
-    /// When something is due next.
+    /// When [`DependencyCalls::handle_timeout`] is to be called next.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
         let quota_timeout = self.quota_leases.time_to_next_timeout().map(|duration| now + duration);
         self.engine.next_timeout().into_iter().chain(quota_timeout).min()
     }
 
-    /// Does what is due by now.
+    /// Performs the actions that are due at `now`.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.engine.next_timeout().is_some_and(|at| now >= at) {
             let mut actions = Vec::new();
@@ -194,23 +197,24 @@
         self.status_log.handle_timeout(now, &self.engine, &self.log);
     }
 
-    /// A run of this class went on for this long after its last call.
+    /// Records how long a run of this class went on after its last call, in microseconds.
     pub fn learn_local_work(&mut self, class: &str, duration: Micros) {
         self.engine.learn_local_work(class, duration);
     }
 
-    /// Takes the plans that have ended.
+    /// Takes the plans that have ended since the last call.
     pub fn take_finished(&mut self) -> Vec<FinishedPlan> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Executes the engine's actions, and updates the caps that they may change.
+    /// Executes the engine's actions, and updates the concurrency caps that they may change.
     fn execute_all(&mut self, now: Micros, actions: Vec<Action>) {
         self.execute(now, actions);
         self.update_concurrency_caps(now);
     }
 
-    /// Lets as many calls be in flight as this server has permits for, which may let more calls start.
+    /// Sets the concurrency cap of each dependency with a quota to the calls that this server has permits
+    /// for. A higher cap may let queued calls start.
     fn update_concurrency_caps(&mut self, now: Micros) {
         for dependency in self.quota_leases.dependencies() {
             let demand = self.engine.demand(&dependency);
@@ -241,7 +245,8 @@
         }
     }
 
-    /// Acquires a permit for an attempt and sends it to its dependency's actor; `false` if either has no room for it.
+    /// Acquires a permit for an attempt and sends the attempt to its dependency's actor; `false` if there is
+    /// no permit or the actor's mailbox is full.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -258,7 +263,8 @@
         let id = CallId { request: plan.id.clone(), attempt };
         let call = Call {
             id: id.clone(),
-            // The address of the platform's records service is in its configuration, and is no address here.
+            // The endpoint of the platform's records service is no socket address: the service's address is
+            // in the server's configuration, and the service's actor has it.
             address: address.parse().ok(),
             body: plan.body.clone(),
             deadline: now + timeout,
@@ -270,7 +276,7 @@
         is_sent
     }
 
-    /// Ends an attempt that did not start; what the engine does then.
+    /// Ends an attempt that could not be started as rejected, and returns the engine's resulting actions.
     fn reject_attempt(&mut self, now: Micros, attempt: AttemptId) -> Vec<Action> {
         self.quota_leases.release(attempt, true);
         let mut actions = Vec::new();
@@ -279,10 +285,10 @@
     }
 
     fn cancel_attempt(&mut self, attempt: AttemptId) {
-        // It may go on at the dependency until its deadline.
+        // The attempt may continue at the dependency until its deadline.
         self.quota_leases.release(attempt, false);
         if let Some(AttemptInFlight { call, mailbox }) = self.attempts.remove(&attempt) {
-            // Where the mailbox has no room the call ends at its deadline, and its end is ignored.
+            // If the mailbox is full, the call ends at its deadline and its end is ignored.
             let _ = mailbox.try_send(DependencyCommand::Cancel(call));
         }
     }
--- a/crates/server/src/dependency_calls/status_log.rs
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -1,25 +1,25 @@
-//! Log lines on dependencies that are cut off by their circuit breaker, on ejected endpoints, and on their return.
+//! Log lines about circuit breakers that open or close, and endpoints that are ejected or restored.
 
 use slog::{info, Logger};
 use umberloom::interface::Micros;
 use umberloom_dependencies::{breaker, load_balancer, DependencyStatus, Engine};
 
-/// Time between two looks at the dependencies.
+/// Time between two checks for changes.
 const LOG_INTERVAL: Micros = 1_000_000;
 
-/// What the dependencies were like when they were last looked at.
+/// Compares the status of the dependencies with that of the last check, and logs changes.
 pub struct StatusLog {
     next_log_at: Micros,
     previous: Vec<DependencyStatus>,
 }
 
 impl StatusLog {
-    /// A log whose first look is one interval from now.
+    /// Creates a log whose first check is due one interval from now.
     pub fn new(now: Micros) -> StatusLog {
         StatusLog { next_log_at: now + LOG_INTERVAL, previous: Vec::new() }
     }
 
-    /// Logs what has changed since the last look, if a look is due.
+    /// Logs the changes since the last check, if a check is due.
     pub fn handle_timeout(&mut self, now: Micros, engine: &Engine, log: &Logger) {
         if now < self.next_log_at {
             return;
@@ -53,7 +53,8 @@
         let previous = previous.endpoints.iter().find(|previous| previous.address == endpoint.address);
         if previous.is_some_and(|previous| is_in_use(previous) != is_in_use(endpoint)) {
             info!(log, "endpoint ejection changed"; "dependency" => &*current.name,
-                "address" => &*endpoint.address, "in_use" => is_in_use(endpoint), "cause" => ?endpoint.last_ejection);
+                "address" => &*endpoint.address, "in_use" => is_in_use(endpoint),
+                "cause" => ?endpoint.last_ejection);
         }
     }
 }
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -1,8 +1,8 @@
-//! Distributed quotas of this server: `umberloom_quota` decides, the call plans' engine has calls to make, and the
-//! fleet's actor carries messages to other servers.
+//! The distributed quotas of this server. `umberloom_quota` makes the decisions, the call plans' engine
+//! supplies the demand, and the fleet's actor carries the messages to and from other servers.
 //!
-//! Times here are of the system's monotonic clock and not of the Unix clock that requests are timed by: that one may be
-//! set forward, and leases that were granted would seem to have expired.
+//! Times in this module are of the system's monotonic clock, unlike those of requests, which follow the Unix
+//! clock: if that clock were set forward, granted leases would seem to have expired.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,18 +18,19 @@
 
 /// Time between two reports to the fleet's actor.
 const REPORT_INTERVAL: Micros = 200_000;
-/// Bound on how soon a timeout is due.
+/// Minimum time until the next timeout.
 const MIN_TIMEOUT: Micros = 1_000;
 
-/// The distributed quotas, by their dependency's name.
+/// The distributed quotas of this server's dependencies.
 pub struct QuotaLeases {
+    /// Quotas by the dependency's name.
     quotas: BTreeMap<Rc<str>, SharedQuota>,
-    /// The dependency whose quota each call in flight has its permit from.
+    /// Names of the dependencies whose quota the calls in flight have their permits from.
     dependency_by_call: BTreeMap<CallId, Rc<str>>,
     reachability: Reachability,
-    /// When this server's monotonic time began.
+    /// The origin of this module's monotonic time.
     clock_start: Instant,
-    /// Seed of the quota that was added last.
+    /// Random seed of the quota that was added last.
     seed: u64,
     fleet: Option<Sender<FleetCommand>>,
     last_report_at: Micros,
@@ -38,7 +39,7 @@
 }
 
 impl QuotaLeases {
-    /// No quotas yet.
+    /// Creates the state without any quota.
     pub fn new(fleet: Option<Sender<FleetCommand>>, seed: u64, log: Logger) -> QuotaLeases {
         QuotaLeases {
             quotas: BTreeMap::new(),
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Changes the quotas. One that stays keeps its leases. Gives the names of those that are gone: calls to them are no
-    /// longer bounded by a quota.
+    /// Replaces the set of quotas. A quota that remains keeps its leases. Returns the names of the
+    /// dependencies that no longer have a quota: calls to them are no longer bounded by one.
     pub fn reconfigure(&mut self, configs: Vec<SharedQuotaConfig>) -> Vec<Rc<str>> {
         let is_configured = |name: &Rc<str>| configs.iter().any(|config| config.dependency == *name);
         let removed: Vec<Rc<str>> = self.quotas.keys().filter(|name| !is_configured(name)).cloned().collect();
@@ -67,7 +68,7 @@
         removed
     }
 
-    /// Adds a quota or changes the settings of one.
+    /// Adds a quota, or changes the settings of an existing one.
     fn configure(&mut self, quota: SharedQuotaConfig) {
         let now = self.now();
         let SharedQuotaConfig { dependency, config } = quota;
@@ -92,8 +93,9 @@
         self.quotas.keys().cloned().collect()
     }
 
-    /// Acquires a permit for a call with this timeout; gives the timeout that the call may have, or `None` where there is
-    /// no permit. A dependency without a quota has permits for all calls.
+    /// Acquires a permit for a call that wants this timeout. Returns the timeout that the call is allowed, or
+    /// `None` if there is no permit. Calls to a dependency without a quota need no permit and get the full
+    /// timeout.
     pub fn acquire(&mut self, dependency: &str, call: CallId, timeout: Micros) -> Option<Micros> {
         let now = self.now();
         let Some(quota) = self.quotas.get_mut(dependency) else { return Some(timeout) };
@@ -102,8 +104,8 @@
         Some(permit_end - now)
     }
 
-    /// Releases the permit of a call that has ended here. Where the call may go on at the dependency (`ended_at_dependency` is
-    /// false), the permit stays in use until the call's deadline.
+    /// Handles the end of a call at this server. Its permit is released only if the call has also ended at
+    /// the dependency; otherwise the permit stays in use until the call's deadline.
     pub fn release(&mut self, call: CallId, ended_at_dependency: bool) {
         let Some(dependency) = self.dependency_by_call.remove(&call) else { return };
         if !ended_at_dependency {
@@ -126,7 +128,7 @@
             }
             FleetEvent::MessageReceived { from, boot_id, channel: QUOTA_CHANNEL, payload } => {
                 let now = self.now();
-                // A message that can't be decoded is from a newer version, which this one need not understand.
+                // A message that can't be decoded comes from a newer version and is ignored.
                 let Ok((dependency, message)) = postcard::from_bytes::<(String, Message)>(&payload) else {
                     return;
                 };
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Does what is due for a dependency's quota, with its demand now; gives how many calls may be in flight.
+    /// Updates a dependency's quota with its present demand, and performs the quota's actions that are due.
+    /// Returns the number of calls that may be in flight.
     pub fn update(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
         let now = self.now();
         let Some(quota) = self.quotas.get_mut(dependency) else { return usize::MAX };
@@ -152,22 +155,22 @@
         if let Some(fleet) = &self.fleet {
             for (to, message) in messages {
                 let payload = postcard::to_stdvec(&(&**dependency, message)).unwrap_or_default();
-                // One that finds no room is lost, as the network may lose it, and is sent again.
+                // A message dropped because the mailbox is full is sent again, like one lost in the network.
                 let _ = fleet.try_send(FleetCommand::Send { to, channel: QUOTA_CHANNEL, payload });
             }
         }
         demand.in_flight + available
     }
 
-    /// How long until something is due; `None` where there are no quotas.
+    /// Time until [`QuotaLeases::update`] is due next, in microseconds; `None` without quotas.
     pub fn time_to_next_timeout(&self) -> Option<Micros> {
         let now = self.now();
         let next = self.quotas.values().map(|quota| quota.next_timeout(now)).min()?;
         Some(next.saturating_sub(now).clamp(MIN_TIMEOUT, REPORT_INTERVAL))
     }
 
-    /// Tells the fleet's actor how the quotas are used, for operators who ask, and logs quota shares that have changed;
-    /// once an interval.
+    /// Once per [`REPORT_INTERVAL`], reports the use of the quotas to the fleet's actor, which answers
+    /// operators' requests from it, and logs quota shares that have changed.
     pub fn report(&mut self) {
         let now = self.now();
         if self.quotas.is_empty() || now < self.last_report_at + REPORT_INTERVAL {
@@ -184,7 +187,7 @@
         }
         self.last_reports.clone_from(&reports);
         if let Some(fleet) = &self.fleet {
-            // One that finds no room is followed by the next.
+            // A report dropped because the mailbox is full is superseded by the next one.
             let _ = fleet.try_send(FleetCommand::PublishQuotas(reports));
         }
     }
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Microseconds of the monotonic clock since the start.
+    /// Microseconds of the monotonic clock since this object was created.
     fn now(&self) -> Micros {
         self.clock_start.elapsed().as_micros() as Micros
     }
