--- a/crates/server/src/admission/actions.rs
+++ b/crates/server/src/admission/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the controller's actions.
+//! Execution of the admission controller's actions.
 
 use slog::debug;
 use umberloom::interface::{Action, Event, Micros, Outcome, RequestId};
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Starts a request's run, or goes on with a paused one.
+    /// Starts a request's run, or resumes a paused one.
     fn admit(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.reply_to.is_none() && request.run != RunState::Running {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The command to run the request found no room in the agent's mailbox. A request that was not running fails at once
-    /// and not when it is overdue.
+    /// Restores the request's state after the command to run it was not sent, as the agent's mailbox is full.
+    /// A request without a run fails at once, instead of waiting until it is overdue.
     fn undo_admit(&mut self, id: &RequestId, previous_run: RunState, had_run: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.run = previous_run;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Stops a request's run, which counts as running until the agent says that it has ended.
+    /// Tells the agent to stop a request's run. The run counts as running until the agent reports its end.
     fn preempt(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.run != RunState::Running {
@@ -82,7 +82,7 @@
     }
 
     fn reject(&mut self, id: &RequestId, retry_after: Micros, terminal: bool) {
-        // What has run may have taken effect, which a rejection would deny.
+        // A request that has run may have taken effect, while a rejection states that it never ran.
         let has_run = self.requests.get_mut(id).is_some_and(|request| request.has_run);
         let rejected = Response::Rejected { retry_after, terminal };
         self.finish(id, if has_run { Response::Failed } else { rejected });
--- a/crates/server/src/admission/agent_events.rs
+++ b/crates/server/src/admission/agent_events.rs
@@ -1,4 +1,4 @@
-//! The agent's reports: its start, ends of runs, rejected commands, gauges.
+//! Events from the agent: its start, ends of runs, rejected commands, gauge samples.
 
 use umberloom::interface::{Event, Gauges, Micros, Outcome, Preemption, RequestId};
 use umberloom::AdmissionController;
@@ -9,19 +9,19 @@
 use crate::messages::caller::Response;
 use crate::messages::RunOutcome;
 
-/// How long a timer event waits for its gauges.
+/// How long a timer event waits for the agent's gauges.
 pub(super) const GAUGE_TIMEOUT: Micros = 10_000;
 
 /// A gauge sample that the agent has not answered yet.
 pub(super) struct PendingGaugeSample {
     /// Tag of the command.
     tag: u64,
-    /// When the timer event comes without gauges.
+    /// When the timer event is sent without gauges.
     pub(super) deadline: Micros,
 }
 
 impl AdmissionActor {
-    /// Starts the controller. The server's uptime is its agent's and not that of this process.
+    /// Creates the controller. Its uptime is that of the agent and not that of this process.
     pub(super) fn handle_agent_up(&mut self, now: Micros, uptime: Micros) {
         if self.controller.is_some() {
             return;
@@ -29,11 +29,11 @@
         // The settings were validated when they were read.
         let started_at = now.saturating_sub(uptime);
         self.controller = AdmissionController::new(started_at, self.settings.clone()).ok();
-        // A new controller may have something to do before anything happens.
+        // The controller may have actions to take before the first request arrives.
         self.events = vec![Event::Timer(Gauges::default())];
-        // A notice to drain that came before the agent was up counts from when it came.
+        // A drain notice that was received before the agent was up keeps its receipt time.
         self.events.extend(self.drain_notice.as_ref().map(|notice| notice.event(now)));
-        // Sent once to a mailbox of one place, so this fails only at the end of the program.
+        // Sent once, to a mailbox with room for one message, so this fails only when the process is ending.
         let _ = self.mailboxes.agent_up.try_send(());
         let is_draining = self.drain_notice.is_some();
         self.set_accepting(self.ready.unwrap_or(!is_draining));
@@ -60,21 +60,21 @@
         self.remove_if_ended(&id);
     }
 
-    /// Notes that a run has ended, `stopped` by preemption or not.
+    /// Updates a request's state after its run has ended.
     fn update_run_state(&mut self, id: &RequestId, was_aborted_by_preemption: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.preempting = false;
-        // A run that was preempted leaves its request to the controller, unless it is answered.
+        // The controller decides on an unanswered request whose run was preempted.
         let is_preempted = was_aborted_by_preemption && request.reply_to.is_some();
         let is_paused = is_preempted && self.settings.preemption == Preemption::Pause;
         request.run = if is_paused { RunState::Paused } else { RunState::NotRunning };
         if !is_preempted {
-            // A run that failed or was stopped by others has not been answered yet.
+            // A run that failed, or was aborted by anything other than preemption, has not been answered yet.
             self.respond(id, Response::Failed);
         }
     }
 
-    /// How long the run went on after its last call.
+    /// Records how long the run went on after its last downstream call.
     fn learn_local_work(&mut self, id: &RequestId) {
         let Some(calls) = &mut self.dependency_calls else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Handles that the agent did not execute a command. A rejected `launch` has not begun a run, as the agent does not
-    /// know such requests; that says nothing about how runs do here, so it is no failed run. Other commands may be
-    /// rejected because a new link repeated them after they had been executed: the run goes on, and ends by itself or
-    /// when it is overdue.
+    /// Handles a command that the agent rejected. A rejected `launch` started no run, as the agent does not
+    /// know the request; it does not count as a failed run, as it says nothing about the success of runs on
+    /// this server. Other commands may be rejected because a new link repeated them after they had been
+    /// executed: the run goes on until it ends by itself or is overdue.
     pub(super) fn handle_rejected_command(&mut self, command: &str, id: &str) {
         if command != "launch" {
             return;
@@ -98,12 +98,12 @@
         self.end_without_report(id, Outcome::NotStarted);
     }
 
-    /// Handles a notice that can't be true. Nothing more will be reported of the run that it was about.
+    /// Handles an invalid notice from the agent. No further notice about its run will come.
     pub(super) fn handle_invalid_notice(&mut self, id: &str) {
         self.end_without_report(id, Outcome::Error);
     }
 
-    /// Ends a request of whose run nothing more will be reported.
+    /// Ends a request about whose run the agent will send no further notice.
     fn end_without_report(&mut self, id: &str, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let id = request.id.clone();
@@ -132,7 +132,7 @@
         self.events.push(Event::Timer(gauges));
     }
 
-    /// A timer event comes without gauges if the agent does not answer in time.
+    /// Sends the timer event without gauges if the agent has not answered in time.
     pub(super) fn expire_gauge_sample(&mut self, now: Micros) {
         if self.gauge_sample.as_ref().is_some_and(|sample| now >= sample.deadline) {
             self.gauge_sample = None;
--- a/crates/server/src/admission/arrivals.rs
+++ b/crates/server/src/admission/arrivals.rs
@@ -1,7 +1,8 @@
-//! Requests that arrive, and callers that give them up.
+//! Arriving requests, and requests that their callers cancel.
 //!
-//! Attempts of one request are linked by its subject: in a class with idempotency keys by that key alone, in others by the
-//! resource key. A duplicate never runs: it is answered by the result of the request that has the key.
+//! Attempts of one request are linked by its deduplication key: the idempotency key in a class that has them,
+//! the resource key in others. A duplicate never runs: it is answered with the result of the request that has
+//! the key.
 
 use umberloom::interface::{Arrival, Class, Event, Idempotency, Micros, RequestId};
 
@@ -10,29 +11,31 @@
 use crate::memory::request_table::{OpenRequest, RunState};
 use crate::messages::caller::{Request, Response};
 
-/// The response to a request that nothing is known about.
+/// Rejection of a request that was not passed to the controller: it states no retry time and allows other
+/// servers.
 const REJECTED: Response = Response::Rejected { retry_after: 0, terminal: false };
 
-/// How long a request has waited, and how long its caller still does.
+/// How long a request has waited, and how long its caller still waits.
 struct RequestTiming {
-    /// The time that it spent in socket buffers, which counts: the caller's wait began when it reached the machine.
+    /// Time that the request spent in socket buffers before it was read, in microseconds. It counts towards
+    /// the caller's wait, which began when the request reached the machine.
     read_delay: Micros,
-    /// How long its caller still waits, where that is stated.
+    /// How long the caller still waits, in microseconds, if the request states it.
     caller_timeout: Option<Micros>,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     deadline: Micros,
 }
 
-/// What the idempotency cache has under a request's subject.
+/// Result of looking up a request's deduplication key in the idempotency cache.
 #[derive(Default)]
 struct KeyLookup {
-    /// The request that has the key.
+    /// The original request, if another one has the key.
     duplicate_of: Option<RequestId>,
-    /// The key is free, and is reserved if the request is accepted.
+    /// The entry to add if the request is accepted, where the key is free and the class has idempotency keys.
     reservation: Option<KeyReservation>,
 }
 
-/// A key that keeps duplicates from running from the arrival of its first attempt on.
+/// A cache entry that prevents duplicates from running from the arrival of the first attempt on.
 struct KeyReservation {
     dedup_key: DedupKey,
     body: BodyDigest,
@@ -40,10 +43,10 @@
 }
 
 impl AdmissionActor {
-    /// Responds to a request at once, or makes it an event for the controller.
+    /// Responds to a request at once, or adds an arrival event for the controller.
     pub(super) fn handle_request(&mut self, now: Micros, mut request: Request) {
         if self.controller.is_none() {
-            // Nothing can run before the agent is up.
+            // Requests can't run before the agent is up.
             return request.reply_to.respond(REJECTED);
         }
         if let Err(response) = self.set_dedup_key(&mut request) {
@@ -56,17 +59,17 @@
         }
     }
 
-    /// Makes the idempotency key the request's subject, in a class that has them.
+    /// Replaces the request's deduplication key by its idempotency key, in a class that has idempotency keys.
     ///
     /// # Errors
     ///
-    /// A request without its key could run twice, so it is malformed.
+    /// `BadRequest` if the request has no idempotency key, as it could run twice.
     fn set_dedup_key(&self, request: &mut Request) -> Result<(), Response> {
         if self.class_with_keys(request.class).is_none() {
             return Ok(());
         }
         let Some(key) = request.work.idempotency_key.take() else { return Err(Response::BadRequest) };
-        // The same key of two tenants is two keys: neither may get the other's result.
+        // Keys are separate for each tenant, as a tenant must not get another's result.
         let has_tenants = !self.settings.tenants.is_empty();
         let key = if has_tenants { format!("{}/{key}", request.tenant) } else { key };
         request.work.dedup_key = Some(key);
@@ -82,20 +85,22 @@
     fn timing(&self, now: Micros, request: &Request) -> RequestTiming {
         let unix_now = self.clock.unix();
         let read_delay = unix_now.saturating_sub(request.work.received_at);
-        // Where requests pass no deadline on, one that a request states all the same is ignored.
+        // A stated timeout is ignored at deployments whose requests are not configured to pass deadlines on.
         let stated = request.work.remaining_timeout(unix_now);
         let caller_timeout = stated.filter(|_| self.shape.passes_deadline);
-        // Without one the deadline of its class counts from when it reached the machine.
+        // Without a caller timeout the class deadline applies, counted from the request's arrival at the
+        // machine.
         let class_deadline = self.settings.classes.get(request.class).map_or(0, |class| class.deadline);
         let remaining = caller_timeout.unwrap_or(class_deadline.saturating_sub(read_delay));
         RequestTiming { read_delay, caller_timeout, deadline: now + remaining }
     }
 
-    /// Looks for the request that this one is a duplicate of.
+    /// Looks up the original request that this one is a duplicate of.
     ///
     /// # Errors
     ///
-    /// The response, where the key belongs to a request with another body, or where there is no room for a new key.
+    /// The response to send, if the key belongs to a request with a different body, or if there is no room
+    /// for a new key.
     fn look_up_key(
         &mut self,
         now: Micros,
@@ -104,8 +109,8 @@
     ) -> Result<KeyLookup, Response> {
         let Some(key) = request.work.dedup_key.clone() else { return Ok(KeyLookup::default()) };
         let dedup_key = DedupKey { class: request.class, key };
-        // A duplicate counts by when it reached the machine, however late it is read. While the first attempt is in
-        // flight no other may run, though its key has expired.
+        // A key's expiry is compared with the duplicate's arrival at the machine, however late the duplicate
+        // is read. While the original is in flight no duplicate may run, even if the key has expired.
         let arrived_at = now.saturating_sub(read_delay);
         let cached = self.idempotency_cache.get(&dedup_key).cloned();
         let cached = cached
@@ -116,10 +121,11 @@
         let expires_at = now + class.idempotency_window;
         let body = self.idempotency_cache.digest(&request.body);
         match cached {
-            // Another request under a key that is taken is no duplicate: it must neither run nor get the other's result.
+            // A different request under a key in use is no duplicate: it must neither run nor get the
+            // original's result.
             Some(original) if original.body != body => Err(Response::BadRequest),
             Some(original) => Ok(KeyLookup { duplicate_of: Some(original.id), reservation: None }),
-            // Without room for its key nothing would keep a duplicate from running.
+            // Without an entry for the key, nothing would prevent a duplicate from running.
             None if !self.make_room_for_key(now) => Err(REJECTED),
             None => {
                 let reservation = Some(KeyReservation { dedup_key, body, expires_at });
@@ -128,7 +134,7 @@
         }
     }
 
-    /// Adds a request to the table and tells the controller of it.
+    /// Adds a request to the table and an arrival event for the controller.
     fn accept(&mut self, request: Request, timing: &RequestTiming, lookup: KeyLookup) {
         let Request { id, class, tenant, work, body, reply_to, charge } = request;
         let arrival = Arrival {
@@ -162,13 +168,14 @@
             _charge: charge,
         };
         if let Err(duplicate_id) = self.requests.insert(Box::new(open_request)) {
-            // The name is in use: the controller would mix the two requests up.
+            // The controller can't distinguish two requests with the same id.
             if let Some(reply_to) = duplicate_id.reply_to {
                 reply_to.respond(Response::BadRequest);
             }
             return;
         }
-        // Two attempts may be read before the controller decides on the first, so the first has the key from here on.
+        // A second attempt may be read before the controller decides on the first one, so the key is reserved
+        // here.
         if let Some(reservation) = lookup.reservation {
             let cached = CachedRequest {
                 id: arrival.id.clone(),
@@ -181,8 +188,8 @@
         self.events.push(Event::Arrived(arrival));
     }
 
-    /// Handles that a caller has given its request up. One that is answered already, or another request under the same
-    /// name, is not this caller's.
+    /// Handles the cancellation of a request by its caller. It is ignored if the request was answered
+    /// already, or if the serial shows that another request has the same id.
     pub(super) fn handle_cancellation(&mut self, id: &str, serial: u64) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let is_callers_request =
@@ -197,7 +204,8 @@
         self.remove_if_ended(&id);
     }
 
-    /// Makes the request's subject known for as long as the controller wants, so that duplicates are linked to it.
+    /// Retains the request's deduplication key until `expires_at`, so that duplicates are linked to the
+    /// request.
     pub(super) fn retain_key(&mut self, now: Micros, id: &RequestId, expires_at: Micros) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(dedup_key) = request.dedup_key() else { return };
@@ -209,7 +217,7 @@
         }
     }
 
-    /// Makes the request's subject unknown, if this request has it.
+    /// Releases the request's deduplication key, if the cache entry belongs to this request.
     pub(super) fn release_key(&mut self, id: &str) {
         let Some(dedup_key) = self.requests.get_mut(id).and_then(|request| request.dedup_key()) else {
             return;
@@ -217,8 +225,8 @@
         self.idempotency_cache.release(&dedup_key, id);
     }
 
-    /// Drops expired keys. A duplicate that reached the machine in time may be read later, by its deadline at most, and
-    /// is known until then.
+    /// Drops keys that expired at least the longest class deadline ago. A duplicate that reached the machine
+    /// before the key expired may be read later, but not after its deadline, and must still be linked then.
     pub(super) fn expire_keys(&mut self, now: Micros) {
         let longest_deadline = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let requests = &self.requests;
--- a/crates/server/src/admission/calls.rs
+++ b/crates/server/src/admission/calls.rs
@@ -1,5 +1,5 @@
-//! Downstream calls of runs. A class with a call plan makes the calls of its plan, all others make one call to the
-//! platform's records service. To the controller both are one call.
+//! Downstream calls of runs. Runs of a class with a call plan make the calls of the plan, all others make one
+//! call to the platform's records service. The controller sees one call in both cases.
 
 use std::rc::Rc;
 
@@ -12,14 +12,14 @@
 use crate::messages::calls::{Call, CallId, DependencyCommand};
 
 impl AdmissionActor {
-    /// Handles that a run waits for a call.
+    /// Handles the agent's notice that a run waits for a downstream call.
     pub(super) fn handle_needs_call(&mut self, id: &str, notice_seq: u64, body: Vec<u8>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.call = Some(PendingCall { notice_seq, body, in_flight: false });
         self.events.push(Event::NeedsCall(request.id.clone()));
     }
 
-    /// Makes the call that a run waits for.
+    /// Starts the downstream call, or the call plan, that a run waits for.
     pub(super) fn start_call(&mut self, now: Micros, id: &RequestId, deadline: Micros) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(call) = request.call.as_mut() else { return };
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Handles the end of a call, or of an attempt that belongs to a call plan.
+    /// Handles the end of a call without a call plan, or of an attempt in a call plan.
     pub(super) fn handle_call_end(
         &mut self,
         now: Micros,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The end of a call plan is the end of the one call that the controller knows.
+    /// Delivers the replies of call plans that have ended. To the controller a call plan is one call.
     pub(super) fn take_finished_plans(&mut self) {
         let finished = self.dependency_calls.as_mut().map(DependencyCalls::take_finished);
         for FinishedPlan { id, outcome, duration, reply } in finished.unwrap_or_default() {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Gives a run the reply to its call, if it was good, and tells the controller of the call's end.
+    /// Delivers the reply of a successful call to its run, and adds the call's end to the controller's
+    /// events.
     fn deliver_reply(&mut self, id: RequestId, outcome: Outcome, duration: Micros, body: Vec<u8>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(call) = request.call.as_mut().filter(|call| call.in_flight) else { return };
@@ -79,7 +80,7 @@
         self.events.push(Event::CallEnded(id, outcome, duration));
     }
 
-    /// Lets a run go on without the call that it waits for.
+    /// Lets a run continue without the downstream call that it waits for.
     pub(super) fn skip_call(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(call) = request.call.take() else { return };
@@ -89,7 +90,7 @@
         self.send_to_agent(AgentCommand::SkipCall { id: id.clone(), notice_seq: call.notice_seq });
     }
 
-    /// Cancels the call of a request that has ended.
+    /// Cancels the downstream call of a request that has ended.
     pub(super) fn cancel_pending_call(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.call.take().is_some_and(|call| call.in_flight) {
@@ -102,7 +103,7 @@
         if self.dependency_calls.as_mut().is_some_and(|calls| calls.cancel_plan(now, id)) {
             return self.take_finished_plans();
         }
-        // Where the mailbox has no room the call ends at its deadline, and its end is ignored.
+        // If the mailbox is full, the call ends at its deadline and its end is ignored.
         let cancel = DependencyCommand::Cancel(CallId::without_plan(id.clone()));
         let _ = self.mailboxes.records.try_send(cancel);
     }
--- a/crates/server/src/admission/draining.rs
+++ b/crates/server/src/admission/draining.rs
@@ -9,12 +9,12 @@
 pub(super) struct DrainNotice {
     /// When the notice was received.
     pub(super) noticed_at: Micros,
-    /// When the process is stopped.
+    /// When the process will be stopped.
     pub(super) stop_at: Micros,
 }
 
 impl DrainNotice {
-    /// The controller's event, as it is at `now`.
+    /// The controller's drain event, with its durations computed at `now`.
     pub(super) fn event(&self, now: Micros) -> Event {
         Event::Drain {
             time_left: self.stop_at.saturating_sub(now),
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Brings drain events up to date at the step. The process may have been stalled since the notice was read, and the
-    /// stop has come nearer by that.
+    /// Recomputes drain events at the time of the step. If the process was stalled since the notice was read,
+    /// less time is left until the stop.
     pub(super) fn update_events(&self, events: &mut [Event], now: Micros) {
         for event in events {
             if matches!(event, Event::Drain { .. }) {
--- a/crates/server/src/admission/health_checks.rs
+++ b/crates/server/src/admission/health_checks.rs
@@ -6,20 +6,21 @@
 use crate::messages::agent::AgentCommand;
 use crate::messages::caller::{HealthCheck, ReplyTo, Response};
 
-/// How long the agent may take for a deep health check.
+/// How long the agent may take to answer a deep health check.
 pub(super) const HEALTH_CHECK_TIMEOUT: Micros = 5_000_000;
-/// Bound on the deep health checks that wait for the agent.
+/// Maximum number of deep health checks that wait for the agent.
 const MAX_PENDING_HEALTH_CHECKS: usize = 64;
 
 /// A deep health check that waits for the agent.
 pub(super) struct PendingHealthCheck {
-    /// When it is answered without the agent.
+    /// When the check fails if the agent has not answered.
     deadline: Micros,
     reply_to: ReplyTo,
 }
 
 impl AdmissionActor {
-    /// Answers a health check by the controller's readiness. Until it has set one, a deep check makes the agent do work.
+    /// Answers a health check with the controller's readiness. Until the controller has set one, a deep check
+    /// makes the agent do some work.
     pub(super) fn handle_health_check(&mut self, now: Micros, check: HealthCheck) {
         match self.known_health(check.is_deep) {
             Some(healthy) => check.reply_to.respond(Response::Health(healthy)),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Whether this server is well, where that is known without the agent.
+    /// Whether this server is healthy, if that can be decided without asking the agent.
     fn known_health(&self, is_deep: bool) -> Option<bool> {
         if self.controller.is_none() {
             return Some(false);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Fails all deep health checks: the link on which the agent would have answered them is lost.
+    /// Fails all pending deep health checks, as the link on which the agent would have answered them is lost.
     pub(super) fn fail_health_checks(&mut self) {
         for check in std::mem::take(&mut self.health_checks).into_values() {
             check.reply_to.respond(Response::Health(false));
@@ -67,7 +68,8 @@
         self.health_checks.values().map(|check| check.deadline).min()
     }
 
-    /// Fails the deep health checks that the agent has not answered in time. Tags and deadlines grow together.
+    /// Fails the deep health checks that the agent has not answered in time. The lowest tag has the earliest
+    /// deadline, as both increase with each check.
     pub(super) fn expire_health_checks(&mut self, now: Micros) {
         while let Some(oldest) = self.health_checks.first_entry() {
             if now < oldest.get().deadline {
--- a/crates/server/src/admission/mailboxes.rs
+++ b/crates/server/src/admission/mailboxes.rs
@@ -1,5 +1,5 @@
-//! Messages to the other actors. This actor never waits for another: what finds no room is lost or sent again, as stated
-//! at each kind of message.
+//! Messages to the other actors. This actor never waits for room in a mailbox: a message that finds it full
+//! is dropped or sent again, as stated for each kind of message.
 
 use std::time::Instant;
 
@@ -17,25 +17,25 @@
 
 /// The mailboxes of the other actors.
 pub struct Mailboxes {
-    /// The link to the agent.
+    /// Mailbox of the link to the agent.
     pub agent: Sender<AgentActorMessage>,
-    /// The platform's records service.
+    /// Mailbox of the client of the platform's records service.
     pub records: Sender<DependencyCommand>,
-    /// The registration in the endpoint list.
+    /// Mailbox of the registration with the announce service.
     pub registration: Sender<RegistrationCommand>,
-    /// The listener.
+    /// Mailbox of the listener.
     pub listener: Sender<ListenerCommand>,
-    /// Gets one message, when the agent is up.
+    /// Receives one message when the agent is up.
     pub agent_up: Sender<()>,
-    /// The load hint, which all connections read.
+    /// The load hint that all connections read.
     pub load_hint: LoadHint,
-    /// The fleet, if this server is in one.
+    /// Mailbox of the fleet's actor, if this server is a member of a fleet.
     pub fleet: Option<Sender<FleetCommand>>,
 }
 
 impl AdmissionActor {
-    /// Sends a command to the agent; `false` if its mailbox is full. That takes far more commands than the requests in
-    /// flight can need.
+    /// Sends a command to the agent; `false` if its mailbox is full. That is not expected, as the mailbox has
+    /// room for far more commands than the requests in flight can need.
     pub(super) fn send_to_agent(&mut self, command: AgentCommand) -> bool {
         let is_sent = self.mailboxes.agent.try_send(AgentActorMessage::Command(command)).is_ok();
         if !is_sent {
@@ -44,7 +44,8 @@
         is_sent
     }
 
-    /// Sends the newest idle timeout to the listener. One that finds no room is sent again with the next timer event.
+    /// Sends the latest idle timeout to the listener. If the mailbox is full, it is sent again at the next
+    /// timer event.
     pub(super) fn send_idle_timeout(&mut self) {
         let Some(timeout) = self.unsent_idle_timeout.take() else { return };
         if self.mailboxes.listener.try_send(ListenerCommand::CloseIdle(timeout)).is_err() {
@@ -53,22 +54,22 @@
         }
     }
 
-    /// Tells the registration whether this server takes work. The newest message counts, so it takes the place of the
-    /// oldest one in a full mailbox, but not that of an address.
+    /// Tells the registration whether this server accepts work. As only the latest state matters, the message
+    /// replaces the oldest one in a full mailbox, unless that is a change of address.
     pub(super) fn set_accepting(&mut self, accepting: bool) {
         let registration = &self.mailboxes.registration;
         let displaced = registration.force_send(RegistrationCommand::SetAccepting(accepting));
         if let Ok(Some(address_command @ RegistrationCommand::SetAddress(_))) = displaced {
-            // Displaces an older `SetAccepting` at most; fails only at the end of the program.
+            // Displaces at most an older `SetAccepting`; fails only when the process is ending.
             let _ = registration.force_send(address_command);
         }
     }
 
-    /// Tells the other servers how loaded this one is.
+    /// Reports this server's load, as a percentage of its CPU use, to the other servers of the fleet.
     pub(super) fn report_load(&self, gauges: &Gauges) {
         let (Some(fleet), Some(cpu)) = (&self.mailboxes.fleet, gauges.cpu) else { return };
         let percent = (cpu.clamp(0.0, 1.0) * 100.0) as u8;
-        // One that finds no room is followed by the next sample's.
+        // A report dropped because the mailbox is full is superseded by that of the next gauge sample.
         let _ = fleet.try_send(FleetCommand::SetLoad(percent));
     }
 
--- a/crates/server/src/admission/mod.rs
+++ b/crates/server/src/admission/mod.rs
@@ -1,14 +1,15 @@
 //! The actor that owns the admission controller and the state of each request.
 //!
-//! All other actors send it messages. It turns them into the controller's events, takes steps (see
-//! [`AdmissionController::step`]), and executes the controller's actions: commands to the agent, downstream calls,
-//! responses to callers. Only this actor calls `step`, and only it changes the state of a request.
+//! The actor turns messages from all other actors into events for the controller, takes the controller's
+//! steps (see [`AdmissionController::step`]), and executes the resulting actions: commands to the agent,
+//! downstream calls, responses to callers. Only this actor calls `step`, and only it changes the state of a
+//! request.
 //!
-//! - [`arrivals`]: requests, and links between duplicates
+//! - [`arrivals`]: arriving requests, and links between duplicates
 //! - [`actions`]: execution of the controller's actions
 //! - [`agent_events`]: the agent's reports on runs and gauges
 //! - [`calls`]: downstream calls of runs
-//! - [`responses`]: final responses, and what is left when a request has ended
+//! - [`responses`]: final responses, and the removal of ended requests
 //! - [`health_checks`]: answers to health checks
 //! - [`draining`]: the notice to drain
 //! - [`mailboxes`]: messages to the other actors
@@ -46,37 +47,37 @@
 
 pub use mailboxes::Mailboxes;
 
-/// Bound on the messages that wait in this actor's mailbox.
+/// Maximum number of messages that wait in this actor's mailbox.
 pub const MAILBOX_CAPACITY: usize = 256;
-/// Bound on the messages that are read before a step.
+/// Maximum number of messages that are read before a step.
 const MAX_MESSAGES_PER_STEP: usize = 4 * MAILBOX_CAPACITY;
 
-/// What the actor works with.
+/// Settings, mailboxes and services that the actor is created with.
 pub struct AdmissionParts {
     /// The controller's settings, validated.
     pub settings: Settings,
-    /// What requests state about themselves.
+    /// What requests state about themselves at this deployment, such as timeouts and retry marks.
     pub shape: Shape,
-    /// Which gauge is which in the agent's samples.
+    /// Names of the gauges in the agent's samples, in order.
     pub gauge_names: GaugeNames,
-    /// Calls of runs whose class has a call plan; `None` without an operator's file.
+    /// Downstream calls of runs whose class has a call plan; `None` without an operator's file.
     pub dependency_calls: Option<DependencyCalls>,
-    /// This actor's mailbox.
+    /// Receiving end of this actor's mailbox.
     pub inbox: Receiver<AdmissionMessage>,
     /// The mailboxes of the other actors.
     pub mailboxes: Mailboxes,
-    /// The clock that messages and actions are timed by.
+    /// The clock that times messages and actions.
     pub clock: Clock,
     /// The log.
     pub log: Logger,
 }
 
-/// The actor.
+/// The admission actor.
 pub struct AdmissionActor {
     settings: Settings,
     shape: Shape,
     gauge_names: GaugeNames,
-    /// `None` until the agent is up, as a server begins to warm up when its agent starts.
+    /// The controller; `None` until the agent is up, as a server's warm-up is counted from its agent's start.
     controller: Option<AdmissionController>,
     dependency_calls: Option<DependencyCalls>,
     inbox: Receiver<AdmissionMessage>,
@@ -87,25 +88,26 @@
     idempotency_cache: IdempotencyCache,
     /// Events for the next step.
     events: Vec<Event>,
-    /// Events for the step after the present one.
+    /// Events for the step after the current one.
     deferred_events: VecDeque<Event>,
-    /// When the controller wants its next timer event.
+    /// When the controller's next timer event is due.
     wake_at: Option<Micros>,
-    /// The timer event waits for the answer to this sample.
+    /// The gauge sample that the current timer event waits for.
     gauge_sample: Option<PendingGaugeSample>,
-    /// The tag of the last gauge sample or health check that was sent to the agent.
+    /// Tag of the last gauge sample or health check that was sent to the agent.
     last_tag: u64,
+    /// Deep health checks that wait for the agent, by tag.
     health_checks: BTreeMap<u64, PendingHealthCheck>,
     /// The controller's readiness, once it has set one.
     ready: Option<bool>,
-    /// The idle timeout of connections, where the listener has not been notified of it yet.
+    /// The idle timeout of connections, if it has not been sent to the listener yet.
     unsent_idle_timeout: Option<Micros>,
     drain_notice: Option<DrainNotice>,
     full_mailbox_throttle: LogThrottle,
 }
 
 impl AdmissionActor {
-    /// An actor that rejects all requests until the agent is up.
+    /// Creates an actor that rejects all requests until the agent is up.
     pub fn new(parts: AdmissionParts) -> AdmissionActor {
         AdmissionActor {
             settings: parts.settings,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Runs until nobody can send messages any more. Takes at most one step a tick of the settings.
+    /// Runs until all senders of messages are gone. Takes at most one step per tick of the settings.
     pub async fn run(mut self) {
         let mut next_step: Micros = 0;
         while self.wait_for_input().await {
@@ -147,8 +149,8 @@
         }
     }
 
-    /// Waits for the next message or timeout, and handles all that has come; `false` when nobody can send messages
-    /// any more.
+    /// Waits for the next message or timeout, and handles all messages that have arrived and timeouts that
+    /// are due; `false` if all senders of messages are gone.
     async fn wait_for_input(&mut self) -> bool {
         let now = self.clock.now();
         let next_timeout = self.next_timeout(now);
@@ -169,7 +171,7 @@
         true
     }
 
-    /// Handles the messages in the mailbox and what is due.
+    /// Handles the messages in the mailbox and the timeouts that are due.
     fn read_inbox(&mut self) {
         let now = self.clock.now();
         for _ in 0..MAX_MESSAGES_PER_STEP {
@@ -179,7 +181,7 @@
         self.handle_timeout(now);
     }
 
-    /// When something is due next; `now` where events wait for a step.
+    /// When the next timeout is due; `now` if events wait for a step.
     fn next_timeout(&self, now: Micros) -> Option<Micros> {
         let can_step = self.controller.is_some() && !self.events.is_empty();
         if can_step || !self.deferred_events.is_empty() {
@@ -194,7 +196,7 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Does what is due by now. After a stall each thing happens once.
+    /// Handles the timeouts that are due at `now`. After a stall each of them is handled once.
     fn handle_timeout(&mut self, now: Micros) {
         if let Some(calls) = &mut self.dependency_calls {
             calls.handle_timeout(now);
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Takes one step and executes its actions; `false` where there are no events for one.
+    /// Takes one step and executes its actions; `false` if there are no events or no controller.
     fn step(&mut self) -> bool {
         if self.events.is_empty() {
             return false;
@@ -270,7 +272,7 @@
         true
     }
 
-    /// A new tag for a question to the agent.
+    /// Returns a new tag, by which the agent's answer to a command is recognized.
     fn next_tag(&mut self) -> u64 {
         self.last_tag += 1;
         self.last_tag
--- a/crates/server/src/admission/responses.rs
+++ b/crates/server/src/admission/responses.rs
@@ -1,4 +1,4 @@
-//! Final responses, and what is left to do when a request has ended.
+//! Final responses, and the removal of requests that have ended.
 
 use slog::error;
 use umberloom::interface::{Event, Micros, Outcome, RequestId};
@@ -8,7 +8,7 @@
 use crate::messages::caller::Response;
 
 impl AdmissionActor {
-    /// Sends the final response, unless one was sent.
+    /// Sends the final response to a request, unless one was sent already.
     pub(super) fn respond(&mut self, id: &str, response: Response) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if let Some(reply_to) = request.reply_to.take() {
@@ -16,14 +16,14 @@
         }
     }
 
-    /// Responds and cancels the request's call. A run that goes on ends by itself.
+    /// Responds to a request and cancels its downstream call. A run in progress is left to end by itself.
     pub(super) fn finish(&mut self, id: &RequestId, response: Response) {
         self.respond(id, response);
         self.cancel_pending_call(id);
         self.remove_if_ended(id);
     }
 
-    /// Responds with a result, also to the duplicates that wait for it.
+    /// Responds with a result to a request and to the duplicates that wait for it.
     pub(super) fn respond_with_result(&mut self, id: &RequestId, result: Vec<u8>) {
         if let Some(dedup_key) = self.requests.get_mut(id).and_then(|request| request.dedup_key()) {
             self.idempotency_cache.store_result(&dedup_key, id, &result);
@@ -34,7 +34,7 @@
         self.respond(id, Response::Served(result));
     }
 
-    /// Answers a duplicate by the result of the original, which may be there already or has to be waited for.
+    /// Answers a duplicate with the result of its original, or makes it wait for that result.
     pub(super) fn await_original(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(original) = request.duplicate_of.clone() else { return };
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Ends a duplicate that waits for a result; `None` where none will come.
+    /// Ends a duplicate with the result of its original; `None` means that there will be no result.
     fn end_duplicate(&mut self, id: &RequestId, result: Option<&[u8]>) {
         let (response, outcome) = match result {
             Some(result) => (Response::Served(result.to_vec()), Outcome::Ok),
@@ -56,14 +56,14 @@
         self.remove_if_ended(id);
     }
 
-    /// Removes a request that is answered and does not run. Duplicates that still wait for its result fail.
+    /// Removes a request if it is answered and not running. Duplicates that still wait for its result fail.
     pub(super) fn remove_if_ended(&mut self, id: &str) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.reply_to.is_some() || request.run == RunState::Running {
             return;
         }
         if !request.has_run {
-            // A request that never ran must not keep another attempt from running.
+            // A request that never ran must not prevent another attempt from running.
             self.release_key(id);
         }
         self.requests.remove(id);
@@ -72,8 +72,9 @@
         }
     }
 
-    /// Fails requests whose deadline has passed by more than the controller needs to answer them in time. It may have lost
-    /// track of a request, as after a run that was stopped from outside.
+    /// Fails requests that are past their deadline by half the answer slack, by which time the controller
+    /// should have answered them. It may have lost track of a request, for example after a run that was
+    /// stopped from outside.
     pub(super) fn fail_overdue(&mut self, now: Micros) {
         let slack = self.settings.answer_slack / 2;
         for id in self.requests.overdue(now.saturating_sub(slack)) {
