--- a/crates/server/src/admission/tests/calls.rs
+++ b/crates/server/src/admission/tests/calls.rs
@@ -13,7 +13,7 @@
     AdmissionMessage::CallEnded { id, outcome, duration: 3, body: body.to_vec() }
 }
 
-/// What the records service's actor has been told since the last look.
+/// Takes the commands that were sent to the records service's actor since the last call, in text form.
 fn take_records_commands(fixture: &Fixture) -> Vec<String> {
     let describe = |command| match command {
         DependencyCommand::Call(call) => {
@@ -39,7 +39,7 @@
     assert_eq!(fixture.take_agent_commands(), [deliver]);
     let events = [r#"NeedsCall("a")"#, r#"CallEnded("a", ConnectionLost, 3)"#, r#"CallEnded("a", Ok, 3)"#];
     assert_eq!(fixture.take_events(), events);
-    // The end of a call that nobody waits for changes nothing.
+    // The end of a call that nobody waits for is ignored.
     fixture.send(call_ended(Outcome::Ok, b""));
     assert_eq!((fixture.take_agent_commands(), fixture.take_events().len()), (vec![], 0));
     take_records_commands(&fixture);
--- a/crates/server/src/admission/tests/draining.rs
+++ b/crates/server/src/admission/tests/draining.rs
@@ -1,4 +1,4 @@
-//! The notice to drain.
+//! Tests of the notice to drain.
 
 use super::*;
 
@@ -11,7 +11,8 @@
     assert!(fixture.take_events().contains(&"Drain { time_left: 600000, notified_ago: 400000 }".to_owned()));
 }
 
-/// Guards against callers that are asked to come to a server that is about to end: the agent came up after the notice.
+/// Guards against a server that attracts callers shortly before it stops: the agent came up after the drain
+/// notice.
 #[test]
 fn draining_server_does_not_register_as_accepting_when_agent_comes_up() {
     let mut fixture = fixture(Preemption::Pause);
@@ -21,7 +22,7 @@
     assert_eq!(fixture.take_accepting(), [false]);
 }
 
-/// Guards against a stop that is taken for later than it is: the process was stalled between the notice and its reading.
+/// Guards against assuming too late a stop time when the process stalls between the notice and its reading.
 #[test]
 fn drain_notice_read_late_keeps_its_stop_time_and_receipt_time() {
     let mut fixture = fixture(Preemption::Pause);
@@ -29,13 +30,14 @@
     assert_eq!(fixture.take_events(), ["Drain { time_left: 300000, notified_ago: 700000 }"]);
 }
 
-/// Guards against a stop that is taken for later than it is: the process was stalled between the reading of the notice and
-/// the step. What is in flight then is answered at once, and nothing starts.
+/// Guards against assuming too late a stop time when the process stalls between the reading of the notice and
+/// the step. Requests in flight must then be answered at once, and none may start.
 #[test]
 fn drain_event_is_recomputed_at_the_step() {
     let mut fixture = fixture(Preemption::Pause);
     fixture.send_request("a", None);
-    // Both were read at `NOW`; by the clock, at which the step is, the stop is long past.
+    // Both messages were read at `NOW`. The step takes its time from the clock, by which the stop is long
+    // past.
     fixture.send(AdmissionMessage::Drain { noticed_at: NOW, stop_at: NOW + 1_000_000 });
     assert!(fixture.actor.step());
     assert!(matches!(fixture.take_responses()[..], [(1, Response::Rejected { .. })]));
--- a/crates/server/src/admission/tests/duplicates.rs
+++ b/crates/server/src/admission/tests/duplicates.rs
@@ -1,4 +1,4 @@
-//! Duplicates by resource key, which wait for the result of the original.
+//! Tests of duplicates by resource key, which wait for the result of the original.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     fixture.execute(Action::AwaitDuplicate("b".into()));
     assert_eq!(fixture.take_responses(), []);
     fixture.end_run("a", RunOutcome::Success(b"r".to_vec()));
-    // And one that arrives after the original has ended.
+    // This duplicate arrives after the original has ended.
     fixture.send_request("c", Some("k"));
     fixture.execute(Action::AwaitDuplicate("c".into()));
     let served = |serial| (serial, Response::Served(b"r".to_vec()));
@@ -49,7 +49,7 @@
         fixture.send_request(id, Some("k"));
         fixture.execute(Action::AwaitDuplicate(id.into()));
     }
-    // One is cancelled, one is rejected; the last gets the original's result.
+    // One duplicate is cancelled and one is rejected; the third gets the original's result.
     fixture.send(AdmissionMessage::Cancelled { id: "b".into(), serial: 2 });
     fixture.execute(Action::Reject { id: "c".into(), retry_after: 0, terminal: false });
     assert!(!fixture.actor.requests.is_empty());
--- a/crates/server/src/admission/tests/health_checks.rs
+++ b/crates/server/src/admission/tests/health_checks.rs
@@ -1,10 +1,10 @@
-//! Answers to health checks.
+//! Tests of answers to health checks.
 
 use super::*;
 use crate::admission::health_checks::HEALTH_CHECK_TIMEOUT;
 use crate::messages::caller::HealthCheck;
 
-/// A deep health check arrives and is passed on to the agent; gives its tag.
+/// Sends a deep health check, which is passed on to the agent; returns its tag.
 fn start_deep_check(fixture: &mut Fixture) -> u64 {
     let reply_to = fixture.reply_to();
     fixture.send(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
--- a/crates/server/src/admission/tests/idempotency_keys.rs
+++ b/crates/server/src/admission/tests/idempotency_keys.rs
@@ -1,10 +1,10 @@
-//! Attempts in a class with idempotency keys, of which at most one may run.
+//! Tests of a class with idempotency keys, where at most one attempt of a request may run.
 
 use super::*;
 use crate::memory::idempotency_cache::MAX_ENTRIES;
 
-/// Guards against a second run: attempts are linked by the caller's idempotency key, and one that comes without it is
-/// malformed and never gets to the controller.
+/// Guards against a second run: attempts are linked by the caller's idempotency key, and an attempt without
+/// one gets `BadRequest` and never reaches the controller.
 #[test]
 fn attempts_are_linked_by_idempotency_key_and_not_by_resource_key() {
     let mut settings = settings(Preemption::Never);
@@ -19,7 +19,7 @@
     fixture.send_work_request(NOW, work, 0, b"body");
     fixture.execute(Action::RetainKey("a".into(), 12_309_000));
     fixture.execute(Action::Admit("a".into()));
-    // The same key under another resource key is the same request; another key is not.
+    // The same idempotency key with another resource key is the same request; another idempotency key is not.
     let work = fixture.work_request("b", Some("resource"), Some("tally-1"));
     fixture.send_work_request(NOW, work, 0, b"body");
     assert_eq!(fixture.last_duplicate_of("b").as_deref(), Some("a"));
@@ -28,20 +28,20 @@
     assert_eq!(fixture.last_duplicate_of("c"), None);
 }
 
-/// Guards against a second run: two attempts read before one step were both taken for the first, as the key was reserved
-/// only when the controller's action for the first was executed.
+/// Guards against a second run: of two attempts read before the same step, both were treated as the first, as
+/// the key was reserved only when the controller's action for the first attempt was executed.
 #[test]
 fn attempts_read_before_the_same_step_are_linked() {
     let mut fixture = fixture_with_keys();
     assert_eq!(fixture.send_attempt(NOW, "a", 0, "k"), None);
     assert_eq!(fixture.send_attempt(NOW, "b", 0, "k").as_deref(), Some("a"));
-    // The first is rejected and never ran: the key is free.
+    // The first attempt is rejected and never ran, so its key becomes free.
     fixture.execute(Action::Reject { id: "a".into(), retry_after: 0, terminal: false });
     assert_eq!(fixture.send_attempt(NOW + 1, "c", 0, "k"), None);
 }
 
-/// Guards against a second run beside the first: the key of a run that lasts longer than its window was dropped before its
-/// end.
+/// Guards against a second run concurrent with the first: the key of a run that lasts longer than the
+/// idempotency window was dropped before the run ended.
 #[test]
 fn expired_key_still_links_duplicates_while_its_request_is_in_flight() {
     let mut fixture = fixture_with_keys();
@@ -56,14 +56,14 @@
     assert_eq!(fixture.send_attempt(NOW + 9_700_000, "d", 0, "k"), None, "ended and expired");
 }
 
-/// Guards against a second run by a duplicate that came in time and was read late.
+/// Guards against a second run by a duplicate that arrived before the key expired but was read after it.
 #[test]
 fn key_expiry_is_compared_with_the_arrival_time_of_the_duplicate() {
     let mut fixture = fixture_with_keys();
     fixture.send_attempt(NOW, "a", 0, "k");
     fixture.execute(Action::Admit("a".into()));
     fixture.end_run("a", RunOutcome::Success(b"done".to_vec()));
-    // Expired keys are dropped between the end of the window and the reading of the duplicate.
+    // The timer event drops expired keys between the end of the window and the reading of the duplicate.
     fixture.actor.wake_at = Some(NOW + 3_100_000);
     fixture.actor.handle_timeout(NOW + 3_100_000);
     let mut duplicate_of = |id: &str, read_delay: Micros| {
@@ -76,7 +76,7 @@
     assert_eq!(duplicate_of("too late", 0), None);
 }
 
-/// Guards against one tenant's result given to another.
+/// Guards against giving one tenant's result to another.
 #[test]
 fn idempotency_keys_are_separate_for_each_tenant() {
     let mut settings = settings_with_keys();
@@ -87,8 +87,9 @@
     assert_eq!(fixture.send_attempt(NOW, "c", 1, "k").as_deref(), Some("b"));
 }
 
-/// Guards against another's result given away: a request with a key that was taken and a body of its own got the result of
-/// the request that had the key (brink days of a site with a keyed class: lost, a bad client was served).
+/// Guards against giving a result to the wrong caller: a request with a key in use and a different body got
+/// the result of the request that had the key. Found in the simulator's brink runs of a site with such a
+/// class, which failed because a faulty client was served.
 #[test]
 fn different_body_under_a_key_in_use_gets_bad_request() {
     let mut fixture = fixture_with_keys();
@@ -106,8 +107,9 @@
     assert_eq!(arrive("c", b"one berth"), (1, vec![]), "the same body is a duplicate");
 }
 
-/// Guards against a first attempt that nothing would keep from running twice: where unexpired keys fill the cache it is
-/// rejected before it gets to the controller, and duplicates of those in it are still known.
+/// Guards against a first attempt whose duplicates would run again: if unexpired keys fill the cache, it must
+/// be rejected before it reaches the controller, and duplicates of the cached requests must still be
+/// recognized.
 #[test]
 fn first_attempt_is_rejected_when_unexpired_keys_fill_the_cache() {
     let mut fixture = fixture_with_keys();
@@ -124,8 +126,8 @@
     assert_eq!(fixture.send_attempt(NOW, "again", 0, "0").as_deref(), Some("0"));
 }
 
-/// Guards against a key that is given to another request: a name in use, sent again under a new key, is malformed and must
-/// leave the key free.
+/// Guards against assigning a key to the wrong request: a request with an id in use and a new key gets
+/// `BadRequest` and must leave the key free.
 #[test]
 fn request_with_an_id_in_use_reserves_no_key() {
     let mut fixture = fixture_with_keys();
--- a/crates/server/src/admission/tests/mailboxes.rs
+++ b/crates/server/src/admission/tests/mailboxes.rs
@@ -1,4 +1,4 @@
-//! Messages to the registration, the listener and the connections.
+//! Tests of messages to the registration, the listener and the connections.
 
 use super::*;
 use crate::messages::caller::HealthCheck;
@@ -24,7 +24,7 @@
     fixture.execute(Action::SetReady(false));
     fixture.execute(Action::SetReady(true));
     fixture.execute(Action::SetReady(false));
-    // In order, as the newest counts.
+    // The order matters, as the registration uses the latest state.
     assert_eq!(fixture.take_accepting(), [false, true, false]);
     fixture.execute(Action::CloseIdle(70));
     assert!(matches!(receive_all(&fixture.listener).as_slice(), [ListenerCommand::CloseIdle(70)]));
--- a/crates/server/src/admission/tests/mod.rs
+++ b/crates/server/src/admission/tests/mod.rs
@@ -1,5 +1,5 @@
-//! What comes of each action and message, without sockets. The controller takes no steps here unless a test says so: the
-//! events that it would get are looked at instead.
+//! Tests of the effects of each action and message, without sockets. Unless a test says otherwise, the
+//! controller takes no steps: the tests inspect the events that it would get.
 
 mod calls;
 mod draining;
@@ -22,30 +22,30 @@
 use crate::messages::registration::RegistrationCommand;
 use crate::messages::RunOutcome;
 
-/// The time of all messages and actions, unless a test says otherwise.
+/// Time of all messages and actions in microseconds, unless a test says otherwise.
 const NOW: Micros = 1_764_576_000_000_000;
 
-/// An actor whose agent is up, with the receiving ends of all mailboxes.
+/// An admission actor whose agent is up, with the receiving ends of all mailboxes.
 struct Fixture {
     actor: AdmissionActor,
     agent: Receiver<AgentActorMessage>,
     records: Receiver<DependencyCommand>,
     registration: Receiver<RegistrationCommand>,
     listener: Receiver<ListenerCommand>,
-    /// The connection that all requests come from.
+    /// Receives the responses to all requests, which come from one connection.
     connection: Receiver<ConnectionCommand>,
     connection_mailbox: Sender<ConnectionCommand>,
     last_serial: u64,
 }
 
-/// The settings of the example configuration.
+/// The settings of the example configuration, with this kind of preemption.
 fn settings(preemption: Preemption) -> Settings {
     let text = include_str!("../../../../../deploy/example.json");
     let config = crate::lifecycle::config::Config::parse(text.as_bytes()).expect("a valid example");
     Settings { preemption, ..config.settings }
 }
 
-/// The same, with idempotency keys in the first class that are retained for 3 s.
+/// Settings without preemption, whose first class has idempotency keys with a window of 3 s.
 fn settings_with_keys() -> Settings {
     let mut settings = settings(Preemption::Never);
     settings.classes[0].idempotency = Idempotency::WithKey;
@@ -101,13 +101,13 @@
     fixture
 }
 
-/// All that has been sent to a mailbox since the last look.
+/// Takes all messages that were sent to a mailbox since the last call.
 fn receive_all<T>(mailbox: &Receiver<T>) -> Vec<T> {
     std::iter::from_fn(|| mailbox.try_recv().ok()).collect()
 }
 
 impl Fixture {
-    /// A request of the first class that spent a second in socket buffers.
+    /// Parameters of a request of the first class with a read delay of 1 s.
     fn work_request(
         &self,
         id: &str,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The same with an idempotency key, received just now.
+    /// Parameters of a request of the first class with an idempotency key and no read delay.
     fn work_request_with_key(&self, id: &str, idempotency_key: &str) -> WorkRequest {
         WorkRequest {
             received_at: self.actor.clock.unix(),
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Where the response to a request or health check goes, under a serial of its own.
+    /// Creates the reply address of a new request or health check, with the next serial.
     fn reply_to(&mut self) -> ReplyTo {
         self.last_serial += 1;
         ReplyTo::new(self.connection_mailbox.clone(), 1, self.last_serial)
     }
 
-    /// A request arrives; gives its serial.
+    /// Sends a request with these parameters to the actor; returns its serial.
     fn send_work_request(&mut self, now: Micros, work: WorkRequest, tenant: usize, body: &[u8]) -> u64 {
         let request = Request {
             id: work.id.as_str().into(),
@@ -159,20 +159,21 @@
         self.last_serial
     }
 
-    /// A request arrives that has a resource key or none.
+    /// Sends a request with or without a resource key to the actor.
     fn send_request(&mut self, id: &str, resource_key: Option<&str>) {
         let work = self.work_request(id, resource_key, None);
         self.send_work_request(NOW, work, 0, b"body");
     }
 
-    /// An attempt with an idempotency key arrives; gives the request that it is taken for a duplicate of.
+    /// Sends an attempt with an idempotency key to the actor; returns the id of its original if it is linked
+    /// to one.
     fn send_attempt(&mut self, now: Micros, id: &str, tenant: usize, key: &str) -> Option<RequestId> {
         let work = self.work_request_with_key(id, key);
         self.send_work_request(now, work, tenant, b"");
         self.last_duplicate_of(id)
     }
 
-    /// The request that the last event's arrival, of this name, is taken for a duplicate of.
+    /// The original that the last event, which must be the arrival of this request, is linked to.
     fn last_duplicate_of(&self, id: &str) -> Option<RequestId> {
         match self.actor.events.last() {
             Some(Event::Arrived(arrival)) if &*arrival.id == id => arrival.duplicate_of.clone(),
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A request arrives and is admitted.
+    /// Sends a request and admits it, so that its run is launched.
     fn launch(&mut self, id: &str) {
         self.send_request(id, None);
         self.execute(Action::Admit(id.into()));
@@ -200,7 +201,7 @@
         self.send(AdmissionMessage::RunEnded { id: id.to_owned(), outcome, duration: 9 });
     }
 
-    /// Responses since the last look, with the serials of their requests.
+    /// Takes the responses that were sent since the last call, with the serials of their requests.
     fn take_responses(&self) -> Vec<(u64, Response)> {
         let response = |command| match command {
             ConnectionCommand::Respond { serial, response, .. } => (serial, response),
@@ -209,13 +210,13 @@
         receive_all(&self.connection).into_iter().map(response).collect()
     }
 
-    /// Events that the controller would get since the last look, the deferred ones last.
+    /// Takes the events that the controller would get in their debug form, the deferred ones last.
     fn take_events(&mut self) -> Vec<String> {
         let deferred = std::mem::take(&mut self.actor.deferred_events);
         self.actor.events.drain(..).chain(deferred).map(|event| format!("{event:?}")).collect()
     }
 
-    /// Commands to the agent since the last look.
+    /// Takes the commands that were sent to the agent since the last call.
     fn take_agent_commands(&self) -> Vec<AgentCommand> {
         let command = |message| match message {
             AgentActorMessage::Command(command) => command,
@@ -224,7 +225,7 @@
         receive_all(&self.agent).into_iter().map(command).collect()
     }
 
-    /// Whether this server takes work, as the registration has been told since the last look.
+    /// Takes the values of `SetAccepting` that were sent to the registration since the last call.
     fn take_accepting(&self) -> Vec<bool> {
         let accepting = |command| match command {
             RegistrationCommand::SetAccepting(accepting) => accepting,
--- a/crates/server/src/admission/tests/requests.rs
+++ b/crates/server/src/admission/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive, and requests that end without a run of their own.
+//! Tests of arriving requests, and of requests that end without a run of their own.
 
 use super::*;
 
@@ -11,8 +11,8 @@
     assert_eq!(arrival.caller_timeout.map(|timeout| timeout + arrival.read_delay), Some(500_000_000));
 }
 
-/// Under the new shape an attempt is marked as a retry and no deadline is passed on, so one that is stated all the same is
-/// ignored. Without the settings all is as it was.
+/// With `marks_retry`, the caller's retry mark is used; without `passes_deadline`, a stated timeout is
+/// ignored. With the defaults of both settings, timeouts are used and retry marks are ignored.
 #[test]
 fn settings_decide_whether_caller_timeouts_and_retry_marks_are_used() {
     let arrival = |shape: Shape, is_retry: bool| {
--- a/crates/server/src/admission/tests/runs.rs
+++ b/crates/server/src/admission/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: their start, preemption and end.
+//! Tests of the start, preemption and end of runs.
 
 use super::*;
 
@@ -36,7 +36,7 @@
         fixture.launch("a");
         fixture.execute(Action::Preempt("a".into()));
         assert_eq!(fixture.take_agent_commands(), [AgentCommand::Pause("a".into())]);
-        // Until the agent reports its end it still runs.
+        // The run counts as running until the agent reports its end.
         fixture.execute(Action::Admit("a".into()));
         assert_eq!(fixture.take_agent_commands(), []);
         fixture.end_run("a", RunOutcome::Aborted);
@@ -93,7 +93,7 @@
     fixture.execute(Action::WakeAfter(20_000));
     fixture.actor.handle_timeout(NOW + 19_999);
     assert_eq!(fixture.take_agent_commands(), []);
-    // However late it is looked at, it comes once.
+    // However late the timeout is handled, the timer event is sent once.
     fixture.actor.handle_timeout(NOW + 900_000);
     let [AgentCommand::SampleGauges(tag)] = fixture.take_agent_commands()[..] else { panic!("a sample") };
     fixture.send(AdmissionMessage::GaugesSampled { tag: tag + 1, values: vec![] });
--- a/crates/server/src/dependency_calls/tests.rs
+++ b/crates/server/src/dependency_calls/tests.rs
@@ -7,13 +7,13 @@
 
 const NOW: Micros = 1_764_576_000_000_000;
 
-/// Class `search` makes one call in its plan, to the platform's records service.
+/// The call plan of class `search` makes one call, to the platform's records service.
 const OPERATOR_FILE: &str = r#"
 dependency "records" { platform; }
 plan "search" { stage most-ms=400 { needs "records"; }; }
 "#;
 
-/// Call plans of that file, with the receiving end of the dependency's mailbox.
+/// Creates the call plans of [`OPERATOR_FILE`], with the receiving end of the dependency's mailbox.
 fn dependency_calls() -> (DependencyCalls, Receiver<DependencyCommand>) {
     let operator = umberloom_operator_config::parse("operator.kdl", OPERATOR_FILE, None)
         .unwrap_or_else(|error| panic!("{error}"));
@@ -30,7 +30,7 @@
     (calls, received)
 }
 
-/// A request of class `search` in flight.
+/// Creates a running request of class `search`.
 fn request(id: &str) -> OpenRequest {
     OpenRequest {
         id: id.into(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Commands since the last look: attempts that were started, and attempts that were cancelled.
+/// Ids of the attempts that were started, and of those that were cancelled, since the last call.
 fn commands(received: &Receiver<DependencyCommand>) -> (Vec<CallId>, Vec<CallId>) {
     let (mut started, mut cancelled) = (Vec::new(), Vec::new());
     while let Ok(command) = received.try_recv() {
@@ -77,7 +77,7 @@
     (started, cancelled)
 }
 
-/// Guards against a late reply to an earlier call that is taken for the reply to the present one.
+/// Guards against a late reply to an earlier call being delivered as the reply to the current one.
 #[test]
 fn next_call_of_a_run_cancels_the_previous_call_plan() {
     let (mut calls, received) = dependency_calls();
--- a/crates/server/src/memory/idempotency_cache/tests.rs
+++ b/crates/server/src/memory/idempotency_cache/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// The request that has the entry of this subject, where it has not expired.
+/// Id of the request whose entry has this key, if the entry has not expired.
 fn unexpired(cache: &IdempotencyCache, dedup_key: &DedupKey, now: Micros) -> Option<RequestId> {
     cache.get(dedup_key).filter(|request| request.expires_at > now).map(|request| request.id.clone())
 }
 
-/// An entry that may be evicted or not.
+/// Creates the request of an entry, which may be evictable.
 fn request(cache: &IdempotencyCache, id: &str, expires_at: Micros, evictable: bool) -> CachedRequest {
     CachedRequest { id: id.into(), body: cache.digest(b"body"), expires_at, evictable }
 }
@@ -59,8 +59,8 @@
     assert!(unexpired(&cache, &dedup_key(&(MAX_ENTRIES + 9).to_string()), 0).is_some());
 }
 
-/// Guards against a second run of a request with an idempotency key: results too large for the cache took their entries
-/// with them, and a duplicate then found nothing and ran again.
+/// Guards against a second run of a request with an idempotency key: results too large for the cache were
+/// dropped with their entries, so that a duplicate found no entry and ran again.
 #[test]
 fn exceeding_result_bytes_drops_results_but_keeps_entries() {
     let mut cache = IdempotencyCache::default();
@@ -75,7 +75,7 @@
     assert_eq!(cache.result("2").map(<[u8]>::len), Some(MAX_RESULT_BYTES / 2));
 }
 
-/// Guards against the eviction of an unexpired entry while expired ones still take places.
+/// Guards against evicting an unexpired entry while the cache still contains expired ones.
 #[test]
 fn full_cache_drops_expired_entries_before_unexpired_ones() {
     let mut cache = IdempotencyCache::default();
@@ -90,8 +90,9 @@
     assert_eq!(cache.entries.len(), 2);
 }
 
-/// Guards against a second run of a request whose idempotency key was evicted from a full cache, at a customer whose keys
-/// are so small that the admission controller retains more of them than the cache holds.
+/// Guards against a second run of a request whose idempotency key was evicted from a full cache. This happens
+/// at a deployment whose keys are so small that the admission controller retains more of them than the cache
+/// holds.
 #[test]
 fn non_evictable_entry_stays_until_it_expires_and_its_request_has_ended() {
     let mut cache = IdempotencyCache::default();
@@ -103,7 +104,7 @@
     }
     let new = request(&cache, "new", 100, false);
     let rejected = request(&cache, "x", 100, false);
-    // The evictable one goes; the others stay until they have expired and are no longer in flight.
+    // The evictable entry is dropped; the others stay until they have expired and their requests have ended.
     assert!(cache.make_room(50, |_| false) && cache.insert(dedup_key("new"), new));
     assert_eq!(unexpired(&cache, &dedup_key("7"), 50), None);
     assert!(!cache.make_room(50, |_| false) && !cache.insert(dedup_key("x"), rejected));
