--- a/crates/server/src/admission/tests/health_checks.rs
+++ b/crates/server/src/admission/tests/health_checks.rs
@@ -9,7 +9,7 @@
     let reply_to = fixture.reply_to();
     fixture.send(AdmissionMessage::HealthCheck(HealthCheck { is_deep: true, reply_to }));
     let [AgentCommand::RunHealthCheck(tag)] = fixture.take_agent_commands()[..] else {
-        panic!("a health check")
+        panic!("expected one deep health check")
     };
     tag
 }
--- a/crates/server/src/admission/tests/idempotency_keys.rs
+++ b/crates/server/src/admission/tests/idempotency_keys.rs
@@ -14,7 +14,7 @@
     let work = fixture.work_request("bare", Some("resource"), None);
     fixture.send_work_request(NOW, work, 0, b"body");
     assert_eq!(fixture.take_responses(), [(1, Response::BadRequest)]);
-    assert!(fixture.actor.events.is_empty(), "it does not get to the controller");
+    assert!(fixture.actor.events.is_empty(), "it must not reach the controller");
     let work = fixture.work_request("a", None, Some("tally-1"));
     fixture.send_work_request(NOW, work, 0, b"body");
     fixture.execute(Action::RetainKey("a".into(), 12_309_000));
@@ -53,7 +53,11 @@
     fixture.actor.handle_timeout(NOW + 9_000_000);
     assert_eq!(fixture.send_attempt(NOW + 9_500_000, "c", 0, "k").as_deref(), Some("a"));
     fixture.end_run("a", RunOutcome::Success(b"done".to_vec()));
-    assert_eq!(fixture.send_attempt(NOW + 9_700_000, "d", 0, "k"), None, "ended and expired");
+    assert_eq!(
+        fixture.send_attempt(NOW + 9_700_000, "d", 0, "k"),
+        None,
+        "its request has ended and its key has expired"
+    );
 }
 
 /// Guards against a second run by a duplicate that arrived before the key expired but was read after it.
@@ -102,7 +106,7 @@
     assert_eq!(
         arrive("b", b"two berths"),
         (0, vec![(2, Response::BadRequest)]),
-        "it does not get to the controller"
+        "it must not reach the controller"
     );
     assert_eq!(arrive("c", b"one berth"), (1, vec![]), "the same body is a duplicate");
 }
--- a/crates/server/src/admission/tests/mailboxes.rs
+++ b/crates/server/src/admission/tests/mailboxes.rs
@@ -7,7 +7,7 @@
 fn readiness_messages_do_not_displace_a_new_registration_address() {
     let mut fixture = fixture(Preemption::Pause);
     let address = RegistrationCommand::SetAddress(([127, 0, 0, 1], 9).into());
-    fixture.actor.mailboxes.registration.try_send(address).expect("room");
+    fixture.actor.mailboxes.registration.try_send(address).expect("room in the mailbox");
     for ready in [true, false, true, false, true, false] {
         fixture.execute(Action::SetReady(ready));
     }
--- a/crates/server/src/admission/tests/mod.rs
+++ b/crates/server/src/admission/tests/mod.rs
@@ -41,7 +41,8 @@
 /// The settings of the example configuration, with this kind of preemption.
 fn settings(preemption: Preemption) -> Settings {
     let text = include_str!("../../../../../deploy/example.json");
-    let config = crate::lifecycle::config::Config::parse(text.as_bytes()).expect("a valid example");
+    let config =
+        crate::lifecycle::config::Config::parse(text.as_bytes()).expect("the example configuration is valid");
     Settings { preemption, ..config.settings }
 }
 
@@ -153,7 +154,7 @@
             work,
             body: body.to_vec(),
             reply_to: self.reply_to(),
-            charge: Budget::new(1).charge(0).expect("nothing"),
+            charge: Budget::new(1).charge(0).expect("a charge of 0 bytes"),
         };
         self.actor.handle_message(now, AdmissionMessage::Request(Box::new(request)));
         self.last_serial
--- a/crates/server/src/admission/tests/requests.rs
+++ b/crates/server/src/admission/tests/requests.rs
@@ -6,7 +6,9 @@
 fn arrival_event_includes_the_read_delay() {
     let mut fixture = fixture(Preemption::Pause);
     fixture.send_request("a", None);
-    let [Event::Arrived(arrival)] = fixture.actor.events.as_slice() else { panic!("one event") };
+    let [Event::Arrived(arrival)] = fixture.actor.events.as_slice() else {
+        panic!("expected one arrival event")
+    };
     assert!(arrival.read_delay >= 1_000_000 && arrival.caller == 4);
     assert_eq!(arrival.caller_timeout.map(|timeout| timeout + arrival.read_delay), Some(500_000_000));
 }
@@ -25,19 +27,19 @@
             other => panic!("{other:?}"),
         }
     };
-    let old = Shape { passes_deadline: true, marks_retry: false };
-    assert_eq!(arrival(old, true), (true, false));
-    assert_eq!(arrival(Shape { marks_retry: true, ..old }, true), (true, true));
-    let new = Shape { passes_deadline: false, marks_retry: true };
-    assert_eq!(arrival(new, false), (false, false));
-    assert_eq!(arrival(new, true), (false, true));
+    let with_deadlines = Shape { passes_deadline: true, marks_retry: false };
+    assert_eq!(arrival(with_deadlines, true), (true, false));
+    assert_eq!(arrival(Shape { marks_retry: true, ..with_deadlines }, true), (true, true));
+    let without_deadlines = Shape { passes_deadline: false, marks_retry: true };
+    assert_eq!(arrival(without_deadlines, false), (false, false));
+    assert_eq!(arrival(without_deadlines, true), (false, true));
 }
 
 #[test]
 fn request_that_the_controller_never_answers_fails_when_overdue() {
     let mut fixture = fixture(Preemption::Pause);
     fixture.send_request("a", None);
-    let deadline = fixture.actor.requests.get_mut("a").expect("in flight").deadline;
+    let deadline = fixture.actor.requests.get_mut("a").expect("the request is in flight").deadline;
     fixture.actor.fail_overdue(deadline);
     assert_eq!(fixture.take_responses(), []);
     fixture.actor.fail_overdue(deadline + 60_000);
--- a/crates/server/src/admission/tests/runs.rs
+++ b/crates/server/src/admission/tests/runs.rs
@@ -95,7 +95,9 @@
     assert_eq!(fixture.take_agent_commands(), []);
     // However late the timeout is handled, the timer event is sent once.
     fixture.actor.handle_timeout(NOW + 900_000);
-    let [AgentCommand::SampleGauges(tag)] = fixture.take_agent_commands()[..] else { panic!("a sample") };
+    let [AgentCommand::SampleGauges(tag)] = fixture.take_agent_commands()[..] else {
+        panic!("expected one gauge sample")
+    };
     fixture.send(AdmissionMessage::GaugesSampled { tag: tag + 1, values: vec![] });
     assert_eq!(fixture.take_events().len(), 0);
     fixture.send(AdmissionMessage::GaugesSampled { tag, values: vec![] });
--- a/crates/server/src/dependency_calls/tests.rs
+++ b/crates/server/src/dependency_calls/tests.rs
@@ -17,21 +17,21 @@
 fn dependency_calls() -> (DependencyCalls, Receiver<DependencyCommand>) {
     let operator = umberloom_operator_config::parse("operator.kdl", OPERATOR_FILE, None)
         .unwrap_or_else(|error| panic!("{error}"));
-    let (mailbox, received) = async_channel::bounded(64);
+    let (mailbox, inbox) = async_channel::bounded(64);
     let settings = DependencySettings {
         config: operator.dependencies,
         mailboxes: BTreeMap::from([(Rc::from("records"), mailbox)]),
         shared_quotas: Vec::new(),
-        charge: Budget::new(1).charge(0).expect("nothing"),
+        charge: Budget::new(1).charge(0).expect("a charge of 0 bytes"),
     };
     let log = Logger::root(slog::Discard, slog::o!());
     let quota_leases = QuotaLeases::new(None, 1, log.clone());
     let calls = DependencyCalls::new(NOW, settings, quota_leases, 1, log).expect("valid settings");
-    (calls, received)
+    (calls, inbox)
 }
 
 /// Creates a running request of class `search`.
-fn request(id: &str) -> OpenRequest {
+fn open_request(id: &str) -> OpenRequest {
     OpenRequest {
         id: id.into(),
         class: 0,
@@ -60,14 +60,14 @@
         last_reply_at: None,
         duplicate_of: None,
         awaits_original: false,
-        _charge: Budget::new(1).charge(0).expect("nothing"),
+        _charge: Budget::new(1).charge(0).expect("a charge of 0 bytes"),
     }
 }
 
 /// Ids of the attempts that were started, and of those that were cancelled, since the last call.
-fn commands(received: &Receiver<DependencyCommand>) -> (Vec<CallId>, Vec<CallId>) {
+fn take_commands(inbox: &Receiver<DependencyCommand>) -> (Vec<CallId>, Vec<CallId>) {
     let (mut started, mut cancelled) = (Vec::new(), Vec::new());
-    while let Ok(command) = received.try_recv() {
+    while let Ok(command) = inbox.try_recv() {
         match command {
             DependencyCommand::Call(call) => started.push(call.id),
             DependencyCommand::Cancel(id) => cancelled.push(id),
@@ -80,13 +80,13 @@
 /// Guards against a late reply to an earlier call being delivered as the reply to the current one.
 #[test]
 fn next_call_of_a_run_cancels_the_previous_call_plan() {
-    let (mut calls, received) = dependency_calls();
-    let request = request("a");
+    let (mut calls, inbox) = dependency_calls();
+    let request = open_request("a");
     calls.start_plan(NOW, &request, Rc::from(&b"first"[..]), NOW + 400_000, 1);
-    let (first, cancelled) = commands(&received);
+    let (first, cancelled) = take_commands(&inbox);
     assert_eq!((first.len(), cancelled.len()), (1, 0));
     calls.start_plan(NOW + 1_000, &request, Rc::from(&b"second"[..]), NOW + 400_000, 1);
-    let (second, cancelled) = commands(&received);
+    let (second, cancelled) = take_commands(&inbox);
     assert_eq!((second.len(), &cancelled), (1, &first));
     calls.handle_attempt_end(NOW + 2_000, &first[0], Outcome::Ok, b"late".to_vec());
     assert_eq!(calls.take_finished().len(), 0);
@@ -94,5 +94,5 @@
     let finished = calls.take_finished();
     assert_eq!(finished.len(), 1);
     assert_eq!((&*finished[0].id, finished[0].outcome, finished[0].duration), ("a", Outcome::Ok, 2_000));
-    assert!(!calls.cancel_plan(NOW + 4_000, "a"), "nothing is in flight");
+    assert!(!calls.cancel_plan(NOW + 4_000, "a"), "no call plan is in flight");
 }
--- a/crates/server/src/memory/idempotency_cache/tests.rs
+++ b/crates/server/src/memory/idempotency_cache/tests.rs
@@ -6,13 +6,13 @@
 }
 
 /// Creates the request of an entry, which may be evictable.
-fn request(cache: &IdempotencyCache, id: &str, expires_at: Micros, evictable: bool) -> CachedRequest {
+fn cached_request(cache: &IdempotencyCache, id: &str, expires_at: Micros, evictable: bool) -> CachedRequest {
     CachedRequest { id: id.into(), body: cache.digest(b"body"), expires_at, evictable }
 }
 
 /// Makes room for an evictable entry and adds it.
 fn insert(cache: &mut IdempotencyCache, now: Micros, dedup_key: DedupKey, id: &str, expires_at: Micros) {
-    let request = request(cache, id, expires_at, true);
+    let request = cached_request(cache, id, expires_at, true);
     assert!(cache.make_room(now, |_| false) && cache.insert(dedup_key, request));
 }
 
@@ -70,8 +70,8 @@
         cache.store_result(&dedup_key(&id), &id, &vec![0; MAX_RESULT_BYTES / 2]);
     }
     assert!(cache.result_bytes <= MAX_RESULT_BYTES, "{}", cache.result_bytes);
-    assert_eq!(cache.result("0"), None, "the oldest result went");
-    assert_eq!(unexpired(&cache, &dedup_key("0"), 0).as_deref(), Some("0"), "its entry stays");
+    assert_eq!(cache.result("0"), None, "the oldest result is dropped");
+    assert_eq!(unexpired(&cache, &dedup_key("0"), 0).as_deref(), Some("0"), "its entry is kept");
     assert_eq!(cache.result("2").map(<[u8]>::len), Some(MAX_RESULT_BYTES / 2));
 }
 
@@ -98,12 +98,12 @@
     let mut cache = IdempotencyCache::default();
     for n in 0..MAX_ENTRIES {
         let id = n.to_string();
-        let request = request(&cache, &id, 100, n == 7);
+        let request = cached_request(&cache, &id, 100, n == 7);
         assert!(cache.make_room(0, |_| false));
         assert!(cache.insert(dedup_key(&id), request));
     }
-    let new = request(&cache, "new", 100, false);
-    let rejected = request(&cache, "x", 100, false);
+    let new = cached_request(&cache, "new", 100, false);
+    let rejected = cached_request(&cache, "x", 100, false);
     // The evictable entry is dropped; the others stay until they have expired and their requests have ended.
     assert!(cache.make_room(50, |_| false) && cache.insert(dedup_key("new"), new));
     assert_eq!(unexpired(&cache, &dedup_key("7"), 50), None);
