--- a/crates/server/src/dependency_calls/status_log.rs
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -1,35 +1,35 @@
-//! Log lines on dependencies that are cut off by their circuit breaker, on ejected endpoints, and on their return.
+//! Log lines about circuit breakers that open or close, and endpoints that are ejected or restored.
 
 use slog::{info, Logger};
 use umberloom::interface::Micros;
 use umberloom_dependencies::{breaker, load_balancer, DependencyStatus, Engine};
 
-/// Time between two looks at the dependencies.
+/// Time between two checks for changes.
 const LOG_INTERVAL: Micros = 1_000_000;
 
-/// What the dependencies were like when they were last looked at.
+/// Compares the status of the dependencies with that of the last check, and logs changes.
 pub struct StatusLog {
-    next_at: Micros,
+    next_log_at: Micros,
     previous: Vec<DependencyStatus>,
 }
 
 impl StatusLog {
-    /// A log whose first look is one interval from now.
+    /// Creates a log whose first check is due one interval from now.
     pub fn new(now: Micros) -> StatusLog {
-        StatusLog { next_at: now + LOG_INTERVAL, previous: Vec::new() }
+        StatusLog { next_log_at: now + LOG_INTERVAL, previous: Vec::new() }
     }
 
-    /// Logs what has changed since the last look, if a look is due.
+    /// Logs the changes since the last check, if a check is due.
     pub fn handle_timeout(&mut self, now: Micros, engine: &Engine, log: &Logger) {
-        if now < self.next_at {
+        if now < self.next_log_at {
             return;
         }
-        self.next_at = now + LOG_INTERVAL;
+        self.next_log_at = now + LOG_INTERVAL;
         let current = engine.status(now);
-        for service in &current {
-            if let Some(previous) = self.previous.iter().find(|previous| previous.name == service.name) {
-                log_breaker(previous, service, log);
-                log_endpoints(previous, service, log);
+        for dependency in &current {
+            if let Some(previous) = self.previous.iter().find(|previous| previous.name == dependency.name) {
+                log_breaker(previous, dependency, log);
+                log_endpoints(previous, dependency, log);
             }
         }
         self.previous = current;
@@ -37,7 +37,7 @@
 }
 
 fn log_breaker(previous: &DependencyStatus, current: &DependencyStatus, log: &Logger) {
-    let is_closed = |service: &DependencyStatus| service.breaker == breaker::BreakerState::Closed;
+    let is_closed = |dependency: &DependencyStatus| dependency.breaker == breaker::BreakerState::Closed;
     if is_closed(previous) != is_closed(current) {
         info!(log, "circuit breaker changed"; "dependency" => &*current.name, "closed" => is_closed(current),
             "retry_budget" => current.retry_budget, "limit" => current.limit.value,
@@ -50,10 +50,11 @@
         matches!(endpoint.state, load_balancer::EndpointState::Active { .. })
     };
     for endpoint in &current.endpoints {
-        let before = previous.endpoints.iter().find(|before| before.address == endpoint.address);
-        if before.is_some_and(|before| is_in_use(before) != is_in_use(endpoint)) {
+        let previous = previous.endpoints.iter().find(|previous| previous.address == endpoint.address);
+        if previous.is_some_and(|previous| is_in_use(previous) != is_in_use(endpoint)) {
             info!(log, "endpoint ejection changed"; "dependency" => &*current.name,
-                "address" => &*endpoint.address, "in_use" => is_in_use(endpoint), "cause" => ?endpoint.last_ejection);
+                "address" => &*endpoint.address, "in_use" => is_in_use(endpoint),
+                "cause" => ?endpoint.last_ejection);
         }
     }
 }
