--- a/crates/server/src/admin_client/client.rs
+++ b/crates/server/src/admin_client/client.rs
@@ -1,4 +1,4 @@
-//! Sends one request over a connection of its own.
+//! The client of a server's fleet port: each request has a connection of its own.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,17 +13,17 @@
     HEADER_BYTES,
 };
 
-/// How long an answer may take.
+/// Time limit for connecting, for each read and write, and for the whole wait for a response.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks one server of a fleet.
+/// Sends requests to one server of a fleet.
 pub struct AdminClient {
     key: Key,
     server: SocketAddr,
 }
 
 impl AdminClient {
-    /// Will ask the server at this address of the fleet.
+    /// Creates a client for the server whose fleet address is `server`.
     pub fn new(fleet: &Fleet, server: SocketAddr) -> AdminClient {
         let key = Key::new(&fleet.membership.fleet, &fleet.membership.secret);
         AdminClient { key, server }
@@ -34,12 +34,12 @@
         self.server
     }
 
-    /// The error for an answer that fits another question.
+    /// The error for a response that does not fit the request.
     pub fn unexpected_answer(&self) -> AdminError {
         AdminError::UnexpectedAnswer { server: self.server }
     }
 
-    /// Sends a request, and waits for the answer.
+    /// Sends a request, and waits for the response.
     pub fn ask(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
         let mut stream = self.connect().map_err(|e| self.connection_error(e))?;
         let number = request_number();
@@ -55,7 +55,7 @@
         Ok(stream)
     }
 
-    /// Reads frames up to the answer to the request of this number.
+    /// Reads frames until the response to the request with this number arrives.
     fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
         let server = self.server;
         let deadline = Instant::now() + TIMEOUT;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Taken from the time: it only has to differ from that of an answer to someone else.
+/// A request number, taken from the time. It only has to differ from the numbers of other clients' requests.
 fn request_number() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
 }
--- a/crates/server/src/admin_client/error.rs
+++ b/crates/server/src/admin_client/error.rs
@@ -1,4 +1,4 @@
-//! Why a question to a server failed.
+//! Errors of the commands `umberloom fleet …`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,52 +7,52 @@
 
 use crate::lifecycle::config_files::ConfigFileError;
 
-/// Why a command of `umberloom fleet` failed, as it is printed.
+/// The reason why a command of `umberloom fleet` failed; its text is printed.
 #[derive(Debug, Error)]
 pub enum AdminError {
     /// The operator's file can't be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The operator's file names no fleet.
+    /// The operator's file has no fleet.
     #[error("{file}: found no fleet, expected the node \"fleet\"")]
     NoFleet { file: String },
     /// The connection failed.
     #[error("{server}: {source}; is it the fleet's address of a server that runs?")]
     Connection { server: SocketAddr, source: io::Error },
-    /// The server ended the connection, or sent nothing in time.
+    /// The server closed the connection, or sent nothing in time.
     #[error("{server}: no answer ({source}); a server of another fleet, or with another secret, gives none")]
     NoAnswer { server: SocketAddr, source: io::Error },
-    /// Other messages came, and no answer in time.
+    /// Other messages arrived, but no response in time.
     #[error("{server}: no answer within {seconds} s")]
     Timeout { server: SocketAddr, seconds: u64 },
     /// The server does not speak the fleet's protocol.
     #[error("{server}: what it says is no frame")]
     InvalidFrame { server: SocketAddr },
-    /// The answer is not authentic, or of another version.
+    /// The response is not authentic, or has another version.
     #[error("{server}: an answer that can't be believed ({reason})")]
     Untrusted { server: SocketAddr, reason: String },
-    /// The answer fits another question.
+    /// The response does not fit the request.
     #[error("{server}: an answer to something else")]
     UnexpectedAnswer { server: SocketAddr },
-    /// The server knows no member of this name.
+    /// The server knows no member with this name.
     #[error("{server} knows no such member, it knows: {}", known.join(", "))]
     UnknownMember { server: SocketAddr, known: Vec<String> },
-    /// The server rejects the question.
+    /// The server rejected the request.
     #[error("{server}: {reason}")]
     Rejected { server: SocketAddr, reason: String },
-    /// The store has no document of this name.
+    /// The store has no document with this name.
     #[error("{server}: there is no document {name:?}; there are: {}", known.join(", "))]
     UnknownDocument { server: SocketAddr, name: String, known: Vec<String> },
-    /// The document changed each time before all of it was read.
+    /// The document changed during each attempt to read all of it.
     #[error("{server}: {name:?} is written faster than it can be read")]
     ConcurrentWrites { server: SocketAddr, name: String },
     /// The document does not have the expected version.
     #[error("{server}: it has version {version} now, nothing was written")]
     VersionConflict { server: SocketAddr, version: u64 },
-    /// The leader runs an older program.
+    /// The entry is of a kind that the fleet's program does not support yet.
     #[error("{server}: this fleet's program does not know such an entry yet")]
     UnsupportedEntry { server: SocketAddr },
-    /// There was no entry to write.
+    /// There were no entries to write.
     #[error("there is nothing to write")]
     NothingToWrite,
     /// The content of a file is too long for a document.
@@ -61,7 +61,7 @@
     /// A file can't be read or written.
     #[error("{file}: {source}")]
     File { file: String, source: io::Error },
-    /// An export is damaged; `origin` is the file or the server that it comes from.
+    /// An export is damaged; `origin` is the file or the server that it was read from.
     #[error("{origin}: {reason}")]
     InvalidExport { origin: String, reason: String },
     /// A result can't be written as JSON.
--- a/crates/server/src/admin_client/members.rs
+++ b/crates/server/src/admin_client/members.rs
@@ -1,4 +1,4 @@
-//! `fleet members` and `fleet explain`.
+//! The commands `fleet members` and `fleet explain`.
 
 use std::fmt::Write as _;
 
@@ -10,7 +10,7 @@
 use super::table::{age, Table};
 use crate::wire::fleet::{FleetReply, FleetRequestKind, FleetView};
 
-/// Asks about members, and returns what is to be printed.
+/// Sends a request about members, and returns the text to print.
 pub fn show(client: &AdminClient, request: FleetRequestKind, as_json: bool) -> Result<String, AdminError> {
     match client.ask(request)? {
         FleetReply::Members(view) if as_json => Ok(serde_json::to_string_pretty(&view)?),
@@ -68,7 +68,7 @@
     ]
 }
 
-/// The first half of a digest, in hexadecimal digits.
+/// The high 32 bits of a digest, in hexadecimal digits.
 fn short_digest(digest: u64) -> String {
     format!("{:08x}", digest >> 32)
 }
--- a/crates/server/src/admin_client/mod.rs
+++ b/crates/server/src/admin_client/mod.rs
@@ -1,7 +1,8 @@
-//! `umberloom fleet …`: questions to a server about its fleet, over the fleet's own port.
+//! `umberloom fleet …`: queries a server about its fleet, and changes the replicated store, over the server's
+//! fleet port.
 //!
-//! [`client`] exchanges a request for its response; [`members`] prints what comes back about the fleet, and [`store`]
-//! has the commands about the replicated store.
+//! [`client`] sends a request and receives its response; [`members`] formats responses about the fleet's
+//! members; [`store`] has the commands for the replicated store.
 
 mod client;
 mod error;
@@ -21,29 +22,29 @@
 pub use error::AdminError;
 use store::StoreCommand;
 
-/// A command and whom it goes to.
+/// A command with its options.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The operator's file, which names the fleet and its secret.
+    /// The operator's file, which has the fleet's name and secret.
     operator: PathBuf,
-    /// The server that is asked; unless given, the one of the file.
+    /// Fleet address of the server that is asked; if `None`, the fleet's `listen` address in the file.
     at: Option<SocketAddr>,
-    /// Whether JSON is printed, instead of a table.
+    /// Whether JSON is printed instead of text.
     json: bool,
     command: FleetCommand,
 }
 
 #[derive(Clone, Debug)]
 enum FleetCommand {
-    /// The members, as one server sees them.
+    /// Show the members as one server sees them.
     Members,
-    /// The evidence for one member's state.
+    /// Show the evidence for the state of the named member.
     Explain(String),
-    /// The replicated store.
+    /// A command for the replicated store.
     Store(StoreCommand),
 }
 
-/// The words after `fleet`.
+/// Parser of the arguments after `fleet`.
 pub fn command_line() -> impl Parser<Options> {
     let (operator, at, json) = (operator(), at(), json());
     let members = construct!(operator, at, json)
@@ -98,7 +99,7 @@
     } else {
         ask_server(options)?
     };
-    // A reader that has closed its end wants no more.
+    // Writing fails if the reader has closed its end and wants no more output.
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     Ok(())
 }
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: read in parts, and written.
+//! Reads documents, in parts, and writes them.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,22 +13,23 @@
 use crate::admin_client::table::age;
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 
-/// How often a document that changes meanwhile is read from its start.
+/// Maximum number of attempts to read a document that changes while it is being read.
 const MAX_READS: usize = 8;
 
-/// Which write of a document was read, and when.
+/// The version of a document that was read.
 #[derive(Clone, Debug)]
 struct Revision {
+    /// Number of the version.
     version: u64,
     /// The server that wrote it.
     by: String,
-    /// The entry that wrote it.
+    /// Index of the entry that wrote it.
     index: u64,
-    /// How long ago the server heard its leader.
+    /// How long ago the server that was asked heard from the leader, in milliseconds.
     age_ms: Option<u64>,
 }
 
-/// Reads a document, and writes its content to the file `out` if that is given.
+/// Reads a document, writes its content to the file `out` if one is given, and returns the text to print.
 pub fn show(
     client: &AdminClient,
     name: &str,
@@ -52,7 +53,8 @@
     Ok(format!("{name}: version {version} by {by}, entry {index}, {how_recent}\n{content}"))
 }
 
-/// Reads all parts of a document. If it is written meanwhile, it is read again from its start.
+/// Reads all parts of a document. If it changes while it is being read, reading starts again from its
+/// beginning.
 fn read(client: &AdminClient, name: &str, latest: bool) -> Result<(Revision, Vec<u8>), AdminError> {
     for _ in 0..MAX_READS {
         if let Some(document) = read_once(client, name, latest)? {
@@ -62,7 +64,7 @@
     Err(AdminError::ConcurrentWrites { server: client.server(), name: name.to_owned() })
 }
 
-/// `None` if the version changed between two parts.
+/// Reads all parts of a document once; `None` if its version changed between two parts.
 fn read_once(
     client: &AdminClient,
     name: &str,
@@ -72,7 +74,7 @@
     let mut first: Option<Revision> = None;
     loop {
         let from = content.len() as u64;
-        // Only the first part has to be the latest: the others have to be of its version.
+        // Only the first part is requested as the latest: the others must have the version of the first.
         let latest = latest && from == 0;
         let request = StoreRequest::ReadDocument { name: name.to_owned(), latest, from };
         match ask(client, request)? {
@@ -104,7 +106,7 @@
     })]
 }
 
-/// The entries that give a document the content of a file.
+/// The entries that set a document to the content of a file.
 pub fn content(name: &str, file: &Path, expect: Option<u64>) -> Result<Vec<Entry>, AdminError> {
     let file_name = || file.display().to_string();
     let bytes = std::fs::read(file).map_err(|source| AdminError::File { file: file_name(), source })?;
@@ -115,7 +117,7 @@
     Ok(Entry::document(name, bytes, expect))
 }
 
-/// Writes entries one after the other; the outcome of the last one counts.
+/// Writes entries one after the other, and returns the text to print about the outcome of the last one.
 pub fn write(client: &AdminClient, entries: Vec<Entry>, as_json: bool) -> Result<String, AdminError> {
     let id = entry_id();
     let mut last = None;
@@ -139,7 +141,7 @@
     }
 }
 
-/// An identifier that no other entry has, from the time and this process.
+/// A unique entry identifier, made of the time and the process id.
 fn entry_id() -> u128 {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
     nanos << 32 | u128::from(std::process::id())
--- a/crates/server/src/admin_client/store/export.rs
+++ b/crates/server/src/admin_client/store/export.rs
@@ -1,4 +1,4 @@
-//! Exports: fetched from a server into a file, and checked.
+//! Fetches exports from a server into a file, and verifies them.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -11,7 +11,7 @@
 use crate::admin_client::error::AdminError;
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 
-/// Fetches an export, checks it, and writes it to a file.
+/// Fetches an export, verifies it, and writes it to a file.
 pub fn export(client: &AdminClient, file: &Path) -> Result<String, AdminError> {
     let bytes = fetch(client)?;
     let verified = Export::from_bytes(&bytes).and_then(|export| export.verify()).map_err(|reason| {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Checks an export in a file, and describes what it holds.
+/// Verifies an export in a file, and returns a summary of its content.
 pub fn verify(file: &Path, as_json: bool) -> Result<String, AdminError> {
     let name = file.display().to_string();
     let bytes = std::fs::read(file).map_err(|source| AdminError::File { file: name.clone(), source })?;
--- a/crates/server/src/admin_client/store/mod.rs
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -1,4 +1,4 @@
-//! `umberloom fleet record …`: the replicated store, read and written by hand.
+//! `umberloom fleet record …`: commands that read and change the replicated store.
 
 mod documents;
 mod export;
@@ -16,30 +16,30 @@
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 pub use export::verify;
 
-/// A command about the replicated store.
+/// A command for the replicated store.
 #[derive(Clone, Debug)]
 pub enum StoreCommand {
-    /// One server's replica.
+    /// Show the status of one server's replica.
     Status,
-    /// A document; `out` is the file that its content is written to.
+    /// Show a document, as the server asked has it if `local`; `out` is a file to write its content to.
     Show { name: String, local: bool, out: Option<PathBuf> },
-    /// So many of the last entries.
+    /// Show the newest entries, at most this many.
     History(u32),
-    /// A document gets the content of a file, or is removed.
+    /// Set a document to the content of a file, or remove it if there is no file.
     Put { name: String, file: Option<PathBuf>, expect: Option<u64> },
-    /// A note in the history.
+    /// Write a note to the history.
     Note(String),
-    /// A member becomes a voter, or a learner.
+    /// Make a member a voter if `votes`, else a learner.
     SetVoter { name: String, votes: bool },
-    /// The store starts anew from the replica of the server that is asked.
+    /// Restart the store from the replica of the server that is asked.
     Adopt,
-    /// Writes an export to a file.
+    /// Fetch an export and write it to a file.
     Export(PathBuf),
-    /// Checks such a file; no server is asked.
+    /// Verify an export in a file; no server is asked.
     Verify(PathBuf),
 }
 
-/// The words after `record`.
+/// Parser of the arguments after `record`.
 pub fn command_line() -> impl Parser<StoreCommand> {
     let status =
         bpaf::pure(StoreCommand::Status).to_options().descr("How one server's part stands").command("status");
@@ -123,7 +123,7 @@
     positional::<PathBuf>("FILE")
 }
 
-/// Runs a command, and returns what is to be printed.
+/// Runs a command, and returns the text to print.
 pub fn run(client: &AdminClient, command: &StoreCommand, as_json: bool) -> Result<String, AdminError> {
     match command {
         StoreCommand::Status => match ask(client, StoreRequest::Status)? {
@@ -164,7 +164,7 @@
     }
 }
 
-/// Asks about the store; a rejected request is an error.
+/// Sends a request about the store; a rejection is returned as an error.
 fn ask(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
     match client.ask(FleetRequestKind::Store(request))? {
         FleetReply::Store(StoreResponse::Rejected(reason)) => {
--- a/crates/server/src/admin_client/store/status.rs
+++ b/crates/server/src/admin_client/store/status.rs
@@ -1,4 +1,4 @@
-//! A replica's status and the history of the store, as text.
+//! Formats a replica's status and the history of the store as text.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 
 use crate::admin_client::table::{age, Table};
 
-/// A replica's own state, then a table of all replicas.
+/// The state of the replica itself, followed by a table of all replicas.
 pub fn status_text(status: &ReplicaStatus) -> String {
     let ReplicaStatus {
         store_id,
@@ -51,7 +51,7 @@
     text + &table.render()
 }
 
-/// Entries with their outcomes.
+/// A table of entries with their outcomes.
 pub fn history_text(lines: &[HistoryLine]) -> String {
     let mut table = Table::with_headings(["entry", "by", "what", "outcome"]);
     table.extend(lines.iter().map(|line| {
--- a/crates/server/src/admin_client/table.rs
+++ b/crates/server/src/admin_client/table.rs
@@ -1,8 +1,8 @@
-//! Tables as text.
+//! Formats tables as text.
 
 use std::fmt::Write as _;
 
-/// Rows whose columns begin below each other.
+/// A table whose columns are aligned to the left.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
@@ -19,7 +19,7 @@
         self.rows.extend(rows);
     }
 
-    /// The lines of the table, each with a line break.
+    /// The text of the table; each row ends with a line break.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for row in &self.rows {
@@ -35,14 +35,15 @@
         text
     }
 
-    /// The widest cell of a column, in characters.
+    /// Width of the widest cell of a column, in characters.
     fn width(&self, column: usize) -> usize {
         let cells = self.rows.iter().filter_map(|row| row.get(column));
         cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
     }
 }
 
-/// A span in milliseconds, rounded down to seconds from ten seconds on; `-` if there is none.
+/// Formats a time span: in milliseconds up to ten seconds, then rounded down to seconds; `-` if there is
+/// none.
 pub fn age(ms: Option<u64>) -> String {
     match ms {
         None => "-".to_owned(),
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `umberloom check`: whether the configuration files are valid, each by itself and together.
+//! `umberloom check`: validates configuration files, individually and against each other.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use crate::lifecycle::config::Config;
 use crate::lifecycle::config_files::load_operator;
 
-/// Checks the files that are given, and prints what they hold.
+/// Validates the given files, and prints a summary of each.
 pub fn run(config: Option<&Path>, operator: Option<&Path>) -> Result<(), CommandError> {
     if config.is_none() && operator.is_none() {
         return Err(CommandError::NothingToCheck);
--- a/crates/server/src/cli/mod.rs
+++ b/crates/server/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The program's command line.
+//! Parses the command line and runs the chosen command.
 
 mod check;
 mod serve;
@@ -19,15 +19,15 @@
 pub enum Command {
     /// Serve balancers until a signal ends the process.
     Serve { config: PathBuf, operator: Option<PathBuf>, verbose: bool, log_format: LogFormat },
-    /// Check configuration files.
+    /// Validate configuration files.
     Check { config: Option<PathBuf>, operator: Option<PathBuf> },
-    /// Ask a server about its fleet.
+    /// Query a server about its fleet.
     Fleet(admin_client::Options),
     /// Print the version.
     Version,
 }
 
-/// Why a command failed, as it is printed.
+/// The reason why a command failed; its text is printed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// Signals can't be received.
@@ -42,10 +42,10 @@
     /// The server can't start.
     #[error(transparent)]
     Serve(#[from] StartupError),
-    /// `check` without a file.
+    /// `check` was given no file.
     #[error("nothing to check: name a file with --config or --operator")]
     NothingToCheck,
-    /// A question to a server failed.
+    /// A `fleet` command failed.
     #[error(transparent)]
     Fleet(#[from] AdminError),
 }
--- a/crates/server/src/cli/serve.rs
+++ b/crates/server/src/cli/serve.rs
@@ -10,7 +10,7 @@
 
 /// Serves until a signal ends the process.
 pub fn run(files: ConfigFiles, verbose: bool, format: LogFormat) -> Result<(), CommandError> {
-    // Before anything else: a signal that comes early must not end the program by default.
+    // First of all: without a listener, an early signal would end the process by its default action.
     let signals = SignalListener::new().map_err(CommandError::Signals)?;
     let config = files.load()?;
     let level = if verbose { Level::Debug } else { Level::Info };
