--- a/crates/server/src/admin_client/error.rs
+++ b/crates/server/src/admin_client/error.rs
@@ -17,22 +17,24 @@
     #[error("{file}: found no fleet, expected the node \"fleet\"")]
     NoFleet { file: String },
     /// The connection failed.
-    #[error("{server}: {source}; is it the fleet's address of a server that runs?")]
+    #[error("{server}: {source}; expected the fleet address of a running server")]
     Connection { server: SocketAddr, source: io::Error },
     /// The server closed the connection, or sent nothing in time.
-    #[error("{server}: no answer ({source}); a server of another fleet, or with another secret, gives none")]
+    #[error(
+        "{server}: no response ({source}); a server of another fleet, or with another secret, sends none"
+    )]
     NoAnswer { server: SocketAddr, source: io::Error },
     /// Other messages arrived, but no response in time.
-    #[error("{server}: no answer within {seconds} s")]
+    #[error("{server}: no response within {seconds} s")]
     Timeout { server: SocketAddr, seconds: u64 },
     /// The server does not speak the fleet's protocol.
-    #[error("{server}: what it says is no frame")]
+    #[error("{server}: received data that is not a valid frame")]
     InvalidFrame { server: SocketAddr },
     /// The response is not authentic, or has another version.
-    #[error("{server}: an answer that can't be believed ({reason})")]
+    #[error("{server}: the response failed verification ({reason})")]
     Untrusted { server: SocketAddr, reason: String },
     /// The response does not fit the request.
-    #[error("{server}: an answer to something else")]
+    #[error("{server}: the response does not fit the request")]
     UnexpectedAnswer { server: SocketAddr },
     /// The server knows no member with this name.
     #[error("{server} knows no such member, it knows: {}", known.join(", "))]
@@ -41,22 +43,22 @@
     #[error("{server}: {reason}")]
     Rejected { server: SocketAddr, reason: String },
     /// The store has no document with this name.
-    #[error("{server}: there is no document {name:?}; there are: {}", known.join(", "))]
+    #[error("{server}: no document {name:?}; existing documents: {}", known.join(", "))]
     UnknownDocument { server: SocketAddr, name: String, known: Vec<String> },
     /// The document changed during each attempt to read all of it.
-    #[error("{server}: {name:?} is written faster than it can be read")]
+    #[error("{server}: {name:?} changed during each attempt to read it")]
     ConcurrentWrites { server: SocketAddr, name: String },
     /// The document does not have the expected version.
     #[error("{server}: it has version {version} now, nothing was written")]
     VersionConflict { server: SocketAddr, version: u64 },
-    /// The entry is of a kind that the fleet's program does not support yet.
-    #[error("{server}: this fleet's program does not know such an entry yet")]
+    /// The leader runs an older program that does not support the entry.
+    #[error("{server}: the fleet's program does not support such an entry yet")]
     UnsupportedEntry { server: SocketAddr },
     /// There were no entries to write.
     #[error("there is nothing to write")]
     NothingToWrite,
     /// The content of a file is too long for a document.
-    #[error("{file}: {length} bytes, {max} at most")]
+    #[error("{file}: found {length} bytes, expected {max} at most")]
     DocumentTooLong { file: String, length: usize, max: usize },
     /// A file can't be read or written.
     #[error("{file}: {source}")]
--- a/crates/server/src/admin_client/mod.rs
+++ b/crates/server/src/admin_client/mod.rs
@@ -50,17 +50,18 @@
     let members = construct!(operator, at, json)
         .map(|(operator, at, json)| Options { operator, at, json, command: FleetCommand::Members })
         .to_options()
-        .descr("Who is there, as one server has it")
+        .descr("List the members of the fleet, as one server sees them")
         .command("members");
     let (operator, at, json) = (self::operator(), self::at(), self::json());
-    let name = positional::<String>("NAME").help("A member; the server's own name explains its standing");
+    let name = positional::<String>("NAME")
+        .help("Name of a member; the server's own name explains its partition status");
     let explain = construct!(operator, at, json, name)
         .map(|(operator, at, json, name)| {
             let command = FleetCommand::Explain(name);
             Options { operator, at, json, command }
         })
         .to_options()
-        .descr("Why one server holds a member for what it does: evidence with its age")
+        .descr("Show the evidence for the state that one server gives a member, with its age")
         .command("explain");
     let (operator, at, json) = (self::operator(), self::at(), self::json());
     let command = store::command_line();
@@ -70,26 +71,24 @@
             Options { operator, at, json, command }
         })
         .to_options()
-        .descr("What the servers keep together: its standing, documents and history")
+        .descr("Show or change the replicated store: its status, documents and history")
         .command("record");
     construct!([members, explain, store])
 }
 
 fn operator() -> impl Parser<PathBuf> {
-    long("operator")
-        .help("The operator's file that names the fleet and its secret")
-        .argument::<PathBuf>("FILE")
+    long("operator").help("The operator's file with the fleet's name and secret").argument::<PathBuf>("FILE")
 }
 
 fn at() -> impl Parser<Option<SocketAddr>> {
     long("at")
-        .help("The fleet's address of the server to ask; unless given, that in the file")
+        .help("Fleet address of the server to query; by default the one in the file")
         .argument::<SocketAddr>("ADDRESS")
         .optional()
 }
 
 fn json() -> impl Parser<bool> {
-    long("json").help("One JSON document instead of a table").switch()
+    long("json").help("Print JSON instead of text").switch()
 }
 
 /// Runs the command and prints its result.
--- a/crates/server/src/admin_client/store/mod.rs
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -41,60 +41,67 @@
 
 /// Parser of the arguments after `record`.
 pub fn command_line() -> impl Parser<StoreCommand> {
-    let status =
-        bpaf::pure(StoreCommand::Status).to_options().descr("How one server's part stands").command("status");
+    let status = bpaf::pure(StoreCommand::Status)
+        .to_options()
+        .descr("Show the status of one server's replica")
+        .command("status");
     let (show, put, remove) = (show_command(), put_command(), remove_command());
     let history = long("most")
-        .help("So many lines")
+        .help("Maximum number of entries")
         .argument::<u32>("N")
         .fallback(20)
         .map(StoreCommand::History)
         .to_options()
-        .descr("The last entries, newest first")
+        .descr("Show the last entries, newest first")
         .command("history");
     let note = positional::<String>("TEXT")
-        .help("A remark, for the history")
+        .help("Text of the note")
         .map(StoreCommand::Note)
         .to_options()
-        .descr("Writes a remark")
+        .descr("Write a note to the history")
         .command("note");
     let promote = member()
         .map(|name| StoreCommand::SetVoter { name, votes: true })
         .to_options()
-        .descr("A member that learns votes from now on")
+        .descr("Make a learner a voter")
         .command("promote");
     let demote = member()
         .map(|name| StoreCommand::SetVoter { name, votes: false })
         .to_options()
-        .descr("A member that votes learns from now on")
+        .descr("Make a voter a learner")
         .command("demote");
-    let export = file().map(StoreCommand::Export).to_options().descr("A copy, in a file").command("export");
+    let export = file()
+        .map(StoreCommand::Export)
+        .to_options()
+        .descr("Write an export of the store to a file")
+        .command("export");
     let verify = file()
         .map(StoreCommand::Verify)
         .to_options()
-        .descr("Whether such a file is sound, without a server")
+        .descr("Verify an export in a file, without a server")
         .command("verify");
     let adopt = bpaf::pure(StoreCommand::Adopt)
         .to_options()
-        .descr("For the worst day: the asked server's copy is the record from now on")
+        .descr("Restart the store from the queried server's replica, where a majority of the voters is lost")
         .command("adopt");
     construct!([status, show, history, put, remove, note, promote, demote, adopt, export, verify])
 }
 
 fn show_command() -> impl Parser<StoreCommand> {
-    let local =
-        long("local").help("As this server has it, with its age; else the latest by a majority").switch();
-    let out = long("out").help("Writes its content to this file").argument::<PathBuf>("FILE").optional();
+    let local = long("local")
+        .help("As the queried server has it, with its age; by default the latest by a majority")
+        .switch();
+    let out = long("out").help("Write the content to this file").argument::<PathBuf>("FILE").optional();
     let name = document();
-    construct!(StoreCommand::Show { local, out, name }).to_options().descr("A document").command("show")
+    construct!(StoreCommand::Show { local, out, name }).to_options().descr("Show a document").command("show")
 }
 
 fn put_command() -> impl Parser<StoreCommand> {
     let (name, expect) = (document(), expect());
-    let file = positional::<PathBuf>("FILE").help("Its content").map(Some);
+    let file = positional::<PathBuf>("FILE").help("File with the content").map(Some);
     construct!(StoreCommand::Put { expect, name, file })
         .to_options()
-        .descr("A document takes on the content of a file")
+        .descr("Set a document to the content of a file")
         .command("put")
 }
 
@@ -102,21 +109,21 @@
     let (name, expect, file) = (document(), expect(), bpaf::pure(None));
     construct!(StoreCommand::Put { expect, file, name })
         .to_options()
-        .descr("A document is taken out")
+        .descr("Remove a document")
         .command("remove")
 }
 
 fn document() -> impl Parser<String> {
-    positional::<String>("NAME").help("A document's name")
+    positional::<String>("NAME").help("Name of the document")
 }
 
 fn expect() -> impl Parser<Option<u64>> {
-    let help = "Only if it has this version now; 0: only if it is not there";
+    let help = "Only if the document has this version now; 0: only if it does not exist";
     long("expect").help(help).argument::<u64>("VERSION").optional()
 }
 
 fn member() -> impl Parser<String> {
-    positional::<String>("MEMBER").help("A server that holds a copy")
+    positional::<String>("MEMBER").help("Name of a server with a replica")
 }
 
 fn file() -> impl Parser<PathBuf> {
--- a/crates/server/src/cli/mod.rs
+++ b/crates/server/src/cli/mod.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// Signals can't be received.
-    #[error("signals: {0}")]
+    #[error("can't listen for signals: {0}")]
     Signals(std::io::Error),
     /// The platform's configuration can't be used.
     #[error(transparent)]
@@ -52,33 +52,37 @@
 
 /// The commands and their options.
 pub fn command_line() -> OptionParser<Command> {
-    let verbose = long("verbose").short('v').help("Log each odd request too").switch();
+    let verbose =
+        long("verbose").short('v').help("Log at debug level too, such as each invalid request").switch();
     let log_format = long("log-format")
-        .help("How log lines are written: text or json")
+        .help("Format of log lines: text or json")
         .argument::<LogFormat>("FORM")
         .fallback(LogFormat::Text);
     let serve = construct!(Command::Serve { config(), operator(), verbose, log_format })
         .to_options()
-        .descr("Serve balancers until SIGTERM; SIGHUP reads the files again")
+        .descr("Serve balancers until SIGTERM or SIGINT; SIGHUP reloads the files")
         .command("serve");
     let config = config().optional();
     let check = construct!(Command::Check { config, operator() })
         .to_options()
-        .descr("Say whether the files make sense, each by itself and together")
+        .descr("Validate the configuration files, individually and against each other")
         .command("check");
     let fleet = admin_client::command_line()
         .map(Command::Fleet)
         .to_options()
-        .descr("Ask a server about its fleet")
+        .descr("Query a server about its fleet")
         .command("fleet");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
     construct!([serve, check, fleet, version])
         .to_options()
-        .descr("A server that decides what it takes, runs and turns away")
+        .descr("A server that decides which requests are admitted, run and rejected")
 }
 
 fn config() -> impl Parser<PathBuf> {
-    long("config").env("BALANCER_CONFIG").help("The configuration, in JSON").argument::<PathBuf>("FILE")
+    long("config")
+        .env("BALANCER_CONFIG")
+        .help("The platform's configuration, in JSON")
+        .argument::<PathBuf>("FILE")
 }
 
 fn operator() -> impl Parser<Option<PathBuf>> {
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -136,15 +136,18 @@
             // next tier once failed to start because every next tier was rejected.
             (
                 self.settings.downstream == Downstream::None || self.records.is_some(),
-                "calls are made, but `records` is absent",
+                "downstream calls are configured, but `records` is absent",
             ),
             (
                 self.classes.iter().all(is_path_segment),
-                "a class has no name, or one that is no part of a path",
+                "a class has no name, or a name that is not a path segment",
             ),
-            (!self.name.is_empty() && self.name.bytes().all(is_unreserved), "`name` is no part of a path"),
-            (self.limits.memory >= MIN_MEMORY, "`limits.memory_mb` is under 16"),
-            (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` is under 32"),
+            (
+                !self.name.is_empty() && self.name.bytes().all(is_unreserved),
+                "`name` must be a path segment of letters, digits, '-', '_' and '.'",
+            ),
+            (self.limits.memory >= MIN_MEMORY, "`limits.memory_mb` must be at least 16"),
+            (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` must be at least 32"),
             (self.stop > 0, "`stop_ms` must be above 0"),
         ];
         match rules.iter().find(|(holds, _)| !holds) {
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -54,10 +54,12 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FleetReloadError {
     /// The new file has a fleet, the configuration in force has none.
-    #[error("{file}:{position}: found a fleet, which needs a new start")]
+    #[error("{file}:{position}: found a new fleet, which needs a restart of the server")]
     Added { file: String, position: Position },
     /// The new file has no fleet, the configuration in force has one.
-    #[error("{file}: found no fleet, and there was one: to leave it out needs a new start")]
+    #[error(
+        "{file}: found no fleet, but the server belongs to one: leaving it needs a restart of the server"
+    )]
     Removed { file: String },
     /// A field has changed that can't change while the server runs.
     #[error("{file}:{position}: the fleet's {field} has changed, which needs a new start")]
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -46,7 +46,7 @@
     #[error("{0}")]
     Fleet(String),
     /// The memory limit leaves no room for the fleet's streams.
-    #[error("no memory for {bytes} bytes of the fleet's streams")]
+    #[error("the memory limit leaves no room for {bytes} bytes of the fleet's streams")]
     FleetMemory { bytes: usize },
     /// The memory limit leaves no room for cached fallback results.
     #[error(transparent)]
@@ -55,7 +55,7 @@
 
 /// The memory limit leaves no room for cached fallback results.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("no memory for {bytes} bytes of kept results")]
+#[error("the memory limit leaves no room for {bytes} bytes of cached fallback results")]
 pub struct FallbackCacheMemoryError {
     /// Size of the cache.
     pub bytes: usize,
