--- a/crates/server/src/admin_client/client.rs
+++ b/crates/server/src/admin_client/client.rs
@@ -35,17 +35,17 @@
     }
 
     /// The error for a response that does not fit the request.
-    pub fn unexpected_answer(&self) -> AdminError {
-        AdminError::UnexpectedAnswer { server: self.server }
+    pub fn unexpected_response(&self) -> AdminError {
+        AdminError::UnexpectedResponse { server: self.server }
     }
 
     /// Sends a request, and waits for the response.
-    pub fn ask(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
+    pub fn request(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
         let mut stream = self.connect().map_err(|e| self.connection_error(e))?;
         let number = request_number();
         let sealed = self.key.seal(&FleetRequest { number, kind });
         stream.write_all(&encode_frame(FrameKind::Request, &sealed)).map_err(|e| self.connection_error(e))?;
-        self.read_answer(&mut stream, number)
+        self.read_response(&mut stream, number)
     }
 
     fn connect(&self) -> io::Result<TcpStream> {
@@ -56,12 +56,12 @@
     }
 
     /// Reads frames until the response to the request with this number arrives.
-    fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
+    fn read_response(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
         let server = self.server;
         let deadline = Instant::now() + TIMEOUT;
         while Instant::now() < deadline {
             let mut header = [0; HEADER_BYTES];
-            stream.read_exact(&mut header).map_err(|source| AdminError::NoAnswer { server, source })?;
+            stream.read_exact(&mut header).map_err(|source| AdminError::NoResponse { server, source })?;
             let (kind, length) = parse_header(header).ok_or(AdminError::InvalidFrame { server })?;
             let mut content = vec![0; length];
             stream.read_exact(&mut content).map_err(|e| self.connection_error(e))?;
--- a/crates/server/src/admin_client/error.rs
+++ b/crates/server/src/admin_client/error.rs
@@ -23,7 +23,7 @@
     #[error(
         "{server}: no response ({source}); a server of another fleet, or with another secret, sends none"
     )]
-    NoAnswer { server: SocketAddr, source: io::Error },
+    NoResponse { server: SocketAddr, source: io::Error },
     /// Other messages arrived, but no response in time.
     #[error("{server}: no response within {seconds} s")]
     Timeout { server: SocketAddr, seconds: u64 },
@@ -35,7 +35,7 @@
     Untrusted { server: SocketAddr, reason: String },
     /// The response does not fit the request.
     #[error("{server}: the response does not fit the request")]
-    UnexpectedAnswer { server: SocketAddr },
+    UnexpectedResponse { server: SocketAddr },
     /// The server knows no member with this name.
     #[error("{server} knows no such member, it knows: {}", known.join(", "))]
     UnknownMember { server: SocketAddr, known: Vec<String> },
--- a/crates/server/src/admin_client/members.rs
+++ b/crates/server/src/admin_client/members.rs
@@ -12,12 +12,12 @@
 
 /// Sends a request about members, and returns the text to print.
 pub fn show(client: &AdminClient, request: FleetRequestKind, as_json: bool) -> Result<String, AdminError> {
-    match client.ask(request)? {
+    match client.request(request)? {
         FleetReply::Members(view) if as_json => Ok(serde_json::to_string_pretty(&view)?),
         FleetReply::Explain(evidence) if as_json => Ok(serde_json::to_string_pretty(&evidence)?),
         FleetReply::Members(view) => Ok(fleet_text(&view)),
         FleetReply::Explain(evidence) => Ok(evidence_text(&evidence)),
-        FleetReply::Store(_) => Err(client.unexpected_answer()),
+        FleetReply::Store(_) => Err(client.unexpected_response()),
         FleetReply::UnknownMember(known) => Err(AdminError::UnknownMember { server: client.server(), known }),
     }
 }
@@ -35,10 +35,11 @@
     for (dependency, quota) in allowances {
         text.push_str(&quota_line(dependency, quota));
     }
-    for (with, differences) in disagreements {
-        let _ = writeln!(text, "views differ from that of {with}: {}", differences.join("; "));
+    for (peer, differences) in disagreements {
+        let _ = writeln!(text, "views differ from that of {peer}: {}", differences.join("; "));
     }
-    let rejected: Vec<String> = counts.refused.iter().map(|(why, n)| format!("{why:?} {n}")).collect();
+    let rejected: Vec<String> =
+        counts.refused.iter().map(|(reason, count)| format!("{reason:?} {count}")).collect();
     if !rejected.is_empty() {
         let _ = writeln!(text, "not believed: {}", rejected.join(", "));
     }
@@ -47,7 +48,7 @@
 
 fn member_row(member: &MemberView) -> Vec<String> {
     let build_info = &member.about;
-    let says = member.says.map_or_else(
+    let reported_status = member.says.map_or_else(
         || "-".to_owned(),
         |(standing, load, sick)| format!("{standing}, load {load} %, sick {sick}"),
     );
@@ -61,7 +62,7 @@
         reached.to_owned(),
         age(member.heard_ms),
         age(member.hears_us_ms),
-        says,
+        reported_status,
         build_info.program.clone(),
         short_digest(build_info.config),
         short_digest(build_info.operator),
@@ -84,6 +85,6 @@
 
 fn evidence_text(evidence: &[Evidence]) -> String {
     let mut table = Table::with_headings(["ago", "evidence"]);
-    table.extend(evidence.iter().map(|e| vec![age(e.age_ms), e.what.clone()]));
+    table.extend(evidence.iter().map(|item| vec![age(item.age_ms), item.what.clone()]));
     table.render()
 }
--- a/crates/server/src/admin_client/mod.rs
+++ b/crates/server/src/admin_client/mod.rs
@@ -28,7 +28,7 @@
     /// The operator's file, which has the fleet's name and secret.
     operator: PathBuf,
     /// Fleet address of the server that is asked; if `None`, the fleet's `listen` address in the file.
-    at: Option<SocketAddr>,
+    server: Option<SocketAddr>,
     /// Whether JSON is printed instead of text.
     json: bool,
     command: FleetCommand,
@@ -46,29 +46,29 @@
 
 /// Parser of the arguments after `fleet`.
 pub fn command_line() -> impl Parser<Options> {
-    let (operator, at, json) = (operator(), at(), json());
-    let members = construct!(operator, at, json)
-        .map(|(operator, at, json)| Options { operator, at, json, command: FleetCommand::Members })
+    let (operator, server, json) = (operator(), server(), json());
+    let members = construct!(operator, server, json)
+        .map(|(operator, server, json)| Options { operator, server, json, command: FleetCommand::Members })
         .to_options()
         .descr("List the members of the fleet, as one server sees them")
         .command("members");
-    let (operator, at, json) = (self::operator(), self::at(), self::json());
+    let (operator, server, json) = (self::operator(), self::server(), self::json());
     let name = positional::<String>("NAME")
         .help("Name of a member; the server's own name explains its partition status");
-    let explain = construct!(operator, at, json, name)
-        .map(|(operator, at, json, name)| {
+    let explain = construct!(operator, server, json, name)
+        .map(|(operator, server, json, name)| {
             let command = FleetCommand::Explain(name);
-            Options { operator, at, json, command }
+            Options { operator, server, json, command }
         })
         .to_options()
         .descr("Show the evidence for the state that one server gives a member, with its age")
         .command("explain");
-    let (operator, at, json) = (self::operator(), self::at(), self::json());
+    let (operator, server, json) = (self::operator(), self::server(), self::json());
     let command = store::command_line();
-    let store = construct!(operator, at, json, command)
-        .map(|(operator, at, json, command)| {
+    let store = construct!(operator, server, json, command)
+        .map(|(operator, server, json, command)| {
             let command = FleetCommand::Store(command);
-            Options { operator, at, json, command }
+            Options { operator, server, json, command }
         })
         .to_options()
         .descr("Show or change the replicated store: its status, documents and history")
@@ -80,7 +80,7 @@
     long("operator").help("The operator's file with the fleet's name and secret").argument::<PathBuf>("FILE")
 }
 
-fn at() -> impl Parser<Option<SocketAddr>> {
+fn server() -> impl Parser<Option<SocketAddr>> {
     long("at")
         .help("Fleet address of the server to query; by default the one in the file")
         .argument::<SocketAddr>("ADDRESS")
@@ -96,19 +96,19 @@
     let text = if let FleetCommand::Store(StoreCommand::Verify(file)) = &options.command {
         store::verify(file, options.json)?
     } else {
-        ask_server(options)?
+        query_server(options)?
     };
     // Writing fails if the reader has closed its end and wants no more output.
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     Ok(())
 }
 
-fn ask_server(options: &Options) -> Result<String, AdminError> {
+fn query_server(options: &Options) -> Result<String, AdminError> {
     let operator = load_operator(&options.operator, None)?;
     let Some(fleet) = operator.fleet else {
         return Err(AdminError::NoFleet { file: options.operator.display().to_string() });
     };
-    let client = AdminClient::new(&fleet, options.at.unwrap_or(fleet.listen));
+    let client = AdminClient::new(&fleet, options.server.unwrap_or(fleet.listen));
     match &options.command {
         FleetCommand::Members => members::show(&client, FleetRequestKind::Members, options.json),
         FleetCommand::Explain(name) => {
--- a/crates/server/src/admin_client/store/export.rs
+++ b/crates/server/src/admin_client/store/export.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use umberloom_replicated_store::Export;
 
-use super::ask;
+use super::request;
 use crate::admin_client::client::AdminClient;
 use crate::admin_client::error::AdminError;
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
@@ -31,14 +31,14 @@
 fn fetch(client: &AdminClient) -> Result<Vec<u8>, AdminError> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
-        match ask(client, StoreRequest::Export(bytes.len() as u64))? {
+        match request(client, StoreRequest::Export(bytes.len() as u64))? {
             StoreResponse::ExportPart(part, length) => {
                 bytes.extend_from_slice(&part);
                 if bytes.len() as u64 >= length || part.is_empty() {
                     return Ok(bytes);
                 }
             }
-            _ => return Err(client.unexpected_answer()),
+            _ => return Err(client.unexpected_response()),
         }
     }
 }
@@ -49,17 +49,22 @@
     let bytes = std::fs::read(file).map_err(|source| AdminError::File { file: name.clone(), source })?;
     let invalid = |reason: String| AdminError::InvalidExport { origin: name.clone(), reason };
     let export = Export::from_bytes(&bytes).map_err(|e| invalid(e.to_string()))?;
-    let found = export.verify().map_err(|e| invalid(e.to_string()))?;
+    let verified = export.verify().map_err(|e| invalid(e.to_string()))?;
     if as_json {
-        let value = json!({"record": format!("{:016x}", found.store_id), "from": found.snapshot_index, "to": found.last_index,
-            "by": export.exported_by, "unknown": found.unsupported_entries, "documents": found.documents});
+        let value = json!({"record": format!("{:016x}", verified.store_id),
+            "from": verified.snapshot_index, "to": verified.last_index, "by": export.exported_by,
+            "unknown": verified.unsupported_entries, "documents": verified.documents});
         return Ok(serde_json::to_string_pretty(&value)?);
     }
     let mut text = format!(
         "{name}: sound, record {:016x} as {} had it, entries {} to {}, {} of newer programs\n",
-        found.store_id, export.exported_by, found.snapshot_index, found.last_index, found.unsupported_entries
+        verified.store_id,
+        export.exported_by,
+        verified.snapshot_index,
+        verified.last_index,
+        verified.unsupported_entries
     );
-    for (document, version, length) in &found.documents {
+    for (document, version, length) in &verified.documents {
         // Writing to a string never fails.
         let _ = writeln!(text, "{document}: version {version}, {length} bytes");
     }
--- a/crates/server/src/admin_client/store/mod.rs
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -26,7 +26,7 @@
     /// Show the newest entries, at most this many.
     History(u32),
     /// Set a document to the content of a file, or remove it if there is no file.
-    Put { name: String, file: Option<PathBuf>, expect: Option<u64> },
+    Put { name: String, file: Option<PathBuf>, expected_version: Option<u64> },
     /// Write a note to the history.
     Note(String),
     /// Make a member a voter if `votes`, else a learner.
@@ -97,17 +97,17 @@
 }
 
 fn put_command() -> impl Parser<StoreCommand> {
-    let (name, expect) = (document(), expect());
+    let (name, expected_version) = (document(), expected_version());
     let file = positional::<PathBuf>("FILE").help("File with the content").map(Some);
-    construct!(StoreCommand::Put { expect, name, file })
+    construct!(StoreCommand::Put { expected_version, name, file })
         .to_options()
         .descr("Set a document to the content of a file")
         .command("put")
 }
 
 fn remove_command() -> impl Parser<StoreCommand> {
-    let (name, expect, file) = (document(), expect(), bpaf::pure(None));
-    construct!(StoreCommand::Put { expect, file, name })
+    let (name, expected_version, file) = (document(), expected_version(), bpaf::pure(None));
+    construct!(StoreCommand::Put { expected_version, file, name })
         .to_options()
         .descr("Remove a document")
         .command("remove")
@@ -117,7 +117,7 @@
     positional::<String>("NAME").help("Name of the document")
 }
 
-fn expect() -> impl Parser<Option<u64>> {
+fn expected_version() -> impl Parser<Option<u64>> {
     let help = "Only if the document has this version now; 0: only if it does not exist";
     long("expect").help(help).argument::<u64>("VERSION").optional()
 }
@@ -133,34 +133,34 @@
 /// Runs a command, and returns the text to print.
 pub fn run(client: &AdminClient, command: &StoreCommand, as_json: bool) -> Result<String, AdminError> {
     match command {
-        StoreCommand::Status => match ask(client, StoreRequest::Status)? {
+        StoreCommand::Status => match request(client, StoreRequest::Status)? {
             StoreResponse::Status(status) if as_json => Ok(serde_json::to_string_pretty(&json!(status))?),
             StoreResponse::Status(status) => Ok(status::status_text(&status)),
-            _ => Err(client.unexpected_answer()),
+            _ => Err(client.unexpected_response()),
         },
-        StoreCommand::History(max) => match ask(client, StoreRequest::History(*max))? {
+        StoreCommand::History(max) => match request(client, StoreRequest::History(*max))? {
             StoreResponse::History(lines) if as_json => Ok(serde_json::to_string_pretty(&json!(lines))?),
             StoreResponse::History(lines) => Ok(status::history_text(&lines)),
-            _ => Err(client.unexpected_answer()),
+            _ => Err(client.unexpected_response()),
         },
         StoreCommand::Show { name, local, out } => {
             documents::show(client, name, *local, out.as_deref(), as_json)
         }
-        StoreCommand::Put { name, file, expect } => {
+        StoreCommand::Put { name, file, expected_version } => {
             let entries = match file {
-                None => documents::removal(name, *expect),
-                Some(file) => documents::content(name, file, *expect)?,
+                None => documents::removal_entries(name, *expected_version),
+                Some(file) => documents::content_entries(name, file, *expected_version)?,
             };
             documents::write(client, entries, as_json)
         }
         StoreCommand::Note(note) => documents::write(client, vec![Entry::Note(note.clone())], as_json),
         StoreCommand::SetVoter { name, votes } => {
-            ask(client, StoreRequest::SetVoter(name.clone(), *votes))?;
+            request(client, StoreRequest::SetVoter(name.clone(), *votes))?;
             let role = if *votes { "vote" } else { "learn" };
             Ok(format!("the leader was asked to let {name} {role}"))
         }
         StoreCommand::Adopt => {
-            ask(client, StoreRequest::Adopt)?;
+            request(client, StoreRequest::Adopt)?;
             let server = client.server();
             Ok(format!(
                 "the copy of {server} is the record from now on, under a new number; the others join it"
@@ -172,12 +172,12 @@
 }
 
 /// Sends a request about the store; a rejection is returned as an error.
-fn ask(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
-    match client.ask(FleetRequestKind::Store(request))? {
+fn request(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
+    match client.request(FleetRequestKind::Store(request))? {
         FleetReply::Store(StoreResponse::Rejected(reason)) => {
             Err(AdminError::Rejected { server: client.server(), reason })
         }
-        FleetReply::Store(answer) => Ok(answer),
-        _ => Err(client.unexpected_answer()),
+        FleetReply::Store(response) => Ok(response),
+        _ => Err(client.unexpected_response()),
     }
 }
--- a/crates/server/src/admin_client/store/status.rs
+++ b/crates/server/src/admin_client/store/status.rs
@@ -28,9 +28,9 @@
          applied {applied} of {commit} agreed on, last entry {last_index}, {unsupported_entries} of newer programs\n",
         age(*leader_heard_ms)
     );
-    if let Some((there, all)) = status.catching_up {
+    if let Some((received, total)) = status.catching_up {
         // Writing to a string never fails.
-        let _ = writeln!(text, "catching up: {there} of {all} pieces of a snapshot are here");
+        let _ = writeln!(text, "catching up: {received} of {total} pieces of a snapshot are here");
     }
     if status.frozen {
         text.push_str("frozen: copies differ and nobody can tell which is right; nothing is written\n");
