--- a/crates/server/src/admin_client/table/tests.rs
+++ b/crates/server/src/admin_client/table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn columns_begin_below_each_other() {
+fn columns_are_aligned_and_ages_rounded() {
     let mut table = Table::with_headings(["a", "b"]);
     table.extend([vec!["long".to_owned(), "c".to_owned()]]);
     assert_eq!(table.render(), "a     b\nlong  c\n");
--- a/crates/server/src/cli/mod.rs
+++ b/crates/server/src/cli/mod.rs
@@ -89,7 +89,7 @@
     long("operator").help("The operator's own file, in KDL").argument::<PathBuf>("FILE").optional()
 }
 
-/// Runs a command to its end.
+/// Runs a command until it has finished.
 pub fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Serve { config, operator, verbose, log_format } => {
--- a/crates/server/src/lifecycle/clock/tests.rs
+++ b/crates/server/src/lifecycle/clock/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn unix_time_is_that_of_the_system() {
+fn unix_time_matches_the_system_clock() {
     let clock = Clock::default();
     let before = system_time();
     let (now, unix_time) = (clock.now(), clock.unix());
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -181,7 +181,7 @@
     }
 }
 
-/// Whether a byte may stand in a path segment as it is (RFC 3986, 2.3, without `~`).
+/// Whether a byte may appear unescaped in a path segment (RFC 3986, 2.3, without `~`).
 fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -11,7 +11,7 @@
 use crate::peers::ajp::AjpConfig;
 use crate::peers::dependency::{self, CallTarget, DependencyClient};
 
-/// The running actor of one dependency.
+/// Handle of the running actor of one dependency.
 pub struct DependencyHandle {
     /// How the dependency is reached.
     pub target: CallTarget,
--- a/crates/server/src/lifecycle/descriptor_limit/tests.rs
+++ b/crates/server/src/lifecycle/descriptor_limit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn soft_limit_is_read_where_there_is_one() {
+fn soft_limit_is_parsed_if_present() {
     let text = "Limit   Soft Limit  Hard Limit  Units\nMax open files            64                   4096                 files\n";
     assert_eq!(parse_soft_limit(text), Some(64));
     assert_eq!(parse_soft_limit(&text.replace("64  ", "unlimited")), None);
--- a/crates/server/src/lifecycle/log_throttle/tests.rs
+++ b/crates/server/src/lifecycle/log_throttle/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_line_a_second_counts_the_suppressed_ones() {
+fn one_line_a_second_is_due_with_the_number_of_suppressed_events() {
     let (mut throttle, start) = (LogThrottle::default(), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
     assert_eq!(throttle.record(at(0)), Some(0));
