--- a/crates/server/src/admin_client/client.rs
+++ b/crates/server/src/admin_client/client.rs
@@ -1,4 +1,4 @@
-//! Sends one request over a connection of its own.
+//! The client of a server's fleet port: each request has a connection of its own.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,17 +13,17 @@
     HEADER_BYTES,
 };
 
-/// How long an answer may take.
+/// Time limit for connecting, for each read and write, and for the whole wait for a response.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks one server of a fleet.
+/// Sends requests to one server of a fleet.
 pub struct AdminClient {
     key: Key,
     server: SocketAddr,
 }
 
 impl AdminClient {
-    /// Will ask the server at this address of the fleet.
+    /// Creates a client for the server whose fleet address is `server`.
     pub fn new(fleet: &Fleet, server: SocketAddr) -> AdminClient {
         let key = Key::new(&fleet.membership.fleet, &fleet.membership.secret);
         AdminClient { key, server }
@@ -34,18 +34,18 @@
         self.server
     }
 
-    /// The error for an answer that fits another question.
-    pub fn unexpected_answer(&self) -> AdminError {
-        AdminError::UnexpectedAnswer { server: self.server }
+    /// The error for a response that does not fit the request.
+    pub fn unexpected_response(&self) -> AdminError {
+        AdminError::UnexpectedResponse { server: self.server }
     }
 
-    /// Sends a request, and waits for the answer.
-    pub fn ask(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
+    /// Sends a request, and waits for the response.
+    pub fn request(&self, kind: FleetRequestKind) -> Result<FleetReply, AdminError> {
         let mut stream = self.connect().map_err(|e| self.connection_error(e))?;
         let number = request_number();
         let sealed = self.key.seal(&FleetRequest { number, kind });
         stream.write_all(&encode_frame(FrameKind::Request, &sealed)).map_err(|e| self.connection_error(e))?;
-        self.read_answer(&mut stream, number)
+        self.read_response(&mut stream, number)
     }
 
     fn connect(&self) -> io::Result<TcpStream> {
@@ -55,13 +55,13 @@
         Ok(stream)
     }
 
-    /// Reads frames up to the answer to the request of this number.
-    fn read_answer(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
+    /// Reads frames until the response to the request with this number arrives.
+    fn read_response(&self, stream: &mut TcpStream, number: u64) -> Result<FleetReply, AdminError> {
         let server = self.server;
         let deadline = Instant::now() + TIMEOUT;
         while Instant::now() < deadline {
             let mut header = [0; HEADER_BYTES];
-            stream.read_exact(&mut header).map_err(|source| AdminError::NoAnswer { server, source })?;
+            stream.read_exact(&mut header).map_err(|source| AdminError::NoResponse { server, source })?;
             let (kind, length) = parse_header(header).ok_or(AdminError::InvalidFrame { server })?;
             let mut content = vec![0; length];
             stream.read_exact(&mut content).map_err(|e| self.connection_error(e))?;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Taken from the time: it only has to differ from that of an answer to someone else.
+/// A request number, taken from the time. It only has to differ from the numbers of other clients' requests.
 fn request_number() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
 }
--- a/crates/server/src/admin_client/mod.rs
+++ b/crates/server/src/admin_client/mod.rs
@@ -1,7 +1,8 @@
-//! `umberloom fleet …`: questions to a server about its fleet, over the fleet's own port.
+//! `umberloom fleet …`: queries a server about its fleet, and changes the replicated store, over the server's
+//! fleet port.
 //!
-//! [`client`] exchanges a request for its response; [`members`] prints what comes back about the fleet, and [`store`]
-//! has the commands about the replicated store.
+//! [`client`] sends a request and receives its response; [`members`] formats responses about the fleet's
+//! members; [`store`] has the commands for the replicated store.
 
 mod client;
 mod error;
@@ -21,74 +22,73 @@
 pub use error::AdminError;
 use store::StoreCommand;
 
-/// A command and whom it goes to.
+/// A command with its options.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The operator's file, which names the fleet and its secret.
+    /// The operator's file, which has the fleet's name and secret.
     operator: PathBuf,
-    /// The server that is asked; unless given, the one of the file.
-    at: Option<SocketAddr>,
-    /// Whether JSON is printed, instead of a table.
+    /// Fleet address of the server that is asked; if `None`, the fleet's `listen` address in the file.
+    server: Option<SocketAddr>,
+    /// Whether JSON is printed instead of text.
     json: bool,
     command: FleetCommand,
 }
 
 #[derive(Clone, Debug)]
 enum FleetCommand {
-    /// The members, as one server sees them.
+    /// Show the members as one server sees them.
     Members,
-    /// The evidence for one member's state.
+    /// Show the evidence for the state of the named member.
     Explain(String),
-    /// The replicated store.
+    /// A command for the replicated store.
     Store(StoreCommand),
 }
 
-/// The words after `fleet`.
+/// Parser of the arguments after `fleet`.
 pub fn command_line() -> impl Parser<Options> {
-    let (operator, at, json) = (operator(), at(), json());
-    let members = construct!(operator, at, json)
-        .map(|(operator, at, json)| Options { operator, at, json, command: FleetCommand::Members })
+    let (operator, server, json) = (operator(), server(), json());
+    let members = construct!(operator, server, json)
+        .map(|(operator, server, json)| Options { operator, server, json, command: FleetCommand::Members })
         .to_options()
-        .descr("Who is there, as one server has it")
+        .descr("List the members of the fleet, as one server sees them")
         .command("members");
-    let (operator, at, json) = (self::operator(), self::at(), self::json());
-    let name = positional::<String>("NAME").help("A member; the server's own name explains its standing");
-    let explain = construct!(operator, at, json, name)
-        .map(|(operator, at, json, name)| {
+    let (operator, server, json) = (self::operator(), self::server(), self::json());
+    let name = positional::<String>("NAME")
+        .help("Name of a member; the server's own name explains its partition status");
+    let explain = construct!(operator, server, json, name)
+        .map(|(operator, server, json, name)| {
             let command = FleetCommand::Explain(name);
-            Options { operator, at, json, command }
+            Options { operator, server, json, command }
         })
         .to_options()
-        .descr("Why one server holds a member for what it does: evidence with its age")
+        .descr("Show the evidence for the state that one server gives a member, with its age")
         .command("explain");
-    let (operator, at, json) = (self::operator(), self::at(), self::json());
+    let (operator, server, json) = (self::operator(), self::server(), self::json());
     let command = store::command_line();
-    let store = construct!(operator, at, json, command)
-        .map(|(operator, at, json, command)| {
+    let store = construct!(operator, server, json, command)
+        .map(|(operator, server, json, command)| {
             let command = FleetCommand::Store(command);
-            Options { operator, at, json, command }
+            Options { operator, server, json, command }
         })
         .to_options()
-        .descr("What the servers keep together: its standing, documents and history")
+        .descr("Show or change the replicated store: its status, documents and history")
         .command("record");
     construct!([members, explain, store])
 }
 
 fn operator() -> impl Parser<PathBuf> {
-    long("operator")
-        .help("The operator's file that names the fleet and its secret")
-        .argument::<PathBuf>("FILE")
+    long("operator").help("The operator's file with the fleet's name and secret").argument::<PathBuf>("FILE")
 }
 
-fn at() -> impl Parser<Option<SocketAddr>> {
+fn server() -> impl Parser<Option<SocketAddr>> {
     long("at")
-        .help("The fleet's address of the server to ask; unless given, that in the file")
+        .help("Fleet address of the server to query; by default the one in the file")
         .argument::<SocketAddr>("ADDRESS")
         .optional()
 }
 
 fn json() -> impl Parser<bool> {
-    long("json").help("One JSON document instead of a table").switch()
+    long("json").help("Print JSON instead of text").switch()
 }
 
 /// Runs the command and prints its result.
@@ -96,19 +96,19 @@
     let text = if let FleetCommand::Store(StoreCommand::Verify(file)) = &options.command {
         store::verify(file, options.json)?
     } else {
-        ask_server(options)?
+        query_server(options)?
     };
-    // A reader that has closed its end wants no more.
+    // Writing fails if the reader has closed its end and wants no more output.
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     Ok(())
 }
 
-fn ask_server(options: &Options) -> Result<String, AdminError> {
+fn query_server(options: &Options) -> Result<String, AdminError> {
     let operator = load_operator(&options.operator, None)?;
     let Some(fleet) = operator.fleet else {
         return Err(AdminError::NoFleet { file: options.operator.display().to_string() });
     };
-    let client = AdminClient::new(&fleet, options.at.unwrap_or(fleet.listen));
+    let client = AdminClient::new(&fleet, options.server.unwrap_or(fleet.listen));
     match &options.command {
         FleetCommand::Members => members::show(&client, FleetRequestKind::Members, options.json),
         FleetCommand::Explain(name) => {
--- a/crates/server/src/admin_client/store/mod.rs
+++ b/crates/server/src/admin_client/store/mod.rs
@@ -1,4 +1,4 @@
-//! `umberloom fleet record …`: the replicated store, read and written by hand.
+//! `umberloom fleet record …`: commands that read and change the replicated store.
 
 mod documents;
 mod export;
@@ -16,144 +16,151 @@
 use crate::wire::replicated_store::{StoreRequest, StoreResponse};
 pub use export::verify;
 
-/// A command about the replicated store.
+/// A command for the replicated store.
 #[derive(Clone, Debug)]
 pub enum StoreCommand {
-    /// One server's replica.
+    /// Show the status of one server's replica.
     Status,
-    /// A document; `out` is the file that its content is written to.
+    /// Show a document, as the server asked has it if `local`; `out` is a file to write its content to.
     Show { name: String, local: bool, out: Option<PathBuf> },
-    /// So many of the last entries.
+    /// Show the newest entries, at most this many.
     History(u32),
-    /// A document gets the content of a file, or is removed.
-    Put { name: String, file: Option<PathBuf>, expect: Option<u64> },
-    /// A note in the history.
+    /// Set a document to the content of a file, or remove it if there is no file.
+    Put { name: String, file: Option<PathBuf>, expected_version: Option<u64> },
+    /// Write a note to the history.
     Note(String),
-    /// A member becomes a voter, or a learner.
+    /// Make a member a voter if `votes`, else a learner.
     SetVoter { name: String, votes: bool },
-    /// The store starts anew from the replica of the server that is asked.
+    /// Restart the store from the replica of the server that is asked.
     Adopt,
-    /// Writes an export to a file.
+    /// Fetch an export and write it to a file.
     Export(PathBuf),
-    /// Checks such a file; no server is asked.
+    /// Verify an export in a file; no server is asked.
     Verify(PathBuf),
 }
 
-/// The words after `record`.
+/// Parser of the arguments after `record`.
 pub fn command_line() -> impl Parser<StoreCommand> {
-    let status =
-        bpaf::pure(StoreCommand::Status).to_options().descr("How one server's part stands").command("status");
+    let status = bpaf::pure(StoreCommand::Status)
+        .to_options()
+        .descr("Show the status of one server's replica")
+        .command("status");
     let (show, put, remove) = (show_command(), put_command(), remove_command());
     let history = long("most")
-        .help("So many lines")
+        .help("Maximum number of entries")
         .argument::<u32>("N")
         .fallback(20)
         .map(StoreCommand::History)
         .to_options()
-        .descr("The last entries, newest first")
+        .descr("Show the last entries, newest first")
         .command("history");
     let note = positional::<String>("TEXT")
-        .help("A remark, for the history")
+        .help("Text of the note")
         .map(StoreCommand::Note)
         .to_options()
-        .descr("Writes a remark")
+        .descr("Write a note to the history")
         .command("note");
     let promote = member()
         .map(|name| StoreCommand::SetVoter { name, votes: true })
         .to_options()
-        .descr("A member that learns votes from now on")
+        .descr("Make a learner a voter")
         .command("promote");
     let demote = member()
         .map(|name| StoreCommand::SetVoter { name, votes: false })
         .to_options()
-        .descr("A member that votes learns from now on")
+        .descr("Make a voter a learner")
         .command("demote");
-    let export = file().map(StoreCommand::Export).to_options().descr("A copy, in a file").command("export");
+    let export = file()
+        .map(StoreCommand::Export)
+        .to_options()
+        .descr("Write an export of the store to a file")
+        .command("export");
     let verify = file()
         .map(StoreCommand::Verify)
         .to_options()
-        .descr("Whether such a file is sound, without a server")
+        .descr("Verify an export in a file, without a server")
         .command("verify");
     let adopt = bpaf::pure(StoreCommand::Adopt)
         .to_options()
-        .descr("For the worst day: the asked server's copy is the record from now on")
+        .descr("Restart the store from the queried server's replica, where a majority of the voters is lost")
         .command("adopt");
     construct!([status, show, history, put, remove, note, promote, demote, adopt, export, verify])
 }
 
 fn show_command() -> impl Parser<StoreCommand> {
-    let local =
-        long("local").help("As this server has it, with its age; else the latest by a majority").switch();
-    let out = long("out").help("Writes its content to this file").argument::<PathBuf>("FILE").optional();
+    let local = long("local")
+        .help("As the queried server has it, with its age; by default the latest by a majority")
+        .switch();
+    let out = long("out").help("Write the content to this file").argument::<PathBuf>("FILE").optional();
     let name = document();
-    construct!(StoreCommand::Show { local, out, name }).to_options().descr("A document").command("show")
+    construct!(StoreCommand::Show { local, out, name }).to_options().descr("Show a document").command("show")
 }
 
 fn put_command() -> impl Parser<StoreCommand> {
-    let (name, expect) = (document(), expect());
-    let file = positional::<PathBuf>("FILE").help("Its content").map(Some);
-    construct!(StoreCommand::Put { expect, name, file })
+    let (name, expected_version) = (document(), expected_version());
+    let file = positional::<PathBuf>("FILE").help("File with the content").map(Some);
+    construct!(StoreCommand::Put { expected_version, name, file })
         .to_options()
-        .descr("A document takes on the content of a file")
+        .descr("Set a document to the content of a file")
         .command("put")
 }
 
 fn remove_command() -> impl Parser<StoreCommand> {
-    let (name, expect, file) = (document(), expect(), bpaf::pure(None));
-    construct!(StoreCommand::Put { expect, file, name })
+    let (name, expected_version, file) = (document(), expected_version(), bpaf::pure(None));
+    construct!(StoreCommand::Put { expected_version, file, name })
         .to_options()
-        .descr("A document is taken out")
+        .descr("Remove a document")
         .command("remove")
 }
 
 fn document() -> impl Parser<String> {
-    positional::<String>("NAME").help("A document's name")
+    positional::<String>("NAME").help("Name of the document")
 }
 
-fn expect() -> impl Parser<Option<u64>> {
-    let help = "Only if it has this version now; 0: only if it is not there";
+fn expected_version() -> impl Parser<Option<u64>> {
+    let help = "Only if the document has this version now; 0: only if it does not exist";
     long("expect").help(help).argument::<u64>("VERSION").optional()
 }
 
 fn member() -> impl Parser<String> {
-    positional::<String>("MEMBER").help("A server that holds a copy")
+    positional::<String>("MEMBER").help("Name of a server with a replica")
 }
 
 fn file() -> impl Parser<PathBuf> {
     positional::<PathBuf>("FILE")
 }
 
-/// Runs a command, and returns what is to be printed.
+/// Runs a command, and returns the text to print.
 pub fn run(client: &AdminClient, command: &StoreCommand, as_json: bool) -> Result<String, AdminError> {
     match command {
-        StoreCommand::Status => match ask(client, StoreRequest::Status)? {
+        StoreCommand::Status => match request(client, StoreRequest::Status)? {
             StoreResponse::Status(status) if as_json => Ok(serde_json::to_string_pretty(&json!(status))?),
             StoreResponse::Status(status) => Ok(status::status_text(&status)),
-            _ => Err(client.unexpected_answer()),
+            _ => Err(client.unexpected_response()),
         },
-        StoreCommand::History(max) => match ask(client, StoreRequest::History(*max))? {
+        StoreCommand::History(max) => match request(client, StoreRequest::History(*max))? {
             StoreResponse::History(lines) if as_json => Ok(serde_json::to_string_pretty(&json!(lines))?),
             StoreResponse::History(lines) => Ok(status::history_text(&lines)),
-            _ => Err(client.unexpected_answer()),
+            _ => Err(client.unexpected_response()),
         },
         StoreCommand::Show { name, local, out } => {
             documents::show(client, name, *local, out.as_deref(), as_json)
         }
-        StoreCommand::Put { name, file, expect } => {
+        StoreCommand::Put { name, file, expected_version } => {
             let entries = match file {
-                None => documents::removal(name, *expect),
-                Some(file) => documents::content(name, file, *expect)?,
+                None => documents::removal_entries(name, *expected_version),
+                Some(file) => documents::content_entries(name, file, *expected_version)?,
             };
             documents::write(client, entries, as_json)
         }
         StoreCommand::Note(note) => documents::write(client, vec![Entry::Note(note.clone())], as_json),
         StoreCommand::SetVoter { name, votes } => {
-            ask(client, StoreRequest::SetVoter(name.clone(), *votes))?;
+            request(client, StoreRequest::SetVoter(name.clone(), *votes))?;
             let role = if *votes { "vote" } else { "learn" };
             Ok(format!("the leader was asked to let {name} {role}"))
         }
         StoreCommand::Adopt => {
-            ask(client, StoreRequest::Adopt)?;
+            request(client, StoreRequest::Adopt)?;
             let server = client.server();
             Ok(format!(
                 "the copy of {server} is the record from now on, under a new number; the others join it"
@@ -164,13 +171,13 @@
     }
 }
 
-/// Asks about the store; a rejected request is an error.
-fn ask(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
-    match client.ask(FleetRequestKind::Store(request))? {
+/// Sends a request about the store; a rejection is returned as an error.
+fn request(client: &AdminClient, request: StoreRequest) -> Result<StoreResponse, AdminError> {
+    match client.request(FleetRequestKind::Store(request))? {
         FleetReply::Store(StoreResponse::Rejected(reason)) => {
             Err(AdminError::Rejected { server: client.server(), reason })
         }
-        FleetReply::Store(answer) => Ok(answer),
-        _ => Err(client.unexpected_answer()),
+        FleetReply::Store(response) => Ok(response),
+        _ => Err(client.unexpected_response()),
     }
 }
--- a/crates/server/src/admin_client/store/status.rs
+++ b/crates/server/src/admin_client/store/status.rs
@@ -1,4 +1,4 @@
-//! A replica's status and the history of the store, as text.
+//! Formats a replica's status and the history of the store as text.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 
 use crate::admin_client::table::{age, Table};
 
-/// A replica's own state, then a table of all replicas.
+/// The state of the replica itself, followed by a table of all replicas.
 pub fn status_text(status: &ReplicaStatus) -> String {
     let ReplicaStatus {
         store_id,
@@ -28,9 +28,9 @@
          applied {applied} of {commit} agreed on, last entry {last_index}, {unsupported_entries} of newer programs\n",
         age(*leader_heard_ms)
     );
-    if let Some((there, all)) = status.catching_up {
+    if let Some((received, total)) = status.catching_up {
         // Writing to a string never fails.
-        let _ = writeln!(text, "catching up: {there} of {all} pieces of a snapshot are here");
+        let _ = writeln!(text, "catching up: {received} of {total} pieces of a snapshot are here");
     }
     if status.frozen {
         text.push_str("frozen: copies differ and nobody can tell which is right; nothing is written\n");
@@ -51,7 +51,7 @@
     text + &table.render()
 }
 
-/// Entries with their outcomes.
+/// A table of entries with their outcomes.
 pub fn history_text(lines: &[HistoryLine]) -> String {
     let mut table = Table::with_headings(["entry", "by", "what", "outcome"]);
     table.extend(lines.iter().map(|line| {
--- a/crates/server/src/cli/mod.rs
+++ b/crates/server/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The program's command line.
+//! Parses the command line and runs the chosen command.
 
 mod check;
 mod serve;
@@ -19,19 +19,19 @@
 pub enum Command {
     /// Serve balancers until a signal ends the process.
     Serve { config: PathBuf, operator: Option<PathBuf>, verbose: bool, log_format: LogFormat },
-    /// Check configuration files.
+    /// Validate configuration files.
     Check { config: Option<PathBuf>, operator: Option<PathBuf> },
-    /// Ask a server about its fleet.
+    /// Query a server about its fleet.
     Fleet(admin_client::Options),
     /// Print the version.
     Version,
 }
 
-/// Why a command failed, as it is printed.
+/// The reason why a command failed; its text is printed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// Signals can't be received.
-    #[error("signals: {0}")]
+    #[error("can't listen for signals: {0}")]
     Signals(std::io::Error),
     /// The platform's configuration can't be used.
     #[error(transparent)]
@@ -42,50 +42,54 @@
     /// The server can't start.
     #[error(transparent)]
     Serve(#[from] StartupError),
-    /// `check` without a file.
+    /// `check` was given no file.
     #[error("nothing to check: name a file with --config or --operator")]
     NothingToCheck,
-    /// A question to a server failed.
+    /// A `fleet` command failed.
     #[error(transparent)]
     Fleet(#[from] AdminError),
 }
 
 /// The commands and their options.
 pub fn command_line() -> OptionParser<Command> {
-    let verbose = long("verbose").short('v').help("Log each odd request too").switch();
+    let verbose =
+        long("verbose").short('v').help("Log at debug level too, such as each invalid request").switch();
     let log_format = long("log-format")
-        .help("How log lines are written: text or json")
+        .help("Format of log lines: text or json")
         .argument::<LogFormat>("FORM")
         .fallback(LogFormat::Text);
     let serve = construct!(Command::Serve { config(), operator(), verbose, log_format })
         .to_options()
-        .descr("Serve balancers until SIGTERM; SIGHUP reads the files again")
+        .descr("Serve balancers until SIGTERM or SIGINT; SIGHUP reloads the files")
         .command("serve");
     let config = config().optional();
     let check = construct!(Command::Check { config, operator() })
         .to_options()
-        .descr("Say whether the files make sense, each by itself and together")
+        .descr("Validate the configuration files, individually and against each other")
         .command("check");
     let fleet = admin_client::command_line()
         .map(Command::Fleet)
         .to_options()
-        .descr("Ask a server about its fleet")
+        .descr("Query a server about its fleet")
         .command("fleet");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
     construct!([serve, check, fleet, version])
         .to_options()
-        .descr("A server that decides what it takes, runs and turns away")
+        .descr("A server that decides which requests are admitted, run and rejected")
 }
 
 fn config() -> impl Parser<PathBuf> {
-    long("config").env("BALANCER_CONFIG").help("The configuration, in JSON").argument::<PathBuf>("FILE")
+    long("config")
+        .env("BALANCER_CONFIG")
+        .help("The platform's configuration, in JSON")
+        .argument::<PathBuf>("FILE")
 }
 
 fn operator() -> impl Parser<Option<PathBuf>> {
     long("operator").help("The operator's own file, in KDL").argument::<PathBuf>("FILE").optional()
 }
 
-/// Runs a command to its end.
+/// Runs a command until it has finished.
 pub fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Serve { config, operator, verbose, log_format } => {
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -15,59 +15,59 @@
 use super::known_config_keys;
 pub use error::{ConfigError, ImmutableFieldError, InvalidConfig, Location};
 
-/// The smallest memory limit, in bytes.
-const MIN_MEMORY: usize = 16 << 20;
-/// The smallest limit on descriptors.
+/// The smallest accepted memory limit, in bytes.
+const MIN_MEMORY_BYTES: usize = 16 << 20;
+/// The smallest accepted limit on file descriptors.
 const MIN_SOCKETS: usize = 32;
 
-/// Limits of the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Processor cores; may be a fraction.
     pub cores: f64,
-    /// Bytes of memory.
-    pub memory: usize,
-    /// File descriptors.
+    /// Memory, in bytes.
+    pub memory_bytes: usize,
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// All that the platform's configuration says.
+/// The contents of the platform's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The server's name.
     pub name: String,
-    /// Where balancers connect.
+    /// Address on which balancers connect.
     pub listen: SocketAddr,
-    /// The render farm agent.
+    /// Address of the render farm agent.
     pub agent: SocketAddr,
-    /// The announce service.
+    /// Address of the announce service.
     pub announce: SocketAddr,
-    /// The records service; absent where nothing is called.
+    /// Address of the records service; `None` where no downstream calls are made.
     pub records: Option<SocketAddr>,
-    /// From the request to shut down to the end of the process, in microseconds.
-    pub stop: u64,
-    /// Limits of the process.
+    /// Time from the request to shut down to the end of the process, in microseconds.
+    pub shutdown_time: u64,
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Settings of the admission controller.
     pub settings: Settings,
     /// Which fields requests carry.
     pub shape: Shape,
-    /// Names of the classes, in their order.
+    /// Names of the classes, in the order of the configuration.
     pub classes: Vec<String>,
-    /// Names of the tenants, in their order; may be empty.
+    /// Names of the tenants, in the order of the configuration; may be empty.
     pub tenants: Vec<String>,
-    /// Names of the gauges, in their order.
+    /// Names of the gauges, in the order of the configuration.
     pub gauges: GaugeNames,
-    /// Keys that no configuration is known to have. They are reported and otherwise ignored.
+    /// Keys that this program does not know. They are reported and otherwise ignored.
     pub unknown_keys: Vec<UnknownKey>,
 }
 
-/// A key that no configuration is known to have.
+/// A configuration key that this program does not know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownKey {
-    /// Where it stands.
+    /// File and line of the key.
     pub location: Location,
-    /// Its path, such as `settings.classes[0].wirte`.
+    /// Path of the key, such as `settings.classes[0].wirte`.
     pub key: String,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Config {
-    /// Reads and checks the configuration in a file. Errors name the line of the field that they are about.
+    /// Reads and validates the configuration in a file. Errors name the line of the invalid field.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let file = path.display().to_string();
         let bytes =
@@ -94,32 +94,32 @@
         })?;
         let value: Option<Value> = serde_json::from_slice(&bytes).ok();
         if let Some(Value::Object(top)) = value {
-            let unknown = known_config_keys::unknown(&top).into_iter();
+            let unknown = known_config_keys::unknown_paths(&top).into_iter();
             config.unknown_keys =
                 unknown.map(|key| UnknownKey { location: location_of(&key), key }).collect();
         }
         Ok(config)
     }
 
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
         let value: Value = serde_json::from_slice(bytes).map_err(InvalidConfig::NotJson)?;
         let Value::Object(top) = value else { return Err(InvalidConfig::NotAnObject) };
-        let options = object(&top, "settings")?;
-        let settings = settings(options, seed(&top)?)?;
+        let settings_object = object(&top, "settings")?;
+        let settings = settings(settings_object, seed(&top)?)?;
         let config = Config {
             name: text(&top, "name")?.to_owned(),
             listen: address(&top, "listen")?,
             agent: address(&top, "agent")?,
             announce: address(&top, "announce")?,
             records: if top.contains_key("records") { Some(address(&top, "records")?) } else { None },
-            stop: integer(&top, "stop_ms")?.saturating_mul(1_000),
+            shutdown_time: integer(&top, "stop_ms")?.saturating_mul(1_000),
             limits: limits(&top)?,
-            shape: Shape::read(options)?,
+            shape: Shape::read(settings_object)?,
             settings,
-            classes: class_names(options)?,
-            tenants: tenant_names(options)?,
-            gauges: GaugeNames::read(options)?,
+            classes: class_names(settings_object)?,
+            tenants: tenant_names(settings_object)?,
+            gauges: GaugeNames::read(settings_object)?,
             unknown_keys: Vec::new(),
         };
         config.validate()?;
@@ -132,35 +132,38 @@
         let is_path_segment = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
             (self.tenants.iter().all(|name| !name.is_empty()), "a tenant has no name"),
-            // The next tier too is reached there, through a balancer of the platform's: guards against refusing to start
-            // for a customer who has one.
+            // The next tier is reached at `records` too, through a balancer of the platform. Servers with a
+            // next tier once failed to start because every next tier was rejected.
             (
                 self.settings.downstream == Downstream::None || self.records.is_some(),
-                "calls are made, but `records` is absent",
+                "downstream calls are configured, but `records` is absent",
             ),
             (
                 self.classes.iter().all(is_path_segment),
-                "a class has no name, or one that is no part of a path",
+                "a class has no name, or a name that is not a path segment",
             ),
-            (!self.name.is_empty() && self.name.bytes().all(is_unreserved), "`name` is no part of a path"),
-            (self.limits.memory >= MIN_MEMORY, "`limits.memory_mb` is under 16"),
-            (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` is under 32"),
-            (self.stop > 0, "`stop_ms` must be above 0"),
+            (
+                !self.name.is_empty() && self.name.bytes().all(is_unreserved),
+                "`name` must be a path segment of letters, digits, '-', '_' and '.'",
+            ),
+            (self.limits.memory_bytes >= MIN_MEMORY_BYTES, "`limits.memory_mb` must be at least 16"),
+            (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` must be at least 32"),
+            (self.shutdown_time > 0, "`stop_ms` must be above 0"),
         ];
-        match rules.iter().find(|(holds, _)| !holds) {
+        match rules.iter().find(|(valid, _)| !valid) {
             Some((_, reason)) => Err(InvalidConfig::Rule(reason)),
             None => Ok(()),
         }
     }
 
-    /// Whether a running server can change over to `new`: only addresses of peers and the time to the stop may differ.
-    /// The error names the first field that may not. What describes a start (`seed`, `fresh_start`) is not compared, as
-    /// it says nothing of a process that has started.
+    /// Checks whether a running server can apply `new`: only the addresses of peers and the time from a
+    /// shutdown request to the end of the process may differ. The error names the first field that may not.
+    /// `seed` and `fresh_start` are not compared: they matter only when a process starts.
     pub fn check_reload(&self, new: &Config) -> Result<(), ImmutableFieldError> {
         let mut settings = new.settings.clone();
         settings.seed = self.settings.seed;
         settings.starts_cold = self.settings.starts_cold;
-        let same_settings = self.settings == settings
+        let settings_unchanged = self.settings == settings
             && self.shape == new.shape
             && self.classes == new.classes
             && self.tenants == new.tenants
@@ -169,16 +172,16 @@
             (self.name == new.name, "name"),
             (self.listen == new.listen, "listen"),
             (self.limits == new.limits, "limits"),
-            (same_settings, "settings"),
+            (settings_unchanged, "settings"),
         ];
-        match fields.iter().find(|(same, _)| !same) {
+        match fields.iter().find(|(unchanged, _)| !unchanged) {
             Some((_, field)) => Err(ImmutableFieldError { field }),
             None => Ok(()),
         }
     }
 }
 
-/// Whether a byte may stand in a path segment as it is (RFC 3986, 2.3, without `~`).
+/// Whether a byte may appear unescaped in a path segment (RFC 3986, 2.3, without `~`).
 fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
@@ -194,7 +197,7 @@
 fn limits(top: &Object) -> Result<Limits, InvalidConfig> {
     let limits = object(top, "limits")?;
     Ok(Limits {
-        memory: integer(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
+        memory_bytes: integer(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
         cores: number_or(limits, "cores", 1.0)?,
         sockets: integer_or(limits, "sockets", 1024)? as usize,
     })
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -1,4 +1,4 @@
-//! The actors through which the dependencies of the operator's file are called.
+//! Starts and replaces the actors that call the dependencies of the operator's file.
 
 use std::rc::Rc;
 
@@ -11,23 +11,24 @@
 use crate::peers::ajp::AjpConfig;
 use crate::peers::dependency::{self, CallTarget, DependencyClient};
 
-/// The running actor of one dependency.
+/// Handle of the running actor of one dependency.
 pub struct DependencyHandle {
-    /// How it is reached.
+    /// How the dependency is reached.
     pub target: CallTarget,
-    /// Its mailbox.
+    /// The actor's mailbox.
     pub mailbox: Sender<DependencyCommand>,
 }
 
 impl Server<'_> {
-    /// Sees to it that an actor runs for each dependency of the operator's file. A dependency that is reached as before
-    /// keeps its actor; actors of those that the file no longer names end with their last call.
+    /// Ensures that an actor runs for each dependency of the operator's file. A dependency whose target is
+    /// unchanged keeps its actor; the actor of a dependency that the file no longer names ends with its last
+    /// call.
     pub fn connect_dependencies(
         &mut self,
         mut operator: Operator,
     ) -> Result<DependencySettings, FallbackCacheMemoryError> {
         for dependency in &mut operator.dependencies.dependencies {
-            // The others route to the same endpoints and see them fail and come back when this one does.
+            // All servers balance over the same endpoints, and see them fail and recover at the same time.
             dependency.load_balancing.servers = self.config.settings.servers;
         }
         let bytes = operator.dependencies.fallback_cache.max_bytes;
@@ -49,17 +50,17 @@
     }
 
     fn replace_dependencies(&mut self, services: &[Service]) {
-        let mut before = std::mem::take(&mut self.dependencies);
+        let mut previous = std::mem::take(&mut self.dependencies);
         for service in services {
-            let target = self.target(service);
+            let target = self.call_target(service);
             let name: Rc<str> = service.name.as_str().into();
-            let unchanged = before.remove(&name).filter(|dependency| dependency.target == target);
+            let unchanged = previous.remove(&name).filter(|dependency| dependency.target == target);
             let dependency = unchanged.unwrap_or_else(|| self.start_dependency(target));
             self.dependencies.insert(name, dependency);
         }
     }
 
-    fn target(&self, service: &Service) -> CallTarget {
+    fn call_target(&self, service: &Service) -> CallTarget {
         let ajp = service
             .ajp
             .as_ref()
--- a/crates/server/src/lifecycle/phase/tests.rs
+++ b/crates/server/src/lifecycle/phase/tests.rs
@@ -23,17 +23,17 @@
 }
 
 #[test]
-fn stop_within_the_closing_margins_closes_at_once() {
+fn stop_time_within_the_closing_margins_closes_at_once() {
     let mut tracker = tracker();
     tracker.begin_drain(1_000_000, 5_000);
     assert!(tracker.handle_timeout(1_000_000) && tracker.handle_timeout(1_000_000));
     assert_eq!(tracker.phase(), Phase::Stopped);
 }
 
-/// Guards against an exit without an answer to what lay unread during a stall over the stop: closing and exit were due
-/// at once then.
+/// Guards against an exit that leaves requests unanswered which lay unread during a stall past the stop time:
+/// closing and exit were both due at once after such a stall.
 #[test]
-fn closing_lasts_its_minimum_after_a_stall_over_the_stop() {
+fn closing_lasts_its_minimum_after_a_stall_past_the_stop_time() {
     let mut tracker = tracker();
     assert!(tracker.begin_drain(0, 1_000_000));
     assert!(tracker.handle_timeout(5_000_000));
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration files are read again.
+//! Reloads the configuration files on SIGHUP.
 
 use slog::{error, info};
 use thiserror::Error;
@@ -14,24 +14,24 @@
 use crate::messages::registration::RegistrationCommand;
 use crate::messages::AdmissionMessage;
 
-/// Why the configuration in force stays.
+/// The reason why a reload is rejected and the configuration in force stays.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// A file is missing or invalid.
     #[error(transparent)]
     Files(#[from] ConfigFileError),
-    /// The platform's configuration changes what can't change while running.
+    /// The platform's configuration has changed in a field that can't change while the server runs.
     #[error(transparent)]
     Server(#[from] ImmutableFieldError),
-    /// The operator's file changes what can't change while running.
+    /// The operator's file has changed the fleet in a way that needs a restart.
     #[error(transparent)]
     Fleet(#[from] FleetReloadError),
 }
 
 impl Server<'_> {
-    /// Changes over to what the files say now, if both are valid and change nothing that can't change while running;
-    /// else all of the old configuration stays in force. A file that is broken or half written must not cost what is
-    /// being served.
+    /// Applies the present contents of the files if both are valid and change nothing that can't change while
+    /// the server runs; otherwise all of the old configuration stays in force, so that a broken or
+    /// half-written file does not affect the requests being served.
     pub async fn reload(&mut self) {
         match self.load_changed() {
             Ok(config) => self.apply(config).await,
@@ -43,8 +43,8 @@
         let new = self.files.load()?;
         self.config.check_reload(&new.server)?;
         if let Some(operator) = &new.operator {
-            let before = self.fleet.as_ref().map(|fleet| &fleet.config);
-            fleet::check_reload(&self.files.operator_name(), before, operator.fleet.as_ref())?;
+            let current = self.fleet.as_ref().map(|fleet| &fleet.config);
+            fleet::check_reload(&self.files.operator_name(), current, operator.fleet.as_ref())?;
         }
         Ok(new)
     }
@@ -52,7 +52,7 @@
     async fn apply(&mut self, new: LoadedConfig) {
         let LoadedConfig { server, operator } = new;
         info!(self.log, "configuration reloaded"; "agent" => %server.agent, "announce" => %server.announce);
-        self.move_peers(&server).await;
+        self.update_peer_addresses(&server).await;
         self.config = server;
         if let Some(operator) = operator {
             self.reconfigure_fleet(&operator).await;
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Tells each actor whose peer has another address; the others notice nothing.
+    /// Notifies each actor whose peer has a new address; the other actors are not affected.
     ///
-    /// Sending fails only if the actor has ended, which none does before the process.
-    async fn move_peers(&mut self, new: &Config) {
+    /// Sending fails only if the actor has ended, and no actor ends before the process.
+    async fn update_peer_addresses(&mut self, new: &Config) {
         if new.agent != self.config.agent {
             let _ = self.senders.agent.send(AgentActorMessage::SetAddress(new.agent)).await;
         }
         if let Some(address) = new.records.filter(|_| new.records != self.config.records) {
             let _ = self.senders.records.send(DependencyCommand::SetAddress(address)).await;
-            let on_platform = |dependency: &&mut super::dependencies::DependencyHandle| {
+            let uses_records_service = |dependency: &&mut super::dependencies::DependencyHandle| {
                 dependency.target.platform.is_some()
             };
-            for dependency in self.dependencies.values_mut().filter(on_platform) {
+            for dependency in self.dependencies.values_mut().filter(uses_records_service) {
                 dependency.target.platform = Some(address);
                 let _ = dependency.mailbox.send(DependencyCommand::SetAddress(address)).await;
             }
@@ -87,7 +87,7 @@
         handle.config = new.clone();
         let build_info = fleet::build_info(&self.config, operator);
         let config = fleet::actor_config(new, build_info);
-        // Fails only if the fleet actor has ended, which it does not before the process.
+        // Fails only if the fleet actor has ended, and it does not end before the process.
         let _ = handle.mailbox.send(FleetCommand::Reconfigure(Box::new(config))).await;
     }
 
@@ -98,7 +98,7 @@
                 let dependencies = self.dependencies.len();
                 info!(self.log, "dependencies reloaded"; "plans" => plans, "dependencies" => dependencies);
                 let reconfigured = AdmissionMessage::DependenciesReconfigured(Box::new(settings));
-                // Fails only if the admission actor has ended; then nothing is called any more.
+                // Fails only if the admission actor has ended; no calls are made after that.
                 let _ = self.senders.admission.send(reconfigured).await;
             }
             Err(error) => error!(self.log, "dependency reload rejected"; "reason" => %error),
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the server: binds its sockets, and starts and connects its actors.
+//! Starts the server: binds its sockets, starts its actors and connects their mailboxes.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -36,17 +36,17 @@
 use crate::peers::registration::{self, Registration};
 use crate::quota_leases::QuotaLeases;
 
-/// Why the server can't start.
+/// The reason why the server can't start.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The address for balancers can't be bound.
     #[error("listen on {address}: {source}")]
     Listen { address: SocketAddr, source: std::io::Error },
-    /// The fleet's sockets or its membership can't be started; the text says why.
+    /// The fleet's sockets can't be bound or its actor can't be created; the text is the reason.
     #[error("{0}")]
     Fleet(String),
     /// The memory limit leaves no room for the fleet's streams.
-    #[error("no memory for {bytes} bytes of the fleet's streams")]
+    #[error("the memory limit leaves no room for {bytes} bytes of the fleet's streams")]
     FleetMemory { bytes: usize },
     /// The memory limit leaves no room for cached fallback results.
     #[error(transparent)]
@@ -55,17 +55,17 @@
 
 /// The memory limit leaves no room for cached fallback results.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("no memory for {bytes} bytes of kept results")]
+#[error("the memory limit leaves no room for {bytes} bytes of cached fallback results")]
 pub struct FallbackCacheMemoryError {
-    /// What the cache would take.
+    /// Size of the cache.
     pub bytes: usize,
 }
 
 /// The sockets that are bound before anything is served.
 pub struct ListenSockets {
-    /// Where balancers connect.
+    /// The socket on which balancers connect.
     pub balancers: Async<TcpListener>,
-    /// Where other servers of the fleet reach this one, if it belongs to a fleet.
+    /// The sockets on which other servers of the fleet reach this one; `None` if it belongs to no fleet.
     pub fleet: Option<FleetSockets>,
 }
 
@@ -75,7 +75,7 @@
     listener.map_err(|source| StartupError::Listen { address, source })
 }
 
-/// Binds the fleet's address, if the operator's file names a fleet.
+/// Binds the fleet's address, if the operator's file has a fleet.
 pub fn bind_fleet(operator: Option<&Operator>) -> Result<Option<FleetSockets>, StartupError> {
     let Some(fleet) = operator.and_then(|operator| operator.fleet.as_ref()) else { return Ok(None) };
     let sockets = FleetSockets::bind(fleet.listen).map_err(|e| StartupError::Fleet(e.to_string()))?;
@@ -120,7 +120,7 @@
 }
 
 impl<'a> Server<'a> {
-    /// Starts all actors on `executor`. They run once the executor does.
+    /// Starts all actors on `executor`. They run when the executor is run.
     pub fn start(
         executor: &Rc<LocalExecutor<'a>>,
         config: LoadedConfig,
@@ -133,10 +133,10 @@
         let descriptors = divide_descriptors(&config, operator.as_ref(), log);
         let (senders, inboxes) = open_mailboxes();
         let (agent_up_sender, agent_up) = bounded(1);
-        let budget = Budget::new(config.limits.memory / PEER_MEMORY_DIVISOR);
+        let budget = Budget::new(config.limits.memory_bytes / PEER_MEMORY_DIVISOR);
         let call_sockets = SocketBudget::new(descriptors.calls);
         let starter = ActorStarter { executor, config: &config, senders: &senders, clock, log };
-        let fleet = starter.fleet(operator.as_ref(), sockets.fleet, &budget)?;
+        let fleet = starter.start_fleet(operator.as_ref(), sockets.fleet, &budget)?;
         let mailboxes = Mailboxes {
             fleet: fleet.as_ref().map(|handle| handle.mailbox.clone()),
             agent: senders.agent.clone(),
@@ -146,11 +146,11 @@
             agent_up: agent_up_sender,
             load_hint: LoadHint::default(),
         };
-        starter.agent(inboxes.agent);
-        starter.registration(inboxes.registration);
-        starter.records_service(inboxes.records, &call_sockets);
+        starter.start_agent(inboxes.agent);
+        starter.start_registration(inboxes.registration);
+        starter.start_records_client(inboxes.records, &call_sockets);
         let context = starter.connection_context(&mailboxes.load_hint, descriptors.connections, &budget);
-        let connections = starter.listener(sockets.balancers, context, inboxes.listener);
+        let connections = starter.start_listener(sockets.balancers, context, inboxes.listener);
         let mut server = Server {
             executor: executor.clone(),
             config,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Divides the descriptors that the system allows, and warns where these are fewer than configured.
+/// Divides the descriptors that the system allows, and logs a warning if these are fewer than configured.
 fn divide_descriptors(config: &Config, operator: Option<&Operator>, log: &Logger) -> DescriptorBudget {
     let configured = config.limits.sockets;
     let allowed = descriptor_limit::effective_limit(configured);
@@ -203,11 +203,11 @@
         warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
     }
     let fleet = operator.and_then(|operator| operator.fleet.as_ref());
-    let for_fleet = fleet.map_or(0, |fleet| descriptor_count(fleet.membership.peers.len()));
-    DescriptorBudget::divide(allowed, for_fleet)
+    let fleet_descriptors = fleet.map_or(0, |fleet| descriptor_count(fleet.membership.peers.len()));
+    DescriptorBudget::divide(allowed, fleet_descriptors)
 }
 
-/// Starts one actor after the other.
+/// The values that actors are started with.
 struct ActorStarter<'s, 'a> {
     executor: &'s Rc<LocalExecutor<'a>>,
     config: &'s Config,
@@ -217,7 +217,7 @@
 }
 
 impl<'a> ActorStarter<'_, 'a> {
-    fn fleet(
+    fn start_fleet(
         &self,
         operator: Option<&Operator>,
         sockets: Option<FleetSockets>,
@@ -237,20 +237,25 @@
         fleet::start(self.executor, start).map(Some)
     }
 
-    fn agent(&self, inbox: Receiver<AgentActorMessage>) {
+    fn start_agent(&self, inbox: Receiver<AgentActorMessage>) {
         let actor =
             AgentActor::new(self.config.agent, inbox, self.senders.admission.clone(), self.log.clone());
         self.executor.spawn(actor.run()).detach();
     }
 
-    fn registration(&self, inbox: Receiver<RegistrationCommand>) {
-        let among = (self.config.settings.servers, self.config.settings.seed);
-        let actor =
-            Registration::new(self.config.announce, &self.config.name, among, inbox, self.log.clone());
+    fn start_registration(&self, inbox: Receiver<RegistrationCommand>) {
+        let servers_and_seed = (self.config.settings.servers, self.config.settings.seed);
+        let actor = Registration::new(
+            self.config.announce,
+            &self.config.name,
+            servers_and_seed,
+            inbox,
+            self.log.clone(),
+        );
         self.executor.spawn(actor.run()).detach();
     }
 
-    fn records_service(&self, inbox: Receiver<DependencyCommand>, sockets: &SocketBudget) {
+    fn start_records_client(&self, inbox: Receiver<DependencyCommand>, sockets: &SocketBudget) {
         let Some(address) = self.config.records else { return };
         let actor = DependencyClient::new(
             self.executor.clone(),
@@ -263,7 +268,7 @@
         self.executor.spawn(actor.run()).detach();
     }
 
-    /// What all connections of balancers have in common.
+    /// The context that all connections of balancers share.
     fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> ConnectionContext {
         ConnectionContext {
             admission: self.senders.admission.clone(),
@@ -279,16 +284,16 @@
         }
     }
 
-    /// The task ends once the listener has closed its last connection.
-    fn listener(
+    /// Starts the listener. The task completes once the listener has closed its last connection.
+    fn start_listener(
         &self,
         socket: Async<TcpListener>,
         context: ConnectionContext,
         inbox: Receiver<ListenerCommand>,
     ) -> Task<()> {
-        let from = (socket, ConnectionTable::new(context.max_connections, &[1]));
+        let socket_and_table = (socket, ConnectionTable::new(context.max_connections, &[1]));
         let idle_timeout = self.config.settings.idle_timeout_max;
-        let actor = Listener::new(self.executor.clone(), from, context, inbox, idle_timeout);
+        let actor = Listener::new(self.executor.clone(), socket_and_table, context, inbox, idle_timeout);
         self.executor.spawn(actor.run())
     }
 }
