--- a/crates/ajp/tests/standin.rs
+++ b/crates/ajp/tests/standin.rs
@@ -50,13 +50,13 @@
     let mut front_end = FrontEnd::connect(address);
     assert!(front_end.ping());
     let long = vec![b'x'; 30_000];
-    let first = front_end.ask(&AjpRequest::new("9b1f").body(&long).secret("s"));
+    let first = front_end.round_trip(&AjpRequest::new("9b1f").body(&long).secret("s"));
     assert_eq!((first.status, first.body == long, first.reuse), (200, true, true));
     assert_eq!((first.header("Content-Type"), first.header("x-own")), (Some("x/y"), Some("z")));
     assert!(front_end.ping());
-    let second = front_end.ask(&AjpRequest::check("full=1"));
+    let second = front_end.round_trip(&AjpRequest::health_check("full=1"));
     assert_eq!((second.status, second.body.len()), (200, 0));
-    let third = front_end.ask(&AjpRequest::new("9b20").with("Resource-Key", "k"));
+    let third = front_end.round_trip(&AjpRequest::new("9b20").with("Resource-Key", "k"));
     assert_eq!(third.body, b"body");
     let heads = served.join().expect("no panic");
     assert_eq!((heads[0].method.as_str(), heads[0].uri.as_str()), ("POST", "/svc/search"));
--- a/crates/fault-harness/src/check.rs
+++ b/crates/fault-harness/src/check.rs
@@ -2,25 +2,25 @@
 
 use std::collections::BTreeMap;
 
-use umberloom_protocol_fakes::dependency::{most_in_use, Span};
+use umberloom_protocol_fakes::dependency::{peak_concurrency, CallInterval};
 
 use crate::history::Event;
-use crate::traffic::{Asked, End};
+use crate::traffic::{Outcome, RequestOutcome};
 
 /// At no instant were more calls in use at the shared dependency than it survives.
-pub fn whole(spans: &[Span], whole: usize) -> Vec<String> {
-    let (most, _) = most_in_use(spans);
+pub fn capacity_exceeded(spans: &[CallInterval], whole: usize) -> Vec<String> {
+    let (most, _) = peak_concurrency(spans);
     let breach = format!("{most} calls at once at the shared dependency, which survives {whole}");
     (most > whole).then_some(breach).into_iter().collect()
 }
 
 /// Every request had one answer, unless its connection ended with its server.
-pub fn answers(asked: &[Asked]) -> Vec<String> {
-    let wrong = |a: &&Asked| matches!(a.end, End::Lost | End::Extra);
+pub fn lost_or_extra_answers(asked: &[RequestOutcome]) -> Vec<String> {
+    let wrong = |a: &&RequestOutcome| matches!(a.outcome, Outcome::Lost | Outcome::Extra);
     asked
         .iter()
         .filter(wrong)
-        .map(|a| format!("a request to n{} ended as {:?}", a.server + 1, a.end))
+        .map(|a| format!("a request to n{} ended as {:?}", a.server + 1, a.outcome))
         .collect()
 }
 
@@ -31,18 +31,22 @@
     let mut found = Vec::new();
     for event in events {
         if event.kind == "process" {
-            *starts.entry(&event.who).or_default() += 1;
+            *starts.entry(&event.source).or_default() += 1;
         }
-        if event.kind != "log" || event.what["msg"] != "partition status changed" {
+        if event.kind != "log" || event.details["msg"] != "partition status changed" {
             continue;
         }
-        let ms = event.what["ms"].as_u64().unwrap_or(0);
-        let unsure = event.what["to"] == "unsure" || event.what["from"] == "unsure";
-        let key = (event.who.as_str(), starts.get(event.who.as_str()).copied().unwrap_or(0));
+        let ms = event.details["ms"].as_u64().unwrap_or(0);
+        let unsure = event.details["to"] == "unsure" || event.details["from"] == "unsure";
+        let key = (event.source.as_str(), starts.get(event.source.as_str()).copied().unwrap_or(0));
         if let Some(before) =
             last.insert(key, ms).filter(|before| !unsure && ms >= *before && ms - before + 1 < damp_ms)
         {
-            found.push(format!("{} changed its standing {} ms after the last time", event.who, ms - before));
+            found.push(format!(
+                "{} changed its standing {} ms after the last time",
+                event.source,
+                ms - before
+            ));
         }
     }
     found
@@ -50,8 +54,9 @@
 
 /// No server said that it panicked.
 pub fn panics(events: &[Event]) -> Vec<String> {
-    let said = |e: &&Event| e.kind == "log" && e.what["msg"].as_str().is_some_and(|m| m.contains("panicked"));
-    events.iter().filter(said).map(|e| format!("{}: {}", e.who, e.what["msg"])).collect()
+    let said =
+        |e: &&Event| e.kind == "log" && e.details["msg"].as_str().is_some_and(|m| m.contains("panicked"));
+    events.iter().filter(said).map(|e| format!("{}: {}", e.source, e.details["msg"])).collect()
 }
 
 #[cfg(test)]
@@ -67,31 +72,39 @@
         let start = Instant::now();
         let span = |from: u64, answered: Option<u64>, stated: u64| {
             let at = |ms| start + Duration::from_millis(ms);
-            Span { from: at(from), answered: answered.map(at), stated: Duration::from_millis(stated) }
+            CallInterval {
+                started_at: at(from),
+                answered_at: answered.map(at),
+                stated_timeout: Duration::from_millis(stated),
+            }
         };
         // The second is never answered: it counts until the time that it stated.
         let spans =
             [span(0, Some(10), 100), span(5, None, 30), span(20, Some(40), 100), span(36, Some(50), 100)];
-        assert_eq!(whole(&spans, 2), Vec::<String>::new());
-        assert_eq!(whole(&spans, 1).len(), 1);
+        assert_eq!(capacity_exceeded(&spans, 2), Vec::<String>::new());
+        assert_eq!(capacity_exceeded(&spans, 1).len(), 1);
 
-        let asked = |end| Asked { server: 0, at: 0, took: Duration::ZERO, end };
-        let fine = [End::Served, End::Refused, End::Failed, End::Broken].map(asked);
-        assert!(answers(&fine).is_empty());
-        assert_eq!(answers(&[asked(End::Lost), asked(End::Extra)]).len(), 2);
+        let asked = |end| RequestOutcome { server: 0, at_us: 0, took: Duration::ZERO, outcome: end };
+        let fine = [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Broken].map(asked);
+        assert!(lost_or_extra_answers(&fine).is_empty());
+        assert_eq!(lost_or_extra_answers(&[asked(Outcome::Lost), asked(Outcome::Extra)]).len(), 2);
 
         let line = |ms: u64, from: &str, to: &str| Event {
-            at: ms,
-            who: "n1".to_owned(),
+            at_us: ms,
+            source: "n1".to_owned(),
             kind: "log",
-            what: json!({"msg": "partition status changed", "ms": ms, "from": from, "to": to}),
+            details: json!({"msg": "partition status changed", "ms": ms, "from": from, "to": to}),
         };
         let calm = [line(0, "unsure", "whole"), line(600, "whole", "alone"), line(700, "alone", "unsure")];
         assert!(flapping(&calm, 500).is_empty());
         assert_eq!(flapping(&[line(0, "unsure", "whole"), line(90, "whole", "alone")], 500).len(), 1);
 
-        let said =
-            Event { at: 0, who: "n1".to_owned(), kind: "log", what: json!({"msg": "thread panicked at"}) };
+        let said = Event {
+            at_us: 0,
+            source: "n1".to_owned(),
+            kind: "log",
+            details: json!({"msg": "thread panicked at"}),
+        };
         assert_eq!(panics(&[said]).len(), 1);
     }
 }
--- a/crates/fault-harness/src/fleet.rs
+++ b/crates/fault-harness/src/fleet.rs
@@ -12,14 +12,14 @@
 use async_executor::Executor;
 use async_io::Timer;
 use serde_json::{json, Value};
-use umberloom_protocol_fakes::dependency::{most_in_use, Behaviour, Span};
+use umberloom_protocol_fakes::dependency::{peak_concurrency, Behaviour, CallInterval};
 use umberloom_protocol_fakes::Dependency;
 
 use crate::check;
 use crate::history::History;
 use crate::relay::{Direction, Faults, Relay};
-use crate::server::{Server, PATIENCE};
-use crate::traffic::{Asked, Traffic};
+use crate::server::{Server, WAIT_TIMEOUT};
+use crate::traffic::{RequestOutcome, Traffic};
 
 /// What a fleet is to be.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// From 2 to 24, or one for a server without others.
     pub servers: usize,
     /// Calls at once that the shared dependency survives.
-    pub whole: u32,
+    pub capacity: u32,
     /// For all that is drawn.
     pub seed: u64,
     /// The node `timing` of the operator's file: short times, so that tests are.
@@ -37,19 +37,19 @@
     /// The node `loans`.
     pub loans: String,
     /// How long the shared dependency takes, as a median in milliseconds.
-    pub takes_ms: f64,
+    pub service_time_ms: f64,
     /// Without it every server is on its own, with a cut part of what is shared.
-    pub fleet: bool,
+    pub fleet_enabled: bool,
     /// Names of the servers, where they are not `n1`, `n2` and so on.
     pub names: Vec<String>,
     /// Standings may change this soon after one another, in milliseconds.
     pub damp_ms: u64,
     /// With it nothing lends: each server has its own part of the whole.
-    pub cut_parts: bool,
+    pub fixed_quota_shares: bool,
     /// The properties of the node `record`, where the servers keep one.
-    pub record: Option<String>,
+    pub store_options: Option<String>,
     /// The properties of its folder, where its copies outlive their processes.
-    pub disk: Option<String>,
+    pub store_folder_options: Option<String>,
 }
 
 impl Options {
@@ -57,16 +57,16 @@
         Options {
             program: program.to_owned(),
             servers,
-            whole: 24,
+            capacity: 24,
             seed: 1,
             timing: "timing probe-ms=200 suspect-ms=600 beat-ms=150 rise-ms=200 damp-ms=500 disagree-ms=1500"
                 .to_owned(),
             loans: "loans loan-ms=600 call-ms=300 delivery-ms=100".to_owned(),
-            takes_ms: 20.0,
-            fleet: true,
-            cut_parts: false,
-            record: None,
-            disk: None,
+            service_time_ms: 20.0,
+            fleet_enabled: true,
+            fixed_quota_shares: false,
+            store_options: None,
+            store_folder_options: None,
             names: (1..=servers).map(|n| format!("n{n}")).collect(),
             damp_ms: 500,
         }
@@ -78,14 +78,14 @@
     pub options: Options,
     pub history: History,
     pub servers: Vec<Server>,
-    pub shared: Dependency,
+    pub shared_dependency: Dependency,
     directions: BTreeMap<(usize, usize), Direction>,
     relays: BTreeMap<(usize, usize), Relay>,
     /// From each server to the shared dependency.
     to_shared: Vec<(Relay, Direction)>,
     pub traffic: Option<Traffic>,
     /// Whom each server is told of; everyone, unless a test says otherwise.
-    pub told_of: Vec<Vec<usize>>,
+    pub configured_peers: Vec<Vec<usize>>,
     folder: PathBuf,
     // Ends the relays with the fleet.
     _relays: Driver,
@@ -135,7 +135,7 @@
         let servers: std::io::Result<Vec<Server>> = options.names.iter().enumerate().map(place).collect();
         let servers = servers?;
         let behaviour =
-            Behaviour::Answer { body: b"billed".to_vec(), median_ms: options.takes_ms, sigma: 0.3 };
+            Behaviour::Answer { body: b"billed".to_vec(), median_ms: options.service_time_ms, sigma: 0.3 };
         let shared = Dependency::start(behaviour);
         let pairs = || {
             (0..servers.len()).flat_map(|a| (0..servers.len()).map(move |b| (a, b))).filter(|(a, b)| a != b)
@@ -143,34 +143,42 @@
         let seed = |a: usize, b: usize| options.seed.wrapping_mul(1_000).wrapping_add((a * 64 + b) as u64);
         let directions: BTreeMap<_, _> = pairs().map(|(a, b)| ((a, b), Direction::new(seed(a, b)))).collect();
         let mut relays = BTreeMap::new();
-        for (a, b) in pairs().filter(|_| options.fleet) {
+        for (a, b) in pairs().filter(|_| options.fleet_enabled) {
             let both = (directions[&(a, b)].clone(), directions[&(b, a)].clone());
-            let relay = Relay::start(&executor, servers[a].host, servers[a].fleet, servers[b].fleet, both)?;
+            let relay = Relay::start(
+                &executor,
+                servers[a].host,
+                servers[a].fleet_address,
+                servers[b].fleet_address,
+                both,
+            )?;
             relays.insert((a, b), relay);
         }
         let mut to_shared = Vec::new();
         for server in &servers {
             let direction = Direction::new(options.seed);
             let both = (direction.clone(), Direction::new(options.seed));
-            to_shared
-                .push((Relay::start(&executor, server.host, server.fleet, shared.address, both)?, direction));
+            to_shared.push((
+                Relay::start(&executor, server.host, server.fleet_address, shared.address, both)?,
+                direction,
+            ));
         }
         let everyone = (0..servers.len()).map(|a| (0..servers.len()).filter(|b| *b != a).collect()).collect();
         let fleet = Fleet {
             options,
             history,
             servers,
-            shared,
+            shared_dependency: shared,
             directions,
             relays,
             to_shared,
             traffic: None,
-            told_of: everyone,
+            configured_peers: everyone,
             folder,
             _relays: Driver::start(executor),
         };
         for n in 0..fleet.servers.len() {
-            fleet.servers[n].write_operator(&fleet.operator(n))?;
+            fleet.servers[n].write_operator_config(&fleet.operator_config(n))?;
         }
         Ok(fleet)
     }
@@ -182,16 +190,16 @@
             fleet.servers[n].start().map_err(|e| e.to_string())?;
         }
         for n in 0..fleet.servers.len() {
-            fleet.servers[n].wait_until_well()?;
+            fleet.servers[n].wait_until_healthy()?;
         }
         Ok(fleet)
     }
 
     /// The same, and waits until everyone stands whole and uses its part.
-    pub fn whole(options: Options) -> Result<Fleet, String> {
+    pub fn start_converged(options: Options) -> Result<Fleet, String> {
         let fleet = Fleet::start(options)?;
-        fleet.until_all("whole")?;
-        fleet.until("parts in use", |fleet| {
+        fleet.wait_for_partition_status_everywhere("whole")?;
+        fleet.wait_until("parts in use", |fleet| {
             let part =
                 |n: usize| fleet.view(n).is_ok_and(|v| v["allowances"][0][1]["part"].as_u64() > Some(0));
             (0..fleet.servers.len()).all(part)
@@ -200,9 +208,10 @@
     }
 
     /// The operator's file of a server.
-    pub fn operator(&self, n: usize) -> String {
-        let (shared, whole, servers) = (self.to_shared[n].0.address, self.options.whole, self.servers.len());
-        let survives = match (self.options.fleet, self.options.cut_parts) {
+    pub fn operator_config(&self, n: usize) -> String {
+        let (shared, whole, servers) =
+            (self.to_shared[n].0.address, self.options.capacity, self.servers.len());
+        let survives = match (self.options.fleet_enabled, self.options.fixed_quota_shares) {
             (true, false) => format!("survives calls={whole}"),
             _ => format!("survives calls={whole} servers={servers}"),
         };
@@ -211,23 +220,23 @@
              most=256\n endpoint-limit start=64 least=1 most=256\n retry most=0 share=0\n no-breaker\n route \
              failures=1000 lag=100\n {survives}\n}}\nplan \"book-room\" {{\n stage {{ needs \"billing\"; }}\n}}\n"
         );
-        if self.options.fleet {
+        if self.options.fleet_enabled {
             let _ = write!(
                 text,
                 "fleet \"rig\" {{\n listen \"{}\"\n secret \"between us\"\n zone \"z{}\"\n {}\n {}\n",
-                self.servers[n].fleet,
+                self.servers[n].fleet_address,
                 n % 3,
                 self.options.timing,
                 self.options.loans
             );
-            if let Some(record) = &self.options.record {
-                let folder = self.servers[n].record_folder();
-                let disk = self.options.disk.as_ref();
+            if let Some(record) = &self.options.store_options {
+                let folder = self.servers[n].store_folder();
+                let disk = self.options.store_folder_options.as_ref();
                 let disk =
                     disk.map_or_else(String::new, |disk| format!("folder \"{}\" {disk}", folder.display()));
                 let _ = writeln!(text, " record {record} {{ {disk}\n }}");
             }
-            for other in &self.told_of[n] {
+            for other in &self.configured_peers[n] {
                 let (name, address) = (&self.servers[*other].name, self.relays[&(n, *other)].address);
                 let _ = writeln!(text, " peer \"{name}\" address=\"{address}\" zone=\"z{}\"", other % 3);
             }
@@ -238,43 +247,44 @@
 
     /// Writes a server's file anew, as it is to be now, and says so.
     pub fn reload(&self, n: usize) {
-        let _ = self.servers[n].write_operator(&self.operator(n));
+        let _ = self.servers[n].write_operator_config(&self.operator_config(n));
         self.servers[n].signal("HUP");
     }
 
     /// Callers at every server.
-    pub fn ask(&mut self, callers: usize, gap: Duration) {
-        let servers: Vec<(SocketAddr, _)> = self.servers.iter().map(|s| (s.listen, s.farm.over())).collect();
+    pub fn start_traffic(&mut self, callers: usize, gap: Duration) {
+        let servers: Vec<(SocketAddr, _)> =
+            self.servers.iter().map(|s| (s.listen, s.farm.completion_notifier())).collect();
         self.traffic = Some(Traffic::start(&servers, callers, gap));
     }
 
     /// What one direction is to be like.
-    pub fn set(&self, from: usize, to: usize, faults: Faults) {
+    pub fn set_faults(&self, from: usize, to: usize, faults: Faults) {
         let what = json!({"from": self.servers[from].name, "to": self.servers[to].name, "faults": format!("{faults:?}")});
-        self.history.note("rig", "fault", what);
+        self.history.record("rig", "fault", what);
         self.directions[&(from, to)].set(faults);
     }
 
     /// What every direction is to be like.
-    pub fn set_all(&self, faults: Faults) {
-        self.history.note("rig", "fault", json!({"all": format!("{faults:?}")}));
+    pub fn set_all_faults(&self, faults: Faults) {
+        self.history.record("rig", "fault", json!({"all": format!("{faults:?}")}));
         self.directions.values().for_each(|direction| direction.set(faults));
     }
 
     /// Changes one thing of one direction.
-    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, from: usize, to: usize, change: impl FnOnce(&mut Faults)) {
         let mut faults = self.directions[&(from, to)].faults();
         change(&mut faults);
-        self.set(from, to, faults);
+        self.set_faults(from, to, faults);
     }
 
     /// Cuts both directions between servers of different groups; those in no group keep all.
-    pub fn part(&self, groups: &[&[usize]]) {
+    pub fn partition(&self, groups: &[&[usize]]) {
         let group = |n: usize| groups.iter().position(|group| group.contains(&n));
         for (a, b) in self.directions.keys() {
             if let (Some(x), Some(y)) = (group(*a), group(*b)) {
                 if x != y {
-                    self.change(*a, *b, |faults| faults.cut = true);
+                    self.change_faults(*a, *b, |faults| faults.cut = true);
                 }
             }
         }
@@ -282,13 +292,13 @@
 
     /// Everything between servers is well.
     pub fn heal(&self) {
-        self.set_all(Faults::default());
+        self.set_all_faults(Faults::default());
         self.to_shared.iter().for_each(|(_, direction)| direction.set(Faults::default()));
     }
 
     /// The shared dependency can't be reached from this server, or can again.
-    pub fn cut_shared(&self, n: usize, cut: bool) {
-        self.history.note("rig", "fault", json!({"shared_from": self.servers[n].name, "cut": cut}));
+    pub fn cut_shared_dependency(&self, n: usize, cut: bool) {
+        self.history.record("rig", "fault", json!({"shared_from": self.servers[n].name, "cut": cut}));
         self.to_shared[n].1.set(Faults { refuse: cut, ..Faults::default() });
     }
 
@@ -304,32 +314,32 @@
 
     /// What a server says of its fleet.
     pub fn view(&self, n: usize) -> Result<Value, String> {
-        self.servers[n].ask(&["members"])
+        self.servers[n].fleet_command(&["members"])
     }
 
     /// Asks a server about the record.
-    pub fn record(&self, n: usize, words: &[&str]) -> Result<Value, String> {
-        self.servers[n].ask(&[&["record"], words].concat())
+    pub fn store_command(&self, n: usize, words: &[&str]) -> Result<Value, String> {
+        self.servers[n].fleet_command(&[&["record"], words].concat())
     }
 
     /// One figure of how a server's part in the record stands; null where it has none.
-    pub fn kept(&self, n: usize, field: &str) -> Value {
-        self.record(n, &["status"]).map_or(Value::Null, |mut status| status[field].take())
+    pub fn store_status_field(&self, n: usize, field: &str) -> Value {
+        self.store_command(n, &["status"]).map_or(Value::Null, |mut status| status[field].take())
     }
 
     /// Which server leads the record: one that says so of the highest term.
     pub fn leader(&self) -> Option<usize> {
         let running = (0..self.servers.len()).filter(|n| self.servers[*n].is_running());
-        let status = running.filter_map(|n| Some((n, self.record(n, &["status"]).ok()?)));
+        let status = running.filter_map(|n| Some((n, self.store_command(n, &["status"]).ok()?)));
         let leads = status.filter(|(_, status)| status["role"] == "Leader");
         leads.max_by_key(|(_, status)| status["term"].as_u64()).map(|(n, _)| n)
     }
 
     /// Waits until so many vote, every server that runs has a copy, and all have applied the same.
-    pub fn until_kept(&self, voters: usize) -> Result<(), String> {
-        self.until(&format!("a record of {voters} voters, the same everywhere"), |fleet| {
+    pub fn wait_for_replication(&self, voters: usize) -> Result<(), String> {
+        self.wait_until(&format!("a record of {voters} voters, the same everywhere"), |fleet| {
             let running = (0..fleet.servers.len()).filter(|n| fleet.servers[*n].is_running());
-            let all: Vec<Value> = running.filter_map(|n| fleet.record(n, &["status"]).ok()).collect();
+            let all: Vec<Value> = running.filter_map(|n| fleet.store_command(n, &["status"]).ok()).collect();
             let count = fleet.servers.iter().filter(|s| s.is_running()).count();
             let votes = |status: &Value| {
                 let copies = status["copies"].as_array().map(Vec::as_slice).unwrap_or_default();
@@ -344,12 +354,12 @@
     }
 
     /// How a server stands, by its own word.
-    pub fn standing(&self, n: usize) -> String {
+    pub fn partition_status(&self, n: usize) -> String {
         self.view(n).map_or_else(|why| why, |view| view["standing"].as_str().unwrap_or("?").to_lowercase())
     }
 
     /// What one server holds another for.
-    pub fn holds(&self, n: usize, other: usize) -> String {
+    pub fn member_state(&self, n: usize, other: usize) -> String {
         let Ok(view) = self.view(n) else { return "?".to_owned() };
         let name = self.servers[other].name.as_str();
         let member =
@@ -358,8 +368,8 @@
     }
 
     /// Waits until something holds; else what was waited for, with everything that was said.
-    pub fn until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) -> Result<(), String> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) -> Result<(), String> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
             if holds(self) {
                 return Ok(());
@@ -368,7 +378,7 @@
         }
         let mut said = String::new();
         for (n, server) in self.servers.iter().enumerate() {
-            let kept = self.options.record.as_ref().map(|_| self.record(n, &["status"]));
+            let kept = self.options.store_options.as_ref().map(|_| self.store_command(n, &["status"]));
             let _ = writeln!(said, "{}: {:?}\n{kept:?}\n{}", server.name, self.view(n), tail(&server.log()));
         }
         Err(format!("waited in vain for {what}\nrequests of the last 5 s: {}\n{said}", self.of_late()))
@@ -376,11 +386,11 @@
 
     /// How requests of the last five seconds ended, by server.
     fn of_late(&self) -> String {
-        let asked = self.traffic.as_ref().map(Traffic::asked).unwrap_or_default();
-        let from = crate::history::now().saturating_sub(5_000_000);
+        let asked = self.traffic.as_ref().map(Traffic::outcomes).unwrap_or_default();
+        let from = crate::history::now_us().saturating_sub(5_000_000);
         let mut ends: BTreeMap<(usize, String), usize> = BTreeMap::new();
-        for one in asked.iter().filter(|a| a.at + a.took.as_micros() as u64 >= from) {
-            *ends.entry((one.server, format!("{:?}", one.end))).or_default() += 1;
+        for one in asked.iter().filter(|a| a.at_us + a.took.as_micros() as u64 >= from) {
+            *ends.entry((one.server, format!("{:?}", one.outcome))).or_default() += 1;
         }
         let word = |((n, end), count): (&(usize, String), &usize)| {
             format!("{} {end} {count}", self.servers[*n].name)
@@ -389,42 +399,42 @@
     }
 
     /// Waits until this server stands so.
-    pub fn until_stands(&self, n: usize, standing: &str) -> Result<(), String> {
-        self.until(&format!("{} to stand as {standing}", self.servers[n].name), |fleet| {
-            fleet.standing(n) == standing
+    pub fn wait_for_partition_status(&self, n: usize, standing: &str) -> Result<(), String> {
+        self.wait_until(&format!("{} to stand as {standing}", self.servers[n].name), |fleet| {
+            fleet.partition_status(n) == standing
         })
     }
 
     /// Waits until every server that runs stands so.
-    pub fn until_all(&self, standing: &str) -> Result<(), String> {
+    pub fn wait_for_partition_status_everywhere(&self, standing: &str) -> Result<(), String> {
         let running: Vec<usize> = (0..self.servers.len()).filter(|n| self.servers[*n].is_running()).collect();
-        running.iter().try_for_each(|n| self.until_stands(*n, standing))
+        running.iter().try_for_each(|n| self.wait_for_partition_status(*n, standing))
     }
 
     /// Waits until one server holds another for this.
-    pub fn until_holds(&self, n: usize, other: usize, state: &str) -> Result<(), String> {
+    pub fn wait_for_member_state(&self, n: usize, other: usize, state: &str) -> Result<(), String> {
         let what = format!("{} to hold {} for {state}", self.servers[n].name, self.servers[other].name);
-        self.until(&what, |fleet| fleet.holds(n, other) == state.replace(' ', ""))
+        self.wait_until(&what, |fleet| fleet.member_state(n, other) == state.replace(' ', ""))
     }
 
     /// The calls that the shared dependency saw.
-    pub fn spans(&self) -> Vec<Span> {
-        self.shared.spans()
+    pub fn call_intervals(&self) -> Vec<CallInterval> {
+        self.shared_dependency.call_intervals()
     }
 
     /// The most calls that were in use there at any instant.
-    pub fn most_in_use(&self) -> usize {
-        most_in_use(&self.spans()).0
+    pub fn peak_concurrency(&self) -> usize {
+        peak_concurrency(&self.call_intervals()).0
     }
 
     /// Ends the traffic, reads all logs, and tells every breach of what must always hold.
-    pub fn breaches(&mut self) -> Vec<String> {
+    pub fn finish_and_check(&mut self) -> Vec<String> {
         let asked = self.traffic.take().map(Traffic::finish).unwrap_or_default();
-        self.verdict(&asked)
+        self.check_invariants(&asked)
     }
 
     /// The same about requests that are over already.
-    pub fn verdict(&mut self, asked: &[Asked]) -> Vec<String> {
+    pub fn check_invariants(&mut self, asked: &[RequestOutcome]) -> Vec<String> {
         let mut found = Vec::new();
         for server in &mut self.servers {
             if server.has_crashed() {
@@ -437,8 +447,8 @@
             server.read_log();
         }
         let events = self.history.events();
-        found.extend(check::whole(&self.spans(), self.options.whole as usize));
-        found.extend(check::answers(asked));
+        found.extend(check::capacity_exceeded(&self.call_intervals(), self.options.capacity as usize));
+        found.extend(check::lost_or_extra_answers(asked));
         found.extend(check::flapping(&events, self.options.damp_ms));
         found.extend(check::panics(&events));
         found
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`traffic`] asks every server all the while and notes how each request ended;
 //! - [`history`] keeps what every server said, every fault and every answer, on one clock;
 //! - [`check`] reads the history and says what was broken;
-//! - [`virtual_fleet`] has up to a thousand members in one process, on virtual time, and [`virtual_record`] a record with
+//! - [`virtual_fleet`] has up to a thousand members in one process, on virtual time, and [`virtual_replicated_store`] a record with
 //!   its disks; [`linear`] says whether what clients saw of it is linearizable.
 //!
 //! [`golden`] compares encoded bytes with those of an earlier version.
@@ -25,9 +25,9 @@
 pub mod server;
 pub mod traffic;
 pub mod virtual_fleet;
-pub mod virtual_record;
+pub mod virtual_replicated_store;
 
 pub use fleet::{Fleet, Options};
 pub use history::History;
 pub use relay::Faults;
-pub use script::{Act, Script};
+pub use script::{FaultAction, Script};
--- a/crates/fault-harness/src/linear.rs
+++ b/crates/fault-harness/src/linear.rs
@@ -10,48 +10,58 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
     /// The register.
-    pub name: String,
+    pub register: String,
     /// It wrote this value; `None`: it read.
-    pub wrote: Option<u128>,
+    pub written: Option<u128>,
     /// When it began, and when it ended, if it did.
-    pub began: u64,
-    pub ended: Option<u64>,
+    pub started_at: u64,
+    pub ended_at: Option<u64>,
     /// The version and the value that it was told; `None` for one that was refused or never ended.
-    pub told: Option<(u64, u128)>,
+    pub result: Option<(u64, u128)>,
     /// It was refused: it certainly changed nothing, where it was a write that was refused by its version.
-    pub refused: bool,
+    pub rejected: bool,
 }
 
 impl Operation {
     pub fn write(name: &str, began: u64, value: u128) -> Operation {
-        Operation { wrote: Some(value), ..Operation::read(name, began) }
+        Operation { written: Some(value), ..Operation::read(name, began) }
     }
 
     pub fn read(name: &str, began: u64) -> Operation {
-        Operation { name: name.to_owned(), wrote: None, began, ended: None, told: None, refused: false }
+        Operation {
+            register: name.to_owned(),
+            written: None,
+            started_at: began,
+            ended_at: None,
+            result: None,
+            rejected: false,
+        }
     }
 
-    pub fn done(&mut self, at: u64, version: u64, value: u128) {
-        (self.ended, self.told) = (Some(at), Some((version, value)));
+    pub fn complete(&mut self, at: u64, version: u64, value: u128) {
+        (self.ended_at, self.result) = (Some(at), Some((version, value)));
     }
 
-    pub fn refused(&mut self, at: u64) {
-        (self.ended, self.refused) = (Some(at), true);
+    pub fn reject(&mut self, at: u64) {
+        (self.ended_at, self.rejected) = (Some(at), true);
     }
 }
 
 /// Every breach.
-pub fn breaches(operations: &[Operation]) -> Vec<String> {
+pub fn violations(operations: &[Operation]) -> Vec<String> {
     let mut found = Vec::new();
     let mut registers: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in operations {
-        registers.entry(&operation.name).or_default().push(operation);
+        registers.entry(&operation.register).or_default().push(operation);
     }
     for (name, all) in registers {
-        let began: BTreeMap<u128, u64> = all.iter().filter_map(|o| Some((o.wrote?, o.began))).collect();
+        let began: BTreeMap<u128, u64> =
+            all.iter().filter_map(|o| Some((o.written?, o.started_at))).collect();
         let mut values: BTreeMap<u64, u128> = BTreeMap::new();
         for operation in &all {
-            let (Some((version, value)), Some(ended)) = (operation.told, operation.ended) else { continue };
+            let (Some((version, value)), Some(ended)) = (operation.result, operation.ended_at) else {
+                continue;
+            };
             if version == 0 {
                 continue;
             }
@@ -69,22 +79,23 @@
             }
         }
         // In the order of their ends: what began after an end sees that version or a later one.
-        let mut done: Vec<&Operation> = all.iter().copied().filter(|o| o.told.is_some()).collect();
-        done.sort_by_key(|o| o.began);
+        let mut done: Vec<&Operation> = all.iter().copied().filter(|o| o.result.is_some()).collect();
+        done.sort_by_key(|o| o.started_at);
         let mut ends: Vec<&Operation> = done.clone();
-        ends.sort_by_key(|o| o.ended);
+        ends.sort_by_key(|o| o.ended_at);
         let (mut next, mut highest) = (0, (0, false));
         for operation in done {
-            while next < ends.len() && ends[next].ended < Some(operation.began) {
-                let version = ends[next].told.map_or(0, |(version, _)| version);
+            while next < ends.len() && ends[next].ended_at < Some(operation.started_at) {
+                let version = ends[next].result.map_or(0, |(version, _)| version);
                 highest = highest.max((version, false));
                 next += 1;
             }
-            let version = operation.told.map_or(0, |(version, _)| version);
+            let version = operation.result.map_or(0, |(version, _)| version);
             let old =
-                version < highest.0 || (operation.wrote.is_some() && version == highest.0 && version > 0);
+                version < highest.0 || (operation.written.is_some() && version == highest.0 && version > 0);
             if old {
-                let (what, at) = (if operation.wrote.is_some() { "write" } else { "read" }, operation.began);
+                let (what, at) =
+                    (if operation.written.is_some() { "write" } else { "read" }, operation.started_at);
                 found.push(format!(
                     "{name}: a {what} begun at {at} had version {version} after {}",
                     highest.0
@@ -103,12 +114,12 @@
     fn what_disagrees_with_real_time_is_a_breach() {
         let write = |began, ended, version, value| {
             let mut one = Operation::write("x", began, value);
-            one.done(ended, version, value);
+            one.complete(ended, version, value);
             one
         };
         let read = |began, ended, version, value| {
             let mut one = Operation::read("x", began);
-            one.done(ended, version, value);
+            one.complete(ended, version, value);
             one
         };
         let lost = Operation::write("x", 30, 9);
@@ -128,7 +139,12 @@
             (vec![write(0, 10, 3, 7), write(11, 12, 3, 8)], 2),
         ];
         for (operations, wanted) in cases {
-            assert_eq!(breaches(&operations).len(), wanted, "{operations:#?} {:?}", breaches(&operations));
+            assert_eq!(
+                violations(&operations).len(),
+                wanted,
+                "{operations:#?} {:?}",
+                violations(&operations)
+            );
         }
     }
 }
--- a/crates/fault-harness/src/relay.rs
+++ b/crates/fault-harness/src/relay.rs
@@ -82,7 +82,7 @@
     }
 
     /// Datagrams that passed of late.
-    pub fn remembered(&self) -> Vec<Vec<u8>> {
+    pub fn recent_datagrams(&self) -> Vec<Vec<u8>> {
         lock(&self.0).remembered.iter().cloned().collect()
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Leads to another server from now on.
-    pub fn lead(&self, to: SocketAddr) {
+    pub fn redirect(&self, to: SocketAddr) {
         *lock(&self.to) = to;
     }
 
--- a/crates/fault-harness/src/relay/tests.rs
+++ b/crates/fault-harness/src/relay/tests.rs
@@ -15,7 +15,7 @@
         let nowhere = SocketAddr::from((host, 9));
         let both = (Direction::new(1), Direction::new(2));
         let relay = Relay::start(&executor, host, nowhere, nowhere, both.clone()).expect("a relay");
-        relay.lead(relay.address);
+        relay.redirect(relay.address);
         let driver = Driver::start(executor);
         relay.replay(&[b"round".to_vec()]);
         while both.0.carried().0 < 1_000 {
--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -14,12 +14,12 @@
 use crate::history::{Event, History};
 
 /// Longest wait for anything.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long requests of each class may take, in milliseconds.
-pub const BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 800), ("book-room", 1_000)];
+pub const CLASS_BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 800), ("book-room", 1_000)];
 
 /// A host on loopback that nothing else of this machine uses: by the process and a number of its own.
-pub fn own_host() -> Ipv4Addr {
+pub fn unique_loopback_host() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let [_, more, high, low] = std::process::id().to_be_bytes();
@@ -40,30 +40,30 @@
     pub host: Ipv4Addr,
     /// Where balancers connect, and where the fleet does.
     pub listen: SocketAddr,
-    pub fleet: SocketAddr,
+    pub fleet_address: SocketAddr,
     pub farm: Farm,
     pub records: Dependency,
     /// Fields of its configuration that differ from the usual, by their places.
-    pub given: Vec<(&'static str, Value)>,
+    pub config_overrides: Vec<(&'static str, Value)>,
     _announce: Announce,
     pub folder: PathBuf,
     program: PathBuf,
     child: Option<Child>,
     /// How many processes there have been.
-    pub starts: u32,
+    pub start_count: u32,
     /// Bytes of the log that have been taken into the history.
     read: u64,
     /// Stopped by SIGSTOP.
     pub stopped: bool,
     /// Told to end, so that its end is no breach.
-    pub told_to_end: bool,
+    pub stop_requested: bool,
     history: History,
 }
 
 impl Server {
     /// The place of a server; nothing runs yet.
     pub fn new(name: &str, program: &Path, folder: &Path, history: History) -> std::io::Result<Server> {
-        let host = own_host();
+        let host = unique_loopback_host();
         let folder = folder.join(name);
         std::fs::create_dir_all(&folder)?;
         let work = Work {
@@ -71,24 +71,24 @@
             median_ms: 4.0,
             sigma: 0.3,
             without_calls: vec![],
-            patience: Duration::from_millis(1_200),
+            call_timeout: Duration::from_millis(1_200),
         };
         Ok(Server {
             name: name.to_owned(),
             host,
             listen: free_address(host, 10_080)?,
-            fleet: free_address(host, 12_080)?,
+            fleet_address: free_address(host, 12_080)?,
             farm: Farm::start(work),
             records: Dependency::start(Behaviour::quick(b"booked")),
-            given: Vec::new(),
+            config_overrides: Vec::new(),
             _announce: Announce::start(),
             folder,
             program: program.to_owned(),
             child: None,
-            starts: 0,
+            start_count: 0,
             read: 0,
             stopped: false,
-            told_to_end: false,
+            stop_requested: false,
             history,
         })
     }
@@ -102,10 +102,10 @@
         let mut config = json!({
             "name": self.name, "listen": self.listen, "agent": self.farm.address,
             "announce": self._announce.address, "records": self.records.address,
-            "seed": format!("8c1f30d27a5b{:04x}", self.starts), "stop_ms": 2_000,
+            "seed": format!("8c1f30d27a5b{:04x}", self.start_count), "stop_ms": 2_000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": {
-                "classes": [class(BUDGETS_MS[0], 1.0), class(BUDGETS_MS[1], 3.0)],
+                "classes": [class(CLASS_BUDGETS_MS[0], 1.0), class(CLASS_BUDGETS_MS[1], 3.0)],
                 "family": "server",
                 "family_info": {"callers": 4, "calls_over_us": 5_000_000, "class_calls": [true, true],
                     "class_skip_worth": [0.0, 0.0], "dep_share": 60.0, "downstream": "common",
@@ -120,26 +120,26 @@
                 "tick_us": 4_000, "tier": 0
             }
         });
-        for (place, value) in &self.given {
+        for (place, value) in &self.config_overrides {
             *config.pointer_mut(place).expect("a field of the configuration") = value.clone();
         }
         config
     }
 
-    pub fn operator_file(&self) -> PathBuf {
+    pub fn operator_config_path(&self) -> PathBuf {
         self.folder.join("operator.kdl")
     }
 
     /// Puts an operator's file in the place of the one before, whole.
-    pub fn write_operator(&self, text: &str) -> std::io::Result<()> {
+    pub fn write_operator_config(&self, text: &str) -> std::io::Result<()> {
         let new = self.folder.join("operator.new");
         std::fs::write(&new, text)?;
-        std::fs::rename(new, self.operator_file())
+        std::fs::rename(new, self.operator_config_path())
     }
 
     /// Starts a process.
     pub fn start(&mut self) -> std::io::Result<()> {
-        self.starts += 1;
+        self.start_count += 1;
         std::fs::write(self.folder.join("config.json"), self.config().to_string())?;
         let log = std::fs::File::options().create(true).append(true).open(self.folder.join("log"))?;
         let mut command = Command::new(&self.program);
@@ -150,26 +150,26 @@
             .arg("json")
             .arg("--config")
             .arg(self.folder.join("config.json"));
-        if self.operator_file().exists() {
-            command.arg("--operator").arg(self.operator_file());
+        if self.operator_config_path().exists() {
+            command.arg("--operator").arg(self.operator_config_path());
         }
         self.child = Some(command.spawn()?);
-        (self.stopped, self.told_to_end) = (false, false);
-        self.history.note(&self.name, "process", json!({"start": self.starts, "id": self.id()}));
+        (self.stopped, self.stop_requested) = (false, false);
+        self.history.record(&self.name, "process", json!({"start": self.start_count, "id": self.pid()}));
         Ok(())
     }
 
     /// Waits until it answers a health check well; what it said instead is the error.
-    pub fn wait_until_well(&mut self) -> Result<(), String> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_until_healthy(&mut self) -> Result<(), String> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return Err(format!("{} ended at its start: {status}\n{}", self.name, self.log()));
             }
             if let Ok(stream) = TcpStream::connect(self.listen) {
-                let _ = stream.set_read_timeout(Some(PATIENCE));
+                let _ = stream.set_read_timeout(Some(WAIT_TIMEOUT));
                 let mut balancer = Balancer::tolerant(stream);
-                balancer.send(&Request::check(1, ""));
+                balancer.send(&Request::health_check(1, ""));
                 if balancer.try_answer().is_some_and(|answer| answer.status == 200) {
                     return Ok(());
                 }
@@ -180,14 +180,14 @@
     }
 
     /// The id of its process.
-    pub fn id(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     pub fn signal(&self, name: &str) {
-        if let Some(id) = self.id() {
+        if let Some(id) = self.pid() {
             let sent = Command::new("kill").arg(format!("-{name}")).arg(id.to_string()).status();
-            self.history.note(
+            self.history.record(
                 &self.name,
                 "fault",
                 json!({"signal": name, "sent": sent.is_ok_and(|s| s.success())}),
@@ -197,9 +197,9 @@
 
     /// Ends it as the system would at worst.
     pub fn kill(&mut self) {
-        self.told_to_end = true;
+        self.stop_requested = true;
         if let Some(mut child) = self.child.take() {
-            self.history.note(&self.name, "fault", json!({"signal": "KILL"}));
+            self.history.record(&self.name, "fault", json!({"signal": "KILL"}));
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -207,29 +207,29 @@
     }
 
     /// Stops it from running, or lets it go on.
-    pub fn stop(&mut self, stopped: bool) {
+    pub fn set_stopped(&mut self, stopped: bool) {
         self.stopped = stopped;
         self.signal(if stopped { "STOP" } else { "CONT" });
     }
 
     /// Tells it to drain and end.
     pub fn terminate(&mut self) {
-        self.told_to_end = true;
+        self.stop_requested = true;
         self.signal("TERM");
     }
 
     /// How its process ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status)
     }
 
     /// Waits for its end.
-    pub fn wait_until_ended(&mut self) -> Option<ExitStatus> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return Some(status);
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -243,7 +243,7 @@
 
     /// Whether it ended although nobody told it to.
     pub fn has_crashed(&mut self) -> bool {
-        self.child.is_some() && self.ended().is_some() && !self.told_to_end
+        self.child.is_some() && self.exit_status().is_some() && !self.stop_requested
     }
 
     pub fn log(&self) -> String {
@@ -257,24 +257,24 @@
         let Some(last) = new.rfind('\n') else { return };
         for line in new[..last].lines() {
             let what = serde_json::from_str(line).unwrap_or_else(|_| json!({"msg": line}));
-            let at = what["ts"].as_str().and_then(unix_us).unwrap_or_else(crate::history::now);
-            self.history.add(Event { at, who: self.name.clone(), kind: "log", what });
+            let at = what["ts"].as_str().and_then(unix_us).unwrap_or_else(crate::history::now_us);
+            self.history.add(Event { at_us: at, source: self.name.clone(), kind: "log", details: what });
         }
         self.read += last as u64 + 1;
     }
 
     /// Time that its process has had a core, in microseconds, where the system counts that.
-    pub fn cpu_us(&self) -> Option<u64> {
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.id()?)).ok()?;
+    pub fn cpu_time_us(&self) -> Option<u64> {
+        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok().map(|ns| ns / 1_000)
     }
 
     /// Asks it about its fleet with the product's own command.
-    pub fn ask(&self, about: &[&str]) -> Result<Value, String> {
+    pub fn fleet_command(&self, about: &[&str]) -> Result<Value, String> {
         let (first, rest) = about.split_first().map_or((&"members", &[][..]), |parts| parts);
         let mut command = Command::new(&self.program);
-        command.arg("fleet").arg(first).arg("--json").arg("--operator").arg(self.operator_file());
-        command.arg("--at").arg(self.fleet.to_string()).args(rest);
+        command.arg("fleet").arg(first).arg("--json").arg("--operator").arg(self.operator_config_path());
+        command.arg("--at").arg(self.fleet_address.to_string()).args(rest);
         let output = command.output().map_err(|e| e.to_string())?;
         if !output.status.success() {
             return Err(String::from_utf8_lossy(&output.stderr).into_owned());
@@ -285,33 +285,33 @@
     }
 
     /// Where its copy of the record is.
-    pub fn record_folder(&self) -> PathBuf {
+    pub fn store_folder(&self) -> PathBuf {
         self.folder.join("record")
     }
 
     /// Its disk is gone. The process has ended before.
     pub fn lose_disk(&self) {
-        self.history.note(&self.name, "fault", json!({"disk": "lost"}));
-        let _ = std::fs::remove_dir_all(self.record_folder());
+        self.history.record(&self.name, "fault", json!({"disk": "lost"}));
+        let _ = std::fs::remove_dir_all(self.store_folder());
     }
 
     /// The file of its copy, as it is now.
     pub fn disk_image(&self) -> std::io::Result<Vec<u8>> {
-        std::fs::read(self.record_folder().join("rows.redb"))
+        std::fs::read(self.store_folder().join("rows.redb"))
     }
 
     /// Puts the file of its copy back as it was, or with other bytes. The process has ended before.
-    pub fn put_disk(&self, image: &[u8]) -> std::io::Result<()> {
-        self.history.note(&self.name, "fault", json!({"disk": "put back"}));
-        std::fs::write(self.record_folder().join("rows.redb"), image)
+    pub fn restore_disk(&self, image: &[u8]) -> std::io::Result<()> {
+        self.history.record(&self.name, "fault", json!({"disk": "put back"}));
+        std::fs::write(self.store_folder().join("rows.redb"), image)
     }
 
     /// Turns a bit over every so many bytes of the file of its copy, whether a process has it open or not.
-    pub fn flip_disk(&self, from: u64, every: u64) -> std::io::Result<()> {
+    pub fn corrupt_disk(&self, from: u64, every: u64) -> std::io::Result<()> {
         use std::os::unix::fs::FileExt;
-        self.history.note(&self.name, "fault", json!({"disk": "bits turned over"}));
+        self.history.record(&self.name, "fault", json!({"disk": "bits turned over"}));
         let file =
-            std::fs::File::options().read(true).write(true).open(self.record_folder().join("rows.redb"))?;
+            std::fs::File::options().read(true).write(true).open(self.store_folder().join("rows.redb"))?;
         let (mut at, end) = (from, file.metadata()?.len());
         while at < end {
             let mut byte = [0];
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -6,15 +6,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use umberloom_protocol_fakes::farm::Over;
+use umberloom_protocol_fakes::farm::CompletionNotifier;
 use umberloom_protocol_fakes::{Balancer, Request};
 
-use crate::history::{lock, now};
-use crate::server::{BUDGETS_MS, PATIENCE};
+use crate::history::{lock, now_us};
+use crate::server::{CLASS_BUDGETS_MS, WAIT_TIMEOUT};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Outcome {
     Served,
     Refused,
     Failed,
@@ -28,20 +28,20 @@
 
 /// One request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequestOutcome {
     /// The server, by its place.
     pub server: usize,
     /// When it was sent, in Unix microseconds, and how long it took.
-    pub at: u64,
+    pub at_us: u64,
     pub took: Duration,
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 struct Inside {
     over: AtomicBool,
     /// Wait between two requests of one caller, in microseconds, by server.
     gaps: Vec<AtomicU64>,
-    asked: Mutex<Vec<Asked>>,
+    asked: Mutex<Vec<RequestOutcome>>,
     next: AtomicU64,
 }
 
@@ -53,7 +53,7 @@
 
 impl Traffic {
     /// So many callers for each of these servers, with a pause between their requests.
-    pub fn start(servers: &[(SocketAddr, Over)], callers: usize, gap: Duration) -> Traffic {
+    pub fn start(servers: &[(SocketAddr, CompletionNotifier)], callers: usize, gap: Duration) -> Traffic {
         let gaps = servers.iter().map(|_| AtomicU64::new(gap.as_micros() as u64)).collect();
         let inside = Arc::new(Inside {
             over: AtomicBool::new(false),
@@ -77,19 +77,19 @@
     }
 
     /// Every request so far that is over.
-    pub fn asked(&self) -> Vec<Asked> {
+    pub fn outcomes(&self) -> Vec<RequestOutcome> {
         lock(&self.inside.asked).clone()
     }
 
     /// Requests so far that ended so at a server.
-    pub fn count(&self, server: usize, end: End) -> usize {
-        lock(&self.inside.asked).iter().filter(|a| a.server == server && a.end == end).count()
+    pub fn count(&self, server: usize, end: Outcome) -> usize {
+        lock(&self.inside.asked).iter().filter(|a| a.server == server && a.outcome == end).count()
     }
 
     /// Asks no more, and waits for what is open.
-    pub fn finish(mut self) -> Vec<Asked> {
+    pub fn finish(mut self) -> Vec<RequestOutcome> {
         self.end();
-        self.asked()
+        self.outcomes()
     }
 
     fn end(&mut self) {
@@ -105,7 +105,7 @@
 }
 
 impl Inside {
-    fn call(&self, server: usize, listen: SocketAddr, over: &Over) {
+    fn call(&self, server: usize, listen: SocketAddr, over: &CompletionNotifier) {
         let mut line: Option<Balancer> = None;
         while !self.over.load(Ordering::SeqCst) {
             self.pause(server);
@@ -128,37 +128,37 @@
     }
 
     /// One request; the connection, if it can carry another.
-    fn ask(&self, server: usize, mut balancer: Balancer, over: &Over) -> Option<Balancer> {
+    fn ask(&self, server: usize, mut balancer: Balancer, over: &CompletionNotifier) -> Option<Balancer> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let id = format!("{server}-{number}");
-        let (class, budget) = BUDGETS_MS[(number % 2) as usize];
+        let (class, budget) = CLASS_BUDGETS_MS[(number % 2) as usize];
         let path = format!("/svc/{class}");
         let slot = (number % 60_000) as u16 + 1;
         let request = Request::new(slot, &id)
             .with("SCRIPT_NAME", &path)
             .with("HTTP_BUDGET_MS", &budget.to_string())
             .with("HTTP_PRIORITY_RANK", &format!("{:.4}", (number % 97) as f64 / 97.0));
-        let (at, start) = (now(), Instant::now());
+        let (at, start) = (now_us(), Instant::now());
         let sent = std::io::Write::write_all(&mut balancer.stream, &request.bytes()).is_ok();
         let answer = if sent { balancer.try_answer() } else { None };
-        over.tell(&id);
+        over.notify(&id);
         let took = start.elapsed();
         let end = match &answer {
-            Some(answer) if answer.slot != slot => End::Extra,
-            Some(answer) if answer.protocol_status != 0 || answer.status == 503 => End::Refused,
-            Some(answer) if answer.status == 200 => End::Served,
-            Some(_) => End::Failed,
-            None if took >= PATIENCE => End::Lost,
-            None => End::Broken,
+            Some(answer) if answer.slot != slot => Outcome::Extra,
+            Some(answer) if answer.protocol_status != 0 || answer.status == 503 => Outcome::Refused,
+            Some(answer) if answer.status == 200 => Outcome::Served,
+            Some(_) => Outcome::Failed,
+            None if took >= WAIT_TIMEOUT => Outcome::Lost,
+            None => Outcome::Broken,
         };
-        lock(&self.asked).push(Asked { server, at, took, end });
+        lock(&self.asked).push(RequestOutcome { server, at_us: at, took, outcome: end });
         answer.filter(|answer| answer.slot == slot && answer.protocol_status == 0).map(|_| balancer)
     }
 }
 
 fn connect(listen: SocketAddr) -> Option<Balancer> {
     let stream = TcpStream::connect(listen).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Balancer::tolerant(stream))
 }
--- a/crates/fault-harness/src/virtual_fleet.rs
+++ b/crates/fault-harness/src/virtual_fleet.rs
@@ -17,7 +17,7 @@
     /// Of streams and datagrams: a bit is turned over.
     pub damage: f64,
     /// Datagrams are late by up to this.
-    pub late: Micros,
+    pub max_delay: Micros,
     /// Streams carry nothing.
     pub no_streams: bool,
 }
@@ -41,13 +41,13 @@
     /// Stopped until then.
     stopped: Vec<Micros>,
     /// Directions that carry nothing.
-    pub cut: std::collections::BTreeSet<(usize, usize)>,
+    pub cut_links: std::collections::BTreeSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     due: BTreeMap<u64, Due>,
     next: u64,
     random: ChaCha8Rng,
     /// Lines that members said, with their times and places.
-    pub told: Vec<(Micros, usize, Event)>,
+    pub events: Vec<(Micros, usize, Event)>,
     pub bytes: u64,
     pub messages: u64,
     adjust: fn(&mut Config),
@@ -68,12 +68,12 @@
             places,
             rates,
             stopped: vec![0; count],
-            cut: Default::default(),
+            cut_links: Default::default(),
             queue: BinaryHeap::new(),
             due: BTreeMap::new(),
             next: 0,
             random,
-            told: Vec::new(),
+            events: Vec::new(),
             bytes: 0,
             messages: 0,
             adjust,
@@ -90,11 +90,11 @@
     pub fn start(&mut self, n: usize) {
         // The start by the Unix clock, which is the same for all but for some skew.
         let boot = 1_700_000_000_000_000 + self.now + self.random.random_range(0..1_000);
-        self.start_at(n, boot);
+        self.start_with_boot_id(n, boot);
     }
 
     /// The same with a Unix clock that shows this.
-    pub fn start_at(&mut self, n: usize, boot: u64) {
+    pub fn start_with_boot_id(&mut self, n: usize, boot: u64) {
         let others: Vec<&str> =
             self.names.iter().enumerate().filter(|(o, _)| *o != n).map(|(_, s)| s.as_str()).collect();
         let mut config = Config::new("virtual", &self.names[n], &others);
@@ -120,7 +120,7 @@
     }
 
     /// Goes on until then.
-    pub fn run(&mut self, until: Micros) -> Result<(), String> {
+    pub fn run_until(&mut self, until: Micros) -> Result<(), String> {
         while let Some(Reverse((at, number))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= until)
         {
@@ -159,7 +159,7 @@
             member.check_invariants().map_err(|why| format!("m{n} at {}: {why}", self.now))?;
         }
         let (actions, told, next) = (member.take_actions(), member.take_events(), member.next_timeout());
-        self.told.extend(told.into_iter().map(|line| (self.now, n, line)));
+        self.events.extend(told.into_iter().map(|line| (self.now, n, line)));
         for action in actions {
             let to = match &action {
                 Action::Datagram { to, .. } | Action::Stream { to, .. } | Action::Bulk { to, .. } => {
@@ -185,11 +185,11 @@
     }
 
     fn carry(&mut self, from: usize, to: usize, mut bytes: Vec<u8>, datagram: bool) {
-        let Network { loss, double, damage, late, no_streams } = self.network;
+        let Network { loss, double, damage, max_delay: late, no_streams } = self.network;
         self.messages += 1;
         self.bytes += bytes.len() as u64;
         let lost = if datagram { self.random.random_bool(loss) } else { no_streams };
-        if self.cut.contains(&(from, to)) || lost {
+        if self.cut_links.contains(&(from, to)) || lost {
             return;
         }
         if self.random.random_bool(damage) {
@@ -204,37 +204,37 @@
     }
 
     /// Members that run.
-    pub fn living(&self) -> impl Iterator<Item = (usize, &Membership)> {
+    pub fn running_members(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.members.iter().enumerate().filter_map(|(n, member)| Some((n, member.as_ref()?)))
     }
 
     /// Whether all living members hold the same view, and how many stand whole.
-    pub fn agree(&self) -> (bool, usize) {
+    pub fn view_agreement(&self) -> (bool, usize) {
         let views: std::collections::BTreeSet<u64> =
-            self.living().map(|(_, member)| member.view_digest()).collect();
+            self.running_members().map(|(_, member)| member.view_digest()).collect();
         (
             views.len() <= 1,
-            self.living().filter(|(_, m)| m.partition_status() == PartitionStatus::Whole).count(),
+            self.running_members().filter(|(_, m)| m.partition_status() == PartitionStatus::Whole).count(),
         )
     }
 
     /// Goes on in steps until all living members hold the same view; how long that took, if it came.
-    pub fn until_agreed(&mut self, most: Micros) -> Result<Option<Micros>, String> {
+    pub fn run_until_views_agree(&mut self, most: Micros) -> Result<Option<Micros>, String> {
         let start = self.now;
         while self.now < start + most {
-            if self.agree().0 {
+            if self.view_agreement().0 {
                 return Ok(Some(self.now - start));
             }
-            self.run(self.now + 20_000)?;
+            self.run_until(self.now + 20_000)?;
         }
         Ok(None)
     }
 
     /// When each living member began to hold this one for failed, from `since` on.
-    pub fn failed_at(&self, name: usize, since: Micros) -> Vec<Micros> {
+    pub fn failure_detection_times(&self, name: usize, since: Micros) -> Vec<Micros> {
         let name = &self.names[name];
         let mut first: BTreeMap<usize, Micros> = BTreeMap::new();
-        for (at, n, line) in &self.told {
+        for (at, n, line) in &self.events {
             if let Event::MemberStateChanged { name: about, to: MemberState::Failed, .. } = line {
                 if **about == **name && *at >= since {
                     first.entry(*n).or_insert(*at);
@@ -245,12 +245,12 @@
     }
 
     /// Times that a member was held for suspected, and for failed, since then.
-    pub fn accusations(&self, since: Micros) -> (usize, usize) {
+    pub fn suspicion_counts(&self, since: Micros) -> (usize, usize) {
         let count = |wanted: MemberState| {
             let fits = |(at, _, line): &&(Micros, usize, Event)| {
                 *at >= since && matches!(line, Event::MemberStateChanged { to, .. } if *to == wanted)
             };
-            self.told.iter().filter(fits).count()
+            self.events.iter().filter(fits).count()
         };
         (count(MemberState::Suspected), count(MemberState::Failed))
     }
--- a/crates/fault-harness/src/virtual_record.rs
+++ b/crates/fault-harness/src/virtual_replicated_store.rs
@@ -51,34 +51,34 @@
 }
 
 /// All of it.
-pub struct VirtualRecord {
+pub struct VirtualReplicatedStore {
     pub now: Micros,
     places: Vec<Place>,
     names: Vec<MemberName>,
     adjust: fn(&mut Config),
     /// Directions that carry nothing.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     /// The share of messages that is lost, and how late they come at most.
     pub loss: f64,
-    pub late: Micros,
+    pub max_delay: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     due: BTreeMap<u64, Due>,
     next: u64,
     random: ChaCha8Rng,
-    pub told: Vec<(Micros, usize, Event)>,
+    pub events: Vec<(Micros, usize, Event)>,
     /// What clients asked for and were told, for the checker.
     pub operations: Vec<Operation>,
     asked: Vec<Asked>,
     next_id: u128,
     pub bytes: u64,
     /// How often a copy was set aside, and why.
-    pub aside: Vec<(usize, String)>,
+    pub quarantined: Vec<(usize, String)>,
     leaders: BTreeMap<(StoreId, u64), usize>,
 }
 
-impl VirtualRecord {
+impl VirtualReplicatedStore {
     /// So many servers, each with a disk.
-    pub fn new(count: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
+    pub fn new(count: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualReplicatedStore {
         let names: Vec<MemberName> = (0..count).map(|n| MemberName::from(format!("m{n}"))).collect();
         let place = |n: usize| Place {
             record: None,
@@ -88,24 +88,24 @@
             stopped: 0,
             sync: 2 * MS,
         };
-        let mut all = VirtualRecord {
+        let mut all = VirtualReplicatedStore {
             now: 0,
             places: (0..count).map(place).collect(),
             names,
             adjust,
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss: 0.0,
-            late: 2 * MS,
+            max_delay: 2 * MS,
             queue: BinaryHeap::new(),
             due: BTreeMap::new(),
             next: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            told: Vec::new(),
+            events: Vec::new(),
             operations: Vec::new(),
             asked: Vec::new(),
             next_id: 1,
             bytes: 0,
-            aside: Vec::new(),
+            quarantined: Vec::new(),
             leaders: BTreeMap::new(),
         };
         (0..count).for_each(|n| all.start(n));
@@ -131,7 +131,7 @@
         let told = StoreConfig { max_bytes: 64 << 20, ..StoreConfig::new("record") };
         let mut store = Store::open(&place.disk, &told);
         if store.as_ref().is_err_and(umberloom_store::StoreError::is_damage) {
-            self.aside.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
+            self.quarantined.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
             let _ = Store::quarantine(&place.disk, &told);
             store = Store::open(&place.disk, &told);
         }
@@ -162,12 +162,12 @@
     }
 
     /// How its disk is now, to be put back later.
-    pub fn image(&self, n: usize) -> BTreeMap<std::path::PathBuf, Vec<u8>> {
+    pub fn disk_image(&self, n: usize) -> BTreeMap<std::path::PathBuf, Vec<u8>> {
         self.places[n].disk.image()
     }
 
     /// Its disk is what it was; the process has ended before.
-    pub fn put_back(&mut self, n: usize, image: BTreeMap<std::path::PathBuf, Vec<u8>>) {
+    pub fn restore_disk(&mut self, n: usize, image: BTreeMap<std::path::PathBuf, Vec<u8>>) {
         self.kill(n, false);
         self.places[n].disk.restore(image);
     }
@@ -177,11 +177,11 @@
         self.places[n].stopped = self.now + span;
     }
 
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.places[n].record.is_some()
     }
 
-    pub fn record(&self, n: usize) -> Option<&Replica> {
+    pub fn replica(&self, n: usize) -> Option<&Replica> {
         self.places[n].record.as_ref()
     }
 
@@ -194,18 +194,18 @@
     }
 
     /// Turns a bit of a copy's state over.
-    pub fn spoil(&mut self, n: usize, bit: u8) {
+    pub fn corrupt_state(&mut self, n: usize, bit: u8) {
         if let Some(record) = &mut self.places[n].record {
             record.corrupt(bit);
         }
     }
 
     fn open(&self, from: usize, to: usize) -> bool {
-        !self.cut.contains(&(from, to)) && self.places[to].record.is_some()
+        !self.cut_links.contains(&(from, to)) && self.places[to].record.is_some()
     }
 
     /// Goes on until then; an error is something that must never be.
-    pub fn run(&mut self, until: Micros) -> Result<(), String> {
+    pub fn run_until(&mut self, until: Micros) -> Result<(), String> {
         while let Some(Reverse((at, number))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= until)
         {
@@ -228,17 +228,17 @@
     }
 
     /// Goes on for so many events.
-    pub fn events(&mut self, count: usize) -> Result<(), String> {
+    pub fn run_events(&mut self, count: usize) -> Result<(), String> {
         for _ in 0..count {
             let Some(Reverse((at, _))) = self.queue.peek().copied() else { break };
             // All that is due at this very time is one event.
-            self.run(at)?;
+            self.run_until(at)?;
         }
         Ok(())
     }
 
     /// Its disk says that it has synced, and has not, from now on.
-    pub fn lie(&mut self, n: usize) {
+    pub fn ignore_syncs(&mut self, n: usize) {
         self.places[n].disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
     }
 
@@ -284,17 +284,17 @@
         let Some(record) = &mut self.places[n].record else { return };
         let (actions, told, reads) =
             (record.take_actions(), record.take_events(), record.take_finished_reads());
-        self.told.extend(told.into_iter().map(|line| (now, n, line)));
+        self.events.extend(told.into_iter().map(|line| (now, n, line)));
         let mut aside = None;
         for action in actions {
             match action {
                 Action::Send { to, bytes, .. } => {
                     let to = self.names.iter().position(|name| *name == to).unwrap_or(n);
                     self.bytes += bytes.len() as u64;
-                    if self.cut.contains(&(n, to)) || self.random.random_bool(self.loss) {
+                    if self.cut_links.contains(&(n, to)) || self.random.random_bool(self.loss) {
                         continue;
                     }
-                    let at = now + 300 + self.random.random_range(0..=self.late);
+                    let at = now + 300 + self.random.random_range(0..=self.max_delay);
                     let boot = self.places[n].boot;
                     self.plan(at, Due::Mail { from: n, boot, to, bytes });
                 }
@@ -304,7 +304,7 @@
         }
         self.finish(n, &reads);
         if let Some(why) = aside {
-            self.aside.push((n, why));
+            self.quarantined.push((n, why));
             let place = &mut self.places[n];
             (place.record, place.store) = (None, None);
             let _ = Store::quarantine(&place.disk, &StoreConfig::new("record"));
@@ -338,7 +338,7 @@
             let until = now + 5_000 * MS;
             self.asked.push(Asked { at: n, boot, operation, what: Ask::Write(id), until });
         } else {
-            self.operations[operation].refused(now);
+            self.operations[operation].reject(now);
         }
         self.carry_out(n);
     }
@@ -382,23 +382,25 @@
             }
             match &asked.what {
                 Ask::Write(id) => match record.outcome(*id) {
-                    Some(Outcome::Applied(version)) => operations[asked.operation].done(now, version, *id),
-                    Some(_) => operations[asked.operation].refused(now),
+                    Some(Outcome::Applied(version)) => {
+                        operations[asked.operation].complete(now, version, *id);
+                    }
+                    Some(_) => operations[asked.operation].reject(now),
                     None => return true,
                 },
                 Ask::Read(ticket) => match reads.iter().find(|(done, _)| done == ticket) {
                     Some((_, ReadOutcome::Ready)) => {
-                        let name = operations[asked.operation].name.clone();
+                        let name = operations[asked.operation].register.clone();
                         let held = record.state().get(&name);
                         let value =
                             held.and_then(|h| h.bytes.as_deref()?.try_into().ok()).map(u128::from_le_bytes);
-                        operations[asked.operation].done(
+                        operations[asked.operation].complete(
                             now,
                             held.map_or(0, |h| h.version),
                             value.unwrap_or(0),
                         );
                     }
-                    Some(_) => operations[asked.operation].refused(now),
+                    Some(_) => operations[asked.operation].reject(now),
                     None => return true,
                 },
             }
@@ -417,13 +419,17 @@
     }
 
     /// Goes on until something holds; how long that took.
-    pub fn until(&mut self, most: Micros, holds: impl Fn(&VirtualRecord) -> bool) -> Result<Micros, String> {
+    pub fn run_until_condition(
+        &mut self,
+        most: Micros,
+        holds: impl Fn(&VirtualReplicatedStore) -> bool,
+    ) -> Result<Micros, String> {
         let start = self.now;
         while self.now < start + most {
             if holds(self) {
                 return Ok(self.now - start);
             }
-            self.run(self.now + 10 * MS)?;
+            self.run_until(self.now + 10 * MS)?;
         }
         let stand = |n: usize| {
             let Some(record) = self.places[n].record.as_ref() else { return format!("m{n} is down") };
@@ -438,13 +444,13 @@
             )
         };
         let all: Vec<_> = (0..self.places.len()).map(stand).collect();
-        Err(format!("not within {} ms, set aside {:?}\n{}", most / MS, self.aside, all.join("\n")))
+        Err(format!("not within {} ms, set aside {:?}\n{}", most / MS, self.quarantined, all.join("\n")))
     }
 
     /// Every server that runs is in the record, so many vote, and all have applied the same.
-    pub fn settled(&self, voters: usize) -> bool {
+    pub fn is_converged(&self, voters: usize) -> bool {
         let records: Vec<&Replica> = self.places.iter().filter_map(|place| place.record.as_ref()).collect();
-        let Some(leader) = self.leader().and_then(|n| self.record(n)) else { return false };
+        let Some(leader) = self.leader().and_then(|n| self.replica(n)) else { return false };
         let stands = leader.status(self.now);
         let votes = stands.replicas.iter().filter(|c| c.is_voter).count();
         let same = |r: &&Replica| {
--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use umberloom_dependencies::aggregation::AggregateResponse;
-use umberloom_protocol_fakes::farm::Over;
+use umberloom_protocol_fakes::farm::CompletionNotifier;
 use umberloom_protocol_fakes::{Balancer, Request};
 
 use crate::site::BUDGETS_MS;
@@ -70,7 +70,7 @@
     /// Requests whose connection ended before their answer.
     crossed: Arc<Mutex<Vec<usize>>>,
     listen: SocketAddr,
-    over: Over,
+    over: CompletionNotifier,
     /// The most that sending ever lagged behind.
     pub behind: Duration,
 }
@@ -81,7 +81,7 @@
 
 impl Callers {
     /// Connects to the server.
-    pub fn start(listen: SocketAddr, over: Over) -> Result<Callers, String> {
+    pub fn start(listen: SocketAddr, over: CompletionNotifier) -> Result<Callers, String> {
         let (all, crossed) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
         let mut callers = Callers {
             start: Instant::now(),
@@ -113,7 +113,7 @@
                 let end = end_of(answer.status, answer.protocol_status, &answer.body);
                 let sent: &mut Sent = &mut lock(&all)[number];
                 (sent.ended, sent.end) = (Some(start.elapsed()), end);
-                farm.tell(&name(number, sent.again));
+                farm.notify(&name(number, sent.again));
             }
             let mut left = lock(&its_open);
             its_over.store(true, Ordering::SeqCst);
--- a/crates/loadtest/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -40,21 +40,24 @@
         Phase { name: "ramp, all well", change: |_| {} },
         Phase {
             name: "equipment hangs",
-            change: |s| s.equipment.iter().for_each(|d| d.behave(Behaviour::Hang)),
+            change: |s| s.equipment.iter().for_each(|d| d.set_behaviour(Behaviour::Hang)),
         },
-        Phase { name: "notes down", change: |s| s.notes.behave(Behaviour::Down) },
+        Phase { name: "notes down", change: |s| s.notes.set_behaviour(Behaviour::Down) },
         Phase {
             name: "one billing endpoint fails fast",
-            change: |s| s.billing[0].behave(Behaviour::failing()),
+            change: |s| s.billing[0].set_behaviour(Behaviour::failing()),
         },
         Phase {
             name: "equipment slow, notes fail",
             change: |s| {
-                s.equipment.iter().for_each(|d| d.behave(slow()));
-                s.notes.behave(Behaviour::failing());
+                s.equipment.iter().for_each(|d| d.set_behaviour(slow()));
+                s.notes.set_behaviour(Behaviour::failing());
             },
         },
-        Phase { name: "billing down", change: |s| s.billing.iter().for_each(|d| d.behave(Behaviour::Down)) },
+        Phase {
+            name: "billing down",
+            change: |s| s.billing.iter().for_each(|d| d.set_behaviour(Behaviour::Down)),
+        },
         Phase { name: "all come back", change: |_| {} },
         Phase { name: "all well", change: |_| {} },
     ]
@@ -82,7 +85,7 @@
     let site = Site::start(&server, options.plain, options.log.as_deref())?;
     let phases = phases();
     let each = Duration::from_secs(options.seconds) / phases.len() as u32;
-    let mut callers = Callers::start(site.listen, site.farm.over())?;
+    let mut callers = Callers::start(site.listen, site.farm.completion_notifier())?;
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let bar = ProgressBar::new(options.seconds * 1_000);
     let style =
--- a/crates/loadtest/src/fleet.rs
+++ b/crates/loadtest/src/fleet.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use comfy_table::{presets, Table};
-use umberloom_fault_harness::script::{Script, KINDS};
-use umberloom_fault_harness::traffic::{Asked, End, Traffic};
+use umberloom_fault_harness::script::{Script, FAULT_KINDS};
+use umberloom_fault_harness::traffic::{Outcome, RequestOutcome, Traffic};
 use umberloom_fault_harness::{Fleet, Options as Rig};
-use umberloom_protocol_fakes::dependency::{most_in_use, Span};
+use umberloom_protocol_fakes::dependency::{peak_concurrency, CallInterval};
 
 use crate::fleet_chart::{self, Sample};
 
@@ -35,14 +35,15 @@
 
 fn kinds(text: &str) -> Result<Vec<&str>, String> {
     let all: Vec<&str> = match text {
-        "all" => KINDS.to_vec(),
+        "all" => FAULT_KINDS.to_vec(),
         "none" => Vec::new(),
         text => text.split(',').collect(),
     };
-    match all.iter().find(|kind| !KINDS.contains(kind)) {
-        Some(kind) => {
-            Err(format!("found the kind {kind:?}, expected some of {}, \"all\" or \"none\"", KINDS.join(",")))
-        }
+    match all.iter().find(|kind| !FAULT_KINDS.contains(kind)) {
+        Some(kind) => Err(format!(
+            "found the kind {kind:?}, expected some of {}, \"all\" or \"none\"",
+            FAULT_KINDS.join(",")
+        )),
         None => Ok(all),
     }
 }
@@ -55,7 +56,7 @@
     let kinds = kinds(&options.faults)?;
     Ok(match kinds.is_empty() {
         true => Script::default(),
-        false => Script::draw(options.seed, options.servers, options.seconds, &kinds),
+        false => Script::generate(options.seed, options.servers, options.seconds, &kinds),
     })
 }
 
@@ -90,10 +91,10 @@
     let script = script(options)?;
     let mut rig = Rig::new(&server, options.servers);
     rig.seed = options.seed;
-    rig.takes_ms = 40.0;
-    rig.whole = 4 * options.servers as u32;
-    let mut fleet = Fleet::whole(rig)?;
-    fleet.ask(CALLERS, Duration::from_millis(400));
+    rig.service_time_ms = 40.0;
+    rig.capacity = 4 * options.servers as u32;
+    let mut fleet = Fleet::start_converged(rig)?;
+    fleet.start_traffic(CALLERS, Duration::from_millis(400));
     let mut lines: Vec<Vec<Sample>> = vec![Vec::new(); options.servers];
     let mut looks = 0;
     let (span, start) = (Duration::from_secs(options.seconds), std::time::Instant::now());
@@ -106,10 +107,10 @@
             line.push(sample(fleet, n, at));
         }
     });
-    let settled = fleet.until_all("whole").err();
+    let settled = fleet.wait_for_partition_status_everywhere("whole").err();
     let asked = fleet.traffic.take().map(Traffic::finish).unwrap_or_default();
-    let spans = fleet.spans();
-    let mut breaches = fleet.verdict(&asked);
+    let spans = fleet.call_intervals();
+    let mut breaches = fleet.check_invariants(&asked);
     breaches.extend(settled.map(|why| why.lines().next().unwrap_or_default().to_owned()));
     print(&fleet, &lines, &asked, &spans);
     if !script.0.is_empty() {
@@ -131,17 +132,17 @@
     }
 }
 
-fn print(fleet: &Fleet, lines: &[Vec<Sample>], asked: &[Asked], spans: &[Span]) {
+fn print(fleet: &Fleet, lines: &[Vec<Sample>], asked: &[RequestOutcome], spans: &[CallInterval]) {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
     table.set_header([
         "server", "standing", "sees", "served", "refused", "failed", "broken", "p99 ms", "part", "borrowed",
     ]);
     for (n, line) in lines.iter().enumerate() {
-        let count = |end| asked.iter().filter(|a| a.server == n && a.end == end).count().to_string();
+        let count = |end| asked.iter().filter(|a| a.server == n && a.outcome == end).count().to_string();
         let mut took: Vec<u128> = asked
             .iter()
-            .filter(|a| a.server == n && a.end == End::Served)
+            .filter(|a| a.server == n && a.outcome == Outcome::Served)
             .map(|a| a.took.as_millis())
             .collect();
         took.sort_unstable();
@@ -152,10 +153,10 @@
             fleet.servers[n].name.clone(),
             line.iter().map(|s| s.standing).collect(),
             last.map_or(0, |s| s.there).to_string(),
-            count(End::Served),
-            count(End::Refused),
-            count(End::Failed),
-            count(End::Broken),
+            count(Outcome::Served),
+            count(Outcome::Refused),
+            count(Outcome::Failed),
+            count(Outcome::Broken),
             p99,
             last.map_or(0, |s| s.part).to_string(),
             format!("up to {borrowed}"),
@@ -166,10 +167,10 @@
         "one letter each {} ms: W whole, M majority, m minority, a alone, ? unsure, z stopped, - not running",
         LOOK.as_millis()
     );
-    let (most, _) = most_in_use(spans);
+    let (most, _) = peak_concurrency(spans);
     println!(
         "{} calls to the shared dependency, {most} at once at most, it survives {}",
         spans.len(),
-        fleet.options.whole
+        fleet.options.capacity
     );
 }
--- a/crates/loadtest/src/fleet_chart.rs
+++ b/crates/loadtest/src/fleet_chart.rs
@@ -5,7 +5,7 @@
 
 use plotters::prelude::*;
 use umberloom_fault_harness::Options;
-use umberloom_protocol_fakes::dependency::Span;
+use umberloom_protocol_fakes::dependency::CallInterval;
 
 /// What one server reported of itself at one moment.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     path: &Path,
     options: &Options,
     lines: &[Vec<Sample>],
-    spans: &[Span],
+    spans: &[CallInterval],
     start: Instant,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let end = lines.iter().flatten().map(|s| s.at).max().unwrap_or(1) as f64 / 1_000.0 + 0.5;
@@ -74,10 +74,10 @@
         });
         chart.draw_series(boxes)?;
     }
-    let most = f64::from(options.whole) * 1.15;
+    let most = f64::from(options.capacity) * 1.15;
     let mut chart = ChartBuilder::on(&lower)
         .caption(
-            format!("calls in use at the shared dependency, which survives {}", options.whole),
+            format!("calls in use at the shared dependency, which survives {}", options.capacity),
             ("sans-serif", 13),
         )
         .margin(6)
@@ -87,7 +87,7 @@
     chart.configure_mesh().x_desc("seconds").draw()?;
     let since = |at: Instant| at.saturating_duration_since(start).as_secs_f64();
     let mut ends: Vec<(f64, i64)> =
-        spans.iter().flat_map(|span| [(since(span.from), 1), (since(span.until()), -1)]).collect();
+        spans.iter().flat_map(|span| [(since(span.started_at), 1), (since(span.end()), -1)]).collect();
     ends.sort_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
     let (mut now, mut points) = (0, Vec::new());
     for (at, change) in ends {
@@ -96,7 +96,7 @@
         points.push((at, now as f64));
     }
     chart.draw_series(LineSeries::new(points, &BLUE))?;
-    let whole = f64::from(options.whole);
+    let whole = f64::from(options.capacity);
     chart.draw_series(LineSeries::new([(0.0, whole), (end, whole)], &RED))?;
     area.present()?;
     Ok(())
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use umberloom_fault_harness::traffic::{End, Traffic};
+use umberloom_fault_harness::traffic::{Outcome, Traffic};
 use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
 use umberloom_fault_harness::{Fleet, Options as Rig};
 use umberloom_membership::Config;
@@ -72,23 +72,23 @@
     ]);
     for &share in shares {
         let mut fleet = Fleet::start(usual(server, servers))?;
-        fleet.until_all("whole")?;
-        let (last, from) = (servers - 1, umberloom_fault_harness::history::now());
+        fleet.wait_for_partition_status_everywhere("whole")?;
+        let (last, from) = (servers - 1, umberloom_fault_harness::history::now_us());
         let runs = Duration::from_millis(TURN_MS * share.min(100) as u64 / 100);
         let end = std::time::Instant::now() + Duration::from_secs(seconds);
         while std::time::Instant::now() < end {
-            fleet.servers[last].stop(true);
+            fleet.servers[last].set_stopped(true);
             std::thread::sleep(Duration::from_millis(TURN_MS) - runs);
-            fleet.servers[last].stop(false);
+            fleet.servers[last].set_stopped(false);
             std::thread::sleep(runs);
         }
-        let stands = fleet.standing(last);
+        let stands = fleet.partition_status(last);
         fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
         let name = fleet.servers[last].name.clone();
         let count = |by: &str, of_last: bool, to: &str| {
-            let said = fleet.history.said(by, "member state changed");
+            let said = fleet.history.log_lines(by, "member state changed");
             let fits = |e: &&umberloom_fault_harness::history::Event| {
-                e.at >= from && (e.what["name"] == name.as_str()) == of_last && e.what["to"] == to
+                e.at_us >= from && (e.details["name"] == name.as_str()) == of_last && e.details["to"] == to
             };
             said.iter().filter(fits).count()
         };
@@ -112,7 +112,7 @@
 fn usual(server: &std::path::Path, servers: usize) -> Rig {
     let mut rig = Rig::new(server, servers);
     rig.timing = "timing".to_owned();
-    rig.whole = 8 * servers as u32;
+    rig.capacity = 8 * servers as u32;
     rig
 }
 
@@ -127,30 +127,30 @@
     ]);
     for &count in counts {
         let mut fleet = Fleet::start(usual(server, count))?;
-        fleet.until_all("whole")?;
+        fleet.wait_for_partition_status_everywhere("whole")?;
         let (mut first, mut last) = (Vec::new(), Vec::new());
         for kill in 0..kills {
             let n = kill % count;
-            let at = umberloom_fault_harness::history::now();
+            let at = umberloom_fault_harness::history::now_us();
             fleet.servers[n].kill();
             let others: Vec<usize> = (0..count).filter(|other| *other != n).collect();
             for other in &others {
-                fleet.until_holds(*other, n, "failed")?;
+                fleet.wait_for_member_state(*other, n, "failed")?;
             }
             fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
             let name = fleet.servers[n].name.clone();
             let knew = others.iter().filter_map(|other| {
-                let said = fleet.history.said(&fleet.servers[*other].name, "member state changed");
+                let said = fleet.history.log_lines(&fleet.servers[*other].name, "member state changed");
                 let fits = |e: &&umberloom_fault_harness::history::Event| {
-                    e.at >= at && e.what["name"] == name.as_str() && e.what["to"] == "failed"
+                    e.at_us >= at && e.details["name"] == name.as_str() && e.details["to"] == "failed"
                 };
-                said.iter().find(fits).map(|e| (e.at - at) / 1_000)
+                said.iter().find(fits).map(|e| (e.at_us - at) / 1_000)
             });
             let knew: Vec<u64> = knew.collect();
             first.extend(knew.iter().min());
             last.extend(knew.iter().max());
             fleet.servers[n].start().map_err(|e| e.to_string())?;
-            fleet.until_all("whole")?;
+            fleet.wait_for_partition_status_everywhere("whole")?;
         }
         let most = last.iter().max().map_or("-".to_owned(), u64::to_string);
         out.add_row([
@@ -185,33 +185,33 @@
 /// Kills and restarts one member, then cuts the fleet in halves for ten seconds.
 fn kill_and_partition(count: usize, seed: u64) -> Result<KillAndPartition, String> {
     let mut fleet = VirtualFleet::new(count, seed, as_it_is);
-    fleet.run(30 * SECOND)?;
+    fleet.run_until(30 * SECOND)?;
     let (bytes_before, messages_before) = (fleet.bytes, fleet.messages);
-    fleet.run(40 * SECOND)?;
+    fleet.run_until(40 * SECOND)?;
     let per_member_second = |total: u64| total as f64 / 10.0 / count as f64;
     let bytes_per_s = per_member_second(fleet.bytes - bytes_before);
     let messages_per_s = per_member_second(fleet.messages - messages_before);
 
     let killed_at = fleet.now;
     fleet.kill(1);
-    fleet.run(killed_at + 30 * SECOND)?;
-    let times = fleet.failed_at(1, killed_at);
+    fleet.run_until(killed_at + 30 * SECOND)?;
+    let times = fleet.failure_detection_times(1, killed_at);
     if times.len() < count - 1 {
         return Err(format!("seed {seed}: {} of {} know of the kill after 30 s", times.len(), count - 1));
     }
     let detection_ms = times.iter().map(|time| (time - killed_at) / 1_000).collect();
 
     fleet.start(1);
-    fleet.run(fleet.now + 20 * SECOND)?;
+    fleet.run_until(fleet.now + 20 * SECOND)?;
     for a in 0..count / 2 {
         for b in count / 2..count {
-            fleet.cut.insert((a, b));
-            fleet.cut.insert((b, a));
+            fleet.cut_links.insert((a, b));
+            fleet.cut_links.insert((b, a));
         }
     }
-    fleet.run(fleet.now + 10 * SECOND)?;
-    fleet.cut.clear();
-    let agreed = fleet.until_agreed(60 * SECOND)?;
+    fleet.run_until(fleet.now + 10 * SECOND)?;
+    fleet.cut_links.clear();
+    let agreed = fleet.run_until_views_agree(60 * SECOND)?;
     let agreed = agreed.ok_or_else(|| format!("seed {seed}: views differ a minute after the cut"))?;
     Ok(KillAndPartition { detection_ms, agreement_ms: agreed / 1_000, bytes_per_s, messages_per_s })
 }
@@ -238,13 +238,13 @@
 /// One row of the table of losses: suspicions and failures of a fleet whose network loses this share of messages.
 fn loss_row(count: usize, loss: f64) -> Result<[String; 5], String> {
     let mut fleet = VirtualFleet::new(count, 99, as_it_is);
-    fleet.run(30 * SECOND)?;
+    fleet.run_until(30 * SECOND)?;
     fleet.network = Network { loss, ..Network::default() };
     let from = fleet.now;
-    fleet.run(from + 60 * SECOND)?;
+    fleet.run_until(from + 60 * SECOND)?;
     let hours = 60.0 / 3_600.0 * count as f64;
     // Each is told by everyone who hears of it: an accusation is counted once for each who holds it.
-    let (suspected, failed) = fleet.accusations(from);
+    let (suspected, failed) = fleet.suspicion_counts(from);
     let each = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
     Ok([
         count.to_string(),
@@ -282,20 +282,21 @@
         table(&["shared by", "served at the busy one", "not served", "calls at once, most", "survives"]);
     for (name, cut) in [("loans", false), ("a number in the file", true)] {
         let mut rig = Rig::new(server, 4);
-        (rig.whole, rig.takes_ms, rig.cut_parts) = (16, 60.0, cut);
-        let mut fleet = if cut { Fleet::start(rig)? } else { Fleet::whole(rig)? };
-        fleet.ask(24, Duration::from_secs(5));
+        (rig.capacity, rig.service_time_ms, rig.fixed_quota_shares) = (16, 60.0, cut);
+        let mut fleet = if cut { Fleet::start(rig)? } else { Fleet::start_converged(rig)? };
+        fleet.start_traffic(24, Duration::from_secs(5));
         fleet.traffic.iter().for_each(|traffic| traffic.set_gap(0, Duration::from_millis(1)));
         std::thread::sleep(Duration::from_secs(seconds));
         let asked = fleet.traffic.take().map(Traffic::finish).unwrap_or_default();
-        let busy =
-            |served: bool| asked.iter().filter(|a| a.server == 0 && (a.end == End::Served) == served).count();
+        let busy = |served: bool| {
+            asked.iter().filter(|a| a.server == 0 && (a.outcome == Outcome::Served) == served).count()
+        };
         out.add_row([
             name.to_owned(),
             busy(true).to_string(),
             busy(false).to_string(),
-            fleet.most_in_use().to_string(),
-            fleet.options.whole.to_string(),
+            fleet.peak_concurrency().to_string(),
+            fleet.options.capacity.to_string(),
         ]);
     }
     println!("{out}");
@@ -308,14 +309,14 @@
     for pair in 0..pairs {
         let one = |on: bool| -> Result<f64, String> {
             let mut rig = usual(server, 3);
-            rig.fleet = on;
-            let mut fleet = if on { Fleet::whole(rig)? } else { Fleet::start(rig)? };
-            fleet.ask(6, Duration::from_millis(4));
+            rig.fleet_enabled = on;
+            let mut fleet = if on { Fleet::start_converged(rig)? } else { Fleet::start(rig)? };
+            fleet.start_traffic(6, Duration::from_millis(4));
             std::thread::sleep(Duration::from_secs(2));
             let cpu = |fleet: &Fleet| -> u64 {
-                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_us).sum()
+                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_time_us).sum()
             };
-            let asked = |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |traffic| traffic.asked().len());
+            let asked = |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |traffic| traffic.outcomes().len());
             let before = (cpu(&fleet), asked(&fleet));
             std::thread::sleep(Duration::from_secs(seconds));
             Ok((cpu(&fleet) - before.0) as f64 / (asked(&fleet) - before.1).max(1) as f64)
@@ -347,14 +348,14 @@
     for &count in counts {
         for on in [false, true] {
             let mut rig = usual(server, count);
-            rig.fleet = on;
+            rig.fleet_enabled = on;
             let fleet = Fleet::start(rig)?;
             if on {
-                fleet.until_all("whole")?;
+                fleet.wait_for_partition_status_everywhere("whole")?;
             }
             std::thread::sleep(Duration::from_secs(3));
             let cpu = |fleet: &Fleet| -> u64 {
-                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_us).sum()
+                fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_time_us).sum()
             };
             let sent = |fleet: &Fleet| -> u64 {
                 let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b);
--- a/crates/loadtest/src/record_measures.rs
+++ b/crates/loadtest/src/record_measures.rs
@@ -15,10 +15,10 @@
 fn keeping(server: &Path, servers: usize, voters: usize, disk: bool) -> Result<Fleet, String> {
     let mut rig = Rig::new(server, servers);
     rig.timing = "timing".to_owned();
-    rig.record = Some(format!("voters={voters}"));
-    rig.disk = disk.then(|| "most-mb=256".to_owned());
+    rig.store_options = Some(format!("voters={voters}"));
+    rig.store_folder_options = disk.then(|| "most-mb=256".to_owned());
     let fleet = Fleet::start(rig)?;
-    fleet.until_kept(voters)?;
+    fleet.wait_for_replication(voters)?;
     Ok(fleet)
 }
 
@@ -37,7 +37,8 @@
     for (voters, disk) in [(3, false), (3, true), (5, false), (5, true)] {
         let fleet = keeping(server, voters, voters, disk)?;
         let leader = fleet.leader().ok_or("nobody leads")?;
-        let at = (fleet.servers[leader].operator_file(), fleet.servers[leader].fleet.to_string());
+        let at =
+            (fleet.servers[leader].operator_config_path(), fleet.servers[leader].fleet_address.to_string());
         let ask = |words: &[&str]| {
             let mut command = Command::new(server);
             command
@@ -93,30 +94,32 @@
         for _ in 0..times {
             let leader = fleet.leader().ok_or("nobody leads")?;
             let others: Vec<usize> = (0..5).filter(|n| *n != leader).collect();
-            let at = umberloom_fault_harness::history::now();
+            let at = umberloom_fault_harness::history::now_us();
             match what {
                 "killed" => fleet.servers[leader].kill(),
-                "stopped" => fleet.servers[leader].stop(true),
-                "cut off" => fleet.part(&[&[leader], &others]),
+                "stopped" => fleet.servers[leader].set_stopped(true),
+                "cut off" => fleet.partition(&[&[leader], &others]),
                 _ => fleet.servers[leader].terminate(),
             }
-            fleet
-                .until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader"))?;
+            fleet.wait_until("another leader", |fleet| {
+                others.iter().any(|n| fleet.store_status_field(*n, "role") == "Leader")
+            })?;
             fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
             let said = others
                 .iter()
-                .flat_map(|n| fleet.history.said(&fleet.servers[*n].name, "replica role changed"));
-            let first = said.filter(|e| e.at >= at && e.what["to"] == "leader").map(|e| e.at - at).min();
+                .flat_map(|n| fleet.history.log_lines(&fleet.servers[*n].name, "replica role changed"));
+            let first =
+                said.filter(|e| e.at_us >= at && e.details["to"] == "leader").map(|e| e.at_us - at).min();
             took.extend(first.map(|span| span / 1_000));
             match what {
-                "stopped" => fleet.servers[leader].stop(false),
+                "stopped" => fleet.servers[leader].set_stopped(false),
                 "cut off" => fleet.heal(),
                 _ => {
-                    fleet.servers[leader].wait_until_ended();
+                    fleet.servers[leader].wait_for_exit();
                     fleet.servers[leader].start().map_err(|e| e.to_string())?;
                 }
             }
-            fleet.until_kept(5)?;
+            fleet.wait_for_replication(5)?;
         }
         let most = took.iter().max().map_or("-".to_owned(), u64::to_string);
         let row = ["5".to_owned(), what.to_owned(), took.len().to_string(), percentile(&mut took, 0.5), most];
@@ -132,35 +135,35 @@
     for rate_kb in [2_048, 8_192, 65_536] {
         let mut rig = Rig::new(server, 3);
         rig.timing = "timing".to_owned();
-        rig.record = Some(format!("voters=3 replace-after-s=600 catch-up-kb={rate_kb}"));
-        rig.disk = Some("most-mb=256".to_owned());
+        rig.store_options = Some(format!("voters=3 replace-after-s=600 catch-up-kb={rate_kb}"));
+        rig.store_folder_options = Some("most-mb=256".to_owned());
         let mut fleet = Fleet::start(rig)?;
-        fleet.until_kept(3)?;
+        fleet.wait_for_replication(3)?;
         let large = fleet.servers[0].folder.join("large");
         std::fs::write(&large, vec![7u8; 1_000_000]).map_err(|e| e.to_string())?;
         for n in 0..documents {
-            fleet.record(0, &["put", &format!("large{n}"), &large.display().to_string()])?;
+            fleet.store_command(0, &["put", &format!("large{n}"), &large.display().to_string()])?;
         }
-        let returns = (0..3).find(|n| fleet.kept(*n, "role") == "Voter").ok_or("no voter")?;
-        fleet.ask(4, Duration::from_millis(5));
+        let returns = (0..3).find(|n| fleet.store_status_field(*n, "role") == "Voter").ok_or("no voter")?;
+        fleet.start_traffic(4, Duration::from_millis(5));
         std::thread::sleep(Duration::from_secs(3));
         fleet.servers[returns].kill();
         fleet.servers[returns].lose_disk();
-        let from = umberloom_fault_harness::history::now();
+        let from = umberloom_fault_harness::history::now_us();
         fleet.servers[returns].start().map_err(|e| e.to_string())?;
-        fleet.until_kept(3)?;
-        let until = umberloom_fault_harness::history::now();
+        fleet.wait_for_replication(3)?;
+        let until = umberloom_fault_harness::history::now_us();
         fleet.servers[returns].read_log();
-        let said = fleet.history.said(&fleet.servers[returns].name, "replica caught up");
-        let line = said.iter().filter(|e| e.at >= from).max_by_key(|e| e.what["bytes"].as_u64());
+        let said = fleet.history.log_lines(&fleet.servers[returns].name, "replica caught up");
+        let line = said.iter().filter(|e| e.at_us >= from).max_by_key(|e| e.details["bytes"].as_u64());
         let line = line.ok_or("it did not catch up by a snapshot")?;
         let (bytes, ms) =
-            (line.what["bytes"].as_u64().unwrap_or(0), line.what["took_ms"].as_u64().unwrap_or(1));
+            (line.details["bytes"].as_u64().unwrap_or(0), line.details["took_ms"].as_u64().unwrap_or(1));
         let asked =
             fleet.traffic.take().map(umberloom_fault_harness::traffic::Traffic::finish).unwrap_or_default();
         let late = |inside: bool| {
-            let fits = |a: &&umberloom_fault_harness::traffic::Asked| {
-                a.server != returns && (a.at >= from) == inside && a.at < until
+            let fits = |a: &&umberloom_fault_harness::traffic::RequestOutcome| {
+                a.server != returns && (a.at_us >= from) == inside && a.at_us < until
             };
             let mut took: Vec<u64> = asked.iter().filter(fits).map(|a| a.took.as_millis() as u64).collect();
             percentile(&mut took, 0.99)
--- a/crates/loadtest/src/site.rs
+++ b/crates/loadtest/src/site.rs
@@ -41,7 +41,7 @@
             median_ms: 8.0,
             sigma: 0.4,
             without_calls: vec![],
-            patience: Duration::from_millis(700),
+            call_timeout: Duration::from_millis(700),
         };
         let (farm, announce) = (Farm::start(work), Announce::start());
         let listen = free_address()?;
@@ -89,7 +89,7 @@
             }
             if std::net::TcpStream::connect(self.listen).is_ok() {
                 let mut balancer = Balancer::connect(self.listen);
-                if balancer.ask(&Request::check(1, "")).status == 200 {
+                if balancer.round_trip(&Request::health_check(1, "")).status == 200 {
                     return Ok(());
                 }
             }
@@ -122,7 +122,7 @@
     /// Everything is well.
     pub fn mend(&self) {
         for dependency in self.dependencies().into_iter().flat_map(|(_, all)| all) {
-            dependency.behave(Behaviour::quick(REPLY));
+            dependency.set_behaviour(Behaviour::quick(REPLY));
         }
     }
 }
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -25,13 +25,13 @@
 fn run_until_whole(fleet: &mut VirtualFleet, span: u64) -> Result<(), String> {
     let end = fleet.now + span;
     while fleet.now < end {
-        let count = fleet.living().count();
-        if fleet.agree() == (true, count) {
+        let count = fleet.running_members().count();
+        if fleet.view_agreement() == (true, count) {
             return Ok(());
         }
-        fleet.run(fleet.now + 100_000)?;
+        fleet.run_until(fleet.now + 100_000)?;
     }
-    Err(format!("{:?} after {} s", fleet.agree(), span / SECOND))
+    Err(format!("{:?} after {} s", fleet.view_agreement(), span / SECOND))
 }
 
 /// Injects random faults, then ends them: all views must be equal and every status whole within 30 seconds.
@@ -39,11 +39,11 @@
     let mut fleet = VirtualFleet::new(count, seed, short_intervals);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     for _ in 0..12 {
-        fleet.run(fleet.now + random.random_range(100_000..2 * SECOND))?;
+        fleet.run_until(fleet.now + random.random_range(100_000..2 * SECOND))?;
         let (a, b) = (random.random_range(0..count), random.random_range(0..count));
         match random.random_range(0..7) {
-            0 => drop(fleet.cut.insert((a, b))),
-            1 => fleet.cut.clear(),
+            0 => drop(fleet.cut_links.insert((a, b))),
+            1 => fleet.cut_links.clear(),
             2 => fleet.kill(a),
             3 => fleet.start(a),
             4 => fleet.pause(a, random.random_range(100_000..6 * SECOND)),
@@ -51,14 +51,14 @@
                 let (loss, double) = (random.random_range(0.0..0.4), random.random_range(0.0..=1.0));
                 let damage = random.random_range(0.0..0.1);
                 let no_streams = random.random_bool(0.3);
-                fleet.network = Network { loss, double, damage, late: 80_000, no_streams };
+                fleet.network = Network { loss, double, damage, max_delay: 80_000, no_streams };
             }
             _ => fleet.network = Network::default(),
         }
     }
     fleet.network = Network::default();
-    fleet.cut.clear();
-    fleet.run(fleet.now + 6 * SECOND)?;
+    fleet.cut_links.clear();
+    fleet.run_until(fleet.now + 6 * SECOND)?;
     for n in 0..count {
         if fleet.members[n].is_none() {
             fleet.start(n);
@@ -102,14 +102,14 @@
         run_until_whole(&mut fleet, 20 * SECOND).map_err(TestCaseError::fail)?;
         for round in 0..20 {
             if round % 2 == 0 {
-                fleet.cut.extend([(0, 1), (1, 0)]);
+                fleet.cut_links.extend([(0, 1), (1, 0)]);
             } else {
-                fleet.cut.clear();
+                fleet.cut_links.clear();
             }
-            fleet.run(fleet.now + span).map_err(TestCaseError::fail)?;
+            fleet.run_until(fleet.now + span).map_err(TestCaseError::fail)?;
         }
         for n in 0..4 {
-            let changes = fleet.told.iter().filter(|(_, who, line)| *who == n && matches!(line, Event::PartitionStatusChanged { .. }));
+            let changes = fleet.events.iter().filter(|(_, who, line)| *who == n && matches!(line, Event::PartitionStatusChanged { .. }));
             let times: Vec<u64> = changes.map(|(at, ..)| *at).collect();
             // Clocks run up to one percent fast or slow.
             prop_assert!(times.windows(2).skip(1).all(|pair| pair[1] - pair[0] >= 490_000), "{times:?}");
@@ -120,29 +120,30 @@
 #[test]
 fn two_hundred_members_converge_and_all_detect_a_failure() {
     let mut fleet = VirtualFleet::new(200, 5, default_intervals);
-    fleet.run(30 * SECOND).expect("invariants hold");
-    assert_eq!(fleet.agree(), (true, 200));
+    fleet.run_until(30 * SECOND).expect("invariants hold");
+    assert_eq!(fleet.view_agreement(), (true, 200));
     let at = fleet.now;
     fleet.kill(17);
-    fleet.run(at + 20 * SECOND).expect("invariants hold");
-    assert_eq!(fleet.failed_at(17, at).len(), 199);
+    fleet.run_until(at + 20 * SECOND).expect("invariants hold");
+    assert_eq!(fleet.failure_detection_times(17, at).len(), 199);
     // No live member was considered failed.
-    assert_eq!(fleet.accusations(at).1, 199);
+    assert_eq!(fleet.suspicion_counts(at).1, 199);
     let with_status =
-        |status| fleet.living().filter(|(_, member)| member.partition_status() == status).count();
+        |status| fleet.running_members().filter(|(_, member)| member.partition_status() == status).count();
     assert_eq!(with_status(PartitionStatus::Majority), 199);
     fleet.start(17);
-    fleet.run(fleet.now + 20 * SECOND).expect("invariants hold");
-    assert_eq!(fleet.agree(), (true, 200));
+    fleet.run_until(fleet.now + 20 * SECOND).expect("invariants hold");
+    assert_eq!(fleet.view_agreement(), (true, 200));
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = || {
         let mut fleet = VirtualFleet::new(6, 11, short_intervals);
-        fleet.network = Network { loss: 0.2, double: 0.2, damage: 0.02, late: 50_000, no_streams: false };
-        fleet.run(20 * SECOND).expect("invariants hold");
-        (fleet.bytes, fleet.messages, format!("{:?}", fleet.told))
+        fleet.network =
+            Network { loss: 0.2, double: 0.2, damage: 0.02, max_delay: 50_000, no_streams: false };
+        fleet.run_until(20 * SECOND).expect("invariants hold");
+        (fleet.bytes, fleet.messages, format!("{:?}", fleet.events))
     };
     assert_eq!(run(), run());
 }
@@ -153,14 +154,14 @@
     let mut fleet = VirtualFleet::new(3, 3, short_intervals);
     run_until_whole(&mut fleet, 20 * SECOND).expect("whole");
     fleet.kill(0);
-    fleet.run(fleet.now + 8 * SECOND).expect("invariants hold");
-    fleet.start_at(0, 1_600_000_000_000_000);
+    fleet.run_until(fleet.now + 8 * SECOND).expect("invariants hold");
+    fleet.start_with_boot_id(0, 1_600_000_000_000_000);
     run_until_whole(&mut fleet, 40 * SECOND).expect("whole again");
-    let unfenced = fleet.told.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
+    let unfenced = fleet.events.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
     assert!(unfenced, "it continues with a later boot id");
     let all_others_report_state = |state: MemberState| {
         fleet
-            .living()
+            .running_members()
             .skip(1)
             .all(|(_, m)| m.members(fleet.now).iter().any(|v| &*v.name == "m0" && v.state == state))
     };
--- a/crates/protocol-fakes/src/agent.rs
+++ b/crates/protocol-fakes/src/agent.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{json, Value};
 
-use crate::world::PATIENCE;
+use crate::test_environment::WAIT_TIMEOUT;
 
 enum Heard {
     Link(TcpStream),
@@ -23,9 +23,9 @@
     commands: VecDeque<Value>,
     seq: u64,
     /// Numbers of the last notice that the server said it had read, for each link.
-    pub subscribed: Vec<u64>,
+    pub subscribed_seqs: Vec<u64>,
     /// Whether samples are answered; if not, it is as if they were never read.
-    pub samples: bool,
+    pub answers_samples: bool,
 }
 
 fn listen(listener: &TcpListener, heard: &Sender<Heard>) {
@@ -50,18 +50,26 @@
         let (tell, heard) = channel();
         std::thread::spawn(move || listen(&listener, &tell));
         let (commands, subscribed) = (VecDeque::new(), Vec::new());
-        Agent { address, heard, link: None, commands, seq: 0, subscribed, samples: true }
+        Agent {
+            address,
+            heard,
+            link: None,
+            commands,
+            seq: 0,
+            subscribed_seqs: subscribed,
+            answers_samples: true,
+        }
     }
 
     /// Takes in one thing the server did.
     fn hear(&mut self) {
-        match self.heard.recv_timeout(PATIENCE).expect("the server says something") {
+        match self.heard.recv_timeout(WAIT_TIMEOUT).expect("the server says something") {
             Heard::Link(link) => self.link = Some(link),
             Heard::Line(line) => match line["op"].as_str() {
-                Some("subscribe") => self.subscribed.push(line["seq"].as_u64().expect("a number")),
-                Some("sample") if !self.samples => {}
+                Some("subscribe") => self.subscribed_seqs.push(line["seq"].as_u64().expect("a number")),
+                Some("sample") if !self.answers_samples => {}
                 Some("sample") => {
-                    self.say(&json!({"op": "sampled", "tag": line["tag"], "values": [0.5, 1, 0.1, 3]}));
+                    self.send(&json!({"op": "sampled", "tag": line["tag"], "values": [0.5, 1, 0.1, 3]}));
                 }
                 _ => self.commands.push_back(line),
             },
@@ -69,51 +77,51 @@
     }
 
     /// Waits for a link that has been subscribed to.
-    pub fn linked(&mut self) {
-        let before = self.subscribed.len();
-        while self.subscribed.len() == before {
+    pub fn wait_for_link(&mut self) {
+        let before = self.subscribed_seqs.len();
+        while self.subscribed_seqs.len() == before {
             self.hear();
         }
     }
 
     /// Comes up on a new link.
-    pub fn greet(&mut self) {
-        self.linked();
-        self.greet_again();
+    pub fn send_initial_notice(&mut self) {
+        self.wait_for_link();
+        self.resend_initial_notice();
     }
 
     /// Waits for the link of another process of the server: what the one before said is over, and notices are numbered anew.
-    pub fn linked_anew(&mut self) {
-        self.linked();
+    pub fn wait_for_restarted_server(&mut self) {
+        self.wait_for_link();
         self.seq = 0;
         self.commands.clear();
     }
 
     /// Greets on the present link.
-    pub fn greet_again(&mut self) {
-        self.say(&json!({"op": "greeting", "end": "running", "ms": 5}));
+    pub fn resend_initial_notice(&mut self) {
+        self.send(&json!({"op": "greeting", "end": "running", "ms": 5}));
     }
 
     /// Breaks the link.
-    pub fn cut(&mut self) {
+    pub fn disconnect(&mut self) {
         let _ = self.link.take().expect("a link").shutdown(Shutdown::Both);
     }
 
     /// Writes one line.
-    pub fn say(&mut self, line: &Value) {
-        self.say_bytes(format!("{line}\n").as_bytes());
+    pub fn send(&mut self, line: &Value) {
+        self.send_bytes(format!("{line}\n").as_bytes());
     }
 
     /// Writes bytes, whatever they are. A link that has just ended takes none.
-    pub fn say_bytes(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(bytes);
         }
     }
 
     /// The next command that is no sample.
-    pub fn command(&mut self) -> Value {
-        let end = Instant::now() + PATIENCE;
+    pub fn next_command(&mut self) -> Value {
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(command) = self.commands.pop_front() {
                 return command;
@@ -125,8 +133,8 @@
     }
 
     /// The next command, which must be this one; the request it names.
-    pub fn expect(&mut self, op: &str) -> (String, Value) {
-        let command = self.command();
+    pub fn expect_command(&mut self, op: &str) -> (String, Value) {
+        let command = self.next_command();
         assert_eq!(command["op"], op, "{command}");
         (command["id"].as_str().unwrap_or("").to_owned(), command)
     }
@@ -138,40 +146,40 @@
     }
 
     /// An outcome with a result, as a notice under this number.
-    pub fn outcome_at(&mut self, seq: u64, id: &str, end: &str, body: &[u8]) {
+    pub fn send_outcome_with_seq(&mut self, seq: u64, id: &str, end: &str, body: &[u8]) {
         let body = crate::balancer::base64(body);
-        self.say(&json!({"op": "outcome", "seq": seq, "id": id, "end": end, "ms": 18.5, "body": body}));
+        self.send(&json!({"op": "outcome", "seq": seq, "id": id, "end": end, "ms": 18.5, "body": body}));
     }
 
     /// A run is over.
-    pub fn outcome(&mut self, id: &str, end: &str, body: &[u8]) {
+    pub fn send_outcome(&mut self, id: &str, end: &str, body: &[u8]) {
         let seq = self.next_seq();
-        self.outcome_at(seq, id, end, body);
+        self.send_outcome_with_seq(seq, id, end, body);
     }
 
     /// A run waits for a call; the number of the notice.
-    pub fn needs_call(&mut self, id: &str, body: &[u8]) -> u64 {
+    pub fn send_call_request(&mut self, id: &str, body: &[u8]) -> u64 {
         let seq = self.next_seq();
         let body = crate::balancer::base64(body);
-        self.say(&json!({"op": "request", "seq": seq, "id": id, "body": body}));
+        self.send(&json!({"op": "request", "seq": seq, "id": id, "body": body}));
         seq
     }
 
     /// Waits for so many more samples, and so for as many looks of the module at what there is.
-    pub fn wait_samples(&mut self, count: usize) {
-        self.samples = false;
+    pub fn wait_for_samples(&mut self, count: usize) {
+        self.answers_samples = false;
         let mut seen = 0;
         while seen < count {
-            let Heard::Line(line) = self.heard.recv_timeout(PATIENCE).expect("samples go on") else {
+            let Heard::Line(line) = self.heard.recv_timeout(WAIT_TIMEOUT).expect("samples go on") else {
                 panic!("a new link");
             };
             if line["op"] == "sample" {
                 seen += 1;
-                self.say(&json!({"op": "sampled", "tag": line["tag"], "values": [0.5, 1, 0.1, 3]}));
+                self.send(&json!({"op": "sampled", "tag": line["tag"], "values": [0.5, 1, 0.1, 3]}));
             } else {
                 self.commands.push_back(line);
             }
         }
-        self.samples = true;
+        self.answers_samples = true;
     }
 }
--- a/crates/protocol-fakes/src/ajp.rs
+++ b/crates/protocol-fakes/src/ajp.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use crate::world::{eventually, unix_ms, PATIENCE};
+use crate::test_environment::{eventually, unix_ms, WAIT_TIMEOUT};
 
 /// Packets from the end that asks begin so, those from the end that answers so.
 const ASKS: [u8; 2] = [0x12, 0x34];
@@ -37,7 +37,7 @@
     pub secret: Option<String>,
     pub body: Vec<u8>,
     /// The length that is stated; unless set, that of the body.
-    pub stated: Option<usize>,
+    pub stated_length: Option<usize>,
 }
 
 impl AjpRequest {
@@ -58,14 +58,14 @@
             query: None,
             secret: None,
             body: b"body".to_vec(),
-            stated: None,
+            stated_length: None,
         }
     }
 
     /// A health check.
-    pub fn check(query: &str) -> AjpRequest {
+    pub fn health_check(query: &str) -> AjpRequest {
         let (uri, query) = ("/status/live".to_owned(), Some(query.to_owned()));
-        AjpRequest { method: 2, uri, headers: vec![], query, secret: None, body: vec![], stated: None }
+        AjpRequest { method: 2, uri, headers: vec![], query, secret: None, body: vec![], stated_length: None }
     }
 
     pub fn with(mut self, name: &str, value: &str) -> AjpRequest {
@@ -85,13 +85,13 @@
     }
 
     /// The first packet.
-    pub fn head(&self) -> Vec<u8> {
+    pub fn first_packet(&self) -> Vec<u8> {
         let mut out = vec![2, self.method];
         for text in ["HTTP/1.1", &self.uri, "10.0.0.9", "client", "desks.example"] {
             string(&mut out, text.as_bytes());
         }
         out.extend([0, 80, 0]);
-        let stated = self.stated.unwrap_or(self.body.len());
+        let stated = self.stated_length.unwrap_or(self.body.len());
         let count = self.headers.len() + usize::from(stated > 0);
         out.extend((count as u16).to_be_bytes());
         for (name, value) in &self.headers {
@@ -115,7 +115,7 @@
     }
 
     /// The packet with the part of the body from `from` on.
-    pub fn part(&self, from: usize, most: usize) -> Vec<u8> {
+    pub fn body_packet(&self, from: usize, most: usize) -> Vec<u8> {
         let rest = self.body.get(from..).unwrap_or_default();
         let part = &rest[..rest.len().min(PART).min(most)];
         let mut content = Vec::new();
@@ -152,7 +152,7 @@
     /// Connects, for as long as the server is not listening yet.
     pub fn connect(to: SocketAddr) -> FrontEnd {
         let stream = eventually("a connection", || TcpStream::connect(to).ok());
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
         let _ = stream.set_nodelay(true);
         FrontEnd { stream, unread: Vec::new() }
     }
@@ -163,9 +163,9 @@
 
     /// Sends the head and, if there is a body, its first part.
     pub fn send(&mut self, request: &AjpRequest) {
-        self.send_bytes(&request.head());
+        self.send_bytes(&request.first_packet());
         if !request.body.is_empty() {
-            self.send_bytes(&request.part(0, PART));
+            self.send_bytes(&request.body_packet(0, PART));
         }
     }
 
@@ -208,7 +208,7 @@
                 }
                 6 => {
                     let wanted = usize::from(u16::from_be_bytes([content[1], content[2]]));
-                    let part = request.part(sent, wanted);
+                    let part = request.body_packet(sent, wanted);
                     sent += part.len().saturating_sub(6);
                     self.send_bytes(&part);
                 }
@@ -226,7 +226,7 @@
     }
 
     /// Sends a request and waits for its answer.
-    pub fn ask(&mut self, request: &AjpRequest) -> AjpAnswer {
+    pub fn round_trip(&mut self, request: &AjpRequest) -> AjpAnswer {
         self.send(request);
         self.answer(request)
     }
@@ -290,11 +290,11 @@
     /// Nothing.
     Hang,
     /// The connection ends in the middle of the answer.
-    Cut,
+    TruncatedAnswer,
     /// What is no AJP.
-    Noise,
+    InvalidBytes,
     /// Pings are not answered; calls are.
-    DeafToPings,
+    IgnorePings,
 }
 
 /// A server that answers over AJP, one call at a time on a connection.
@@ -319,7 +319,7 @@
         AjpServer { address, behaviour, calls }
     }
 
-    pub fn behave(&self, behaviour: AjpBehaviour) {
+    pub fn set_behaviour(&self, behaviour: AjpBehaviour) {
         *self.behaviour.lock().expect("no panic") = behaviour;
     }
 
@@ -348,7 +348,7 @@
     while let Some(content) = asked(&mut stream) {
         let now = behaviour.lock().expect("no panic").clone();
         if content == [10] {
-            if now != AjpBehaviour::DeafToPings && stream.write_all(&packet(ANSWERS, &[9])).is_err() {
+            if now != AjpBehaviour::IgnorePings && stream.write_all(&packet(ANSWERS, &[9])).is_err() {
                 return;
             }
             continue;
@@ -365,16 +365,16 @@
         let (status, reply, mark) = match now {
             AjpBehaviour::Answer(status, reply) => (status, reply, false),
             AjpBehaviour::NotBegun(status) => (status, vec![], true),
-            AjpBehaviour::DeafToPings => (200, b"well".to_vec(), false),
+            AjpBehaviour::IgnorePings => (200, b"well".to_vec(), false),
             AjpBehaviour::Hang => {
                 let _ = asked(&mut stream);
                 return;
             }
-            AjpBehaviour::Cut => {
+            AjpBehaviour::TruncatedAnswer => {
                 let _ = stream.write_all(&packet(ANSWERS, &[4, 0, 200])[..5]);
                 return;
             }
-            AjpBehaviour::Noise => {
+            AjpBehaviour::InvalidBytes => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
                 return;
             }
--- a/crates/protocol-fakes/src/balancer.rs
+++ b/crates/protocol-fakes/src/balancer.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use crate::world::{eventually, unix_ms, PATIENCE};
+use crate::test_environment::{eventually, unix_ms, WAIT_TIMEOUT};
 
 /// Bytes in base64, for the agent.
 pub fn base64(bytes: &[u8]) -> String {
@@ -62,7 +62,7 @@
     }
 
     /// A health check.
-    pub fn check(slot: u16, query: &str) -> Request {
+    pub fn health_check(slot: u16, query: &str) -> Request {
         let fields = [
             ("REQUEST_METHOD", "GET".to_owned()),
             ("SCRIPT_NAME", "/status/live".to_owned()),
@@ -123,7 +123,7 @@
     /// Connects, for as long as the server is not listening yet.
     pub fn connect(to: SocketAddr) -> Balancer {
         let stream = eventually("a connection", || TcpStream::connect(to).ok());
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
         Balancer { stream, unread: Vec::new(), streams: BTreeMap::new(), tolerant: false }
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Sends a request and waits for its answer.
-    pub fn ask(&mut self, request: &Request) -> Answer {
+    pub fn round_trip(&mut self, request: &Request) -> Answer {
         self.send(request);
         let answer = self.answer();
         assert_eq!(answer.slot, request.slot);
--- a/crates/protocol-fakes/src/dependency.rs
+++ b/crates/protocol-fakes/src/dependency.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 
-use crate::http::{receive, Received};
+use crate::http::{receive, ReceivedRequest};
 
 /// How it treats calls.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,11 +26,11 @@
     /// Resets the connection in place of a reply.
     Reset,
     /// Sends a good reply, one byte each so many milliseconds.
-    Drip { body: Vec<u8>, every_ms: u64 },
+    ByteByByte { body: Vec<u8>, every_ms: u64 },
     /// This status, at once, with these header lines.
     Status { line: &'static str, headers: &'static str },
     /// States a length that differs from what it sends by so many bytes, then closes.
-    Lie { body: Vec<u8>, by: i64 },
+    WrongLength { body: Vec<u8>, by: i64 },
     /// States 3 GB and sends on for as long as anybody reads.
     Endless,
 }
@@ -47,7 +47,7 @@
     }
 
     /// Turns each call away with the mark that it never ran.
-    pub fn turning_away() -> Behaviour {
+    pub fn rejecting() -> Behaviour {
         Behaviour::Status { line: "503 Service Unavailable", headers: "Op-Not-Begun: 1\r\n" }
     }
 }
@@ -59,7 +59,7 @@
     waits_ms: Vec<u64>,
     bodies: Vec<Vec<u8>>,
     /// When each call came and ended, and what it stated.
-    spans: Vec<Span>,
+    spans: Vec<CallInterval>,
     /// Calls under way, and the most at once.
     at_once: u64,
     most_at_once: u64,
@@ -67,24 +67,24 @@
 
 /// One call, as the service saw it.
 #[derive(Clone, Debug)]
-pub struct Span {
-    pub from: Instant,
+pub struct CallInterval {
+    pub started_at: Instant,
     /// When its reply was written; none while it has none, or where nobody took it.
-    pub answered: Option<Instant>,
-    pub stated: Duration,
+    pub answered_at: Option<Instant>,
+    pub stated_timeout: Duration,
 }
 
-impl Span {
+impl CallInterval {
     /// Until when it was in use: until it was answered, or the time that it stated had run out.
-    pub fn until(&self) -> Instant {
-        let stated = self.from + self.stated;
-        self.answered.map_or(stated, |at| at.min(stated))
+    pub fn end(&self) -> Instant {
+        let stated = self.started_at + self.stated_timeout;
+        self.answered_at.map_or(stated, |at| at.min(stated))
     }
 }
 
 /// The most calls that were in use at any one instant, and the first such instant.
-pub fn most_in_use(spans: &[Span]) -> (usize, Option<Instant>) {
-    let ends = spans.iter().flat_map(|span| [(span.from, 1i64), (span.until(), -1)]);
+pub fn peak_concurrency(spans: &[CallInterval]) -> (usize, Option<Instant>) {
+    let ends = spans.iter().flat_map(|span| [(span.started_at, 1i64), (span.end(), -1)]);
     let mut ends: Vec<(Instant, i64)> = ends.collect();
     // An end and a start at the same instant do not meet.
     ends.sort();
@@ -137,7 +137,7 @@
     }
 
     /// From now on it treats calls so. `Down` and back takes some milliseconds to show.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.inside.behaviour) = behaviour;
     }
 
@@ -151,22 +151,22 @@
     }
 
     /// Calls that have come whole since the last look.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         lock(&self.inside.seen).calls
     }
 
     /// The most calls that were under way at once.
-    pub fn most_at_once(&self) -> u64 {
+    pub fn peak_calls(&self) -> u64 {
         lock(&self.inside.seen).most_at_once
     }
 
     /// The time that each call was said to have, in milliseconds, in the order they came.
-    pub fn waits_ms(&self) -> Vec<u64> {
+    pub fn stated_timeouts_ms(&self) -> Vec<u64> {
         lock(&self.inside.seen).waits_ms.clone()
     }
 
     /// Every call so far.
-    pub fn spans(&self) -> Vec<Span> {
+    pub fn call_intervals(&self) -> Vec<CallInterval> {
         lock(&self.inside.seen).spans.clone()
     }
 
@@ -217,7 +217,7 @@
         let mut seen = lock(&inside.seen);
         seen.at_once -= 1;
         if keeps {
-            seen.spans[place].answered = Some(Instant::now());
+            seen.spans[place].answered_at = Some(Instant::now());
         }
         drop(seen);
         if !keeps {
@@ -226,7 +226,7 @@
     }
 }
 
-fn note(inside: &Inside, request: &Received) -> usize {
+fn note(inside: &Inside, request: &ReceivedRequest) -> usize {
     let mut seen = lock(&inside.seen);
     seen.calls += 1;
     seen.at_once += 1;
@@ -239,7 +239,11 @@
         seen.bodies.push(request.body.clone());
     }
     let stated = request.find("Op-Wait-Ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-    seen.spans.push(Span { from: Instant::now(), answered: None, stated: Duration::from_millis(stated) });
+    seen.spans.push(CallInterval {
+        started_at: Instant::now(),
+        answered_at: None,
+        stated_timeout: Duration::from_millis(stated),
+    });
     seen.spans.len() - 1
 }
 
@@ -263,7 +267,7 @@
             let _ = stream.shutdown(Shutdown::Both);
             false
         }
-        Behaviour::Drip { body, every_ms } => {
+        Behaviour::ByteByByte { body, every_ms } => {
             for byte in [good(body.len()), body.clone()].concat() {
                 if stream.write_all(&[byte]).is_err() {
                     return false;
@@ -276,7 +280,7 @@
             let head = format!("HTTP/1.1 {line}\r\n{headers}Content-Length: 0\r\n\r\n");
             stream.write_all(head.as_bytes()).is_ok()
         }
-        Behaviour::Lie { body, by } => {
+        Behaviour::WrongLength { body, by } => {
             let length = (body.len() as i64 + by).max(0) as usize;
             let _ = stream.write_all(&[good(length), body.clone()].concat());
             let _ = stream.shutdown(Shutdown::Write);
--- a/crates/protocol-fakes/src/farm.rs
+++ b/crates/protocol-fakes/src/farm.rs
@@ -27,7 +27,7 @@
     /// Classes whose runs make no call.
     pub without_calls: Vec<String>,
     /// A run that waits for its call is broken off so long after its launch: its request is over.
-    pub patience: Duration,
+    pub call_timeout: Duration,
 }
 
 /// The agent. It ends with the process.
@@ -38,11 +38,11 @@
 
 /// Tells an agent of requests that are over, as the platform does.
 #[derive(Clone)]
-pub struct Over(Sender<Heard>);
+pub struct CompletionNotifier(Sender<Heard>);
 
-impl Over {
+impl CompletionNotifier {
     /// The request of this name was answered: a run of it that waits for a call is broken off.
-    pub fn tell(&self, id: &str) {
+    pub fn notify(&self, id: &str) {
         let _ = self.0.send(Heard::Over(id.to_owned()));
     }
 }
@@ -100,8 +100,8 @@
     }
 
     /// By which it is told of requests that are over.
-    pub fn over(&self) -> Over {
-        Over(self.tell.clone())
+    pub fn completion_notifier(&self) -> CompletionNotifier {
+        CompletionNotifier(self.tell.clone())
     }
 }
 
@@ -150,7 +150,7 @@
                 let calls = !self.work.without_calls.contains(&class);
                 let result = line["body"].as_str().unwrap_or_default().to_owned();
                 self.runs.insert(id.clone(), Run { calls, started: Instant::now(), waits: None, result });
-                self.waiting.push_back((Instant::now() + self.work.patience, id.clone()));
+                self.waiting.push_back((Instant::now() + self.work.call_timeout, id.clone()));
                 self.ready.push_back(id);
             }
             Some("deliver") => {
--- a/crates/protocol-fakes/src/http.rs
+++ b/crates/protocol-fakes/src/http.rs
@@ -6,17 +6,17 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-use crate::world::PATIENCE;
+use crate::test_environment::WAIT_TIMEOUT;
 
 /// One HTTP request.
 #[derive(Debug)]
-pub struct Received {
-    pub line: String,
+pub struct ReceivedRequest {
+    pub request_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Received {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> &str {
         self.find(name).expect("the header")
     }
@@ -27,7 +27,7 @@
     }
 }
 
-pub(crate) fn receive(from: &mut impl BufRead) -> Option<Received> {
+pub(crate) fn receive(from: &mut impl BufRead) -> Option<ReceivedRequest> {
     let mut line = String::new();
     from.read_line(&mut line).ok().filter(|&n| n > 0)?;
     let (mut headers, mut length) = (Vec::new(), 0);
@@ -42,12 +42,12 @@
     }
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
-    Some(Received { line: line.trim_end().to_owned(), headers, body })
+    Some(ReceivedRequest { request_line: line.trim_end().to_owned(), headers, body })
 }
 
 /// A call that was made, and the connection on which it is to be answered.
 pub struct Call {
-    pub request: Received,
+    pub request: ReceivedRequest,
     pub stream: TcpStream,
 }
 
@@ -59,8 +59,8 @@
     }
 
     /// Waits until the server has closed the connection.
-    pub fn given_up(&mut self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    pub fn wait_for_close(&mut self) {
+        self.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
         let mut byte = [0];
         // A close may show as an end or as a reset.
         match self.stream.read(&mut byte) {
@@ -106,8 +106,8 @@
     }
 
     /// The next call.
-    pub fn call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+    pub fn next_call(&self) -> Call {
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("a call")
     }
 }
 
@@ -141,13 +141,13 @@
     }
 
     /// The word of the next report.
-    pub fn report(&self) -> String {
-        self.reports.recv_timeout(PATIENCE).expect("a report")
+    pub fn next_report(&self) -> String {
+        self.reports.recv_timeout(WAIT_TIMEOUT).expect("a report")
     }
 
     /// Waits for a report with this word.
-    pub fn expect(&self, word: &str) {
-        while self.report() != word {}
+    pub fn wait_for_report(&self, word: &str) {
+        while self.next_report() != word {}
     }
 }
 
@@ -166,11 +166,11 @@
     }
 }
 
-fn word(request: &Received) -> String {
+fn word(request: &ReceivedRequest) -> String {
     assert!(
-        request.line.starts_with("PUT /announce/n") && request.line.ends_with(" HTTP/1.1"),
+        request.request_line.starts_with("PUT /announce/n") && request.request_line.ends_with(" HTTP/1.1"),
         "{}",
-        request.line
+        request.request_line
     );
     let value: serde_json::Value = serde_json::from_slice(&request.body).expect("JSON");
     value["accepting"].as_str().expect("a word").to_owned()
--- a/crates/protocol-fakes/src/lib.rs
+++ b/crates/protocol-fakes/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`Records`] and [`Announce`] are the records and the announce service, call by call;
 //! - [`Dependency`] is a service that can be slow, hang, refuse, lie and come back;
 //! - [`AjpServer`] answers calls over AJP, and [`ajp::FrontEnd`] asks;
-//! - [`World`] puts a real server process in their middle.
+//! - [`TestEnvironment`] puts a real server process in their middle.
 //!
 //! Nothing here depends on the machine's speed: every wait is for something that must come, and is bounded only so
 //! that a failure ends. All addresses are on loopback.
@@ -20,11 +20,11 @@
 pub mod dependency;
 pub mod farm;
 pub mod http;
-pub mod world;
+pub mod test_environment;
 
 pub use agent::Agent;
 pub use ajp::{AjpBehaviour, AjpServer};
 pub use balancer::{Balancer, Request};
 pub use dependency::Dependency;
 pub use http::{Announce, Records};
-pub use world::World;
+pub use test_environment::TestEnvironment;
--- a/crates/protocol-fakes/src/world.rs
+++ b/crates/protocol-fakes/src/test_environment.rs
@@ -11,11 +11,11 @@
 use crate::{Agent, Announce, Balancer, Records, Request};
 
 /// Longest wait for anything.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `holds` gives something.
 pub fn eventually<T>(what: &str, mut holds: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = holds() {
             return found;
@@ -76,7 +76,7 @@
 }
 
 /// A server process with stand-ins around it.
-pub struct World {
+pub struct TestEnvironment {
     /// The render farm agent.
     pub agent: Agent,
     /// The records service.
@@ -94,39 +94,43 @@
 }
 
 /// What a test may change of the configuration.
-pub type Change = fn(&mut Value);
+pub type ConfigChange = fn(&mut Value);
 
-impl World {
+impl TestEnvironment {
     /// A server whose agent is up and whose list has heard of it.
-    pub fn up(program: &Path, change: Change) -> World {
-        World::up_with(program, change, None)
+    pub fn start_registered(program: &Path, change: ConfigChange) -> TestEnvironment {
+        TestEnvironment::start_registered_with(program, change, None)
     }
 
     /// The same with an operator's file.
-    pub fn up_with(program: &Path, change: Change, operator: Option<&str>) -> World {
-        let mut world = World::start_with(program, change, operator);
-        world.agent.greet();
-        assert_eq!(world.announce.report(), "true");
+    pub fn start_registered_with(
+        program: &Path,
+        change: ConfigChange,
+        operator: Option<&str>,
+    ) -> TestEnvironment {
+        let mut world = TestEnvironment::start_with(program, change, operator);
+        world.agent.send_initial_notice();
+        assert_eq!(world.announce.next_report(), "true");
         world
     }
 
     /// A server whose agent accepts its link and says nothing yet.
-    pub fn start(program: &Path, change: Change) -> World {
-        World::start_with(program, change, None)
+    pub fn start(program: &Path, change: ConfigChange) -> TestEnvironment {
+        TestEnvironment::start_with(program, change, None)
     }
 
     /// The same with an operator's file.
-    pub fn start_with(program: &Path, change: Change, operator: Option<&str>) -> World {
-        World::start_within(program, change, operator, None)
+    pub fn start_with(program: &Path, change: ConfigChange, operator: Option<&str>) -> TestEnvironment {
+        TestEnvironment::start_with_descriptor_limit(program, change, operator, None)
     }
 
     /// The same, with a limit of the system itself on the descriptors of the process.
-    pub fn start_within(
+    pub fn start_with_descriptor_limit(
         program: &Path,
-        change: Change,
+        change: ConfigChange,
         operator: Option<&str>,
         descriptors: Option<usize>,
-    ) -> World {
+    ) -> TestEnvironment {
         let (agent, records, announce) = (Agent::start(), Records::start(), Announce::start());
         let listen = free_address();
         let mut config = json!({
@@ -142,7 +146,7 @@
         }
         let program = program.to_owned();
         let server = launch(&program, &folder, descriptors);
-        World { agent, records, announce, listen, program, descriptors, config, folder, server }
+        TestEnvironment { agent, records, announce, listen, program, descriptors, config, folder, server }
     }
 
     /// A connection of a balancer.
@@ -151,10 +155,10 @@
     }
 
     /// A connection on which this request, under the number 1, has been launched.
-    pub fn running(&mut self, id: &str) -> Balancer {
+    pub fn launch_request(&mut self, id: &str) -> Balancer {
         let mut balancer = self.balancer();
         balancer.send(&Request::new(1, id));
-        assert_eq!(self.agent.expect("launch").0, id);
+        assert_eq!(self.agent.expect_command("launch").0, id);
         balancer
     }
 
@@ -168,11 +172,11 @@
     /// Replaces the configuration file as a whole, as operators would, and says so.
     pub fn reconfigure(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
-        self.replace_file(&self.config.to_string());
+        self.replace_config_file(&self.config.to_string());
     }
 
     /// Puts any text in the place of the configuration file, and says so.
-    pub fn replace_file(&self, text: &str) {
+    pub fn replace_config_file(&self, text: &str) {
         let new = self.folder.join("config.new");
         std::fs::write(&new, text).expect("written");
         std::fs::rename(new, self.folder.join("config.json")).expect("renamed");
@@ -180,7 +184,7 @@
     }
 
     /// Replaces the operator's file, and says so.
-    pub fn replace_operator(&self, text: &str) {
+    pub fn replace_operator_config(&self, text: &str) {
         let new = self.folder.join("operator.new");
         std::fs::write(&new, text).expect("written");
         std::fs::rename(new, self.folder.join("operator.kdl")).expect("renamed");
@@ -198,7 +202,7 @@
     }
 
     /// Takes the configuration file away, and says so.
-    pub fn remove_file(&self) {
+    pub fn remove_config_file(&self) {
         std::fs::remove_file(self.folder.join("config.json")).expect("removed");
         self.signal("HUP");
     }
@@ -221,7 +225,7 @@
     }
 
     /// Waits for the server to end by itself.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         eventually("the server's end", || self.server.try_wait().expect("a child"))
     }
 
@@ -239,22 +243,22 @@
     }
 
     /// Number of the server's process.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.server.id()
     }
 
     /// Whether the server holds the descriptor of this number.
-    pub fn holds_descriptor(&self, number: usize) -> bool {
+    pub fn has_open_descriptor(&self, number: usize) -> bool {
         std::fs::symlink_metadata(format!("/proc/{}/fd/{number}", self.server.id())).is_ok()
     }
 
     /// Descriptors that the server holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.server.id())).map_or(0, Iterator::count)
     }
 }
 
-impl Drop for World {
+impl Drop for TestEnvironment {
     fn drop(&mut self) {
         let _ = self.server.kill();
         let _ = self.server.wait();
@@ -288,7 +292,7 @@
 }
 
 /// Runs the program to its end with these arguments, and a configuration if there is one.
-pub fn run(program: &Path, arguments: &[&str], config: Option<&str>) -> Output {
+pub fn run_program(program: &Path, arguments: &[&str], config: Option<&str>) -> Output {
     let folder = scratch();
     let mut command = command(program);
     command.args(arguments);
--- a/crates/replicated-store/tests/virtual_fleet.rs
+++ b/crates/replicated-store/tests/virtual_fleet.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
-use umberloom_fault_harness::linear::breaches;
-use umberloom_fault_harness::virtual_record::VirtualRecord;
+use umberloom_fault_harness::linear::violations;
+use umberloom_fault_harness::virtual_replicated_store::VirtualReplicatedStore;
 use umberloom_replicated_store::{Config, Entry, Event, Replica, Role};
 
 /// One second in microseconds.
@@ -22,27 +22,32 @@
 }
 
 /// Runs a new fleet until all servers have joined and `voters` of them vote.
-fn settled_fleet(servers: usize, voters: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualRecord {
-    let mut fleet = VirtualRecord::new(servers, seed, adjust);
-    fleet.until(20 * SECOND, |fleet| fleet.settled(voters)).expect("settled");
+fn settled_fleet(
+    servers: usize,
+    voters: usize,
+    seed: u64,
+    adjust: fn(&mut Config),
+) -> VirtualReplicatedStore {
+    let mut fleet = VirtualReplicatedStore::new(servers, seed, adjust);
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(voters)).expect("settled");
     fleet
 }
 
 /// Some server that is a voter and not the leader.
-fn any_follower(fleet: &VirtualRecord, servers: usize) -> usize {
+fn any_follower(fleet: &VirtualReplicatedStore, servers: usize) -> usize {
     let is_follower =
-        |server: &usize| fleet.record(*server).is_some_and(|replica| replica.role() == Role::Voter);
+        |server: &usize| fleet.replica(*server).is_some_and(|replica| replica.role() == Role::Voter);
     (0..servers).find(is_follower).expect("a voter")
 }
 
 /// The version of a document as a server has it; `None` if the server is down or has no such document.
-fn version_at(fleet: &VirtualRecord, server: usize, name: &str) -> Option<u64> {
-    fleet.record(server).and_then(|replica| replica.state().get(name)).map(|document| document.version)
+fn version_at(fleet: &VirtualReplicatedStore, server: usize, name: &str) -> Option<u64> {
+    fleet.replica(server).and_then(|replica| replica.state().get(name)).map(|document| document.version)
 }
 
 /// Runs the fleet for `duration` microseconds, with clients that write and read at random servers.
 fn run_clients(
-    fleet: &mut VirtualRecord,
+    fleet: &mut VirtualReplicatedStore,
     random: &mut ChaCha8Rng,
     servers: usize,
     duration: u64,
@@ -59,7 +64,7 @@
             }
             _ => fleet.read(server, name),
         }
-        fleet.run(fleet.now + random.random_range(1_000..30_000))?;
+        fleet.run_until(fleet.now + random.random_range(1_000..30_000))?;
     }
     Ok(())
 }
@@ -76,7 +81,7 @@
         };
         let fleet = settled_fleet(servers, voters, 7, adjust);
         let bootstraps =
-            fleet.told.iter().filter(|(.., event)| matches!(event, Event::Bootstrapped { .. })).count();
+            fleet.events.iter().filter(|(.., event)| matches!(event, Event::Bootstrapped { .. })).count();
         assert_eq!(bootstraps, 1, "{servers} servers");
     }
 }
@@ -89,15 +94,16 @@
         run_clients(&mut fleet, &mut random, 5, SECOND).expect("no violation");
         let leader = fleet.leader().expect("a leader");
         fleet.kill(leader, true);
-        let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != leader);
-        let took = fleet.until(5 * SECOND, has_new_leader).expect("a leader");
+        let has_new_leader =
+            |fleet: &VirtualReplicatedStore| fleet.leader().is_some_and(|server| server != leader);
+        let took = fleet.run_until_condition(5 * SECOND, has_new_leader).expect("a leader");
         assert!(took <= 2 * 400_000 + 100_000, "{took}");
         run_clients(&mut fleet, &mut random, 5, SECOND / 2).expect("no violation");
         fleet.start(leader);
-        fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+        fleet.run_until_condition(10 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
     }
-    assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
-    assert!(fleet.operations.iter().filter(|operation| operation.told.is_some()).count() > 200);
+    assert_eq!(violations(&fleet.operations), Vec::<String>::new());
+    assert!(fleet.operations.iter().filter(|operation| operation.result.is_some()).count() > 200);
 }
 
 /// The leader is killed after each possible number of events of a write, so also when the write is proposed,
@@ -108,24 +114,25 @@
     for events in 0..60 {
         let mut fleet = settled_fleet(3, 3, 100 + events as u64 % 3, short_timeouts);
         fleet.write(1, "x", None);
-        fleet.run(fleet.now + SECOND).expect("no violation");
+        fleet.run_until(fleet.now + SECOND).expect("no violation");
         let killed = fleet.leader().expect("a leader");
         fleet.write(killed, "x", None);
         fleet.write((killed + 1) % 3, "x", None);
-        fleet.events(events).expect("no violation");
+        fleet.run_events(events).expect("no violation");
         fleet.kill(killed, true);
-        let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != killed);
-        fleet.until(5 * SECOND, has_new_leader).expect("a leader");
+        let has_new_leader =
+            |fleet: &VirtualReplicatedStore| fleet.leader().is_some_and(|server| server != killed);
+        fleet.run_until_condition(5 * SECOND, has_new_leader).expect("a leader");
         let new_leader = fleet.leader().expect("a leader");
         fleet.read(new_leader, "x");
         fleet.write(new_leader, "x", None);
-        fleet.run(fleet.now + SECOND).expect("no violation");
+        fleet.run_until(fleet.now + SECOND).expect("no violation");
         fleet.start(killed);
-        fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+        fleet.run_until_condition(10 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
         fleet.read(killed, "x");
-        fleet.run(fleet.now + SECOND).expect("no violation");
-        assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "killed after {events} events");
-        let is_acknowledged = fleet.operations[1].told.is_some();
+        fleet.run_until(fleet.now + SECOND).expect("no violation");
+        assert_eq!(violations(&fleet.operations), Vec::<String>::new(), "killed after {events} events");
+        let is_acknowledged = fleet.operations[1].result.is_some();
         acknowledged += usize::from(is_acknowledged);
         unacknowledged += usize::from(!is_acknowledged);
     }
@@ -144,15 +151,15 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
         let faulty = fleet.leader().expect("a leader");
-        let old_replica = fleet.record(faulty).map(Replica::replica_id);
-        fleet.lie(faulty);
+        let old_replica = fleet.replica(faulty).map(Replica::replica_id);
+        fleet.ignore_syncs(faulty);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
         fleet.kill(faulty, true);
         fleet.start(faulty);
-        fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-        quarantined += usize::from(fleet.record(faulty).map(Replica::replica_id) != old_replica);
+        fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+        quarantined += usize::from(fleet.replica(faulty).map(Replica::replica_id) != old_replica);
         run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
-        assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(violations(&fleet.operations), Vec::<String>::new(), "seed {seed}");
     }
     assert!(quarantined > 4, "{quarantined} of 8 replicas were quarantined");
 }
@@ -164,23 +171,24 @@
     let stalled = fleet.leader().expect("a leader");
     let other = (stalled + 1) % 3;
     fleet.write(stalled, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
     fleet.pause(stalled, 5 * SECOND);
-    let has_new_leader = |fleet: &VirtualRecord| fleet.leader().is_some_and(|server| server != stalled);
-    fleet.until(5 * SECOND, has_new_leader).expect("another leader");
+    let has_new_leader =
+        |fleet: &VirtualReplicatedStore| fleet.leader().is_some_and(|server| server != stalled);
+    fleet.run_until_condition(5 * SECOND, has_new_leader).expect("another leader");
     for _ in 0..10 {
         fleet.write(other, "x", None);
-        fleet.run(fleet.now + 100_000).expect("no violation");
+        fleet.run_until(fleet.now + 100_000).expect("no violation");
     }
-    fleet.run(fleet.now + 5 * SECOND - 1_300_000).expect("no violation");
+    fleet.run_until(fleet.now + 5 * SECOND - 1_300_000).expect("no violation");
     // The stalled server still acts as leader until it receives a message of a later term.
     for _ in 0..20 {
         fleet.read(stalled, "x");
         fleet.write(stalled, "x", None);
-        fleet.run(fleet.now + 2_000).expect("no violation");
+        fleet.run_until(fleet.now + 2_000).expect("no violation");
     }
     run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
-    assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
+    assert_eq!(violations(&fleet.operations), Vec::<String>::new());
 }
 
 #[test]
@@ -214,24 +222,27 @@
         let mut fleet = settled_fleet(5, 5, 9, five_voters);
         let leader = fleet.leader().expect("a leader");
         let others: Vec<usize> = (0..5).filter(|server| *server != leader).collect();
-        fleet.cut = cut(leader, &others).into_iter().collect();
-        fleet.run(fleet.now + SECOND).expect("no violation");
-        let (first_event, observer) = (fleet.told.len(), others[0]);
-        let applied =
-            |fleet: &VirtualRecord| fleet.record(observer).map_or(0, |replica| replica.state().applied);
+        fleet.cut_links = cut(leader, &others).into_iter().collect();
+        fleet.run_until(fleet.now + SECOND).expect("no violation");
+        let (first_event, observer) = (fleet.events.len(), others[0]);
+        let applied = |fleet: &VirtualReplicatedStore| {
+            fleet.replica(observer).map_or(0, |replica| replica.state().applied)
+        };
         let before = applied(&fleet);
         let mut random = ChaCha8Rng::seed_from_u64(1);
         run_clients(&mut fleet, &mut random, 5, 5 * SECOND).expect("no violation");
         let after = applied(&fleet);
         assert!(after > before + 30, "{name}: {before} to {after}");
-        let new_leaders = fleet.told[first_event..]
+        let new_leaders = fleet.events[first_event..]
             .iter()
             .filter(|(.., event)| matches!(event, Event::RoleChanged { to: Role::Leader, .. }))
             .count();
         assert!(new_leaders <= 2, "{name}: {new_leaders} leaders in 5 s");
-        fleet.cut.clear();
-        fleet.until(10 * SECOND, |fleet| fleet.settled(5)).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(breaches(&fleet.operations), Vec::<String>::new(), "{name}");
+        fleet.cut_links.clear();
+        fleet
+            .run_until_condition(10 * SECOND, |fleet| fleet.is_converged(5))
+            .unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(violations(&fleet.operations), Vec::<String>::new(), "{name}");
     }
 }
 
@@ -241,24 +252,24 @@
         let mut fleet = settled_fleet(5, 3, 4, short_timeouts);
         let mut random = ChaCha8Rng::seed_from_u64(4);
         let voter = any_follower(&fleet, 5);
-        let image = fleet.image(voter);
-        let old_replica = fleet.record(voter).map(Replica::replica_id);
+        let image = fleet.disk_image(voter);
+        let old_replica = fleet.replica(voter).map(Replica::replica_id);
         run_clients(&mut fleet, &mut random, 5, 2 * SECOND).expect("no violation");
         if is_rollback {
-            fleet.put_back(voter, image);
+            fleet.restore_disk(voter, image);
         } else {
             fleet.lose_disk(voter);
         }
         fleet.start(voter);
-        fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-        let new_replica = fleet.record(voter).map(Replica::replica_id);
+        fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+        let new_replica = fleet.replica(voter).map(Replica::replica_id);
         assert_ne!(old_replica, new_replica, "rollback: {is_rollback}");
-        assert_eq!(fleet.aside.len(), usize::from(is_rollback), "{:?}", fleet.aside);
-        let state = fleet.record(voter).expect("the server runs").state();
+        assert_eq!(fleet.quarantined.len(), usize::from(is_rollback), "{:?}", fleet.quarantined);
+        let state = fleet.replica(voter).expect("the server runs").state();
         let name = format!("m{voter}");
         assert_eq!(state.members.values().filter(|member| member.name == name).count(), 1);
         run_clients(&mut fleet, &mut random, 5, SECOND).expect("no violation");
-        assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
+        assert_eq!(violations(&fleet.operations), Vec::<String>::new());
     }
 }
 
@@ -267,8 +278,8 @@
     let mut fleet = settled_fleet(5, 3, 6, short_timeouts);
     let voter = any_follower(&fleet, 5);
     fleet.kill(voter, false);
-    let is_replaced = |fleet: &VirtualRecord| {
-        let leader = fleet.leader().and_then(|server| fleet.record(server));
+    let is_replaced = |fleet: &VirtualReplicatedStore| {
+        let leader = fleet.leader().and_then(|server| fleet.replica(server));
         leader.map(|replica| replica.status(fleet.now)).is_some_and(|status| {
             status.replicas.iter().filter(|replica| replica.is_voter).count() == 3
                 && !status
@@ -277,31 +288,31 @@
                     .any(|replica| replica.is_voter && replica.server == format!("m{voter}"))
         })
     };
-    fleet.until(10 * SECOND, is_replaced).expect("replaced");
+    fleet.run_until_condition(10 * SECOND, is_replaced).expect("replaced");
     fleet.start(voter);
-    fleet.until(10 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-    assert_eq!(fleet.record(voter).map(Replica::role), Some(Role::Learner));
+    fleet.run_until_condition(10 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+    assert_eq!(fleet.replica(voter).map(Replica::role), Some(Role::Learner));
 }
 
 #[test]
 fn a_fleet_that_lost_all_disks_bootstraps_a_new_store() {
     let mut fleet = settled_fleet(3, 3, 8, short_timeouts);
-    let first_store = fleet.record(0).map(Replica::store_id);
+    let first_store = fleet.replica(0).map(Replica::store_id);
     (0..3).for_each(|server| fleet.lose_disk(server));
     (0..3).for_each(|server| fleet.start(server));
-    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-    assert_ne!(fleet.record(0).map(Replica::store_id), first_store);
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+    assert_ne!(fleet.replica(0).map(Replica::store_id), first_store);
     let is_bootstrap = |event: &Event| matches!(event, Event::Bootstrapped { .. });
-    assert_eq!(fleet.told.iter().filter(|(.., event)| is_bootstrap(event)).count(), 2);
+    assert_eq!(fleet.events.iter().filter(|(.., event)| is_bootstrap(event)).count(), 2);
     // With their disks the servers keep the store, in whatever order they start.
-    let second_store = fleet.record(0).map(Replica::store_id);
+    let second_store = fleet.replica(0).map(Replica::store_id);
     (0..3).for_each(|server| fleet.kill(server, true));
     for server in [2, 0, 1] {
         fleet.start(server);
-        fleet.run(fleet.now + SECOND).expect("no violation");
+        fleet.run_until(fleet.now + SECOND).expect("no violation");
     }
-    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-    assert_eq!(fleet.record(0).map(Replica::store_id), second_store);
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+    assert_eq!(fleet.replica(0).map(Replica::store_id), second_store);
 }
 
 #[test]
@@ -309,42 +320,43 @@
     let mut fleet = settled_fleet(3, 3, 2, short_timeouts);
     let mut random = ChaCha8Rng::seed_from_u64(2);
     let voter = any_follower(&fleet, 3);
-    fleet.spoil(voter, 1);
-    fleet.until(10 * SECOND, |fleet| !fleet.aside.is_empty()).expect("quarantined");
-    assert_eq!(fleet.aside[0].0, voter);
-    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    fleet.corrupt_state(voter, 1);
+    fleet.run_until_condition(10 * SECOND, |fleet| !fleet.quarantined.is_empty()).expect("quarantined");
+    assert_eq!(fleet.quarantined[0].0, voter);
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
     run_clients(&mut fleet, &mut random, 3, SECOND).expect("no violation");
-    assert_eq!(breaches(&fleet.operations), Vec::<String>::new());
+    assert_eq!(violations(&fleet.operations), Vec::<String>::new());
 }
 
 #[test]
 fn replicas_that_all_diverge_freeze_until_an_operator_adopts_one() {
     let mut fleet = settled_fleet(3, 3, 2, short_timeouts);
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
     assert!(fleet.adopt(0).is_err_and(|error| error.contains("nothing is to be decided")));
     // Each of the three replicas differs from both others.
-    fleet.spoil(0, 1);
-    fleet.spoil(1, 2);
-    let all_frozen = |fleet: &VirtualRecord| {
-        (0..3).all(|server| fleet.record(server).is_some_and(|replica| replica.status(fleet.now).frozen))
+    fleet.corrupt_state(0, 1);
+    fleet.corrupt_state(1, 2);
+    let all_frozen = |fleet: &VirtualReplicatedStore| {
+        (0..3).all(|server| fleet.replica(server).is_some_and(|replica| replica.status(fleet.now).frozen))
     };
-    fleet.until(10 * SECOND, all_frozen).expect("frozen");
-    assert!(fleet.aside.is_empty(), "quarantined without a majority: {:?}", fleet.aside);
+    fleet.run_until_condition(10 * SECOND, all_frozen).expect("frozen");
+    assert!(fleet.quarantined.is_empty(), "quarantined without a majority: {:?}", fleet.quarantined);
     let leader = fleet.leader().expect("a leader");
-    let applied = |fleet: &VirtualRecord| fleet.record(leader).map(|replica| replica.state().applied);
+    let applied =
+        |fleet: &VirtualReplicatedStore| fleet.replica(leader).map(|replica| replica.state().applied);
     let before = applied(&fleet);
     fleet.write(leader, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
     assert_eq!(applied(&fleet), before, "written although frozen");
     fleet.adopt(2).expect("adopted");
-    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-    let state = fleet.record(0).expect("the server runs").state();
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+    let state = fleet.replica(0).expect("the server runs").state();
     assert!(
         state.get("x").is_some() && state.history().any(|line| line.description.starts_with("adopted from"))
     );
     fleet.write(1, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
     assert_eq!(version_at(&fleet, 0, "x"), Some(2));
 }
 
@@ -352,35 +364,35 @@
 fn adopting_a_replica_that_was_only_partitioned_leaves_the_majority_unchanged() {
     let mut fleet = settled_fleet(5, 3, 21, short_timeouts);
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
-    let first_store = fleet.record(0).map(Replica::store_id);
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
+    let first_store = fleet.replica(0).map(Replica::store_id);
     let partitioned = 4;
-    fleet.cut.extend((0..4).flat_map(|server| [(server, partitioned), (partitioned, server)]));
+    fleet.cut_links.extend((0..4).flat_map(|server| [(server, partitioned), (partitioned, server)]));
     fleet
-        .until(20 * SECOND, |fleet| {
-            fleet.record(partitioned).is_some_and(|replica| replica.status(fleet.now).leader.is_none())
+        .run_until_condition(20 * SECOND, |fleet| {
+            fleet.replica(partitioned).is_some_and(|replica| replica.status(fleet.now).leader.is_none())
         })
         .expect("partitioned");
-    fleet.run(fleet.now + 2 * SECOND).expect("no violation");
+    fleet.run_until(fleet.now + 2 * SECOND).expect("no violation");
     fleet.adopt(partitioned).expect("allowed, as the server knows no leader");
     fleet.write(0, "x", None);
-    fleet.run(fleet.now + SECOND).expect("no violation");
-    fleet.cut.clear();
-    fleet.run(fleet.now + 5 * SECOND).expect("no violation");
+    fleet.run_until(fleet.now + SECOND).expect("no violation");
+    fleet.cut_links.clear();
+    fleet.run_until(fleet.now + 5 * SECOND).expect("no violation");
     assert!(
-        (0..4).all(|server| fleet.record(server).map(Replica::store_id) == first_store),
+        (0..4).all(|server| fleet.replica(server).map(Replica::store_id) == first_store),
         "the majority has left its store"
     );
-    assert!(fleet.aside.is_empty(), "{:?}", fleet.aside);
+    assert!(fleet.quarantined.is_empty(), "{:?}", fleet.quarantined);
     assert!(fleet
-        .told
+        .events
         .iter()
         .any(|(_, server, event)| *server < 4 && matches!(event, Event::CompetingStore { .. })));
     // Without its replica the server joins the store that most servers have.
     fleet.lose_disk(partitioned);
     fleet.start(partitioned);
-    fleet.until(20 * SECOND, |fleet| fleet.settled(3)).expect("settled");
-    assert_eq!(fleet.record(partitioned).map(Replica::store_id), first_store);
+    fleet.run_until_condition(20 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
+    assert_eq!(fleet.replica(partitioned).map(Replica::store_id), first_store);
     assert_eq!(version_at(&fleet, partitioned, "x"), Some(2));
 }
 
@@ -397,20 +409,22 @@
     for number in 0..30 {
         let entries = Entry::document(&format!("big{number}"), vec![number as u8; 30_000], None);
         fleet.propose(leader, entries);
-        fleet.run(fleet.now + 50_000).expect("no violation");
+        fleet.run_until(fleet.now + 50_000).expect("no violation");
     }
     for _ in 0..40 {
         (0..110).for_each(|_| fleet.write(leader, "x", None));
-        fleet.run(fleet.now + 100_000).expect("no violation");
+        fleet.run_until(fleet.now + 100_000).expect("no violation");
     }
     fleet.start(lagging);
-    let progress = |fleet: &VirtualRecord| {
-        fleet.record(lagging).and_then(|replica| replica.status(fleet.now).catching_up)
+    let progress = |fleet: &VirtualReplicatedStore| {
+        fleet.replica(lagging).and_then(|replica| replica.status(fleet.now).catching_up)
     };
     let mut highest = 0;
     for _ in 0..3 {
         fleet
-            .until(20 * SECOND, |fleet| progress(fleet).is_some_and(|(received, _)| received >= highest + 4))
+            .run_until_condition(20 * SECOND, |fleet| {
+                progress(fleet).is_some_and(|(received, _)| received >= highest + 4)
+            })
             .expect("chunks received");
         let (received, total) = progress(&fleet).expect("a transfer in progress");
         assert!(received >= highest, "{received} of {total}, {highest} had been received before");
@@ -418,9 +432,9 @@
         fleet.kill(lagging, true);
         fleet.start(lagging);
     }
-    fleet.until(30 * SECOND, |fleet| fleet.settled(3)).expect("settled");
+    fleet.run_until_condition(30 * SECOND, |fleet| fleet.is_converged(3)).expect("settled");
     assert!(fleet
-        .told
+        .events
         .iter()
         .any(|(_, server, event)| *server == lagging && matches!(event, Event::CaughtUp { .. })));
 }
@@ -430,8 +444,8 @@
 fn run_random_faults(seed: u64, servers: usize) -> Result<(), String> {
     let adjust = if seed.is_multiple_of(2) { short_timeouts } else { five_voters };
     let voters = if seed.is_multiple_of(2) { 3.min(servers) } else { 5 };
-    let mut fleet = VirtualRecord::new(servers, seed, adjust);
-    fleet.until(30 * SECOND, |fleet| fleet.settled(voters))?;
+    let mut fleet = VirtualReplicatedStore::new(servers, seed, adjust);
+    fleet.run_until_condition(30 * SECOND, |fleet| fleet.is_converged(voters))?;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut disk_lost = false;
     for _ in 0..14 {
@@ -439,30 +453,30 @@
         run_clients(&mut fleet, &mut random, servers, duration)?;
         let (server, other) = (random.random_range(0..servers), random.random_range(0..servers));
         match random.random_range(0..9) {
-            0 | 1 if server != other => drop(fleet.cut.insert((server, other))),
-            2 => fleet.cut.clear(),
+            0 | 1 if server != other => drop(fleet.cut_links.insert((server, other))),
+            2 => fleet.cut_links.clear(),
             3 => fleet.kill(server, random.random_bool(0.5)),
-            4 if !fleet.runs(server) => fleet.start(server),
+            4 if !fleet.is_running(server) => fleet.start(server),
             5 => fleet.pause(server, random.random_range(50_000..3 * SECOND)),
-            6 => (fleet.loss, fleet.late) = (random.random_range(0.0..0.3), 60_000),
+            6 => (fleet.loss, fleet.max_delay) = (random.random_range(0.0..0.3), 60_000),
             // One disk is lost per run, and only while all servers run: a lost majority would lose writes.
-            7 if !disk_lost && (0..servers).all(|server| fleet.runs(server)) => {
+            7 if !disk_lost && (0..servers).all(|server| fleet.is_running(server)) => {
                 disk_lost = true;
                 fleet.lose_disk(server);
                 fleet.start(server);
             }
-            _ => (fleet.loss, fleet.late) = (0.0, 2_000),
+            _ => (fleet.loss, fleet.max_delay) = (0.0, 2_000),
         }
     }
-    (fleet.loss, fleet.late) = (0.0, 2_000);
-    fleet.cut.clear();
-    fleet.run(fleet.now + 3 * SECOND)?;
-    let stopped: Vec<usize> = (0..servers).filter(|server| !fleet.runs(*server)).collect();
+    (fleet.loss, fleet.max_delay) = (0.0, 2_000);
+    fleet.cut_links.clear();
+    fleet.run_until(fleet.now + 3 * SECOND)?;
+    let stopped: Vec<usize> = (0..servers).filter(|server| !fleet.is_running(*server)).collect();
     stopped.into_iter().for_each(|server| fleet.start(server));
-    fleet.until(30 * SECOND, |fleet| fleet.settled(voters))?;
+    fleet.run_until_condition(30 * SECOND, |fleet| fleet.is_converged(voters))?;
     run_clients(&mut fleet, &mut random, servers, SECOND)?;
-    fleet.run(fleet.now + SECOND)?;
-    let violations = breaches(&fleet.operations);
+    fleet.run_until(fleet.now + SECOND)?;
+    let violations = violations(&fleet.operations);
     if violations.is_empty() {
         Ok(())
     } else {
--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::balancer::record;
-use common::{Balancer, Request, World, PATIENCE};
+use common::{Balancer, Request, World, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 
 /// Idle connections are let be for far longer than a test waits.
@@ -17,7 +17,7 @@
 
 /// Waits for the server to end the connection; what it sent before that.
 fn closed(mut stream: TcpStream) -> Vec<u8> {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
     let mut all = Vec::new();
     match stream.read_to_end(&mut all) {
         Err(e) if e.kind() != ErrorKind::ConnectionReset => panic!("not closed: {e}"),
@@ -53,12 +53,12 @@
 #[test]
 fn connection_with_a_partial_second_request_is_closed() {
     let mut world = World::up(patient);
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     let half = Request::new(2, "half").bytes();
     balancer.send_bytes(&half[..half.len() / 2]);
     std::thread::sleep(Duration::from_millis(2_200));
     // What is open on it is answered all the same.
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     assert_eq!(balancer.try_answer(), None);
 }
@@ -69,8 +69,8 @@
     let mut balancer = world.balancer();
     for id in ["a", "b"] {
         balancer.send(&Request::new(1, id));
-        assert_eq!(world.agent.expect("launch").0, id);
-        world.agent.outcome(id, "fine", b"r");
+        assert_eq!(world.agent.expect_command("launch").0, id);
+        world.agent.send_outcome(id, "fine", b"r");
         assert_eq!(balancer.answer().body, b"r");
         // Longer than a first request may take to come.
         std::thread::sleep(Duration::from_millis(2_300));
@@ -80,9 +80,9 @@
 #[test]
 fn run_may_take_longer_than_the_request_timeout() {
     let mut world = World::up(patient);
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     std::thread::sleep(Duration::from_millis(2_300));
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
 }
 
@@ -122,15 +122,15 @@
         config["limits"]["sockets"] = 64.into();
     });
     let mut usual = world.balancer();
-    assert_eq!(usual.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(usual.round_trip(&Request::health_check(1, "")).status, 200);
     let crowd: Vec<TcpStream> =
         (0..200).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
     // All of the crowd has been let in when a later connection is served.
     let mut last = Balancer::connect(world.listen);
-    assert_eq!(last.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(last.round_trip(&Request::health_check(1, "")).status, 200);
     // The one that has asked before is still there, though idle for longer than any of them.
-    assert_eq!(usual.ask(&Request::check(2, "")).status, 200);
-    assert!(world.descriptors() <= 64, "{}", world.descriptors());
+    assert_eq!(usual.round_trip(&Request::health_check(2, "")).status, 200);
+    assert!(world.descriptor_count() <= 64, "{}", world.descriptor_count());
     drop(crowd);
     assert!(world.is_alive());
 }
@@ -142,8 +142,8 @@
     for n in 0..40 {
         let id = format!("{n:016x}");
         stranger.send(&Request::new(1, &id));
-        assert_eq!(world.agent.expect("launch").0, id);
-        world.agent.say(&json!({"op": "refusal", "end": "launch", "id": id}));
+        assert_eq!(world.agent.expect_command("launch").0, id);
+        world.agent.send(&json!({"op": "refusal", "end": "launch", "id": id}));
         assert_eq!(stranger.answer().status, 500);
     }
     // A server that took these for failed runs would be sick, and let two probes through at most.
@@ -152,6 +152,6 @@
         balancer.send(&Request::new(slot, &format!("sound{slot}")));
     }
     for _ in 1..=5 {
-        world.agent.expect("launch");
+        world.agent.expect_command("launch");
     }
 }
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -7,13 +7,15 @@
 use std::path::Path;
 use std::process::Output;
 
-pub use umberloom_protocol_fakes::world::{eventually, settings, unix_ms, Change, PATIENCE};
+pub use umberloom_protocol_fakes::test_environment::{
+    eventually, settings, unix_ms, ConfigChange, WAIT_TIMEOUT,
+};
 pub use umberloom_protocol_fakes::{
     balancer, dependency, Agent, Announce, Balancer, Dependency, Records, Request,
 };
 
 /// That server and its fakes.
-pub struct World(umberloom_protocol_fakes::World);
+pub struct World(umberloom_protocol_fakes::TestEnvironment);
 
 pub fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_umberloom"))
@@ -21,32 +23,41 @@
 
 impl World {
     /// A server whose agent is up and that is registered.
-    pub fn up(change: Change) -> World {
-        World(umberloom_protocol_fakes::World::up(program(), change))
+    pub fn up(change: ConfigChange) -> World {
+        World(umberloom_protocol_fakes::TestEnvironment::start_registered(program(), change))
     }
 
     /// The same with an operator's file.
-    pub fn up_with(change: Change, operator: &str) -> World {
-        World(umberloom_protocol_fakes::World::up_with(program(), change, Some(operator)))
+    pub fn up_with(change: ConfigChange, operator: &str) -> World {
+        World(umberloom_protocol_fakes::TestEnvironment::start_registered_with(
+            program(),
+            change,
+            Some(operator),
+        ))
     }
 
     /// A server that is up under a limit of the system itself on its descriptors.
-    pub fn up_within(descriptors: usize, change: Change) -> World {
-        let world = umberloom_protocol_fakes::World::start_within(program(), change, None, Some(descriptors));
+    pub fn up_within(descriptors: usize, change: ConfigChange) -> World {
+        let world = umberloom_protocol_fakes::TestEnvironment::start_with_descriptor_limit(
+            program(),
+            change,
+            None,
+            Some(descriptors),
+        );
         let mut world = World(world);
-        world.agent.greet();
-        assert_eq!(world.announce.report(), "true");
+        world.agent.send_initial_notice();
+        assert_eq!(world.announce.next_report(), "true");
         world
     }
 
     /// A server whose agent accepts its link and has not greeted yet.
-    pub fn start(change: Change) -> World {
-        World(umberloom_protocol_fakes::World::start(program(), change))
+    pub fn start(change: ConfigChange) -> World {
+        World(umberloom_protocol_fakes::TestEnvironment::start(program(), change))
     }
 }
 
 impl Deref for World {
-    type Target = umberloom_protocol_fakes::World;
+    type Target = umberloom_protocol_fakes::TestEnvironment;
 
     fn deref(&self) -> &Self::Target {
         &self.0
@@ -61,7 +72,7 @@
 
 /// Runs the program to its end with these arguments, and a configuration if there is one.
 pub fn run(arguments: &[&str], config: Option<&str>) -> Output {
-    umberloom_protocol_fakes::world::run(program(), arguments, config)
+    umberloom_protocol_fakes::test_environment::run_program(program(), arguments, config)
 }
 
 /// Options of a fleet of this server.
@@ -73,8 +84,8 @@
 pub fn whole(servers: usize) -> umberloom_fault_harness::Fleet {
     let mut fleet =
         umberloom_fault_harness::Fleet::start(options(servers)).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_all("whole").unwrap_or_else(|why| panic!("{why}"));
-    fleet.ask(2, std::time::Duration::from_millis(20));
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_else(|why| panic!("{why}"));
+    fleet.start_traffic(2, std::time::Duration::from_millis(20));
     fleet
 }
 
@@ -91,7 +102,7 @@
 
 /// Asserts that no invariant was broken.
 pub fn sound(mut fleet: umberloom_fault_harness::Fleet) {
-    let breaches = fleet.breaches();
+    let breaches = fleet.finish_and_check();
     assert!(breaches.is_empty(), "{}", breaches.join("\n"));
 }
 
--- a/crates/server/tests/common/replicated_store.rs
+++ b/crates/server/tests/common/replicated_store.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use umberloom_fault_harness::linear::{breaches, Operation};
+use umberloom_fault_harness::linear::{violations, Operation};
 use umberloom_fault_harness::Fleet;
 
 use super::{options, program, UnwrapOrPanic};
@@ -16,11 +16,11 @@
 /// Starts servers that keep a store with short timeouts, with disks or in memory, under a light load of requests.
 pub fn start_fleet_with_store(servers: usize, voters: usize, with_disks: bool) -> Fleet {
     let mut options = options(servers);
-    options.record = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
-    options.disk = with_disks.then(|| "most-mb=64".to_owned());
+    options.store_options = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
+    options.store_folder_options = with_disks.then(|| "most-mb=64".to_owned());
     let mut fleet = Fleet::start(options).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(voters).unwrap_or_panic();
-    fleet.ask(2, Duration::from_millis(20));
+    fleet.wait_for_replication(voters).unwrap_or_panic();
+    fleet.start_traffic(2, Duration::from_millis(20));
     fleet
 }
 
@@ -28,26 +28,26 @@
 pub fn put_document(fleet: &Fleet, server: usize, name: &str, content: &str) -> Result<u64, String> {
     let file = fleet.servers[server].folder.join("document");
     std::fs::write(&file, content).map_err(|e| e.to_string())?;
-    let reply = fleet.record(server, &["put", name, &file.display().to_string()])?;
+    let reply = fleet.store_command(server, &["put", name, &file.display().to_string()])?;
     reply["version"].as_u64().ok_or(reply.to_string())
 }
 
 /// The latest content of a document, read at a server.
 pub fn read_latest(fleet: &Fleet, server: usize, name: &str) -> Result<String, String> {
-    let reply = fleet.record(server, &["show", name])?;
+    let reply = fleet.store_command(server, &["show", name])?;
     Ok(reply["content"].as_str().unwrap_or_default().to_owned())
 }
 
 /// Waits until a server other than `former` leads; its index.
 pub fn wait_for_other_leader(fleet: &Fleet, former: usize) -> usize {
     let leads = |fleet: &Fleet| fleet.leader().is_some_and(|leader| leader != former);
-    fleet.until("another leader", leads).unwrap_or_panic();
+    fleet.wait_until("another leader", leads).unwrap_or_panic();
     fleet.leader().expect("a leader")
 }
 
 /// A voter that does not lead.
 pub fn any_follower(fleet: &Fleet) -> usize {
-    let follows = |server: &usize| fleet.kept(*server, "role") == "Voter";
+    let follows = |server: &usize| fleet.store_status_field(*server, "role") == "Voter";
     (0..fleet.servers.len()).find(follows).expect("a follower")
 }
 
@@ -55,7 +55,7 @@
 pub fn logged(fleet: &mut Fleet, server: usize, message: &str) -> Vec<Value> {
     fleet.servers[server].read_log();
     let name = fleet.servers[server].name.clone();
-    fleet.history.said(&name, message).into_iter().map(|event| event.what).collect()
+    fleet.history.log_lines(&name, message).into_iter().map(|event| event.details).collect()
 }
 
 /// One client at each server, which write and read one register until they are stopped.
@@ -72,8 +72,8 @@
         let threads = fleet.servers.iter().zip(0u128..).map(|(server, number)| {
             let client = Client {
                 file: server.folder.join(format!("client-{seed}")),
-                operator_file: server.operator_file(),
-                address: server.fleet.to_string(),
+                operator_file: server.operator_config_path(),
+                address: server.fleet_address.to_string(),
                 number,
                 seed,
                 started,
@@ -89,9 +89,9 @@
         self.stop.store(true, Ordering::Relaxed);
         let all: Vec<Operation> =
             self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect();
-        let done = all.iter().filter(|operation| operation.told.is_some()).count();
+        let done = all.iter().filter(|operation| operation.result.is_some()).count();
         assert!(done >= min_done, "{done} of {} operations were done", all.len());
-        assert_eq!(breaches(&all), Vec::<String>::new());
+        assert_eq!(violations(&all), Vec::<String>::new());
     }
 }
 
@@ -127,7 +127,7 @@
         let _ = std::fs::write(&self.file, value.to_string());
         let reply = self.command(&["put", "x", &self.file.display().to_string()]);
         if let Some(version) = reply.and_then(|reply| reply["version"].as_u64()) {
-            operation.done(self.now(), version, value);
+            operation.complete(self.now(), version, value);
         }
         operation
     }
@@ -137,7 +137,7 @@
         let Some(reply) = self.command(&["show", "x"]) else { return operation };
         let content = reply["content"].as_str().and_then(|text| text.parse().ok());
         if let Some(version) = reply["version"].as_u64() {
-            operation.done(self.now(), version, content.unwrap_or(0));
+            operation.complete(self.now(), version, content.unwrap_or(0));
         }
         operation
     }
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -41,12 +41,12 @@
 fn run_one(world: &mut World, id: &str) -> String {
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, id).with("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"));
-    assert_eq!(world.agent.expect("launch").0, id);
-    world.agent.needs_call(id, b"what");
-    world.records.call().reply("200 OK", "", b"booked");
-    let (of, deliver) = world.agent.expect("deliver");
+    assert_eq!(world.agent.expect_command("launch").0, id);
+    world.agent.send_call_request(id, b"what");
+    world.records.next_call().reply("200 OK", "", b"booked");
+    let (of, deliver) = world.agent.expect_command("deliver");
     assert_eq!(of, id);
-    world.agent.outcome(id, "fine", b"r");
+    world.agent.send_outcome(id, "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     parts(&deliver)
 }
@@ -55,19 +55,19 @@
 fn calls_of_a_stage_are_concurrent_and_delivered_as_one_response() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"what");
-    let mut call = world.records.call();
-    assert_eq!(call.request.line, "POST /records/op HTTP/1.1");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"what");
+    let mut call = world.records.next_call();
+    assert_eq!(call.request.request_line, "POST /records/op HTTP/1.1");
     assert_eq!((call.request.header("Op-Of"), call.request.body.as_slice()), ("a", &b"what"[..]));
     // The other call does not wait for it.
-    eventually("the other call", || (extra.calls() == 1).then_some(()));
+    eventually("the other call", || (extra.call_count() == 1).then_some(()));
     assert_eq!(extra.bodies(), [b"what"]);
-    assert!(extra.waits_ms().iter().all(|&ms| ms <= 400), "{:?}", extra.waits_ms());
+    assert!(extra.stated_timeouts_ms().iter().all(|&ms| ms <= 400), "{:?}", extra.stated_timeouts_ms());
     call.reply("200 OK", "", b"booked");
-    let (_, deliver) = world.agent.expect("deliver");
+    let (_, deliver) = world.agent.expect_command("deliver");
     assert_eq!(parts(&deliver), "records: booked, extra: notes");
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
 }
 
@@ -77,12 +77,12 @@
     let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").with("SCRIPT_NAME", "/svc/room"));
-    assert_eq!(world.agent.expect("launch").0, "a");
-    world.agent.needs_call("a", b"what");
-    world.records.call().reply("200 OK", "", b"booked");
-    let (_, deliver) = world.agent.expect("deliver");
+    assert_eq!(world.agent.expect_command("launch").0, "a");
+    world.agent.send_call_request("a", b"what");
+    world.records.next_call().reply("200 OK", "", b"booked");
+    let (_, deliver) = world.agent.expect_command("deliver");
     assert_eq!(deliver["body"], STANDARD.encode(b"booked"));
-    assert_eq!(extra.calls(), 0);
+    assert_eq!(extra.call_count(), 0);
 }
 
 #[test]
@@ -97,23 +97,23 @@
         (Behaviour::Hang, "DeadlineExceeded"),
         (Behaviour::Reset, "ConnectionLost"),
         (Behaviour::failing(), "Failed"),
-        (Behaviour::turning_away(), "Rejected"),
-        (Behaviour::Drip { body: vec![b'x'; 100], every_ms: 20 }, "DeadlineExceeded"),
-        (Behaviour::Lie { body: b"short".to_vec(), by: 5 }, "ConnectionLost"),
+        (Behaviour::rejecting(), "Rejected"),
+        (Behaviour::ByteByByte { body: vec![b'x'; 100], every_ms: 20 }, "DeadlineExceeded"),
+        (Behaviour::WrongLength { body: b"short".to_vec(), by: 5 }, "ConnectionLost"),
         (Behaviour::Endless, "ConnectionLost"),
         (Behaviour::Status { line: "200 OK", headers: "Content-Length: 7\r\n" }, "ConnectionLost"),
         (Behaviour::Status { line: "nonsense", headers: "" }, "ConnectionLost"),
         (Behaviour::Answer { body: b"late".to_vec(), median_ms: 600.0, sigma: 0.01 }, "DeadlineExceeded"),
     ];
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
-        extra.behave(behaviour.clone());
+        extra.set_behaviour(behaviour.clone());
         let start = Instant::now();
         let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
         // Far less than the time that the request has; the machine may be slow.
         assert!(start.elapsed() < Duration::from_secs(10), "{behaviour:?}");
     }
-    extra.behave(Behaviour::Down);
+    extra.set_behaviour(Behaviour::Down);
     eventually("the port to be shut", || std::net::TcpStream::connect(extra.address).is_err().then_some(()));
     assert_eq!(run_one(&mut world, "down"), "records: booked, extra: Unreachable");
     assert!(world.memory_kb() < before + 8_192, "a reply of 3 GB is not buffered");
@@ -130,9 +130,9 @@
         },
         &operator(&[&Dependency::start(Behaviour::quick(b"notes"))], ""),
     );
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"what");
-    world.records.call().reply("500 Internal Server Error", "", b"");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"what");
+    world.records.next_call().reply("500 Internal Server Error", "", b"");
     assert_eq!(balancer.answer().status, 500);
 }
 
@@ -144,7 +144,7 @@
     for number in 0..12 {
         assert_eq!(run_one(&mut world, &format!("r{number}")), "records: booked, extra: notes");
     }
-    assert_eq!(up.calls(), 12);
+    assert_eq!(up.call_count(), 12);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let more = "retry most=0\n fallback {\n kept max-age-ms=60000\n constant \"none\"\n }";
     let mut world = World::up_with(|_| (), &operator(&[&extra], more));
     assert_eq!(run_one(&mut world, "first"), "records: booked, extra: notes");
-    extra.behave(Behaviour::failing());
+    extra.set_behaviour(Behaviour::failing());
     assert_eq!(run_one(&mut world, "second"), "records: booked, extra: kept notes");
 }
 
@@ -163,18 +163,18 @@
         Dependency::start(Behaviour::Answer { body: b"notes".to_vec(), median_ms: 300.0, sigma: 0.01 });
     let other = Dependency::start(Behaviour::quick(b"other"));
     let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"what");
-    eventually("the call", || (extra.calls() == 1).then_some(()));
-    world.replace_operator(&operator(&[&other], "").replace("extra", "new"));
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"what");
+    eventually("the call", || (extra.call_count() == 1).then_some(()));
+    world.replace_operator_config(&operator(&[&other], "").replace("extra", "new"));
     eventually("the reloaded dependencies", || world.log().contains("dependencies reloaded").then_some(()));
-    world.records.call().reply("200 OK", "", b"booked");
-    let (_, deliver) = world.agent.expect("deliver");
+    world.records.next_call().reply("200 OK", "", b"booked");
+    let (_, deliver) = world.agent.expect_command("deliver");
     assert_eq!(parts(&deliver), "records: booked, extra: notes");
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     assert_eq!(run_one(&mut world, "b"), "records: booked, new: other");
-    assert_eq!(extra.calls(), 1);
+    assert_eq!(extra.call_count(), 1);
 }
 
 #[test]
@@ -185,7 +185,7 @@
         ["plan \"search\" {\n  stage { needs \"nobody\"; }\n}\n", "dependency \"a\" {", "kept kb=999999\n"]
     {
         let lines = world.log().matches("configuration reload rejected").count();
-        world.replace_operator(broken);
+        world.replace_operator_config(broken);
         eventually("a complaint", || {
             (world.log().matches("configuration reload rejected").count() > lines).then_some(())
         });
@@ -203,7 +203,7 @@
     world.reconfigure(|config| config["records"] = json!(records.address));
     let old = std::mem::replace(&mut world.records, records);
     eventually("the reloaded dependencies", || world.log().contains("dependencies reloaded").then_some(()));
-    world.agent.wait_samples(3);
+    world.agent.wait_for_samples(3);
     assert_eq!(run_one(&mut world, "b"), "records: booked, extra: notes");
     drop(old);
 }
@@ -212,13 +212,13 @@
 fn a_server_that_drains_during_a_stage_answers_and_exits() {
     let extra = Dependency::start(Behaviour::Hang);
     let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"what");
-    eventually("the call", || (extra.calls() == 1).then_some(()));
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"what");
+    eventually("the call", || (extra.call_count() == 1).then_some(()));
     world.terminate();
     // There is one answer, and the calls are cancelled with it.
     assert!(matches!(balancer.answer().status, 500 | 503));
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
     assert_eq!(balancer.try_answer(), None);
 }
 
@@ -226,13 +226,13 @@
 fn an_aborted_request_cancels_its_calls() {
     let extra = Dependency::start(Behaviour::Hang);
     let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"what");
-    let mut call = world.records.call();
-    eventually("the call", || (extra.calls() == 1).then_some(()));
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"what");
+    let mut call = world.records.next_call();
+    eventually("the call", || (extra.call_count() == 1).then_some(()));
     balancer.send_bytes(&common::balancer::record(2, 1, &[]));
     assert_eq!(balancer.answer().status, 0);
-    call.given_up();
+    call.wait_for_close();
     assert!(world.is_alive());
 }
 
@@ -251,18 +251,18 @@
         (AjpBehaviour::Answer(500, vec![]), "Failed"),
         (AjpBehaviour::NotBegun(503), "Rejected"),
         (AjpBehaviour::Hang, "DeadlineExceeded"),
-        (AjpBehaviour::Cut, "ConnectionLost"),
-        (AjpBehaviour::Noise, "ConnectionLost"),
+        (AjpBehaviour::TruncatedAnswer, "ConnectionLost"),
+        (AjpBehaviour::InvalidBytes, "ConnectionLost"),
         (AjpBehaviour::Answer(200, vec![b'x'; 70_000]), "ConnectionLost"),
         (AjpBehaviour::Answer(200, b"again".to_vec()), "again"),
     ];
     for (number, (behaviour, wanted)) in cases.into_iter().enumerate() {
-        server.behave(behaviour.clone());
+        server.set_behaviour(behaviour.clone());
         let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
     }
     // A connection that was idle for long is tested first; one that does not answer is replaced, and no call is lost.
-    server.behave(AjpBehaviour::DeafToPings);
+    server.set_behaviour(AjpBehaviour::IgnorePings);
     std::thread::sleep(Duration::from_millis(1_300));
     assert_eq!(run_one(&mut world, "after a pause"), "records: booked, extra: well");
 }
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -41,7 +41,7 @@
         .map(|n| {
             let mut server =
                 Server::new(&format!("n{n}"), program(), &folder, History::default()).expect("a place");
-            server.given = vec![
+            server.config_overrides = vec![
                 ("/records", json!(service.address)),
                 ("/seed", json!(format!("8c1f30d27a5b{n:04x}"))),
                 ("/settings/servers", json!(SERVERS)),
@@ -51,16 +51,17 @@
         })
         .collect();
     servers.iter_mut().for_each(|server| server.start().expect("a process"));
-    servers.iter_mut().for_each(|server| server.wait_until_well().expect("well"));
-    let at: Vec<_> = servers.iter().map(|server| (server.listen, server.farm.over())).collect();
+    servers.iter_mut().for_each(|server| server.wait_until_healthy().expect("well"));
+    let at: Vec<_> =
+        servers.iter().map(|server| (server.listen, server.farm.completion_notifier())).collect();
     let traffic = Traffic::start(&at, 2, Duration::from_millis(10));
     // First calls after a start; then all lose the service at one moment, and find it back.
     let (calls, allowed) = count_calls(&service, Duration::from_secs(2));
     assert!(calls > 0.0 && calls <= allowed, "{calls} first calls, {allowed} allowed");
-    service.behave(Behaviour::failing());
+    service.set_behaviour(Behaviour::failing());
     let (calls, allowed) = count_calls(&service, Duration::from_secs(4));
     assert!(calls > 0.0 && calls <= allowed, "{calls} calls while it was down, {allowed} allowed");
-    service.behave(healthy());
+    service.set_behaviour(healthy());
     let (calls, allowed) = count_calls(&service, Duration::from_secs(3));
     assert!(calls > 0.0 && calls <= allowed, "{calls} calls after it returned, {allowed} allowed");
     drop(traffic);
