--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -29,8 +29,8 @@
 fn held(fleet: &mut Fleet, n: usize, other: usize, state: &str) -> usize {
     fleet.servers[n].read_log();
     let name = fleet.servers[other].name.clone();
-    let said = fleet.history.said(&fleet.servers[n].name, "member state changed");
-    said.iter().filter(|e| e.what["name"] == name.as_str() && e.what["to"] == state).count()
+    let said = fleet.history.log_lines(&fleet.servers[n].name, "member state changed");
+    said.iter().filter(|e| e.details["name"] == name.as_str() && e.details["to"] == state).count()
 }
 
 /// Three servers that stand whole, and a place for a second process named `n1`, whose address no file has.
@@ -40,14 +40,14 @@
     let mut fleet = Fleet::prepare(told).expect("a fleet");
     for n in 0..4 {
         // The others know one address of n1, and it leads to the first.
-        fleet.told_of[n] =
+        fleet.configured_peers[n] =
             (0..3).filter(|o| *o != n && fleet.servers[*o].name != fleet.servers[n].name).collect();
-        fleet.servers[n].write_operator(&fleet.operator(n)).expect("written");
+        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
     }
     for n in 0..3 {
         fleet.servers[n].start().expect("a process");
     }
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     fleet
 }
 
@@ -55,15 +55,15 @@
 fn servers_started_together_without_a_seed_find_each_other() {
     // What they say first is lost: nobody is up yet for anybody.
     let mut fleet = Fleet::prepare(options(5)).expect("a fleet");
-    fleet.set_all(Faults { cut: true, ..Faults::default() });
+    fleet.set_all_faults(Faults { cut: true, ..Faults::default() });
     (0..5).for_each(|n| fleet.servers[n].start().expect("a process"));
-    (0..5).for_each(|n| fleet.servers[n].wait_until_well().unwrap_or_panic());
+    (0..5).for_each(|n| fleet.servers[n].wait_until_healthy().unwrap_or_panic());
     rest(500);
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
-    fleet.ask(2, Duration::from_millis(20));
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    fleet.start_traffic(2, Duration::from_millis(20));
     for (n, other) in [(0, 4), (4, 0), (2, 1)] {
-        assert_eq!(fleet.holds(n, other), "present");
+        assert_eq!(fleet.member_state(n, other), "present");
     }
     sound(fleet);
 }
@@ -72,10 +72,12 @@
 fn both_ends_of_a_one_way_cut_know_that_they_do_not_reach_each_other() {
     let mut fleet = whole(5);
     // The first still hears the second; the second hears nothing of it.
-    fleet.change(0, 1, |faults| faults.cut = true);
-    fleet.until_stands(0, "majority").unwrap_or_panic();
-    fleet.until_stands(1, "majority").unwrap_or_panic();
-    fleet.until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0)).unwrap_or_panic();
+    fleet.change_faults(0, 1, |faults| faults.cut = true);
+    fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
+    fleet.wait_for_partition_status(1, "majority").unwrap_or_panic();
+    fleet
+        .wait_until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0))
+        .unwrap_or_panic();
     rest(2_000);
     // Others reach both, so nobody holds either for failed.
     assert_eq!((held(&mut fleet, 0, 1, "failed"), held(&mut fleet, 1, 0, "failed")), (0, 0));
@@ -83,63 +85,66 @@
         member(&fleet, 0, 1)["heard_ms"].as_u64() < Some(450),
         "the first hears the second all the while"
     );
-    assert_eq!(fleet.standing(2), "whole");
+    assert_eq!(fleet.partition_status(2), "whole");
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn a_partition_into_three_leaves_no_majority_and_heals() {
     let fleet = whole(5);
-    fleet.part(&[&[0, 1], &[2, 3], &[4]]);
-    fleet.until_stands(0, "minority").unwrap_or_panic();
-    fleet.until_stands(3, "minority").unwrap_or_panic();
-    fleet.until_stands(4, "alone").unwrap_or_panic();
-    fleet.until_holds(0, 4, "failed").unwrap_or_panic();
+    fleet.partition(&[&[0, 1], &[2, 3], &[4]]);
+    fleet.wait_for_partition_status(0, "minority").unwrap_or_panic();
+    fleet.wait_for_partition_status(3, "minority").unwrap_or_panic();
+    fleet.wait_for_partition_status(4, "alone").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 4, "failed").unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
-    fleet.until("one view", |fleet| (1..5).all(|n| fleet.holds(0, n) == "present")).unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    fleet
+        .wait_until("one view", |fleet| (1..5).all(|n| fleet.member_state(0, n) == "present"))
+        .unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn over_a_bridge_nobody_fails_and_partition_status_follows_direct_reach() {
     let mut fleet = whole(5);
-    fleet.part(&[&[0, 1], &[3, 4]]);
+    fleet.partition(&[&[0, 1], &[3, 4]]);
     for n in [0, 1, 3, 4] {
-        fleet.until_stands(n, "majority").unwrap_or_panic();
+        fleet.wait_for_partition_status(n, "majority").unwrap_or_panic();
     }
     rest(2_500);
-    assert_eq!(fleet.standing(2), "whole");
+    assert_eq!(fleet.partition_status(2), "whole");
     for (n, other) in [(0, 3), (1, 4), (3, 0), (4, 1)] {
         assert_eq!(held(&mut fleet, n, other, "failed"), 0, "the bridge answers for it");
     }
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn live_servers_stay_present_while_a_third_of_datagrams_is_lost() {
     let fleet = whole(5);
-    fleet.set_all(Faults { drop: 0.3, ..Faults::default() });
+    fleet.set_all_faults(Faults { drop: 0.3, ..Faults::default() });
     rest(3_000);
     let there = |state: String| state == "present" || state == "suspected";
     // Held for failed for a moment at worst: who hears of it comes back.
-    let all = |fleet: &Fleet| (0..5).all(|n| (0..5).filter(|o| *o != n).all(|o| there(fleet.holds(n, o))));
-    fleet.until("all to be there", all).unwrap_or_panic();
+    let all =
+        |fleet: &Fleet| (0..5).all(|n| (0..5).filter(|o| *o != n).all(|o| there(fleet.member_state(n, o))));
+    fleet.wait_until("all to be there", all).unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn duplicated_and_late_datagrams_count_once() {
     let fleet = whole(3);
-    fleet.set_all(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
+    fleet.set_all_faults(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
     rest(2_500);
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     for n in 0..3 {
         let view = fleet.view(n).expect("a view");
         let (heard, replayed) = (view["counts"]["heard"][0].as_u64(), refused(&fleet, n, "Replayed"));
@@ -151,32 +156,32 @@
 #[test]
 fn damaged_messages_are_counted_and_rejected() {
     let fleet = whole(3);
-    fleet.set_all(Faults { damage: 0.1, ..Faults::default() });
+    fleet.set_all_faults(Faults { damage: 0.1, ..Faults::default() });
     fleet
-        .until("damage", |fleet| {
+        .wait_until("damage", |fleet| {
             (0..3).all(|n| refused(fleet, n, "Damaged") + refused(fleet, n, "Foreign") > 3)
         })
         .unwrap_or_panic();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn a_server_that_stalled_for_long_is_failed_and_trusts_nothing_when_it_wakes() {
     let mut fleet = whole(3);
-    fleet.servers[2].stop(true);
-    fleet.until_holds(0, 2, "failed").unwrap_or_panic();
-    fleet.until_holds(1, 2, "failed").unwrap_or_panic();
+    fleet.servers[2].set_stopped(true);
+    fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
+    fleet.wait_for_member_state(1, 2, "failed").unwrap_or_panic();
     rest(1_500);
-    fleet.servers[2].stop(false);
-    fleet.until_all("whole").unwrap_or_panic();
-    fleet.until_holds(0, 2, "present").unwrap_or_panic();
+    fleet.servers[2].set_stopped(false);
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
     // Its timers had all run out; nobody is failed by that.
     assert_eq!(held(&mut fleet, 2, 0, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
-    let said = fleet.history.said("n3", "partition status changed");
-    assert!(said.iter().any(|e| e.what["to"] == "unsure"), "{said:?}");
+    let said = fleet.history.log_lines("n3", "partition status changed");
+    assert!(said.iter().any(|e| e.details["to"] == "unsure"), "{said:?}");
     sound(fleet);
 }
 
@@ -184,22 +189,22 @@
 fn a_suspicion_that_expired_during_a_stall_of_its_holder_can_still_be_refuted() {
     let mut told = options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=2500");
-    let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.servers[2].stop(true);
-    fleet.until_holds(0, 2, "suspected").unwrap_or_panic();
-    fleet.servers[0].stop(true);
+    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+    fleet.servers[2].set_stopped(true);
+    fleet.wait_for_member_state(0, 2, "suspected").unwrap_or_panic();
+    fleet.servers[0].set_stopped(true);
     // Nothing waits for it on wake that would tell it better before it looks at its timers.
-    fleet.change(1, 0, |faults| faults.cut = true);
-    fleet.change(2, 0, |faults| faults.cut = true);
+    fleet.change_faults(1, 0, |faults| faults.cut = true);
+    fleet.change_faults(2, 0, |faults| faults.cut = true);
     rest(300);
-    fleet.servers[2].stop(false);
+    fleet.servers[2].set_stopped(false);
     // By now the time to refute is over, but for the one that stood still it has not passed.
     rest(3_500);
-    fleet.servers[0].stop(false);
+    fleet.servers[0].set_stopped(false);
     rest(200);
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
-    fleet.until_holds(0, 2, "present").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 2, "failed"), 0);
     sound(fleet);
 }
@@ -208,14 +213,14 @@
 fn a_pause_of_five_seconds_within_the_suspicion_timeout_costs_nothing() {
     let mut told = options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=20000");
-    let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.ask(2, Duration::from_millis(20));
-    fleet.servers[1].stop(true);
-    fleet.until_holds(0, 1, "suspected").unwrap_or_panic();
+    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+    fleet.start_traffic(2, Duration::from_millis(20));
+    fleet.servers[1].set_stopped(true);
+    fleet.wait_for_member_state(0, 1, "suspected").unwrap_or_panic();
     rest(5_000);
-    fleet.servers[1].stop(false);
-    fleet.until_all("whole").unwrap_or_panic();
-    fleet.until_holds(0, 1, "present").unwrap_or_panic();
+    fleet.servers[1].set_stopped(false);
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 1, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
     sound(fleet);
 }
@@ -227,12 +232,12 @@
     fleet.servers[1].kill();
     fleet.servers[1].start().expect("a process");
     fleet
-        .until("the new process", |fleet| {
+        .wait_until("the new process", |fleet| {
             member(fleet, 0, 1)["boot"].as_u64() > before && reaches(fleet, 0, 1)
         })
         .unwrap_or_panic();
-    fleet.until_all("whole").unwrap_or_panic();
-    assert_eq!((fleet.holds(0, 1), fleet.holds(2, 1)), ("present".into(), "present".into()));
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+    assert_eq!((fleet.member_state(0, 1), fleet.member_state(2, 1)), ("present".into(), "present".into()));
     sound(fleet);
 }
 
@@ -241,14 +246,14 @@
     let mut fleet = twins();
     fleet.servers[3].start().expect("a process");
     fleet
-        .until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true))
+        .wait_until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true))
         .unwrap_or_panic();
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // Silent, it uses nothing of the part that belongs to its name, but it serves.
     rest(1_500);
     assert_eq!(fleet.view(3).expect("a view")["allowances"][0][1]["used"], 0);
     assert_eq!(fleet.view(0).expect("a view")["silenced"], false);
-    fleet.servers[3].wait_until_well().unwrap_or_panic();
+    fleet.servers[3].wait_until_healthy().unwrap_or_panic();
     sound(fleet);
 }
 
@@ -256,15 +261,17 @@
 fn after_an_address_moved_the_later_process_has_the_name_and_the_earlier_is_fenced() {
     let mut fleet = twins();
     for n in [1, 2] {
-        fleet.relay(n, 0).lead(fleet.servers[3].fleet);
+        fleet.relay(n, 0).redirect(fleet.servers[3].fleet_address);
     }
     fleet.servers[3].start().expect("a process");
-    (1..4).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    (1..4).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     fleet
-        .until("the earlier to be told", |fleet| fleet.view(0).is_ok_and(|view| view["silenced"] == true))
+        .wait_until("the earlier to be told", |fleet| {
+            fleet.view(0).is_ok_and(|view| view["silenced"] == true)
+        })
         .unwrap_or_panic();
     fleet.servers[1].read_log();
-    assert!(!fleet.history.said("n2", "name conflict: two processes use one name").is_empty());
+    assert!(!fleet.history.log_lines("n2", "name conflict: two processes use one name").is_empty());
     sound(fleet);
 }
 
@@ -272,16 +279,16 @@
 fn the_last_server_of_a_fleet_serves_alone() {
     let mut fleet = whole(4);
     (1..4).for_each(|n| fleet.servers[n].kill());
-    fleet.until_stands(0, "alone").unwrap_or_panic();
+    fleet.wait_for_partition_status(0, "alone").unwrap_or_panic();
     let served = |fleet: &Fleet| {
-        fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::End::Served))
+        fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::Outcome::Served))
     };
     let before = served(&fleet);
-    fleet.until("more to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
+    fleet.wait_until("more to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
     for n in 1..4 {
         fleet.servers[n].start().expect("a process");
     }
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -290,30 +297,30 @@
     let mut told = options(3);
     told.timing = told.timing.replace("damp-ms=500", "damp-ms=1800");
     told.damp_ms = 1_800;
-    let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
+    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
     for round in 0..8 {
         let cut = round % 2 == 0;
-        fleet.change(0, 1, |faults| faults.cut = cut);
-        fleet.change(1, 0, |faults| faults.cut = cut);
+        fleet.change_faults(0, 1, |faults| faults.cut = cut);
+        fleet.change_faults(1, 0, |faults| faults.cut = cut);
         rest(1_000);
     }
     fleet.servers[0].read_log();
-    let changes = fleet.history.said("n1", "partition status changed").len();
+    let changes = fleet.history.log_lines("n1", "partition status changed").len();
     assert!((2..=7).contains(&changes), "{changes} changes");
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
 #[test]
 fn streams_carry_membership_where_datagrams_are_lost() {
     let mut fleet = whole(4);
-    fleet.set_all(Faults { no_datagrams: true, ..Faults::default() });
+    fleet.set_all_faults(Faults { no_datagrams: true, ..Faults::default() });
     rest(3_000);
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     // Who starts meanwhile comes in by streams alone.
     fleet.servers[3].kill();
     fleet.servers[3].start().expect("a process");
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed"), 0);
     sound(fleet);
 }
@@ -321,18 +328,20 @@
 #[test]
 fn a_peer_that_accepts_and_never_reads_blocks_nobody() {
     let fleet = whole(3);
-    fleet.change(0, 1, |faults| faults.stall = true);
-    fleet.change(2, 1, |faults| faults.stall = true);
+    fleet.change_faults(0, 1, |faults| faults.stall = true);
+    fleet.change_faults(2, 1, |faults| faults.stall = true);
     // Every member asks for loans and writes by stream; what waits for the one that never reads is lost.
     rest(2_500);
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // Without datagrams towards it, only it is off.
-    fleet.change(0, 1, |faults| faults.no_datagrams = true);
-    fleet.change(2, 1, |faults| faults.no_datagrams = true);
-    fleet.until("the two to know", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1)).unwrap_or_panic();
+    fleet.change_faults(0, 1, |faults| faults.no_datagrams = true);
+    fleet.change_faults(2, 1, |faults| faults.no_datagrams = true);
+    fleet
+        .wait_until("the two to know", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1))
+        .unwrap_or_panic();
     assert!(reaches(&fleet, 0, 2) && reaches(&fleet, 2, 0));
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -340,28 +349,28 @@
 fn replayed_messages_revive_nobody() {
     let mut fleet = whole(3);
     rest(1_000);
-    let past = fleet.direction(1, 0).remembered();
+    let past = fleet.direction(1, 0).recent_datagrams();
     assert!(past.len() > 10);
     fleet.servers[1].kill();
-    fleet.until_holds(0, 1, "failed").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 1, "failed").unwrap_or_panic();
     let before = refused(&fleet, 0, "Replayed");
     let end = Instant::now() + Duration::from_millis(1_500);
     while Instant::now() < end {
         fleet.relay(1, 0).replay(&past);
         assert!(!reaches(&fleet, 0, 1), "a dead process is held to be there");
     }
-    assert_eq!(fleet.holds(0, 1), "failed");
+    assert_eq!(fleet.member_state(0, 1), "failed");
     assert!(refused(&fleet, 0, "Replayed") > before);
     // A process that has started since is not the one that they were for.
     fleet.servers[0].kill();
     fleet.servers[0].start().expect("a process");
-    fleet.until_stands(0, "majority").unwrap_or_panic();
+    fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
     fleet.relay(1, 0).replay(&past);
     rest(300);
     assert!(!reaches(&fleet, 0, 1));
     assert!(refused(&fleet, 0, "Unproven") + refused(&fleet, 0, "NotForUs") > 0);
     fleet.servers[1].start().expect("a process");
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -369,16 +378,16 @@
 fn a_leaving_server_announces_it_and_is_not_suspected() {
     let mut fleet = whole(4);
     fleet.servers[3].terminate();
-    fleet.until_holds(0, 3, "leaving").unwrap_or_panic();
-    let status = fleet.servers[3].wait_until_ended().expect("it ends");
+    fleet.wait_for_member_state(0, 3, "leaving").unwrap_or_panic();
+    let status = fleet.servers[3].wait_for_exit().expect("it ends");
     assert!(status.success(), "{status}");
-    fleet.until_holds(0, 3, "left").unwrap_or_panic();
-    fleet.until_holds(1, 3, "left").unwrap_or_panic();
-    (0..3).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    fleet.wait_for_member_state(0, 3, "left").unwrap_or_panic();
+    fleet.wait_for_member_state(1, 3, "left").unwrap_or_panic();
+    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // Killed, one is missed.
     fleet.servers[2].kill();
-    fleet.until_holds(0, 2, "failed").unwrap_or_panic();
-    fleet.until_stands(0, "minority").unwrap_or_panic();
+    fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
+    fleet.wait_for_partition_status(0, "minority").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -386,35 +395,35 @@
 fn a_changed_roster_is_applied_completely_or_not_at_all() {
     let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
     for n in 0..3 {
-        fleet.told_of[n].retain(|other| *other != 2);
-        fleet.servers[n].write_operator(&fleet.operator(n)).expect("written");
+        fleet.configured_peers[n].retain(|other| *other != 2);
+        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
         fleet.servers[n].start().expect("a process");
     }
-    (0..2).for_each(|n| fleet.until_stands(n, "whole").unwrap_or_panic());
+    (0..2).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // The third is a guest of the two, as no file names it.
-    fleet.until("a guest", |fleet| member(fleet, 0, 2)["named"] == false).unwrap_or_panic();
+    fleet.wait_until("a guest", |fleet| member(fleet, 0, 2)["named"] == false).unwrap_or_panic();
     for n in 0..2 {
-        let sound = fleet.operator(n);
+        let sound = fleet.operator_config(n);
         for (part, other) in [("secret \"between us\"", "secret \"new\""), ("peer \"n", "peer \"n1\" x=1 //")]
         {
-            fleet.servers[n].write_operator(&sound.replace(part, other)).expect("written");
+            fleet.servers[n].write_operator_config(&sound.replace(part, other)).expect("written");
             fleet.servers[n].signal("HUP");
             rest(200);
         }
-        fleet.servers[n].write_operator(&sound).expect("written");
+        fleet.servers[n].write_operator_config(&sound).expect("written");
         fleet
-            .until("both to be refused", |fleet| {
+            .wait_until("both to be refused", |fleet| {
                 fleet.servers[n].log().matches("configuration reload rejected").count() == 2
             })
             .unwrap_or_panic();
         assert!(fleet.servers[n].log().contains("the fleet's secret has changed, which needs a new start"));
     }
-    (0..2).for_each(|n| assert_eq!(fleet.standing(n), "whole"));
+    (0..2).for_each(|n| assert_eq!(fleet.partition_status(n), "whole"));
     for n in 0..2 {
-        fleet.told_of[n].push(2);
+        fleet.configured_peers[n].push(2);
         fleet.reload(n);
     }
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!(member(&fleet, 0, 2)["named"], true);
     sound(fleet);
 }
@@ -423,23 +432,26 @@
 fn lasting_view_divergence_is_logged_with_its_rows() {
     let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
     // The second was never told of the third.
-    fleet.told_of[1].retain(|other| *other != 2);
+    fleet.configured_peers[1].retain(|other| *other != 2);
     for n in 0..3 {
-        fleet.servers[n].write_operator(&fleet.operator(n)).expect("written");
+        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
         fleet.servers[n].start().expect("a process");
     }
     fleet
-        .until("a disagreement", |fleet| {
+        .wait_until("a disagreement", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"].to_string().contains("n3: there"))
         })
         .unwrap_or_panic();
-    let evidence = fleet.servers[0].ask(&["explain", "n2"]).expect("evidence").to_string();
+    let evidence = fleet.servers[0].fleet_command(&["explain", "n2"]).expect("evidence").to_string();
     assert!(evidence.contains("its view differs") && evidence.contains("not in its roster"), "{evidence}");
-    assert!(fleet.servers[0].ask(&["explain", "n9"]).expect_err("unknown").contains("it knows: n2, n3"));
-    fleet.told_of[1].push(2);
+    assert!(fleet.servers[0]
+        .fleet_command(&["explain", "n9"])
+        .expect_err("unknown")
+        .contains("it knows: n2, n3"));
+    fleet.configured_peers[1].push(2);
     fleet.reload(1);
     fleet
-        .until("agreement", |fleet| {
+        .wait_until("agreement", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"] == serde_json::json!([]))
         })
         .unwrap_or_panic();
--- a/crates/server/tests/fleet_quota.rs
+++ b/crates/server/tests/fleet_quota.rs
@@ -11,10 +11,10 @@
 /// A fleet whose first server has nearly all of the need, each with a part of four.
 fn uneven(servers: usize) -> Fleet {
     let mut told = options(servers);
-    told.whole = 4 * servers as u32;
-    told.takes_ms = 60.0;
-    let mut fleet = Fleet::whole(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.ask(24, Duration::from_millis(500));
+    told.capacity = 4 * servers as u32;
+    told.service_time_ms = 60.0;
+    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+    fleet.start_traffic(24, Duration::from_millis(500));
     need(&fleet, 0);
     fleet
 }
@@ -39,14 +39,14 @@
 }
 
 fn until_borrowed(fleet: &Fleet, n: usize) {
-    fleet.until("a loan", |fleet| figure(fleet, n, "borrowed") >= 2).unwrap_or_panic();
+    fleet.wait_until("a loan", |fleet| figure(fleet, n, "borrowed") >= 2).unwrap_or_panic();
 }
 
 #[test]
 fn idle_permits_are_lent_to_the_server_with_demand() {
     let fleet = uneven(4);
     until_borrowed(&fleet, 0);
-    fleet.until("more than its part in use", |fleet| fleet.most_in_use() >= 8).unwrap_or_panic();
+    fleet.wait_until("more than its part in use", |fleet| fleet.peak_concurrency() >= 8).unwrap_or_panic();
     // Need that moves takes the loans along.
     need(&fleet, 2);
     until_borrowed(&fleet, 2);
@@ -57,8 +57,8 @@
 fn a_server_that_is_cut_off_falls_back_to_its_own_share() {
     let fleet = uneven(3);
     until_borrowed(&fleet, 0);
-    fleet.part(&[&[0], &[1, 2]]);
-    fleet.until("its loans to end", |fleet| figure(fleet, 0, "borrowed") == 0).unwrap_or_panic();
+    fleet.partition(&[&[0], &[1, 2]]);
+    fleet.wait_until("its loans to end", |fleet| figure(fleet, 0, "borrowed") == 0).unwrap_or_panic();
     assert_eq!(figure(&fleet, 0, "part"), 4);
     // The others go on with theirs, and lend to each other.
     need(&fleet, 1);
@@ -74,11 +74,11 @@
     let mut fleet = uneven(3);
     for round in 0..6 {
         until_borrowed(&fleet, 0);
-        fleet.servers[0].stop(true);
+        fleet.servers[0].set_stopped(true);
         need_everywhere(&fleet);
         // Past the loan, and so short of it that it is nearly over on wake.
         rest(if round % 2 == 0 { 1_100 } else { 520 });
-        fleet.servers[0].stop(false);
+        fleet.servers[0].set_stopped(false);
         rest(1_000);
         need(&fleet, 0);
     }
@@ -94,7 +94,7 @@
         fleet.servers[n].start().expect("a process");
         // Others still use what it lent, and the calls of the one before it go on.
         need_everywhere(&fleet);
-        fleet.until("its part", |fleet| figure(fleet, n, "part") == 4).unwrap_or_panic();
+        fleet.wait_until("its part", |fleet| figure(fleet, n, "part") == 4).unwrap_or_panic();
         rest(700);
         need(&fleet, 0);
     }
@@ -106,12 +106,12 @@
     let mut fleet = uneven(3);
     until_borrowed(&fleet, 0);
     fleet.servers[1].terminate();
-    let status = fleet.servers[1].wait_until_ended().expect("it ends");
+    let status = fleet.servers[1].wait_for_exit().expect("it ends");
     assert!(status.success(), "{status}");
     fleet.servers[1].start().expect("a process");
     // What it lent before its end is still in use, and it has need of its own now.
     need_everywhere(&fleet);
-    fleet.until("its part", |fleet| figure(fleet, 1, "part") == 4).unwrap_or_panic();
+    fleet.wait_until("its part", |fleet| figure(fleet, 1, "part") == 4).unwrap_or_panic();
     rest(700);
     need(&fleet, 0);
     until_borrowed(&fleet, 0);
@@ -125,7 +125,7 @@
     // The borrower's process ends, and the others are told that it is gone: their parts grow once all agree.
     fleet.servers[0].kill();
     for n in 1..4 {
-        fleet.told_of[n].retain(|other| *other != 0);
+        fleet.configured_peers[n].retain(|other| *other != 0);
     }
     fleet.reload(1);
     rest(1_500);
@@ -134,7 +134,7 @@
     fleet.reload(3);
     need(&fleet, 1);
     for n in 1..4 {
-        fleet.until("a greater part", |fleet| figure(fleet, n, "part") >= 5).unwrap_or_panic();
+        fleet.wait_until("a greater part", |fleet| figure(fleet, n, "part") >= 5).unwrap_or_panic();
     }
     until_borrowed(&fleet, 1);
     sound(fleet);
@@ -144,20 +144,20 @@
 fn a_dependency_reached_by_one_side_of_a_partition_is_used_by_that_side() {
     let fleet = uneven(4);
     until_borrowed(&fleet, 0);
-    fleet.part(&[&[0, 1], &[2, 3]]);
-    fleet.cut_shared(2, true);
-    fleet.cut_shared(3, true);
+    fleet.partition(&[&[0, 1], &[2, 3]]);
+    fleet.cut_shared_dependency(2, true);
+    fleet.cut_shared_dependency(3, true);
     // Loans from before the cut have run out; what there is now was lent within the part.
     rest(1_200);
     fleet
-        .until("a loan within its part", |fleet| {
+        .wait_until("a loan within its part", |fleet| {
             figure(fleet, 0, "borrowed") > 0 && figure(fleet, 0, "borrowed") <= 4
         })
         .unwrap_or_panic();
-    let before = fleet.spans().len();
-    fleet.until("more calls", |fleet| fleet.spans().len() > before + 20).unwrap_or_panic();
+    let before = fleet.call_intervals().len();
+    fleet.wait_until("more calls", |fleet| fleet.call_intervals().len() > before + 20).unwrap_or_panic();
     fleet.heal();
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sound(fleet);
 }
 
@@ -166,7 +166,7 @@
     let fleet = uneven(4);
     let bad = Faults { drop: 0.2, double: 1.0, damage: 0.05, reorder: 0.3, late_ms: 40, ..Faults::default() };
     for faults in [bad, Faults { no_datagrams: true, ..bad }, Faults { stall: true, ..bad }] {
-        fleet.set_all(faults);
+        fleet.set_all_faults(faults);
         need(&fleet, 1);
         rest(1_200);
         need(&fleet, 0);
@@ -182,7 +182,7 @@
 fn random_faults_violate_no_invariant() {
     for seed in [1, 2, 3] {
         let mut fleet = uneven(4);
-        let drawn = Script::draw(seed, 4, 8, &script::KINDS);
+        let drawn = Script::generate(seed, 4, 8, &script::FAULT_KINDS);
         let mut busy = 0;
         drawn.play(&mut fleet, Duration::from_millis(9_500), Duration::from_millis(700), |fleet, _| {
             busy = (busy + 1) % 5;
@@ -192,8 +192,8 @@
                 need_everywhere(fleet);
             }
         });
-        let whole = fleet.until_all("whole");
-        let breaches = fleet.breaches();
+        let whole = fleet.wait_for_partition_status_everywhere("whole");
+        let breaches = fleet.finish_and_check();
         assert!(breaches.is_empty() && whole.is_ok(), "seed {seed}\n{drawn}\n{breaches:?}\n{whole:?}");
     }
 }
--- a/crates/server/tests/fleet_replicated_store.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -22,25 +22,28 @@
     // Compared and set: a version that is not there any more changes nothing and is told.
     let file = fleet.servers[1].folder.join("document");
     std::fs::write(&file, "fifty").expect("written");
-    let why = fleet.record(1, &["put", "--expect", "0", "limits", &file.display().to_string()]);
+    let why = fleet.store_command(1, &["put", "--expect", "0", "limits", &file.display().to_string()]);
     assert!(why.as_ref().is_err_and(|why| why.contains("it has version 1 now")), "{why:?}");
-    let record = fleet.kept(0, "record");
-    let copies: Vec<Value> = (0..3).map(|n| fleet.kept(n, "copy")).collect();
+    let record = fleet.store_status_field(0, "record");
+    let copies: Vec<Value> = (0..3).map(|n| fleet.store_status_field(n, "copy")).collect();
     (0..3).for_each(|n| fleet.servers[n].kill());
     (0..3).for_each(|n| fleet.servers[n].start().expect("a process"));
-    fleet.until_kept(3).unwrap_or_panic();
-    assert_eq!((fleet.kept(0, "record"), read_latest(&fleet, 2, "limits")), (record, Ok("forty".to_owned())));
+    fleet.wait_for_replication(3).unwrap_or_panic();
+    assert_eq!(
+        (fleet.store_status_field(0, "record"), read_latest(&fleet, 2, "limits")),
+        (record, Ok("forty".to_owned()))
+    );
     // The same copies, not new ones: a disk that is there is used.
-    assert_eq!((0..3).map(|n| fleet.kept(n, "copy")).collect::<Vec<_>>(), copies);
+    assert_eq!((0..3).map(|n| fleet.store_status_field(n, "copy")).collect::<Vec<_>>(), copies);
     // What an operator keeps can be checked without a server, and a change of it is seen.
     let kept = fleet.servers[0].folder.join("kept");
-    fleet.record(0, &["export", &kept.display().to_string()]).expect("exported");
-    let found = fleet.record(1, &["verify", &kept.display().to_string()]).expect("sound");
+    fleet.store_command(0, &["export", &kept.display().to_string()]).expect("exported");
+    let found = fleet.store_command(1, &["verify", &kept.display().to_string()]).expect("sound");
     assert_eq!(found["documents"][0][0], "limits");
     let mut bytes = std::fs::read(&kept).expect("there");
     *bytes.last_mut().expect("bytes") ^= 1;
     std::fs::write(&kept, bytes).expect("written");
-    assert!(fleet.record(1, &["verify", &kept.display().to_string()]).is_err());
+    assert!(fleet.store_command(1, &["verify", &kept.display().to_string()]).is_err());
     sound(fleet);
 }
 
@@ -58,21 +61,21 @@
                 fleet.servers[leader].start().expect("a process");
             }
             1 => {
-                fleet.servers[leader].stop(true);
+                fleet.servers[leader].set_stopped(true);
                 wait_for_other_leader(&fleet, leader);
                 rest(1_500);
                 // It wakes and believes that it leads: what it is asked then is in the clients' histories.
-                fleet.servers[leader].stop(false);
+                fleet.servers[leader].set_stopped(false);
             }
             _ => {
                 // Clients still reach it: it must not answer with what it has.
                 let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-                fleet.part(&[&[leader], &others]);
+                fleet.partition(&[&[leader], &others]);
                 rest(3_000);
                 fleet.heal();
             }
         }
-        fleet.until_kept(3).unwrap_or_panic();
+        fleet.wait_for_replication(3).unwrap_or_panic();
     }
     clients.finish(60);
     sound(fleet);
@@ -82,10 +85,10 @@
 fn a_minority_rejects_writes_with_a_reason_while_the_majority_accepts_them() {
     let fleet = start_fleet_with_store(5, 3, false);
     let leader = fleet.leader().expect("a leader");
-    let learners: Vec<usize> = (0..5).filter(|n| fleet.kept(*n, "role") == "Learner").collect();
+    let learners: Vec<usize> = (0..5).filter(|n| fleet.store_status_field(*n, "role") == "Learner").collect();
     // The leader with one that learns, and the other two voters with the last.
     let others: Vec<usize> = (0..5).filter(|n| *n != leader && *n != learners[0]).collect();
-    fleet.part(&[&[leader, learners[0]], &others]);
+    fleet.partition(&[&[leader, learners[0]], &others]);
     let new = wait_for_other_leader(&fleet, leader);
     assert!(others.contains(&new));
     assert_eq!(put_document(&fleet, new, "x", "from the majority"), Ok(1));
@@ -94,12 +97,12 @@
     let why = read_latest(&fleet, leader, "x").expect_err("no majority");
     assert!(why.contains("it took too long") || why.contains("nobody leads"), "{why}");
     // As it is there it can be read, with its age.
-    let local = fleet.record(learners[0], &["show", "--local", "x"]);
+    let local = fleet.store_command(learners[0], &["show", "--local", "x"]);
     assert!(local.is_err_and(|why| why.contains("no document")));
     fleet.heal();
-    fleet.until("one record", |fleet| read_latest(fleet, leader, "x").is_ok()).unwrap_or_panic();
+    fleet.wait_until("one record", |fleet| read_latest(fleet, leader, "x").is_ok()).unwrap_or_panic();
     // The minority's write may come through now, after the other: never in its place.
-    let version = fleet.record(leader, &["show", "x"]).expect("there")["version"].as_u64();
+    let version = fleet.store_command(leader, &["show", "x"]).expect("there")["version"].as_u64();
     let content = read_latest(&fleet, leader, "x").expect("there");
     assert!(matches!(
         (version, content.as_str()),
@@ -118,7 +121,7 @@
         // Everyone but the hub is apart.
         let apart = || {
             for n in (0..5).filter(|n| *n != hub) {
-                fleet.part(&[&[n], &(0..5).filter(|o| *o != hub && *o != n).collect::<Vec<_>>()]);
+                fleet.partition(&[&[n], &(0..5).filter(|o| *o != hub && *o != n).collect::<Vec<_>>()]);
             }
         };
         match case {
@@ -127,15 +130,17 @@
                 let chain = [others[1], leader, hub, others[2], others[3]];
                 for a in 0..5usize {
                     for b in (0..5).filter(|b| a.abs_diff(*b) > 1) {
-                        fleet.change(chain[a], chain[b], |faults| faults.cut = true);
+                        fleet.change_faults(chain[a], chain[b], |faults| faults.cut = true);
                     }
                 }
             }
-            "deaf leader" => others.iter().for_each(|n| fleet.change(*n, leader, |faults| faults.cut = true)),
+            "deaf leader" => {
+                others.iter().for_each(|n| fleet.change_faults(*n, leader, |faults| faults.cut = true));
+            }
             _ => {
                 // The only one that will reach a majority lacks what was agreed on: it can't be elected itself, and the
                 // others reach each other through it alone.
-                fleet.part(&[&[hub], &[leader, others[1], others[2], others[3]]]);
+                fleet.partition(&[&[hub], &[leader, others[1], others[2], others[3]]]);
                 rest(1_000);
                 (0..3).for_each(|n| {
                     assert!(put_document(&fleet, leader, "x", &format!("without the hub {n}")).is_ok());
@@ -143,20 +148,20 @@
                 apart();
                 for n in &others[1..] {
                     for (from, to) in [(hub, *n), (*n, hub)] {
-                        fleet.change(from, to, |faults| faults.cut = false);
+                        fleet.change_faults(from, to, |faults| faults.cut = false);
                     }
                 }
             }
         }
-        fleet.until(case, |fleet| put_document(fleet, hub, "x", case).is_ok()).unwrap_or_panic();
-        let before = fleet.kept(hub, "term").as_u64();
+        fleet.wait_until(case, |fleet| put_document(fleet, hub, "x", case).is_ok()).unwrap_or_panic();
+        let before = fleet.store_status_field(hub, "term").as_u64();
         rest(2_500);
-        let after = fleet.kept(hub, "term").as_u64();
+        let after = fleet.store_status_field(hub, "term").as_u64();
         assert!(after <= before.map(|term| term + 2), "{case}: {before:?} to {after:?}: endless elections");
         assert_eq!(read_latest(&fleet, hub, "x"), Ok(case.to_owned()), "{case}");
         fleet.heal();
-        fleet.until_all("whole").unwrap_or_panic();
-        fleet.until_kept(5).unwrap_or_panic();
+        fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
+        fleet.wait_for_replication(5).unwrap_or_panic();
     }
     sound(fleet);
 }
@@ -168,23 +173,23 @@
     let name = fleet.servers[n].name.clone();
     fleet.servers[n].kill();
     let replaced = |fleet: &Fleet| {
-        let copies = fleet.leader().map(|leader| fleet.kept(leader, "copies"));
+        let copies = fleet.leader().map(|leader| fleet.store_status_field(leader, "copies"));
         let copies = copies.and_then(|copies| copies.as_array().cloned()).unwrap_or_default();
         let votes: Vec<&Value> = copies.iter().filter(|copy| copy["votes"] == true).collect();
         votes.len() == 3 && votes.iter().all(|copy| copy["name"] != name.as_str())
     };
-    fleet.until("another voter", replaced).unwrap_or_panic();
+    fleet.wait_until("another voter", replaced).unwrap_or_panic();
     fleet.servers[n].start().expect("a process");
-    fleet.until_kept(3).unwrap_or_panic();
-    assert_eq!(fleet.kept(n, "role"), "Learner");
+    fleet.wait_for_replication(3).unwrap_or_panic();
+    assert_eq!(fleet.store_status_field(n, "role"), "Learner");
     // By hand it votes again, in the place of another, and stays.
-    fleet.record(n, &["promote", &name]).expect("asked");
-    fleet.until("its vote", |fleet| fleet.kept(n, "role") == "Voter").unwrap_or_panic();
+    fleet.store_command(n, &["promote", &name]).expect("asked");
+    fleet.wait_until("its vote", |fleet| fleet.store_status_field(n, "role") == "Voter").unwrap_or_panic();
     rest(1_500);
-    fleet.until_kept(3).unwrap_or_panic();
-    assert_eq!(fleet.kept(n, "role"), "Voter");
+    fleet.wait_for_replication(3).unwrap_or_panic();
+    assert_eq!(fleet.store_status_field(n, "role"), "Voter");
     let leader = fleet.leader().expect("a leader");
-    let why = fleet.record(leader, &["promote", &name]).expect_err("it votes");
+    let why = fleet.store_command(leader, &["promote", &name]).expect_err("it votes");
     assert!(why.contains("votes already"), "{why}");
     sound(fleet);
 }
@@ -197,18 +202,21 @@
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     fleet.servers[leader].terminate();
     fleet
-        .until("another leader", |fleet| others.iter().any(|n| fleet.kept(*n, "role") == "Leader"))
+        .wait_until("another leader", |fleet| {
+            others.iter().any(|n| fleet.store_status_field(*n, "role") == "Leader")
+        })
         .unwrap_or_panic();
     // Nobody had to miss it first: it still drains.
-    assert!(fleet.servers[leader].ended().is_none(), "it ended before another led");
-    let status = fleet.servers[leader].wait_until_ended().expect("it ends");
+    assert!(fleet.servers[leader].exit_status().is_none(), "it ended before another led");
+    let status = fleet.servers[leader].wait_for_exit().expect("it ends");
     assert!(status.success(), "{status}");
     fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
-    let found: Vec<usize> = others.iter().copied().filter(|n| fleet.kept(*n, "role") == "Leader").collect();
+    let found: Vec<usize> =
+        others.iter().copied().filter(|n| fleet.store_status_field(*n, "role") == "Leader").collect();
     assert_eq!(found.len(), 1);
     assert_eq!(read_latest(&fleet, found[0], "x"), Ok("kept".to_owned()));
     fleet.servers[leader].start().expect("a process");
-    fleet.until_kept(3).unwrap_or_panic();
+    fleet.wait_for_replication(3).unwrap_or_panic();
     sound(fleet);
 }
 
@@ -216,18 +224,18 @@
 fn a_server_removed_from_the_roster_during_a_cut_holds_no_replica_afterwards() {
     let mut fleet = start_fleet_with_store(4, 3, true);
     put_document(&fleet, 0, "x", "before").expect("written");
-    fleet.part(&[&[0, 1], &[2, 3]]);
+    fleet.partition(&[&[0, 1], &[2, 3]]);
     rest(800);
     for n in 0..3 {
-        fleet.told_of[n].retain(|other| *other != 3);
+        fleet.configured_peers[n].retain(|other| *other != 3);
         fleet.reload(n);
     }
     fleet.servers[3].terminate();
-    fleet.servers[3].wait_until_ended().expect("it ends");
+    fleet.servers[3].wait_for_exit().expect("it ends");
     rest(800);
     fleet.heal();
-    fleet.until_kept(3).unwrap_or_panic();
-    assert_eq!(fleet.kept(0, "copies").as_array().map(Vec::len), Some(3));
+    fleet.wait_for_replication(3).unwrap_or_panic();
+    assert_eq!(fleet.store_status_field(0, "copies").as_array().map(Vec::len), Some(3));
     put_document(&fleet, 2, "x", "after").expect("written");
     assert_eq!(read_latest(&fleet, 1, "x"), Ok("after".to_owned()));
     sound(fleet);
@@ -237,8 +245,8 @@
 fn an_operator_adopts_the_remaining_replica_after_a_majority_is_lost() {
     let mut fleet = start_fleet_with_store(3, 3, true);
     put_document(&fleet, 0, "x", "all that is left").expect("written");
-    let record = fleet.kept(0, "record");
-    assert!(fleet.record(0, &["adopt"]).is_err_and(|why| why.contains("nothing is to be decided")));
+    let record = fleet.store_status_field(0, "record");
+    assert!(fleet.store_command(0, &["adopt"]).is_err_and(|why| why.contains("nothing is to be decided")));
     for n in [1, 2] {
         fleet.servers[n].kill();
         fleet.servers[n].lose_disk();
@@ -247,15 +255,18 @@
     for n in [1, 2] {
         fleet.servers[n].start().expect("a process");
     }
-    fleet.until_all("whole").unwrap_or_panic();
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     rest(2_500);
-    assert_eq!((fleet.leader(), fleet.kept(0, "record")), (None, record.clone()));
-    assert_eq!(fleet.record(0, &["show", "--local", "x"]).expect("there")["content"], "all that is left");
-    fleet.until("a decision", |fleet| fleet.record(0, &["adopt"]).is_ok()).unwrap_or_panic();
-    fleet.until_kept(3).unwrap_or_panic();
+    assert_eq!((fleet.leader(), fleet.store_status_field(0, "record")), (None, record.clone()));
+    assert_eq!(
+        fleet.store_command(0, &["show", "--local", "x"]).expect("there")["content"],
+        "all that is left"
+    );
+    fleet.wait_until("a decision", |fleet| fleet.store_command(0, &["adopt"]).is_ok()).unwrap_or_panic();
+    fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(read_latest(&fleet, 2, "x"), Ok("all that is left".to_owned()));
-    assert_ne!(fleet.kept(0, "record"), record);
-    let lines = fleet.record(1, &["history"]).expect("there");
+    assert_ne!(fleet.store_status_field(0, "record"), record);
+    let lines = fleet.store_command(1, &["history"]).expect("there");
     assert!(lines[0]["what"].as_str().is_some_and(|what| what.starts_with("adopted from record")), "{lines}");
     sound(fleet);
 }
@@ -263,23 +274,23 @@
 #[test]
 fn twenty_four_processes_keep_one_replicated_store() {
     let mut told = options(24);
-    told.record = Some("voters=5 election-ms=1500 replace-after-s=60".to_owned());
+    told.store_options = Some("voters=5 election-ms=1500 replace-after-s=60".to_owned());
     told.timing = "timing".to_owned();
     told.damp_ms = 1_000;
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
-    fleet.until_kept(5).unwrap_or_panic();
-    fleet.ask(1, Duration::from_millis(200));
+    fleet.wait_for_replication(5).unwrap_or_panic();
+    fleet.start_traffic(1, Duration::from_millis(200));
     put_document(&fleet, 23, "x", "everywhere").expect("written");
     let leader = fleet.leader().expect("a leader");
     fleet.servers[leader].kill();
     wait_for_other_leader(&fleet, leader);
     let n = (leader + 1) % 24;
-    fleet.until("a write", |fleet| put_document(fleet, n, "x", "after it").is_ok()).unwrap_or_panic();
+    fleet.wait_until("a write", |fleet| put_document(fleet, n, "x", "after it").is_ok()).unwrap_or_panic();
     let there = |fleet: &Fleet, n: usize| {
-        fleet.record(n, &["show", "--local", "x"]).is_ok_and(|said| said["content"] == "after it")
+        fleet.store_command(n, &["show", "--local", "x"]).is_ok_and(|said| said["content"] == "after it")
     };
     fleet
-        .until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n)))
+        .wait_until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n)))
         .unwrap_or_panic();
     sound(fleet);
 }
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -11,24 +11,24 @@
 
 use serde_json::{json, Value};
 
-use common::{eventually, Announce, Balancer, Request, World, PATIENCE};
+use common::{eventually, Announce, Balancer, Request, World, WAIT_TIMEOUT};
 
 /// Leaves the running server no descriptor beyond those that it has open.
 fn exhaust_descriptors(world: &World) {
-    let free = (0..).find(|n| !world.holds_descriptor(*n)).expect("a free number");
+    let free = (0..).find(|n| !world.has_open_descriptor(*n)).expect("a free number");
     limit_descriptors(world, free);
 }
 
 /// Sets the system's limit on the descriptors of the running server.
 fn limit_descriptors(world: &World, most: usize) {
     let limit = format!("--nofile={most}:{most}");
-    let done = Command::new("prlimit").args(["--pid", &world.id().to_string(), &limit]).status();
+    let done = Command::new("prlimit").args(["--pid", &world.pid().to_string(), &limit]).status();
     assert!(done.expect("prlimit").success());
 }
 
 /// What a peer gets until its connection is closed, which must happen without a reset: that may take an answer with it.
 fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an end in order");
     bytes
@@ -40,7 +40,7 @@
 fn requests_in_the_accept_queue_are_answered_by_a_draining_server_without_descriptors() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
     let mut idle: Vec<Balancer> = (0..8).map(|_| world.balancer()).collect();
-    idle.iter_mut().for_each(|b| assert_eq!(b.ask(&Request::check(1, "")).status, 200));
+    idle.iter_mut().for_each(|b| assert_eq!(b.round_trip(&Request::health_check(1, "")).status, 200));
     exhaust_descriptors(&world);
     let mut waiting: Vec<Balancer> = (0..4).map(|_| world.balancer()).collect();
     waiting.iter_mut().enumerate().for_each(|(n, b)| b.send(&Request::new(1, &format!("waiting{n}"))));
@@ -51,7 +51,7 @@
         assert_eq!(balancer.try_answer(), None);
     }
     idle.iter_mut().for_each(|b| assert_eq!(read_to_end(&mut b.stream), b""));
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
 }
 
 /// Guards against a server that idle clients make unreachable: with the registration service down and every descriptor that
@@ -63,54 +63,56 @@
         config["limits"]["sockets"] = 1_024.into();
         config["settings"]["family_info"]["idle_us"] = 300_000_000.into();
     });
-    let mut live = world.running("live");
+    let mut live = world.launch_request("live");
     world.announce.set_down(true);
     let mut idle_clients: Vec<Balancer> = Vec::new();
     for _ in 0..100 {
         let mut idle = Balancer::tolerant(TcpStream::connect(world.listen).expect("connected"));
-        idle.send(&Request::check(1, ""));
+        idle.send(&Request::health_check(1, ""));
         idle_clients.push(idle);
     }
     // A client that comes after them is served within the usual patience, if not at its first attempt.
     eventually("a connection that is served", || {
         let mut late = Balancer::tolerant(TcpStream::connect(world.listen).expect("connected"));
         late.stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time limit");
-        late.stream.write_all(&Request::check(1, "").bytes()).ok()?;
+        late.stream.write_all(&Request::health_check(1, "").bytes()).ok()?;
         late.try_answer().filter(|answer| answer.status == 200)
     });
     // A call on a new connection, and a new link to the agent.
-    world.agent.needs_call("live", b"x");
-    world.records.call().reply("200 OK", "Connection: close\r\n", b"y");
-    assert_eq!(world.agent.expect("deliver").0, "live");
-    world.agent.wait_samples(2);
-    world.agent.cut();
-    world.agent.greet();
+    world.agent.send_call_request("live", b"x");
+    world.records.next_call().reply("200 OK", "Connection: close\r\n", b"y");
+    assert_eq!(world.agent.expect_command("deliver").0, "live");
+    world.agent.wait_for_samples(2);
+    world.agent.disconnect();
+    world.agent.send_initial_notice();
     live.send(&Request::new(2, "more"));
-    assert_eq!(world.agent.expect("launch").0, "more");
+    assert_eq!(world.agent.expect_command("launch").0, "more");
     for (slot, id) in [(1, "live"), (2, "more")] {
-        world.agent.outcome(id, "fine", id.as_bytes());
+        world.agent.send_outcome(id, "fine", id.as_bytes());
         assert_eq!((live.answer().slot, slot), (slot, slot));
     }
     // A signal with a new address of the registration service: the server connects to it.
     let announce = Announce::start();
     world.reconfigure(|config| config["announce"] = serde_json::json!(announce.address));
     let old = std::mem::replace(&mut world.announce, announce);
-    world.announce.expect("true");
-    assert!(world.descriptors() <= 64, "{}", world.descriptors());
+    world.announce.wait_for_report("true");
+    assert!(world.descriptor_count() <= 64, "{}", world.descriptor_count());
     assert!(world.log().contains("fewer descriptors than configured"));
     drop((old, idle_clients));
     world.terminate();
-    world.announce.expect("false");
-    assert!(world.ended().success());
+    world.announce.wait_for_report("false");
+    assert!(world.wait_for_exit().success());
 }
 
 /// Waits for a good health check, and serves one request.
 fn wait_until_ready(world: &mut World, id: &str) {
     let mut balancer = world.balancer();
-    eventually("a good check", || (balancer.ask(&Request::check(1, "")).status == 200).then_some(()));
+    eventually("a good check", || {
+        (balancer.round_trip(&Request::health_check(1, "")).status == 200).then_some(())
+    });
     balancer.send(&Request::new(2, id));
-    assert_eq!(world.agent.expect("launch").0, id);
-    world.agent.outcome(id, "fine", b"r");
+    assert_eq!(world.agent.expect_command("launch").0, id);
+    world.agent.send_outcome(id, "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
 }
 
@@ -123,12 +125,13 @@
         (0..6).map(|_| World::up(|config| config["stop_ms"] = 2_000.into())).collect();
     let mut in_time = 0;
     for round in 0..5 {
-        let in_flight: Vec<Balancer> = worlds.iter_mut().map(|world| world.running("in flight")).collect();
+        let in_flight: Vec<Balancer> =
+            worlds.iter_mut().map(|world| world.launch_request("in flight")).collect();
         worlds.iter().for_each(|world| world.announce.set_down(round % 3 != 1));
         // Killed in three rounds, drained to the end in two; all start together.
         if round % 2 == 1 {
             worlds.iter().for_each(|world| world.terminate());
-            worlds.iter_mut().for_each(|world| assert!(world.ended().success()));
+            worlds.iter_mut().for_each(|world| assert!(world.wait_for_exit().success()));
             worlds.iter_mut().for_each(|world| world.restart());
         } else {
             worlds.iter_mut().for_each(|world| world.kill_and_restart());
@@ -136,20 +139,20 @@
         let began = Instant::now();
         drop(in_flight);
         for (n, world) in worlds.iter_mut().enumerate() {
-            world.agent.linked_anew();
+            world.agent.wait_for_restarted_server();
             if n % 3 == 0 {
                 // Its agent comes up late; until then it says that it is not well, and is not lost by that.
-                assert_eq!(world.balancer().ask(&Request::check(1, "")).status, 500);
+                assert_eq!(world.balancer().round_trip(&Request::health_check(1, "")).status, 500);
                 std::thread::sleep(Duration::from_millis(300));
             }
-            world.agent.greet_again();
+            world.agent.resend_initial_notice();
         }
         for world in &mut worlds {
             wait_until_ready(world, &format!("round {round}"));
             in_time += usize::from(began.elapsed() < Duration::from_secs(10));
         }
         worlds.iter().for_each(|world| world.announce.set_down(false));
-        worlds.iter().for_each(|world| world.announce.expect("true"));
+        worlds.iter().for_each(|world| world.announce.wait_for_report("true"));
     }
     assert!(in_time >= 27, "{in_time} of 30");
 }
@@ -176,19 +179,19 @@
     let mut balancer = world.balancer();
     for class in ["book", "room", "search"] {
         balancer.send(&request_of_class(1, class, class));
-        assert_eq!(world.agent.expect("launch").0, class);
-        world.agent.needs_call(class, b"first");
-        world.records.call().reply("200 OK", "", b"y");
-        assert_eq!(world.agent.expect("deliver").0, class);
+        assert_eq!(world.agent.expect_command("launch").0, class);
+        world.agent.send_call_request(class, b"first");
+        world.records.next_call().reply("200 OK", "", b"y");
+        assert_eq!(world.agent.expect_command("deliver").0, class);
         // The next call comes on the same connection, is read completely, and gets no reply.
-        world.agent.needs_call(class, b"second");
-        let call = world.records.call();
+        world.agent.send_call_request(class, b"second");
+        let call = world.records.next_call();
         assert_eq!(call.request.header("Op-Of"), class);
         call.stream.shutdown(Shutdown::Both).expect("closed");
         if class == "search" {
-            world.records.call().reply("200 OK", "", b"z");
-            assert_eq!(world.agent.expect("deliver").0, class);
-            world.agent.outcome(class, "fine", b"r");
+            world.records.next_call().reply("200 OK", "", b"z");
+            assert_eq!(world.agent.expect_command("deliver").0, class);
+            world.agent.send_outcome(class, "fine", b"r");
             assert_eq!(balancer.answer().status, 200);
         } else {
             // A retry would come before the next class's call.
@@ -209,25 +212,25 @@
         let again = request_of_class(1, &format!("again{round}"), "room").with("HTTP_ONCE_KEY", &id);
         let (mut one, mut other) = (world.balancer(), world.balancer());
         one.send(&first);
-        assert_eq!(world.agent.expect("launch").0, id);
+        assert_eq!(world.agent.expect_command("launch").0, id);
         match round % 4 {
             0 => {
                 // While the server is stalled both are unread, the end first.
                 world.signal("STOP");
-                world.agent.outcome(&id, "fine", b"once");
+                world.agent.send_outcome(&id, "fine", b"once");
                 other.send(&again);
                 world.signal("CONT");
             }
             1 => {
                 world.signal("STOP");
                 other.send(&again);
-                world.agent.outcome(&id, "fine", b"once");
+                world.agent.send_outcome(&id, "fine", b"once");
                 world.signal("CONT");
             }
             2 => {
                 // Its caller disconnects as the run ends, which has taken effect all the same.
                 drop(one);
-                world.agent.outcome(&id, "fine", b"once");
+                world.agent.send_outcome(&id, "fine", b"once");
                 other.send(&again);
                 let answer = other.answer();
                 assert!(answer.body == b"once" || answer.status == 500, "{answer:?}");
@@ -235,7 +238,7 @@
             }
             _ => {
                 // The end has been read for certain, as its result is answered.
-                world.agent.outcome(&id, "fine", b"once");
+                world.agent.send_outcome(&id, "fine", b"once");
                 assert_eq!(one.answer().body, b"once");
                 other.send(&again);
                 assert_eq!(other.answer().body, b"once");
@@ -248,9 +251,9 @@
     // Nothing was launched but the first attempts: the next command other than a stop is another request's.
     let mut balancer = world.balancer();
     balancer.send(&request_of_class(1, "last", "search"));
-    let mut next = world.agent.command();
+    let mut next = world.agent.next_command();
     while next["op"] == "freeze" {
-        next = world.agent.command();
+        next = world.agent.next_command();
     }
     assert_eq!((&next["op"], &next["id"]), (&json!("launch"), &json!("last")));
 }
@@ -263,36 +266,36 @@
         config["stop_ms"] = 2_000.into();
         config["settings"]["guarantees"]["drain_grace_us"] = 100_000.into();
     });
-    world.agent.linked();
+    world.agent.wait_for_link();
     world.terminate();
     eventually("the notice", || world.log().contains("to: Draining").then_some(()));
     std::thread::sleep(Duration::from_millis(150));
-    world.agent.greet_again();
-    assert_eq!(world.announce.report(), "false");
+    world.agent.resend_initial_notice();
+    assert_eq!(world.announce.next_report(), "false");
     let mut balancer = world.balancer();
     // It arrives after the grace, which began with the notice, so it is not run.
-    assert_eq!(balancer.ask(&Request::new(1, "late")).status, 503);
-    assert!(world.ended().success());
+    assert_eq!(balancer.round_trip(&Request::new(1, "late")).status, 503);
+    assert!(world.wait_for_exit().success());
 }
 
 /// Signals that come twice, between two others, or while the program starts: it ends once and in order, or never served.
 #[test]
 fn signals_at_any_moment_end_the_process_once_and_in_order() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     world.reconfigure(|config| config["records"] = "127.0.0.1:9".into());
     world.terminate();
     world.reconfigure(|config| config["announce"] = "127.0.0.1:9".into());
     world.terminate();
     world.signal("INT");
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
     for wait in [0, 1, 2, 4, 8, 16, 32] {
         world.restart();
         std::thread::sleep(Duration::from_millis(wait));
         world.terminate();
-        let ended = world.ended();
+        let ended = world.wait_for_exit();
         assert!(ended.success() || ended.signal() == Some(15), "{wait}: {ended}");
     }
 }
@@ -302,8 +305,8 @@
 #[test]
 fn a_request_cut_at_any_byte_closes_only_its_connection() {
     let mut world = World::up(|_| ());
-    let mut neighbour = world.running("neighbour");
-    let bytes = Request::check(7, "").bytes();
+    let mut neighbour = world.launch_request("neighbour");
+    let bytes = Request::health_check(7, "").bytes();
     for cut in 0..bytes.len() {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
         stream.write_all(&bytes[..cut]).expect("written");
@@ -317,7 +320,7 @@
         slow.send_bytes(std::slice::from_ref(byte));
     }
     assert_eq!(slow.answer().status, 200);
-    world.agent.outcome("neighbour", "fine", b"r");
+    world.agent.send_outcome("neighbour", "fine", b"r");
     assert_eq!(neighbour.answer().body, b"r");
     assert!(world.is_alive());
 }
@@ -331,17 +334,17 @@
     for cut in (0..reply.len()).step_by(3) {
         let id = format!("cut{cut}");
         balancer.send(&Request::new(1, &id));
-        assert_eq!(world.agent.expect("launch").0, id);
-        world.agent.needs_call(&id, b"x");
-        let mut call = world.records.call();
+        assert_eq!(world.agent.expect_command("launch").0, id);
+        world.agent.send_call_request(&id, b"x");
+        let mut call = world.records.next_call();
         call.stream.write_all(&reply[..cut]).expect("written");
         call.stream.shutdown(Shutdown::Both).expect("closed");
-        let mut whole = world.records.call();
+        let mut whole = world.records.next_call();
         whole.reply("200 OK", "", b"whole");
-        let (of, command) = world.agent.expect("deliver");
+        let (of, command) = world.agent.expect_command("deliver");
         let body = common::balancer::base64(b"whole");
         assert_eq!((of, command["body"].as_str()), (id.clone(), Some(body.as_str())));
-        world.agent.outcome(&id, "fine", b"r");
+        world.agent.send_outcome(&id, "fine", b"r");
         assert_eq!(balancer.answer().status, 200);
     }
 }
@@ -351,9 +354,9 @@
 fn floods_on_one_connection_and_on_many_delay_no_other_client() {
     let mut world = World::up(|config| config["limits"]["sockets"] = 128.into());
     let mut usual = world.balancer();
-    assert_eq!(usual.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(usual.round_trip(&Request::health_check(1, "")).status, 200);
     let one = TcpStream::connect(world.listen).expect("connected");
-    let flood: Vec<u8> = (1..=32).flat_map(|slot| Request::check(slot, "").bytes()).collect();
+    let flood: Vec<u8> = (1..=32).flat_map(|slot| Request::health_check(slot, "").bytes()).collect();
     let (listen, over) = (world.listen, std::sync::atomic::AtomicBool::new(false));
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -377,11 +380,11 @@
             }
         });
         for slot in 1..=50 {
-            assert_eq!(usual.ask(&Request::check(slot, "")).status, 200);
+            assert_eq!(usual.round_trip(&Request::health_check(slot, "")).status, 200);
         }
         over.store(true, Ordering::Relaxed);
     });
-    assert!(world.descriptors() <= 128 && world.is_alive());
+    assert!(world.descriptor_count() <= 128 && world.is_alive());
 }
 
 /// Guards against an exit right after a stall: the stop has passed by the clock, nobody has killed the process, and requests
@@ -390,7 +393,7 @@
 fn requests_unread_after_a_stall_past_the_stop_are_answered() {
     let mut world = World::up(|config| config["stop_ms"] = 1_000.into());
     let mut idle = world.balancer();
-    assert_eq!(idle.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(idle.round_trip(&Request::health_check(1, "")).status, 200);
     world.terminate();
     eventually("the notice", || world.log().contains("to: Draining").then_some(()));
     world.signal("STOP");
@@ -404,5 +407,5 @@
         assert!(answer.protocol_status == 2 || matches!(answer.status, 500 | 503), "{answer:?}");
         assert_eq!(balancer.try_answer(), None);
     }
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
 }
--- a/crates/server/tests/reload.rs
+++ b/crates/server/tests/reload.rs
@@ -8,8 +8,8 @@
 #[test]
 fn new_addresses_of_all_peers_lose_no_request() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("before");
-    world.agent.wait_samples(3);
+    let mut balancer = world.launch_request("before");
+    world.agent.wait_for_samples(3);
     let (agent, records, announce) = (Agent::start(), Records::start(), Announce::start());
     let addresses = [agent.address, records.address, announce.address];
     world.reconfigure(|config| {
@@ -23,16 +23,16 @@
         std::mem::replace(&mut world.announce, announce),
     );
     // Runs and numbers carry on at the new address: nothing is launched again.
-    world.agent.greet();
-    assert_eq!(world.agent.subscribed, [0]);
-    assert_eq!(world.announce.report(), "true");
-    world.agent.needs_call("before", b"x");
-    world.records.call().reply("200 OK", "", b"y");
-    assert_eq!(world.agent.expect("deliver").0, "before");
+    world.agent.send_initial_notice();
+    assert_eq!(world.agent.subscribed_seqs, [0]);
+    assert_eq!(world.announce.next_report(), "true");
+    world.agent.send_call_request("before", b"x");
+    world.records.next_call().reply("200 OK", "", b"y");
+    assert_eq!(world.agent.expect_command("deliver").0, "before");
     balancer.send(&Request::new(2, "after"));
-    assert_eq!(world.agent.expect("launch").0, "after");
+    assert_eq!(world.agent.expect_command("launch").0, "after");
     for (slot, id) in [(1, "before"), (2, "after")] {
-        world.agent.outcome(id, "fine", id.as_bytes());
+        world.agent.send_outcome(id, "fine", id.as_bytes());
         let answer = balancer.answer();
         assert_eq!((answer.slot, answer.status, answer.body.as_slice()), (slot, 200, id.as_bytes()));
     }
@@ -42,25 +42,25 @@
 #[test]
 fn call_in_flight_ends_on_its_old_connection() {
     let mut world = World::up(|_| ());
-    let _balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    let mut call = world.records.call();
+    let _balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    let mut call = world.records.next_call();
     let records = Records::start();
     world.reconfigure(|config| config["records"] = json!(records.address));
     let old = std::mem::replace(&mut world.records, records);
-    world.agent.wait_samples(3);
+    world.agent.wait_for_samples(3);
     call.reply("200 OK", "", b"y");
-    world.agent.expect("deliver");
+    world.agent.expect_command("deliver");
     // Its connection carries nothing more: the next call goes to the new address.
-    world.agent.needs_call("a", b"z");
-    assert_eq!(world.records.call().request.body, b"z");
+    world.agent.send_call_request("a", b"z");
+    assert_eq!(world.records.next_call().request.body, b"z");
     drop(old);
 }
 
 #[test]
 fn invalid_or_unsupported_reload_changes_nothing() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     let sound = world.config().clone();
     let with = |field: &str, value: serde_json::Value| {
         let mut config = sound.clone();
@@ -80,16 +80,16 @@
         with("/settings/classes/0/name", json!("other")),
     ];
     for text in &bad {
-        world.replace_file(text);
-        world.agent.wait_samples(3);
+        world.replace_config_file(text);
+        world.agent.wait_for_samples(3);
     }
-    world.remove_file();
-    world.agent.wait_samples(3);
+    world.remove_config_file();
+    world.agent.wait_for_samples(3);
     // Still on the first link, on which nothing was said twice.
-    assert_eq!(world.agent.subscribed, [0]);
-    world.agent.outcome("a", "fine", b"r");
+    assert_eq!(world.agent.subscribed_seqs, [0]);
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    assert_eq!(world.announce.report(), "true");
+    assert_eq!(world.announce.next_report(), "true");
 }
 
 #[test]
@@ -103,9 +103,9 @@
     world.reconfigure(|config| config["agent"] = json!(passed.address));
     world.reconfigure(|config| config["agent"] = json!(last.address));
     world.agent = last;
-    world.agent.greet();
-    assert_eq!(world.agent.expect("launch").0, "a");
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_initial_notice();
+    assert_eq!(world.agent.expect_command("launch").0, "a");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     drop(passed);
 }
@@ -113,30 +113,30 @@
 #[test]
 fn draining_server_still_reloads() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     world.terminate();
-    world.announce.expect("false");
+    world.announce.wait_for_report("false");
     let (agent, announce) = (Agent::start(), Announce::start());
     let addresses = [agent.address, announce.address];
     world.reconfigure(|config| {
         (config["agent"], config["announce"]) = (json!(addresses[0]), json!(addresses[1]));
     });
     (world.agent, world.announce) = (agent, announce);
-    world.agent.greet();
-    world.announce.expect("false");
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_initial_notice();
+    world.announce.wait_for_report("false");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
 }
 
 #[test]
 fn reload_before_the_agent_is_connected_takes_effect() {
     let mut world = World::start(|_| ());
-    world.agent.linked();
+    world.agent.wait_for_link();
     let agent = Agent::start();
     let address = agent.address;
     world.reconfigure(|config| config["agent"] = json!(address));
     world.agent = agent;
-    world.agent.greet();
-    assert_eq!(world.announce.report(), "true");
+    world.agent.send_initial_notice();
+    assert_eq!(world.announce.next_report(), "true");
 }
--- a/crates/server/tests/rules.rs
+++ b/crates/server/tests/rules.rs
@@ -24,22 +24,22 @@
 fn a_new_agent_link_resumes_where_the_last_one_was_cut() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
-    world.agent.wait_samples(2);
-    world.agent.samples = false;
+    world.agent.wait_for_samples(2);
+    world.agent.answers_samples = false;
     for (slot, id) in [(1, "ended"), (2, "unread")] {
         balancer.send(&Request::new(slot, id));
-        assert_eq!(world.agent.expect("launch").0, id);
+        assert_eq!(world.agent.expect_command("launch").0, id);
     }
-    world.agent.cut();
-    world.agent.samples = true;
-    world.agent.linked();
-    assert_eq!(world.agent.subscribed, [0, 0]);
-    world.agent.greet_again();
+    world.agent.disconnect();
+    world.agent.answers_samples = true;
+    world.agent.wait_for_link();
+    assert_eq!(world.agent.subscribed_seqs, [0, 0]);
+    world.agent.resend_initial_notice();
     // One launch was read, and its run ended while there was no link; the other was never read.
-    world.agent.outcome("ended", "fine", b"r1");
-    let (id, command) = world.agent.expect("launch");
+    world.agent.send_outcome("ended", "fine", b"r1");
+    let (id, command) = world.agent.expect_command("launch");
     assert_eq!((id.as_str(), command["class"].as_str()), ("unread", Some("search")));
-    world.agent.outcome("unread", "fine", b"r2");
+    world.agent.send_outcome("unread", "fine", b"r2");
     let (first, second) = (balancer.answer(), balancer.answer());
     assert_eq!((first.slot, first.body.as_slice()), (1, &b"r1"[..]));
     assert_eq!((second.slot, second.body.as_slice()), (2, &b"r2"[..]));
@@ -48,37 +48,37 @@
 #[test]
 fn notices_seen_before_are_dropped_and_confirmed_commands_are_not_repeated() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    world.records.call().reply("200 OK", "", b"y");
-    world.agent.expect("deliver");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    world.records.next_call().reply("200 OK", "", b"y");
+    world.agent.expect_command("deliver");
     // The answer to a later sample shows that all of that has been read.
-    world.agent.wait_samples(3);
-    world.agent.cut();
-    world.agent.linked();
-    assert_eq!(world.agent.subscribed, [0, 1]);
-    world.agent.greet_again();
+    world.agent.wait_for_samples(3);
+    world.agent.disconnect();
+    world.agent.wait_for_link();
+    assert_eq!(world.agent.subscribed_seqs, [0, 1]);
+    world.agent.resend_initial_notice();
     let body = common::balancer::base64(b"x");
-    world.agent.say(&serde_json::json!({"op": "request", "seq": 1, "id": "a", "body": body}));
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send(&serde_json::json!({"op": "request", "seq": 1, "id": "a", "body": body}));
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     // Neither the launch nor a second reply came on the new link: the next command is another request's.
     balancer.send(&Request::new(1, "b"));
-    assert_eq!(world.agent.expect("launch").0, "b");
+    assert_eq!(world.agent.expect_command("launch").0, "b");
 }
 
 #[test]
 fn requests_that_arrive_without_an_agent_link_are_launched_on_the_next() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
-    world.agent.cut();
-    world.agent.linked();
+    world.agent.disconnect();
+    world.agent.wait_for_link();
     balancer.send(&Request::new(1, "a"));
     // Health checks are answered by the readiness meanwhile.
-    assert_eq!(world.balancer().ask(&Request::check(1, "")).status, 200);
-    world.agent.greet_again();
-    assert_eq!(world.agent.expect("launch").0, "a");
-    world.agent.outcome("a", "fine", b"r");
+    assert_eq!(world.balancer().round_trip(&Request::health_check(1, "")).status, 200);
+    world.agent.resend_initial_notice();
+    assert_eq!(world.agent.expect_command("launch").0, "a");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().status, 200);
 }
 
@@ -90,11 +90,11 @@
     for (slot, bad) in [(1, &b"nonsense\n"[..]), (2, b"{\"op\":7}\n"), (3, &endless)] {
         let id = format!("r{slot}");
         balancer.send(&Request::new(slot, &id));
-        assert_eq!(world.agent.expect("launch").0, id);
-        world.agent.wait_samples(3);
-        world.agent.say_bytes(bad);
-        world.agent.greet();
-        world.agent.outcome(&id, "fine", b"r");
+        assert_eq!(world.agent.expect_command("launch").0, id);
+        world.agent.wait_for_samples(3);
+        world.agent.send_bytes(bad);
+        world.agent.send_initial_notice();
+        world.agent.send_outcome(&id, "fine", b"r");
         assert_eq!(balancer.answer().status, 200);
     }
 }
@@ -102,7 +102,7 @@
 #[test]
 fn malformed_bytes_close_only_their_connection() {
     let mut world = World::up(|_| ());
-    let mut healthy = world.running("healthy");
+    let mut healthy = world.launch_request("healthy");
     for seed in 0..40 {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
         let bytes = pseudo_random_bytes(seed, 600);
@@ -115,18 +115,18 @@
         };
     }
     assert!(world.is_alive());
-    world.agent.outcome("healthy", "fine", b"r");
+    world.agent.send_outcome("healthy", "fine", b"r");
     assert_eq!(healthy.answer().body, b"r");
 }
 
 #[test]
 fn requests_in_flight_on_a_connection_with_malformed_bytes_are_still_answered() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     // In one write with a valid record before it.
     balancer.send_bytes(&[record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
     assert_eq!(balancer.record().map(|(kind, ..)| kind), Some(10));
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     assert_eq!(balancer.try_answer(), None);
 }
@@ -137,8 +137,8 @@
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a"));
     balancer.stream.shutdown(std::net::Shutdown::Write).expect("shut");
-    world.agent.expect("launch");
-    world.agent.outcome("a", "fine", &[7; 4096]);
+    world.agent.expect_command("launch");
+    world.agent.send_outcome("a", "fine", &[7; 4096]);
     assert_eq!(balancer.answer().body, [7; 4096]);
     assert_eq!(balancer.try_answer(), None);
 }
@@ -146,19 +146,19 @@
 #[test]
 fn an_aborted_request_ends_and_its_run_is_stopped() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
+    let mut balancer = world.launch_request("a");
     balancer.send_bytes(&record(2, 1, &[]));
     assert_eq!(balancer.answer().status, 0);
-    assert_eq!(world.agent.expect("freeze").0, "a");
-    world.agent.outcome("a", "broken_off", b"");
+    assert_eq!(world.agent.expect_command("freeze").0, "a");
+    world.agent.send_outcome("a", "broken_off", b"");
     // Its slot is used by another request, which gets only its own answer.
     balancer.send(&Request::new(1, "b"));
-    let mut next = world.agent.command();
+    let mut next = world.agent.next_command();
     while next["op"] == "freeze" {
-        next = world.agent.command();
+        next = world.agent.next_command();
     }
     assert_eq!(next["id"], "b");
-    world.agent.outcome("b", "fine", b"rb");
+    world.agent.send_outcome("b", "fine", b"rb");
     assert_eq!(balancer.answer().body, b"rb");
 }
 
@@ -176,16 +176,16 @@
 #[test]
 fn a_full_connection_table_delays_no_established_connection() {
     let mut world = World::up(|config| config["limits"]["sockets"] = 64.into());
-    let mut first = world.running("a");
+    let mut first = world.launch_request("a");
     let crowd: Vec<TcpStream> =
         (0..80).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
     // The established ones are idle, so one after the other is closed for another.
     let mut last = world.balancer();
-    assert_eq!(last.ask(&Request::check(1, "")).status, 200);
-    assert!(world.descriptors() <= 64, "{}", world.descriptors());
-    world.agent.outcome("a", "fine", b"r");
+    assert_eq!(last.round_trip(&Request::health_check(1, "")).status, 200);
+    assert!(world.descriptor_count() <= 64, "{}", world.descriptor_count());
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(first.answer().body, b"r");
-    assert_eq!(world.announce.report(), "true");
+    assert_eq!(world.announce.next_report(), "true");
     drop(crowd);
 }
 
@@ -203,7 +203,7 @@
     }
     assert!(sent < 256 << 20);
     let mut other = world.balancer();
-    assert_eq!(other.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(other.round_trip(&Request::health_check(1, "")).status, 200);
     assert!(world.is_alive());
 }
 
@@ -218,7 +218,7 @@
         sent += 1;
     }
     assert!(sent < 256);
-    assert_eq!(world.balancer().ask(&Request::check(1, "")).status, 200);
+    assert_eq!(world.balancer().round_trip(&Request::health_check(1, "")).status, 200);
     assert!(world.is_alive());
 }
 
@@ -237,7 +237,7 @@
         crowd.push(stream);
     }
     let mut other = world.balancer();
-    assert_eq!(other.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(other.round_trip(&Request::health_check(1, "")).status, 200);
     assert!(world.memory_kb() - before < 32 * 1024, "{} KB", world.memory_kb());
     assert!(world.is_alive());
 }
@@ -247,30 +247,30 @@
     let mut world = World::up(|_| ());
     let (mut owner, mut other) = (world.balancer(), world.balancer());
     owner.send(&Request::new(1, "a"));
-    world.agent.expect("launch");
+    world.agent.expect_command("launch");
     other.send_bytes(&[Request::new(1, "a").bytes(), record(2, 1, &[])].concat());
     assert!(matches!(other.answer().status, 0 | 400));
     drop(other);
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(owner.answer().body, b"r");
 }
 
 #[test]
 fn a_draining_server_answers_all_requests_and_exits_with_success() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("before");
+    let mut balancer = world.launch_request("before");
     world.terminate();
-    world.announce.expect("false");
+    world.announce.wait_for_report("false");
     balancer.send(&Request::new(2, "after"));
     let mut fresh = world.balancer();
-    assert_eq!(fresh.ask(&Request::check(1, "full=1")).status, 500);
-    world.agent.outcome("before", "fine", b"r");
+    assert_eq!(fresh.round_trip(&Request::health_check(1, "full=1")).status, 500);
+    world.agent.send_outcome("before", "fine", b"r");
     let mut answers = [balancer.answer(), balancer.answer()];
     answers.sort_by_key(|a| a.slot);
     assert_eq!((answers[0].status, answers[0].body.as_slice()), (200, &b"r"[..]));
     // Rejected, or failed if it was launched, as its run never ended.
     assert!(matches!(answers[1].status, 500 | 503), "{:?}", answers[1]);
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
     assert_eq!(balancer.try_answer(), None);
     assert!(TcpStream::connect(world.listen).is_err());
 }
@@ -279,54 +279,54 @@
 fn idle_connections_are_closed_without_a_reset() {
     let mut world = World::up(|_| ());
     let mut idle = world.balancer();
-    assert_eq!(idle.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(idle.round_trip(&Request::health_check(1, "")).status, 200);
     world.terminate();
     let mut rest = Vec::new();
     assert_eq!(idle.stream.read_to_end(&mut rest).expect("no reset"), 0);
-    assert!(world.ended().success());
+    assert!(world.wait_for_exit().success());
 }
 
 #[test]
 fn a_connection_without_keep_conn_is_closed_after_its_answer() {
     let world = World::up(|_| ());
     let mut balancer = world.balancer();
-    let mut check = Request::check(1, "");
+    let mut check = Request::health_check(1, "");
     check.flags = 0;
-    assert_eq!(balancer.ask(&check).status, 200);
+    assert_eq!(balancer.round_trip(&check).status, 200);
     assert_eq!(balancer.try_answer(), None);
 }
 
 #[test]
 fn a_server_waits_for_an_agent_that_comes_up_late() {
     let mut world = World::start(|_| ());
-    world.agent.linked();
+    world.agent.wait_for_link();
     eventually("the listening socket", || TcpStream::connect(world.listen).ok());
-    world.agent.greet_again();
-    assert_eq!(world.announce.report(), "true");
+    world.agent.resend_initial_notice();
+    assert_eq!(world.announce.next_report(), "true");
     let mut balancer = Balancer::connect(world.listen);
     balancer.send(&Request::new(1, "a"));
-    assert_eq!(world.agent.expect("launch").0, "a");
+    assert_eq!(world.agent.expect_command("launch").0, "a");
 }
 
 #[test]
 fn a_stall_of_the_process_closes_no_connection() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    let mut call = world.records.call();
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    let mut call = world.records.next_call();
     world.signal("STOP");
     // What its peers send meanwhile is there when it goes on, as are all the timers that came due.
     call.reply("200 OK", "", b"y");
     balancer.send(&Request::new(2, "b"));
     std::thread::sleep(std::time::Duration::from_millis(700));
     world.signal("CONT");
-    let mut commands = [world.agent.command(), world.agent.command()];
+    let mut commands = [world.agent.next_command(), world.agent.next_command()];
     commands.sort_by_key(|c| c["op"].as_str().map(String::from));
     assert_eq!((&commands[0]["op"], &commands[0]["id"]), (&"deliver".into(), &"a".into()));
     assert_eq!((&commands[1]["op"], &commands[1]["id"]), (&"launch".into(), &"b".into()));
     for id in ["a", "b"] {
-        world.agent.outcome(id, "fine", id.as_bytes());
+        world.agent.send_outcome(id, "fine", id.as_bytes());
         assert_eq!(balancer.answer().body, id.as_bytes());
     }
-    assert_eq!(world.agent.subscribed, [0]);
+    assert_eq!(world.agent.subscribed_seqs, [0]);
 }
--- a/crates/server/tests/serving.rs
+++ b/crates/server/tests/serving.rs
@@ -20,10 +20,10 @@
     let (body, result) = (pseudo_random_bytes(2 * 1024), pseudo_random_bytes(4 * 1024));
     let mut balancer = world.balancer();
     balancer.send(&Request::new(7, "9b1f03aa5c7e2d41").body(&body));
-    let (id, command) = world.agent.expect("launch");
+    let (id, command) = world.agent.expect_command("launch");
     assert_eq!((id.as_str(), command["class"].as_str()), ("9b1f03aa5c7e2d41", Some("search")));
     assert_eq!(decoded(&command["body"]), body);
-    world.agent.outcome(&id, "fine", &result);
+    world.agent.send_outcome(&id, "fine", &result);
     let answer = balancer.answer();
     assert_eq!((answer.slot, answer.status, answer.protocol_status), (7, 200, 0));
     assert_eq!(answer.body, result);
@@ -36,10 +36,10 @@
     let all: Vec<u8> = (1..=4).flat_map(|n| Request::new(n, &format!("{n:016x}")).bytes()).collect();
     // In chunks that end anywhere.
     all.chunks(11).for_each(|chunk| balancer.send_bytes(chunk));
-    let mut launched: Vec<String> = (0..4).map(|_| world.agent.expect("launch").0).collect();
+    let mut launched: Vec<String> = (0..4).map(|_| world.agent.expect_command("launch").0).collect();
     launched.reverse();
     for id in &launched {
-        world.agent.outcome(id, "fine", id.as_bytes());
+        world.agent.send_outcome(id, "fine", id.as_bytes());
     }
     for id in launched {
         let answer = balancer.answer();
@@ -51,12 +51,12 @@
 #[test]
 fn a_run_that_ends_twice_is_answered_once() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.outcome("a", "fine", b"first");
-    world.agent.outcome("a", "fine", b"second");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_outcome("a", "fine", b"first");
+    world.agent.send_outcome("a", "fine", b"second");
     assert_eq!(balancer.answer().body, b"first");
     // A second response to it would come before the next answer.
-    assert_eq!(balancer.ask(&Request::check(2, "")).status, 200);
+    assert_eq!(balancer.round_trip(&Request::health_check(2, "")).status, 200);
 }
 
 #[test]
@@ -67,8 +67,8 @@
     // However slow the machine is, the response comes by then, as the run has not ended.
     let answer = balancer.answer();
     assert!(matches!(answer.status, 500 | 503), "{answer:?}");
-    world.agent.outcome("a", "fine", b"late");
-    assert_eq!(balancer.ask(&Request::check(2, "")).status, 200);
+    world.agent.send_outcome("a", "fine", b"late");
+    assert_eq!(balancer.round_trip(&Request::health_check(2, "")).status, 200);
 }
 
 #[test]
@@ -77,8 +77,8 @@
     let mut balancer = world.balancer();
     for end in ["fault", "broken_off", "late"] {
         balancer.send(&Request::new(1, end));
-        let (id, _) = world.agent.expect("launch");
-        world.agent.outcome(&id, end, b"");
+        let (id, _) = world.agent.expect_command("launch");
+        world.agent.send_outcome(&id, end, b"");
         let answer = balancer.answer();
         assert_eq!((answer.status, answer.protocol_status), (500, 0), "{end}");
     }
@@ -90,10 +90,10 @@
     let mut balancer = world.balancer();
     let past = (common::unix_ms() - 60_000).to_string();
     let old = Request::new(1, "a").with("HTTP_RECEIVED_AT", &past).with("HTTP_BUDGET_MS", "5");
-    assert_eq!(balancer.ask(&old).status, 503);
+    assert_eq!(balancer.round_trip(&old).status, 503);
     balancer.send(&Request::new(2, "b"));
     // Its run is the first that the agent is told to start.
-    assert_eq!(world.agent.expect("launch").0, "b");
+    assert_eq!(world.agent.expect_command("launch").0, "b");
 }
 
 #[test]
@@ -114,17 +114,17 @@
         valid.clone().with("SCRIPT_NAME", "/else"),
     ];
     for request in &malformed {
-        assert_eq!(balancer.ask(request).status, 400);
+        assert_eq!(balancer.round_trip(request).status, 400);
     }
     // A request that is too long is not read to its end, so its connection is closed.
     let mut other = world.balancer();
-    assert_eq!(other.ask(&valid.clone().body(&pseudo_random_bytes(2 * 1024 + 1))).status, 400);
+    assert_eq!(other.round_trip(&valid.clone().body(&pseudo_random_bytes(2 * 1024 + 1))).status, 400);
     assert_eq!(other.try_answer(), None);
     balancer.send(&Request::new(1, "sound"));
-    assert_eq!(world.agent.expect("launch").0, "sound");
+    assert_eq!(world.agent.expect_command("launch").0, "sound");
     // Nor is one whose name is in use.
-    assert_eq!(balancer.ask(&Request::new(2, "sound")).status, 400);
-    world.agent.outcome("sound", "fine", b"r");
+    assert_eq!(balancer.round_trip(&Request::new(2, "sound")).status, 400);
+    world.agent.send_outcome("sound", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
 }
 
@@ -132,30 +132,30 @@
 fn a_call_and_its_reply_pass_unchanged() {
     let mut world = World::up(|_| ());
     let (asked, reply) = (pseudo_random_bytes(96), pseudo_random_bytes(700));
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", &asked);
-    let mut call = world.records.call();
-    assert_eq!(call.request.line, "POST /records/op HTTP/1.1");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", &asked);
+    let mut call = world.records.next_call();
+    assert_eq!(call.request.request_line, "POST /records/op HTTP/1.1");
     assert_eq!((call.request.header("Op-Of"), &call.request.body), ("a", &asked));
     assert!(call.request.header("Op-Wait-Ms").parse::<u64>().expect("a number") > 0);
     call.reply("200 OK", "", &reply);
-    let (id, command) = world.agent.expect("deliver");
+    let (id, command) = world.agent.expect_command("deliver");
     assert_eq!((id.as_str(), decoded(&command["body"])), ("a", reply));
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().status, 200);
 }
 
 #[test]
 fn consecutive_calls_share_one_connection() {
     let mut world = World::up(|_| ());
-    let _balancer = world.running("a");
+    let _balancer = world.launch_request("a");
     let mut peers = Vec::new();
     for _ in 0..3 {
-        world.agent.needs_call("a", b"x");
-        let mut call = world.records.call();
+        world.agent.send_call_request("a", b"x");
+        let mut call = world.records.next_call();
         peers.push(call.stream.peer_addr().expect("a peer"));
         call.reply("200 OK", "", b"");
-        world.agent.expect("deliver");
+        world.agent.expect_command("deliver");
     }
     assert!(peers.iter().all(|p| *p == peers[0]), "{peers:?}");
 }
@@ -163,83 +163,83 @@
 #[test]
 fn a_call_that_was_not_begun_is_retried() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    world.records.call().reply("503 Busy", "Op-Not-Begun: 1\r\n", b"");
-    world.records.call().reply("200 OK", "", b"y");
-    world.agent.expect("deliver");
-    world.agent.outcome("a", "fine", b"r");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    world.records.next_call().reply("503 Busy", "Op-Not-Begun: 1\r\n", b"");
+    world.records.next_call().reply("200 OK", "", b"y");
+    world.agent.expect_command("deliver");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().status, 200);
 }
 
 #[test]
 fn a_run_goes_on_without_a_call_that_keeps_failing() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    let seq = world.agent.needs_call("a", b"x");
+    let mut balancer = world.launch_request("a");
+    let seq = world.agent.send_call_request("a", b"x");
     // A reply that is cut off does not prove that the call never ran, and neither does an error.
-    world.records.call().reply("500 Error", "", b"");
-    drop(world.records.call().stream.shutdown(std::net::Shutdown::Both));
-    world.records.call().reply("504 Late", "", b"");
-    let (id, command) = world.agent.expect("forgo");
+    world.records.next_call().reply("500 Error", "", b"");
+    drop(world.records.next_call().stream.shutdown(std::net::Shutdown::Both));
+    world.records.next_call().reply("504 Late", "", b"");
+    let (id, command) = world.agent.expect_command("forgo");
     assert_eq!((id.as_str(), command["seq"].as_u64()), ("a", Some(seq)));
-    world.agent.outcome("a", "fine", b"r");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().status, 200);
 }
 
 #[test]
 fn a_run_goes_on_without_a_call_to_an_unreachable_service() {
     let mut world = World::up(|config| config["records"] = "127.0.0.1:1".into());
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    world.agent.expect("forgo");
-    world.agent.outcome("a", "fine", b"r");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    world.agent.expect_command("forgo");
+    world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().status, 200);
 }
 
 #[test]
 fn a_call_is_cancelled_when_its_run_ends() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.needs_call("a", b"x");
-    let mut call = world.records.call();
-    world.agent.outcome("a", "broken_off", b"");
-    call.given_up();
+    let mut balancer = world.launch_request("a");
+    world.agent.send_call_request("a", b"x");
+    let mut call = world.records.next_call();
+    world.agent.send_outcome("a", "broken_off", b"");
+    call.wait_for_close();
     assert_eq!(balancer.answer().status, 500);
 }
 
 #[test]
 fn a_launch_that_the_agent_rejects_fails_its_request() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.say(&serde_json::json!({"op": "refusal", "end": "launch", "id": "a"}));
+    let mut balancer = world.launch_request("a");
+    world.agent.send(&serde_json::json!({"op": "refusal", "end": "launch", "id": "a"}));
     assert_eq!(balancer.answer().status, 500);
 }
 
 #[test]
 fn an_invalid_notice_fails_its_request_and_keeps_the_link() {
     let mut world = World::up(|_| ());
-    let mut balancer = world.running("a");
-    world.agent.outcome("a", "never heard of", b"");
+    let mut balancer = world.launch_request("a");
+    world.agent.send_outcome("a", "never heard of", b"");
     assert_eq!(balancer.answer().status, 500);
     balancer.send(&Request::new(1, "b"));
-    world.agent.expect("launch");
-    world.agent.outcome("b", "fine", b"r");
+    world.agent.expect_command("launch");
+    world.agent.send_outcome("b", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    assert_eq!(world.agent.subscribed, [0]);
+    assert_eq!(world.agent.subscribed_seqs, [0]);
 }
 
 #[test]
 fn health_checks_fail_and_requests_are_rejected_until_the_agent_is_up() {
     let mut world = World::start(|_| ());
-    world.agent.linked();
+    world.agent.wait_for_link();
     let mut balancer = world.balancer();
-    assert_eq!(balancer.ask(&Request::check(1, "")).status, 500);
-    assert_eq!(balancer.ask(&Request::check(1, "full=1")).status, 500);
-    assert_eq!(balancer.ask(&Request::new(1, "a")).status, 503);
-    world.agent.greet_again();
-    assert_eq!(world.announce.report(), "true");
-    assert_eq!(balancer.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(balancer.round_trip(&Request::health_check(1, "")).status, 500);
+    assert_eq!(balancer.round_trip(&Request::health_check(1, "full=1")).status, 500);
+    assert_eq!(balancer.round_trip(&Request::new(1, "a")).status, 503);
+    world.agent.resend_initial_notice();
+    assert_eq!(world.announce.next_report(), "true");
+    assert_eq!(balancer.round_trip(&Request::health_check(1, "")).status, 200);
 }
 
 #[test]
@@ -247,9 +247,9 @@
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     for (end, status) in [("fine", 200), ("fault", 500)] {
-        balancer.send(&Request::check(1, "full=1"));
-        let (_, command) = world.agent.expect("exercise");
-        world.agent.say(&serde_json::json!({"op": "exercised", "tag": command["tag"], "end": end}));
+        balancer.send(&Request::health_check(1, "full=1"));
+        let (_, command) = world.agent.expect_command("exercise");
+        world.agent.send(&serde_json::json!({"op": "exercised", "tag": command["tag"], "end": end}));
         assert_eq!(balancer.answer().status, status);
     }
 }
@@ -258,27 +258,27 @@
 fn the_registration_is_repeated_and_goes_on_after_an_outage() {
     let world = World::up(|_| ());
     for _ in 0..3 {
-        assert_eq!(world.announce.report(), "true");
+        assert_eq!(world.announce.next_report(), "true");
     }
     world.announce.set_down(true);
-    world.announce.expect("unheard");
-    world.announce.expect("unheard");
+    world.announce.wait_for_report("unheard");
+    world.announce.wait_for_report("unheard");
     world.announce.set_down(false);
-    world.announce.expect("true");
-    world.announce.expect("true");
+    world.announce.wait_for_report("true");
+    world.announce.wait_for_report("true");
 }
 
 #[test]
 fn a_killed_server_restarts_under_its_address() {
     let mut world = World::up(|_| ());
-    let _balancer = world.running("a");
+    let _balancer = world.launch_request("a");
     world.kill_and_restart();
-    world.agent.linked();
-    assert_eq!(world.agent.subscribed, [0, 0]);
-    world.agent.greet_again();
-    world.announce.expect("true");
+    world.agent.wait_for_link();
+    assert_eq!(world.agent.subscribed_seqs, [0, 0]);
+    world.agent.resend_initial_notice();
+    world.announce.wait_for_report("true");
     let mut balancer = Balancer::connect(world.listen);
-    assert_eq!(balancer.ask(&Request::check(1, "")).status, 200);
+    assert_eq!(balancer.round_trip(&Request::health_check(1, "")).status, 200);
 }
 
 /// Settings under which no request states a deadline and running work can't be preempted.
@@ -298,18 +298,18 @@
     let mut world = World::up(without_deadlines);
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").without("HTTP_BUDGET_MS").with("HTTP_ATTEMPT", "2"));
-    assert_eq!(world.agent.expect("launch").0, "a");
+    assert_eq!(world.agent.expect_command("launch").0, "a");
     // A deadline that is stated all the same is ignored: this one would have passed at once.
     balancer.send(&Request::new(2, "b").with("HTTP_BUDGET_MS", "1"));
-    assert_eq!(world.agent.expect("launch").0, "b");
+    assert_eq!(world.agent.expect_command("launch").0, "b");
     for id in ["a", "b"] {
-        world.agent.outcome(id, "fine", id.as_bytes());
+        world.agent.send_outcome(id, "fine", id.as_bytes());
         assert_eq!((balancer.answer().status), 200);
     }
     let room = Request::new(3, "c").without("HTTP_BUDGET_MS").with("SCRIPT_NAME", "/svc/room");
     let sent = std::time::Instant::now();
     balancer.send(&room);
-    assert_eq!(world.agent.expect("launch").0, "c");
+    assert_eq!(world.agent.expect_command("launch").0, "c");
     // Its run does not end: the final response comes by the deadline of its class.
     let answer = balancer.answer();
     assert_eq!(answer.status, 500, "a request that has run is never rejected");
@@ -322,10 +322,10 @@
 fn a_request_without_a_deadline_is_malformed_only_where_deadlines_are_stated() {
     let world = World::up(|_| ());
     let mut balancer = world.balancer();
-    assert_eq!(balancer.ask(&Request::new(1, "a").without("HTTP_BUDGET_MS")).status, 400);
+    assert_eq!(balancer.round_trip(&Request::new(1, "a").without("HTTP_BUDGET_MS")).status, 400);
     let mut world = World::up(without_deadlines);
     let mut balancer = world.balancer();
-    assert_eq!(balancer.ask(&Request::new(1, "a").with("HTTP_ATTEMPT", "0")).status, 400);
+    assert_eq!(balancer.round_trip(&Request::new(1, "a").with("HTTP_ATTEMPT", "0")).status, 400);
     balancer.send(&Request::new(2, "b").without("HTTP_BUDGET_MS"));
-    assert_eq!(world.agent.expect("launch").0, "b");
+    assert_eq!(world.agent.expect_command("launch").0, "b");
 }
