--- a/crates/server/src/wire/cgi.rs
+++ b/crates/server/src/wire/cgi.rs
@@ -1,100 +1,101 @@
-//! CGI: the parameters of a request, and the response to it.
+//! CGI over FastCGI: parses the parameters of requests and encodes the responses.
 
 use super::{fastcgi, MalformedInput};
 use umberloom::interface::Micros;
 
 use crate::messages::caller::{Response, WorkRequest};
 
-/// Prefix of the path of requests for work; the class follows.
+/// Path prefix of work requests; the name of the class follows.
 const SERVICE_PATH_PREFIX: &str = "/svc/";
 /// Path of health checks.
 const HEALTH_CHECK_PATH: &str = "/status/live";
 
-/// What a load balancer asks for.
+/// A request from a load balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CgiRequest {
-    /// Work.
+    /// A request for work.
     Work(WorkRequest),
-    /// Whether this server is healthy; `true`: a deep check, which wants work to be done.
+    /// A health check; `true` for a deep one, which has to run work.
     HealthCheck(bool),
 }
 
-/// Parameters that name no valid request; it is answered with status 400.
+/// Why the parameters are not a valid request. The response has status 400.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidParams {
-    /// They are no name-value pairs.
+    /// They can't be parsed as name-value pairs.
     #[error(transparent)]
     Malformed(#[from] MalformedInput),
-    /// There is no `SCRIPT_NAME`.
-    #[error("no path")]
+    /// `SCRIPT_NAME` is missing.
+    #[error("missing path")]
     MissingPath,
     /// `SCRIPT_NAME` is neither the path of work nor that of health checks.
-    #[error("an unknown path")]
+    #[error("unknown path")]
     UnknownPath,
     /// `REQUEST_METHOD` is not `POST`.
-    #[error("not a POST")]
+    #[error("request method is not POST")]
     NotPost,
     /// `HTTP_REQUEST_ID` is missing, empty or too long.
-    #[error("no id")]
+    #[error("missing or invalid request id")]
     InvalidId,
     /// `HTTP_ATTEMPT_AGAIN` is neither 0 nor 1.
-    #[error("no mark of a further try")]
+    #[error("invalid retry mark")]
     InvalidRetryMark,
     /// `HTTP_ATTEMPT` is not a positive number.
-    #[error("no attempt")]
+    #[error("invalid attempt number")]
     InvalidAttempt,
     /// `HTTP_ONCE_KEY` and `HTTP_IDEMPOTENCY_KEY` differ.
-    #[error("two idempotency keys")]
+    #[error("conflicting idempotency keys")]
     ConflictingKeys,
     /// `HTTP_RECEIVED_AT` is missing, or is not a number of milliseconds.
-    #[error("no time of arrival")]
+    #[error("missing or invalid arrival time")]
     InvalidArrivalTime,
     /// `HTTP_BUDGET_MS` is not a number of milliseconds.
-    #[error("no budget")]
+    #[error("invalid timeout")]
     InvalidTimeout,
     /// `HTTP_SENT_BY` is missing, or is not a number.
-    #[error("no sender")]
+    #[error("missing or invalid sender")]
     InvalidSender,
     /// `HTTP_FOOTPRINT_KB` is missing, or is out of range.
-    #[error("no footprint")]
+    #[error("missing or invalid footprint")]
     InvalidFootprint,
-    /// `HTTP_PRIORITY_RANK` is missing, or not from 0 to under 1.
-    #[error("no rank")]
+    /// `HTTP_PRIORITY_RANK` is missing, or is not in the range 0 to 1 (exclusive).
+    #[error("missing or invalid priority rank")]
     InvalidRank,
 }
 
-/// The longest id of a request.
+/// Limit on the length of a request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 64;
-/// Memory of a queued request is under this.
+/// The stated memory of a queued request must be less than this, in kilobytes.
 const MAX_FOOTPRINT_KB: f64 = 2_000.0;
-/// The longest idempotency key.
+/// Limit on the length of an idempotency key, in bytes; longer keys are ignored.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// An estimate of more work than this is ignored: an hour.
+/// Estimates of one hour of work or more are ignored; in milliseconds.
 const MAX_WORK_ESTIMATE_MS: f64 = 3_600_000.0;
 
-/// The name-value pairs of a request.
+/// The name-value pairs of a request's parameters.
 struct Params<'a> {
     pairs: Vec<fastcgi::NameValuePair<'a>>,
 }
 
 impl<'a> Params<'a> {
-    /// The value of this name, if there is one and it is text.
+    /// The value of the first parameter with this name, if it is UTF-8.
     fn get(&self, name: &str) -> Option<&'a str> {
         let (_, value) = self.pairs.iter().find(|(other, _)| *other == name.as_bytes())?;
         std::str::from_utf8(value).ok()
     }
 
-    /// A number of milliseconds, in microseconds.
+    /// A whole number of milliseconds, converted to microseconds.
     fn millis(&self, name: &str) -> Option<Micros> {
         self.get(name)?.trim().parse::<u64>().ok()?.checked_mul(1_000)
     }
 
-    /// A finite number.
+    /// The parameter as a finite number.
     fn number(&self, name: &str) -> Option<f64> {
         self.get(name)?.trim().parse::<f64>().ok().filter(|number| number.is_finite())
     }
 
-    /// Whether the request is a retry. Older callers number their attempts instead of marking retries.
+    /// Whether the request is a retry: it is marked as one, or its attempt number, which older callers send
+    /// instead, is greater than 1.
     fn is_retry(&self) -> Result<bool, InvalidParams> {
         let marked = match self.get("HTTP_ATTEMPT_AGAIN").map(str::trim) {
             None | Some("0") => false,
@@ -106,17 +107,18 @@
         Ok(marked || attempt.ok_or(InvalidParams::InvalidAttempt)? > 1)
     }
 
-    /// The key has two names, of which the second is that of older callers. Two keys would name two requests.
+    /// The idempotency key; older callers send it as `HTTP_IDEMPOTENCY_KEY`. If both names are present their
+    /// values must agree, as different keys identify different requests.
     fn idempotency_key(&self) -> Result<Option<&'a str>, InvalidParams> {
         let keys = [self.get("HTTP_ONCE_KEY"), self.get("HTTP_IDEMPOTENCY_KEY")];
-        if matches!(keys, [Some(one), Some(other)] if one != other) {
+        if matches!(keys, [Some(current), Some(legacy)] if current != legacy) {
             return Err(InvalidParams::ConflictingKeys);
         }
         let key = keys.into_iter().flatten().next();
         Ok(key.filter(|key| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len())))
     }
 
-    /// The caller's timeout, if it states one.
+    /// The timeout of the caller, if it sends one.
     fn timeout(&self) -> Result<Option<Micros>, InvalidParams> {
         if self.get("HTTP_BUDGET_MS").is_none() {
             return Ok(None);
@@ -124,7 +126,8 @@
         self.millis("HTTP_BUDGET_MS").map(Some).ok_or(InvalidParams::InvalidTimeout)
     }
 
-    /// The work that the caller expects. An estimate out of range is ignored: admission does without where there is none.
+    /// The caller's estimate of the work. An estimate out of range is ignored, since admission does not need
+    /// one.
     fn estimated_cost(&self) -> Option<Micros> {
         let estimate_ms = self.number("HTTP_WORK_ESTIMATE")?;
         if estimate_ms <= 0.0 || estimate_ms >= MAX_WORK_ESTIMATE_MS {
@@ -133,6 +136,7 @@
         Some((estimate_ms * 1_000.0) as Micros).filter(|cost| *cost > 0)
     }
 
+    /// The parameter as text, if it is not empty.
     fn text(&self, name: &str) -> Option<String> {
         self.get(name).filter(|text| !text.is_empty()).map(String::from)
     }
@@ -141,7 +145,7 @@
 /// Parses the parameters of a request.
 ///
 /// # Errors
-/// If they name no valid request.
+/// Returns an error if a parameter is missing or invalid.
 pub fn parse_request(params: &[u8]) -> Result<CgiRequest, InvalidParams> {
     let params = Params { pairs: fastcgi::parse_pairs(params)? };
     let path = params.get("SCRIPT_NAME").ok_or(InvalidParams::MissingPath)?;
@@ -185,7 +189,7 @@
     })
 }
 
-/// The response as CGI: headers, among them the load hint where there is one, an empty line, and the body.
+/// Encodes a response as CGI: headers, including the load hint if there is one, an empty line, and the body.
 pub fn encode_response(response: &Response, load_hint: Option<f64>) -> Vec<u8> {
     let (status, extra_headers, body): (&str, String, &[u8]) = match response {
         Response::Served(result) => ("200 OK", String::new(), result),
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Codecs of the protocols on sockets: they take bytes and return bytes, without any I/O.
+//! Codecs of the protocols that this server speaks on sockets. They work on bytes in memory and do no I/O.
 
 pub mod buffer;
 pub mod cgi;
@@ -12,50 +12,50 @@
 #[cfg(test)]
 mod test_bytes;
 
-/// Bytes that no valid peer sends. The connection on which they arrived can't be used any more.
+/// Input that violates its protocol. The connection that it arrived on can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedInput {
-    /// FastCGI: a record's first byte is not the version.
-    #[error("not a record of FastCGI 1.0")]
+    /// FastCGI: the first byte of a record is not protocol version 1.
+    #[error("not a FastCGI 1.0 record")]
     FastCgiVersion,
-    /// FastCGI: the lengths of a name-value pair exceed its stream.
-    #[error("a name-value pair is longer than its stream")]
+    /// FastCGI: the stated lengths of a name-value pair exceed the bytes that are left.
+    #[error("truncated FastCGI name-value pair")]
     TruncatedPair,
-    /// FastCGI: the record that begins a request has too few bytes.
-    #[error("the start of a request is too short")]
+    /// FastCGI: the content of a `FCGI_BEGIN_REQUEST` record is too short.
+    #[error("FastCGI begin-request record is too short")]
     ShortBeginRequest,
-    /// FastCGI: a request begins under the number of an open one.
-    #[error("a request begins twice")]
+    /// FastCGI: a request begins under the request id of an open one.
+    #[error("FastCGI request id is already in use")]
     DuplicateRequest,
-    /// Agent: a line is not a notice.
-    #[error("not a notice in JSON")]
+    /// Agent: a line is not a JSON object with the fields of a notice.
+    #[error("line from the agent is not a valid JSON notice")]
     InvalidNotice,
     /// Agent: a line exceeds [`jsonl::MAX_LINE_BYTES`].
-    #[error("a line too long")]
+    #[error("line from the agent is too long")]
     LineTooLong,
-    /// HTTP: the head of a reply can't be parsed.
-    #[error("not a reply in HTTP")]
+    /// HTTP: the status line or a header of a reply can't be parsed.
+    #[error("invalid HTTP reply")]
     InvalidReply,
     /// HTTP: the head of a reply exceeds [`http::MAX_HEAD_BYTES`].
-    #[error("a head too long")]
+    #[error("head of an HTTP reply is too long")]
     HeadTooLong,
     /// HTTP: the body of a reply exceeds [`http::MAX_BODY_BYTES`].
-    #[error("a body too long")]
+    #[error("body of an HTTP reply is too long")]
     BodyTooLong,
-    /// HTTP: a reply states its length in two ways that differ.
+    /// HTTP: a reply has Content-Length headers that differ, or both Content-Length and Transfer-Encoding.
     #[error("lengths that contradict each other")]
     ConflictingLengths,
-    /// HTTP: a transfer coding other than `chunked`.
-    #[error("a transfer coding that is not known")]
+    /// HTTP: a reply has a transfer coding other than `chunked`.
+    #[error("unsupported transfer coding")]
     UnknownTransferCoding,
-    /// HTTP: a Content-Length that is not a number.
-    #[error("a length that is no number")]
+    /// HTTP: the Content-Length of a reply is not a number.
+    #[error("Content-Length is not a number")]
     InvalidLength,
     /// HTTP: a chunk's size can't be parsed.
-    #[error("a chunk without a size")]
+    #[error("invalid chunk size")]
     InvalidChunkSize,
-    /// HTTP: a chunk is not followed by an end of line.
-    #[error("a chunk without an end")]
+    /// HTTP: the data of a chunk is not followed by CRLF.
+    #[error("chunk is not terminated by CRLF")]
     UnterminatedChunk,
 }
 
