--- a/crates/server/src/wire/buffer.rs
+++ b/crates/server/src/wire/buffer.rs
@@ -1,9 +1,9 @@
 //! A connection's read buffer: it grows as needed and is compacted in place.
 
-/// The least size of a buffer in use, to which one that was emptied shrinks.
+/// The size in bytes of the first allocation, and the size that an emptied buffer shrinks to.
 const MIN_CAPACITY: usize = 2 * 1024;
 
-/// Bytes that were read and not yet consumed.
+/// Bytes that were read from a connection and not yet consumed.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -13,17 +13,18 @@
 }
 
 impl Buffer {
-    /// An empty buffer that holds at most `most` bytes; it takes no memory yet.
+    /// Returns an empty buffer that holds at most `max_bytes`. It allocates nothing until it is read into.
     pub fn new(max_bytes: usize) -> Buffer {
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
-    /// The bytes that are there.
+    /// The bytes that were read and not yet consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Takes `n` bytes off the front, or all where that is less.
+    /// Removes `n` bytes from the front, or all of them if there are fewer. An emptied buffer releases the
+    /// memory beyond [`MIN_CAPACITY`].
     pub fn consume(&mut self, n: usize) {
         self.start = self.start.saturating_add(n).min(self.end);
         if self.start == self.end {
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Room to read into, empty if the buffer may not grow any more. Unread bytes move to the front first, and only a
-    /// buffer that is full to its last byte grows.
+    /// Returns the space to read into; it is empty if the buffer is full and may not grow. Unread bytes are
+    /// first moved to the front, and the buffer grows only if that leaves no space.
     pub fn spare_capacity(&mut self) -> &mut [u8] {
         if self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -49,23 +50,23 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Notes that `n` bytes were read into [`Buffer::spare_capacity`].
+    /// Records that `n` bytes were read into [`Buffer::spare_capacity`].
     pub fn advance(&mut self, n: usize) {
         self.end = (self.end + n).min(self.bytes.len());
     }
 
-    /// Whether nothing more can be read before something is consumed.
+    /// Whether the buffer has reached its limit: nothing more can be read until something is consumed.
     pub fn is_full(&self) -> bool {
         self.end - self.start >= self.max_bytes
     }
 
-    /// Memory that it takes, in bytes.
+    /// Memory allocated for the buffer, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.len()
     }
 
+    /// Adds bytes as if they had been read. Returns `false`, and adds none, if they don't all fit.
     #[cfg(test)]
-    /// Adds bytes as if they had been read; `false` if there is no room for all of them.
     pub fn append(&mut self, mut bytes: &[u8]) -> bool {
         if self.end - self.start + bytes.len() > self.max_bytes {
             return false;
--- a/crates/server/src/wire/fastcgi.rs
+++ b/crates/server/src/wire/fastcgi.rs
@@ -4,58 +4,58 @@
 
 use super::MalformedInput;
 
-/// Size of a record's header.
+/// Size of a record's header, in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// The largest record: header, content and padding.
+/// Size of the largest record, in bytes: header, content and padding.
 pub const MAX_RECORD_BYTES: usize = HEADER_BYTES + 65_535 + 255;
 
-/// Kinds of records, by their numbers in the specification.
+/// Record types, with their numbers in the specification.
 pub mod kind {
-    /// A request begins.
+    /// Begins a request.
     pub const BEGIN_REQUEST: u8 = 1;
-    /// The balancer gives a request up.
+    /// The load balancer aborts a request.
     pub const ABORT_REQUEST: u8 = 2;
-    /// A request has been answered.
+    /// Ends a request that was answered, rejected or aborted.
     pub const END_REQUEST: u8 = 3;
-    /// Parameters.
+    /// Part of a request's parameters; empty at their end.
     pub const PARAMS: u8 = 4;
-    /// Body of a request.
+    /// Part of a request's body; empty at its end.
     pub const STDIN: u8 = 5;
-    /// Body of an answer.
+    /// Part of a response; empty at its end.
     pub const STDOUT: u8 = 6;
-    /// A question about the application.
+    /// Queries variables of the application, such as its connection limit.
     pub const GET_VALUES: u8 = 9;
-    /// Its answer.
+    /// The response to [`GET_VALUES`].
     pub const GET_VALUES_RESULT: u8 = 10;
-    /// A management record of a kind that is not known here.
+    /// The response to a management record of an unknown type.
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// How a request ended as far as the protocol is concerned.
+/// The protocol status of an end-request record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// In the ordinary way.
+    /// The request was answered or aborted.
     Complete = 0,
-    /// Turned away: too much at once.
+    /// The request was rejected because the application is overloaded.
     Overloaded = 2,
-    /// Turned away: this application has no such role.
+    /// The request was rejected: the application does not support its role.
     UnknownRole = 3,
 }
 
-/// One record; the content stands at these places of the bytes it was read from.
+/// The position of one record within the bytes that it was parsed from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its kind.
+    /// The record type; [`kind`] has the known ones.
     pub kind: u8,
-    /// The request it belongs to, 0 for the application as a whole.
+    /// The id of the request that it belongs to; 0 for management records.
     pub request: u16,
-    /// Its content.
+    /// The range of the content within the parsed bytes.
     pub content: Range<usize>,
-    /// Bytes it takes in all.
+    /// Size of the whole record with header and padding, in bytes.
     pub size: usize,
 }
 
-/// The record at the start of `bytes`; `None` until all of it is there.
+/// Parses the record at the start of `bytes`; `None` while it is incomplete.
 pub fn parse_record(bytes: &[u8]) -> Result<Option<Record>, MalformedInput> {
     match bytes.first() {
         None => return Ok(None),
@@ -65,20 +65,22 @@
     if bytes.len() < HEADER_BYTES {
         return Ok(None);
     }
-    let content = usize::from(u16::from_be_bytes([bytes[4], bytes[5]]));
-    let size = HEADER_BYTES + content + usize::from(bytes[6]);
+    let content_bytes = usize::from(u16::from_be_bytes([bytes[4], bytes[5]]));
+    let size = HEADER_BYTES + content_bytes + usize::from(bytes[6]);
     if bytes.len() < size {
         return Ok(None);
     }
     let request = u16::from_be_bytes([bytes[2], bytes[3]]);
-    Ok(Some(Record { kind: bytes[1], request, content: HEADER_BYTES..HEADER_BYTES + content, size }))
+    Ok(Some(Record { kind: bytes[1], request, content: HEADER_BYTES..HEADER_BYTES + content_bytes, size }))
 }
 
-/// Writes one record; what is longer than a record can be becomes several.
+/// Writes content as one record, or as several if it is too long for one. Records are padded to a multiple of
+/// 8 bytes.
 pub fn write_record(out: &mut Vec<u8>, kind: u8, request: u16, content: &[u8]) {
-    let mut rest = content;
+    let mut remaining = content;
     loop {
-        let (part, after) = rest.split_at(rest.len().min(65_528));
+        // 65,528 is the largest multiple of 8 that a record's content can have.
+        let (part, after) = remaining.split_at(remaining.len().min(65_528));
         let padding = (8 - part.len() % 8) % 8;
         out.extend_from_slice(&[1, kind]);
         out.extend_from_slice(&request.to_be_bytes());
@@ -86,8 +88,8 @@
         out.extend_from_slice(&[padding as u8, 0]);
         out.extend_from_slice(part);
         out.extend_from_slice(&[0; 8][..padding]);
-        rest = after;
-        if rest.is_empty() {
+        remaining = after;
+        if remaining.is_empty() {
             return;
         }
     }
@@ -101,7 +103,8 @@
     write_record(out, kind::END_REQUEST, request, &content);
 }
 
-fn take_length(bytes: &mut &[u8]) -> Option<usize> {
+/// Reads the length of a name or value: one byte, or four if the top bit of the first is set.
+fn read_length(bytes: &mut &[u8]) -> Option<usize> {
     let (&first, rest) = bytes.split_first()?;
     if first < 0x80 {
         *bytes = rest;
@@ -112,22 +115,22 @@
     Some((u32::from_be_bytes(*four) & 0x7fff_ffff) as usize)
 }
 
-/// A name and its value.
+/// The name and the value of a parameter or variable.
 pub type NameValuePair<'a> = (&'a [u8], &'a [u8]);
 
-/// The name-value pairs that `bytes` hold.
+/// Parses all name-value pairs in `bytes`.
 pub fn parse_pairs(mut bytes: &[u8]) -> Result<Vec<NameValuePair<'_>>, MalformedInput> {
-    const CUT: MalformedInput = MalformedInput::TruncatedPair;
-    let mut all = Vec::new();
+    const TRUNCATED: MalformedInput = MalformedInput::TruncatedPair;
+    let mut pairs = Vec::new();
     while !bytes.is_empty() {
-        let name = take_length(&mut bytes).ok_or(CUT)?;
-        let value = take_length(&mut bytes).ok_or(CUT)?;
-        let both = name.checked_add(value).filter(|&n| n <= bytes.len()).ok_or(CUT)?;
-        let (pair, rest) = bytes.split_at(both);
-        all.push(pair.split_at(name));
+        let name_length = read_length(&mut bytes).ok_or(TRUNCATED)?;
+        let value_length = read_length(&mut bytes).ok_or(TRUNCATED)?;
+        let pair_length = name_length.checked_add(value_length).filter(|&length| length <= bytes.len());
+        let (pair, rest) = bytes.split_at(pair_length.ok_or(TRUNCATED)?);
+        pairs.push(pair.split_at(name_length));
         bytes = rest;
     }
-    Ok(all)
+    Ok(pairs)
 }
 
 /// Writes one name-value pair.
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -1,7 +1,8 @@
-//! Frames on the streams between servers, and operators' requests on the same port.
+//! Frames on the streams between servers, and the operator requests that are served on the same port.
 //!
-//! A frame is its length (4 bytes, big endian, the kind included), its kind (1 byte) and its content. A longer one
-//! than [`MAX_CONTENT_BYTES`] ends the connection before any of it is read. All contents are sealed with the fleet's key.
+//! A frame consists of its length (4 bytes, big endian, counting the kind and the content), its kind (1 byte)
+//! and its content. A frame with more content than [`MAX_CONTENT_BYTES`] closes the connection before the
+//! content is read. All contents are sealed with the fleet's key.
 
 use serde::{Deserialize, Serialize};
 use umberloom_membership::{Evidence, MemberView, MessageCounts, PartitionStatus};
@@ -9,19 +10,19 @@
 
 use crate::wire::replicated_store::{self, StoreRequest};
 
-/// The longest content.
+/// Limit on the content of a frame, in bytes.
 pub const MAX_CONTENT_BYTES: usize = umberloom_membership::wire::MAX_MESSAGE_LEN;
-/// Bytes of a frame before its content.
+/// Size of the header of a frame, in bytes: the length and the kind.
 pub const HEADER_BYTES: usize = 5;
 
-/// What a frame carries.
+/// The kind of a frame's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// A message between members.
     Message,
-    /// A request of an operator.
+    /// A request from an operator.
     Request,
-    /// The response to one.
+    /// The response to an operator's request.
     Response,
 }
 
@@ -41,40 +42,41 @@
     }
 }
 
-/// A frame, ready to be written.
+/// Encodes a frame.
 pub fn encode_frame(kind: FrameKind, content: &[u8]) -> Vec<u8> {
     let length = (content.len() + 1) as u32;
     [&length.to_be_bytes()[..], &[kind.code()], content].concat()
 }
 
-/// Kind and length of the content after this header; `None` if it is not valid.
+/// Parses the header of a frame: its kind and the length of its content in bytes. Returns `None` for an
+/// unknown kind and for a length that is out of range.
 pub fn parse_header(bytes: [u8; HEADER_BYTES]) -> Option<(FrameKind, usize)> {
     let [a, b, c, d, code] = bytes;
     let length = (u32::from_be_bytes([a, b, c, d]) as usize).checked_sub(1)?;
     Some((FrameKind::from_code(code)?, length)).filter(|_| length <= MAX_CONTENT_BYTES)
 }
 
-/// What an operator requests.
+/// The content of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetRequestKind {
     /// The members as this server sees them.
     Members,
     /// The evidence for the state of this member.
     Explain(String),
-    /// Something about the replicated store.
+    /// A request about the replicated store.
     Store(StoreRequest),
 }
 
-/// A request; its number comes back with the response.
+/// An operator's request with its number, which the response repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRequest {
-    /// Drawn at random by its sender.
+    /// The request number, chosen at random by the sender.
     pub number: u64,
-    /// What is requested.
+    /// The request itself.
     pub kind: FleetRequestKind,
 }
 
-/// One server's view of its fleet.
+/// A server's view of its fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
     /// The server whose view it is.
@@ -91,31 +93,31 @@
     pub members: Vec<MemberView>,
     /// The status of distributed quotas, by dependency.
     pub allowances: Vec<(String, QuotaStatus)>,
-    /// Reachable members whose view has differed for long, and in what.
+    /// Reachable members whose view has diverged from this server's for long, each with the differences.
     pub disagreements: Vec<(String, Vec<String>)>,
-    /// Messages so far.
+    /// Counts of the messages sent, received and rejected so far.
     pub counts: MessageCounts,
 }
 
-/// What a response carries.
+/// The content of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetReply {
-    /// Who is there.
+    /// The members as the server sees them.
     Members(FleetView),
     /// The evidence, newest first.
     Explain(Vec<Evidence>),
-    /// There is no member of that name; these are known.
+    /// No member has the requested name; the names of the known members.
     UnknownMember(Vec<String>),
-    /// About the replicated store.
+    /// The response to a request about the replicated store.
     Store(replicated_store::StoreResponse),
 }
 
-/// The response to the request of this number.
+/// A response with the number of the request that it answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetResponse {
-    /// The number.
+    /// The request number.
     pub number: u64,
-    /// Its content.
+    /// The response itself.
     pub reply: FleetReply,
 }
 
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 as a client: requests out, replies in.
+//! The client side of HTTP/1.1: encodes requests and parses replies.
 
 use std::fmt::Write;
 
 use super::MalformedInput;
 
-/// The longest head of a reply.
+/// Limit on the status line and headers of a reply, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a reply.
+/// Limit on the decoded body of a reply, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A request with a body.
+/// Encodes a request with a body. `Host` and `Content-Length` are added to the given headers.
 pub fn encode_request(
     method: &str,
     path: &str,
@@ -19,7 +19,7 @@
 ) -> Vec<u8> {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     for (name, value) in headers {
-        // Writing into a text can't fail.
+        // Writing into a `String` can't fail.
         let _ = write!(head, "{name}: {value}\r\n");
     }
     let _ = write!(head, "Content-Length: {}\r\n\r\n", body.len());
@@ -29,31 +29,33 @@
 /// A complete reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers, names in lower case.
+    /// The headers in the order sent, their names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The decoded body.
     pub body: Vec<u8>,
     /// Whether the connection can carry another request.
     pub keep_alive: bool,
-    /// Bytes that it took.
+    /// Size of the encoded reply, with interim replies before it, in bytes.
     pub encoded_bytes: usize,
 }
 
 impl Reply {
-    /// Whether its headers state where it ends.
+    /// Whether the status or the headers state where the reply ends, without the connection being closed.
     pub fn has_explicit_length(&self) -> bool {
         self.status == 204 || self.header("content-length").or(self.header("transfer-encoding")).is_some()
     }
 
-    /// The value of a header, by its name in lower case.
+    /// The value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// The reply at the start of `bytes`, `None` until all of it is there. Interim replies are passed over.
+/// Parses the reply at the start of `bytes`; `None` while it is incomplete. Interim (1xx) replies are
+/// skipped. `ended` says that the peer has closed the connection, which completes a body without a stated
+/// length.
 pub fn parse_reply(bytes: &[u8], ended: bool) -> Result<Option<Reply>, MalformedInput> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
@@ -75,9 +77,8 @@
     if reply.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")) {
         reply.keep_alive = false;
     }
-    let rest = &bytes[size..];
-    let found = parse_body(&reply, rest, ended)?;
-    Ok(found.map(|body| Reply {
+    let body = parse_body(&reply, &bytes[size..], ended)?;
+    Ok(body.map(|body| Reply {
         body: body.bytes,
         keep_alive: reply.keep_alive && body.keep_alive,
         encoded_bytes: reply.encoded_bytes + body.encoded_bytes,
@@ -85,57 +86,59 @@
     }))
 }
 
-/// A body that was parsed.
+/// The parsed body of a reply.
 struct Body {
     bytes: Vec<u8>,
-    /// Bytes that it took as encoded.
+    /// Size of the body as encoded, in bytes.
     encoded_bytes: usize,
     /// Whether the connection can carry another request.
     keep_alive: bool,
 }
 
-/// The body at the start of `rest`, `None` until all of it is there.
-fn parse_body(reply: &Reply, rest: &[u8], ended: bool) -> Result<Option<Body>, MalformedInput> {
+/// Parses the body at the start of `bytes`; `None` while it is incomplete.
+fn parse_body(reply: &Reply, bytes: &[u8], ended: bool) -> Result<Option<Body>, MalformedInput> {
     if matches!(reply.status, 204 | 304) {
         return Ok(Some(Body { bytes: Vec::new(), encoded_bytes: 0, keep_alive: true }));
     }
     match body_framing(reply)? {
-        Framing::Chunked => parse_chunks(rest),
+        Framing::Chunked => parse_chunks(bytes),
         Framing::Length(length) if length > MAX_BODY_BYTES => Err(MalformedInput::BodyTooLong),
-        Framing::Length(length) => Ok(rest.get(..length).map(|bytes| Body {
+        Framing::Length(length) => Ok(bytes.get(..length).map(|bytes| Body {
             bytes: bytes.to_vec(),
             encoded_bytes: length,
             keep_alive: true,
         })),
-        Framing::ConnectionClose if rest.len() > MAX_BODY_BYTES => Err(MalformedInput::BodyTooLong),
+        Framing::ConnectionClose if bytes.len() > MAX_BODY_BYTES => Err(MalformedInput::BodyTooLong),
         Framing::ConnectionClose => {
-            Ok(ended.then(|| Body { bytes: rest.to_vec(), encoded_bytes: rest.len(), keep_alive: false }))
+            Ok(ended.then(|| Body { bytes: bytes.to_vec(), encoded_bytes: bytes.len(), keep_alive: false }))
         }
     }
 }
 
-/// How the end of a body is marked.
+/// How the end of a body is determined.
 enum Framing {
+    /// By Content-Length, in bytes.
     Length(usize),
+    /// By the chunked transfer coding.
     Chunked,
-    /// By the end of the connection, which a break can't be told from.
+    /// By the peer closing the connection, which can't be told from a lost connection.
     ConnectionClose,
 }
 
-/// A reply must say in one way only how long it is: of two statements that differ one is wrong, and whichever
-/// is believed, what is read may not be what was sent.
+/// Determines how the body is framed. Replies with conflicting lengths are rejected: one of the lengths is
+/// wrong, so whichever is used, the body that is read may not be the one that was sent.
 fn body_framing(reply: &Reply) -> Result<Framing, MalformedInput> {
-    let all =
+    let values =
         |name: &'static str| reply.headers.iter().filter(move |(n, _)| n == name).map(|(_, v)| v.trim());
-    let mut lengths = all("content-length");
-    let (length, coding) = (lengths.next(), all("transfer-encoding").next());
+    let mut lengths = values("content-length");
+    let (length, coding) = (lengths.next(), values("transfer-encoding").next());
     if lengths.any(|other| Some(other) != length) || (length.is_some() && coding.is_some()) {
         return Err(MalformedInput::ConflictingLengths);
     }
     match (length, coding) {
         (_, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
         (_, Some(_)) => Err(MalformedInput::UnknownTransferCoding),
-        // Digits alone: parsing takes a sign as well.
+        // Checked because `parse` also accepts a leading sign.
         (Some(length), _) if length.bytes().all(|b| b.is_ascii_digit()) => {
             length.parse().map(Framing::Length).map_err(|_| MalformedInput::InvalidLength)
         }
@@ -144,23 +147,27 @@
     }
 }
 
-fn parse_chunks(rest: &[u8]) -> Result<Option<Body>, MalformedInput> {
-    let (mut body, mut at) = (Vec::new(), 0);
+/// Parses the chunked body at the start of `bytes`; `None` while it is incomplete. Trailers are not
+/// supported.
+fn parse_chunks(bytes: &[u8]) -> Result<Option<Body>, MalformedInput> {
+    let (mut body, mut position) = (Vec::new(), 0);
     loop {
-        let parsed = httparse::parse_chunk_size(&rest[at..]).map_err(|_| MalformedInput::InvalidChunkSize)?;
-        let httparse::Status::Complete((head, size)) = parsed else { return Ok(None) };
+        let parsed =
+            httparse::parse_chunk_size(&bytes[position..]).map_err(|_| MalformedInput::InvalidChunkSize)?;
+        let httparse::Status::Complete((size_line_bytes, size)) = parsed else { return Ok(None) };
         if size as usize > MAX_BODY_BYTES || body.len() + size as usize > MAX_BODY_BYTES {
             return Err(MalformedInput::BodyTooLong);
         }
-        let (from, to) = (at + head, at + head + size as usize);
-        let Some(end) = rest.get(to..to + 2) else { return Ok(None) };
-        if end != b"\r\n" {
+        let start = position + size_line_bytes;
+        let end = start + size as usize;
+        let Some(terminator) = bytes.get(end..end + 2) else { return Ok(None) };
+        if terminator != b"\r\n" {
             return Err(MalformedInput::UnterminatedChunk);
         }
-        body.extend_from_slice(&rest[from..to]);
-        at = to + 2;
+        body.extend_from_slice(&bytes[start..end]);
+        position = end + 2;
         if size == 0 {
-            return Ok(Some(Body { bytes: body, encoded_bytes: at, keep_alive: true }));
+            return Ok(Some(Body { bytes: body, encoded_bytes: position, keep_alive: true }));
         }
     }
 }
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -1,4 +1,4 @@
-//! The agent's protocol: lines of one JSON object each, bodies in base64.
+//! The agent's protocol: one JSON object per line, with bodies in base64.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -8,136 +8,138 @@
 use super::MalformedInput;
 use crate::messages::RunOutcome;
 
-/// The longest line that is read.
+/// Limit on a line from the agent, in bytes.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// A command to the agent.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 pub enum Command<'a> {
-    /// Begin a link; `seq` is the number of the last notice that was read.
+    /// Begin a link.
     Subscribe {
-        /// That number.
+        /// Number of the last notice that was read.
         seq: u64,
     },
     /// Run a request.
     Launch {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// Its class.
+        /// The name of its class.
         class: &'a str,
-        /// Its body, in base64.
+        /// The body in base64.
         body: String,
     },
-    /// Stop a run.
+    /// Pause a run.
     Freeze {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
     },
-    /// Go on with a paused run.
+    /// Resume a paused run.
     Thaw {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
     },
-    /// The reply to the call that a run waits for.
+    /// Deliver the reply to the downstream call that a run waits for.
     Deliver {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// The reply, in base64.
+        /// The reply in base64.
         body: String,
     },
-    /// Go on without a call.
+    /// Resume a run without the reply to its downstream call.
     Forgo {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// Number of the notice that asked for the call.
+        /// Number of the notice that requested the call.
         seq: u64,
     },
-    /// Ask for the gauges.
+    /// Request the values of the gauges.
     Sample {
-        /// Comes back with them.
+        /// Repeated in the notice with the values.
         tag: &'a str,
     },
-    /// Do the work of a deep health check.
+    /// Run the work of a deep health check.
     Exercise {
-        /// Comes back with its end.
+        /// Repeated in the notice that the work has ended.
         tag: &'a str,
     },
 }
 
 impl Command<'_> {
-    /// The command as a line.
+    /// Encodes the command as a line.
     pub fn encode(&self) -> Vec<u8> {
-        // Texts and numbers always serialise; were one not to, the agent would close the link over it.
+        // Strings and numbers always serialize. Were one to fail, the agent would close the link over the
+        // empty line.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 }
 
-/// Bytes as base64.
+/// Encodes bytes as base64.
 pub fn encode_base64(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
-/// What the agent reports.
+/// A notice from the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// The first notice on a link.
     Greeting {
-        /// Whether the agent was just starting, or ran already.
+        /// Whether the agent was just starting, rather than already running.
         starting: bool,
-        /// For how long it has been up.
+        /// How long the agent has been up.
         uptime: Micros,
     },
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
-        /// Its request.
+        /// The id of its request.
         id: String,
-        /// How it ended.
+        /// How the run ended.
         outcome: RunOutcome,
-        /// How long it took.
+        /// How long the run took.
         duration: Micros,
     },
     /// A run waits for a downstream call.
     NeedsCall {
-        /// Its request.
+        /// The id of its request.
         id: String,
-        /// Number of this notice.
+        /// The number of this notice, which identifies the call.
         notice_seq: u64,
-        /// Body of the call.
+        /// The body of the call.
         body: Vec<u8>,
     },
-    /// The answer to [`Command::Sample`].
+    /// The response to [`Command::Sample`].
     GaugesSampled {
         /// The command's tag.
         tag: String,
-        /// The gauges; NaN where the agent has no value.
+        /// The values of the gauges; NaN where the agent has none.
         values: Vec<f64>,
     },
-    /// The answer to [`Command::Exercise`].
+    /// The response to [`Command::Exercise`].
     HealthCheckEnded {
         /// The command's tag.
         tag: String,
-        /// Whether the work was done.
+        /// Whether the work succeeded.
         healthy: bool,
     },
-    /// A command about a request was not carried out.
+    /// The agent did not carry out a command about a request.
     CommandRejected {
-        /// The command's name.
+        /// The name of the command.
         command: String,
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// A well-formed line with content that can't be true.
+    /// A well-formed notice with an unknown outcome or an undecodable body.
     Invalid {
-        /// The request that it is about.
+        /// The id of the request that it is about.
         id: String,
     },
-    /// A kind of notice that means nothing here.
+    /// A notice of a kind that this server does not use.
     Ignored,
 }
 
+/// A line from the agent: the fields of all kinds of notices.
 #[derive(Deserialize)]
 struct Line {
     op: String,
@@ -157,7 +159,7 @@
     values: Vec<Option<f64>>,
 }
 
-/// Reads one line: the notice, and its number if it has one.
+/// Parses one line. Returns the notice, and its number if it is of a numbered kind.
 pub fn parse_notice(line: &[u8]) -> Result<(Notice, Option<u64>), MalformedInput> {
     let line: Line = serde_json::from_slice(line).map_err(|_| MalformedInput::InvalidNotice)?;
     let duration = (line.ms.max(0.0) * 1e3) as Micros;
--- a/crates/server/src/wire/replicated_store.rs
+++ b/crates/server/src/wire/replicated_store.rs
@@ -1,75 +1,75 @@
-//! Operators' requests about the replicated store and the responses, over the fleet's port. They are encoded by position:
-//! the order of variants and fields is that of the wire.
+//! Operator requests about the replicated store and their responses, served on the fleet's port. The encoding
+//! is positional: the order of the variants and fields is part of the wire format.
 
 use serde::{Deserialize, Serialize};
 use umberloom_replicated_store::state::HistoryLine;
 use umberloom_replicated_store::{Entry, EntryId, Outcome, ReplicaStatus};
 
-/// The longest part of a document or an export in one response.
+/// Limit on the part of a document or an export in one response, in bytes.
 pub const MAX_PART_BYTES: usize = 32 << 10;
 
-/// A request.
+/// An operator's request about the replicated store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// The status of this server's replica.
+    /// Get the status of this server's replica.
     Status,
-    /// Read a document: the latest, confirmed by a majority, or as it is at this server.
+    /// Read a document, either its latest version as confirmed by a majority or the version at this server.
     ReadDocument {
-        /// Its name.
+        /// The name of the document.
         name: String,
-        /// Whether a majority has to confirm it.
+        /// Whether a majority has to confirm that the version is the latest.
         latest: bool,
-        /// The first byte wanted.
+        /// The offset of the first byte to return.
         from: u64,
     },
-    /// The newest lines of the history, at most so many.
+    /// Get the newest lines of the history, at most this many.
     History(u32),
-    /// Write an entry under this number. Sent twice it is applied once.
+    /// Write an entry. A request that is sent again with the same id is applied once.
     Write {
-        /// The number.
+        /// The id of the entry.
         id: EntryId,
-        /// The entry.
+        /// The entry to write.
         entry: Entry,
     },
-    /// Make a member a voter, or a learner.
+    /// Make the named member a voter (`true`) or a learner (`false`).
     SetVoter(String, bool),
-    /// An export of all documents, from this byte on.
+    /// Get an export of all documents, from this byte offset on.
     Export(u64),
-    /// Make this server's replica the whole store, where a majority of the voters is lost.
+    /// Start a new store from this server's replica, where a majority of the voters is lost.
     Adopt,
 }
 
-/// A response.
+/// The response to a [`StoreRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreResponse {
-    /// The status.
+    /// The status of the server's replica.
     Status(Box<ReplicaStatus>),
-    /// A document, or a part of it.
+    /// A document or a part of it.
     Document {
-        /// Its version.
+        /// The version of the document.
         version: u64,
-        /// The entry that wrote it.
+        /// The log index of the entry that wrote this version.
         index: u64,
-        /// The server by which it was written.
+        /// The server that wrote this version.
         by: String,
-        /// Bytes in all.
+        /// Size of the whole document, in bytes.
         length: u64,
-        /// The bytes from the first one wanted.
+        /// The bytes from the requested offset on.
         part: Vec<u8>,
-        /// How long ago this server heard from the leader, in milliseconds: a document that was not confirmed may be as
-        /// old.
+        /// How long ago this server heard from the leader, in milliseconds. An unconfirmed document may be
+        /// out of date by that time.
         age_ms: Option<u64>,
     },
-    /// There is no such document; these exist.
+    /// The document does not exist; the names of those that do.
     UnknownDocument(Vec<String>),
-    /// The history, newest first.
+    /// Lines of the history, newest first.
     History(Vec<HistoryLine>),
     /// The outcome of a write.
     WriteOutcome(Outcome),
-    /// The leader has accepted it.
+    /// The leader has accepted the request.
     Accepted,
-    /// A part of an export, and how long that is in all.
+    /// A part of an export, and the size of the whole export in bytes.
     ExportPart(Vec<u8>, u64),
-    /// It can't be done, for this reason.
+    /// The request was rejected, for this reason.
     Rejected(String),
 }
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -1,36 +1,36 @@
-//! The Responder role of a FastCGI connection: records in, complete requests out.
+//! The Responder role of a FastCGI connection: assembles records into requests and encodes the responses.
 
 use std::collections::BTreeMap;
 
 use super::fastcgi::{self, kind, ProtocolStatus};
 use super::MalformedInput;
 
-/// Requests that may be open on one connection.
+/// Limit on the requests that are open on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// Most bytes of parameters that a request may have.
+/// Limit on the parameters of a request, in bytes.
 pub const MAX_PARAMS_BYTES: usize = 16 * 1024;
-/// Most bytes of a request's body.
+/// Limit on the body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 2 * 1024;
 
 const RESPONDER_ROLE: u16 = 1;
 const KEEP_CONNECTION_FLAG: u8 = 1;
 
-/// What the records of a connection add up to.
+/// What the records received on a connection amount to.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// A whole request.
+    /// A complete request.
     Request {
-        /// Its number on this connection, free for another once it is answered.
+        /// The request id on this connection, which can be used again once the request is answered.
         slot: u16,
-        /// Its parameters, not yet taken apart.
+        /// The encoded parameters.
         params: Vec<u8>,
-        /// Its body.
+        /// The body.
         body: Vec<u8>,
-        /// Parameters or body are longer than allowed. They were thrown away, and what of the request is
-        /// still to come is read past: its answer need not wait for that.
+        /// Whether the parameters or the body exceed their limit. Both are then empty, and the records of the
+        /// request that still arrive are skipped: it can be answered without waiting for them.
         too_long: bool,
     },
-    /// The balancer gives an open request up.
+    /// The load balancer aborts a complete request, given by its id, that is not answered yet.
     Abort(u16),
 }
 
@@ -46,42 +46,43 @@
 
 impl PartialRequest {
     fn add(&mut self, kind: u8, bytes: &[u8]) {
-        let (to, most) = match kind {
+        let (stream, max_bytes) = match kind {
             kind::PARAMS => (&mut self.params, MAX_PARAMS_BYTES),
             _ => (&mut self.body, MAX_BODY_BYTES),
         };
-        if to.len() + bytes.len() > most {
-            // Lengths are checked before memory is taken.
+        // Checked before the bytes are copied, so that no memory is allocated beyond the limit.
+        if stream.len() + bytes.len() > max_bytes {
             self.too_long = true;
         }
         if !self.too_long {
-            to.extend_from_slice(bytes);
+            stream.extend_from_slice(bytes);
         }
     }
 }
 
-/// The requests under way on one connection, and the bytes to be written on it.
+/// The open requests of one connection, and the bytes to be written on it.
 #[derive(Default)]
 pub struct Responder {
     max_connections: usize,
     slots: BTreeMap<u16, PartialRequest>,
-    /// What is to be written to the peer.
+    /// Bytes to be written to the peer.
     pub output: Vec<u8>,
     close_requested: bool,
 }
 
 impl Responder {
-    /// For one of so many connections.
+    /// Returns the state of a new connection. The peer is told on request that `max_connections` are
+    /// possible.
     pub fn new(max_connections: usize) -> Responder {
         Responder { max_connections, ..Responder::default() }
     }
 
-    /// Handles the first record of `bytes`: how many bytes it took (0 if it is not complete yet), and what it
-    /// completed.
+    /// Handles the record at the start of `bytes`. Returns the number of bytes consumed (0 if the record is
+    /// incomplete), and the request that the record completes or aborts.
     pub fn handle_record(&mut self, bytes: &[u8]) -> Result<(usize, Option<Incoming>), MalformedInput> {
         let Some(record) = fastcgi::parse_record(bytes)? else { return Ok((0, None)) };
         let content = &bytes[record.content.clone()];
-        let news = match (record.kind, record.request) {
+        let incoming = match (record.kind, record.request) {
             (kind::GET_VALUES, 0) => self.answer_get_values(content).map(|()| None)?,
             (unknown, 0) => {
                 fastcgi::write_record(
@@ -95,38 +96,39 @@
             (kind::BEGIN_REQUEST, slot) => self.begin_request(slot, content).map(|()| None)?,
             (kind::ABORT_REQUEST, slot) => self.handle_abort(slot),
             (kind @ (kind::PARAMS | kind::STDIN), slot) => self.handle_stream_data(kind, slot, content),
-            // Kinds that no Responder needs, or of requests that are over.
+            // Record types that the Responder role does not use.
             _ => None,
         };
-        Ok((record.size, news))
+        Ok((record.size, incoming))
     }
 
-    /// Requests that are begun and not answered.
+    /// Number of requests that were begun and are not answered.
     pub fn open_requests(&self) -> usize {
         self.slots.len()
     }
 
-    /// Bytes that requests still on their way in take.
+    /// Bytes of parameters and bodies held for requests that are not complete.
     pub fn buffered_bytes(&self) -> usize {
-        self.slots.values().map(|s| s.params.len() + s.body.len()).sum()
+        self.slots.values().map(|request| request.params.len() + request.body.len()).sum()
     }
 
-    /// Requests that are complete and not answered.
+    /// Number of requests that are complete and not answered.
     pub fn complete_requests(&self) -> usize {
-        self.slots.values().filter(|slot| slot.complete).count()
+        self.slots.values().filter(|request| request.complete).count()
     }
 
-    /// Whether the peer asked for the connection to be closed after an answer that has been given.
+    /// Whether the connection is to be closed: a request without the keep-connection flag, or one that was
+    /// too long, has been answered.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested
     }
 
-    /// Forgets requests of which the end will never come.
+    /// Drops the incomplete requests, as when the peer will send nothing more.
     pub fn drop_partial(&mut self) {
-        self.slots.retain(|_, slot| slot.complete);
+        self.slots.retain(|_, request| request.complete);
     }
 
-    /// Answers a request.
+    /// Writes the response to a request. Does nothing if the request is not open.
     pub fn respond(&mut self, slot: u16, content: &[u8]) {
         if self.remove_request(slot) {
             fastcgi::write_record(&mut self.output, kind::STDOUT, slot, content);
@@ -135,16 +137,16 @@
         }
     }
 
-    /// Rejects a request by protocol status.
+    /// Ends a request with a protocol status and without a response.
     pub fn reject(&mut self, slot: u16, status: ProtocolStatus) {
         self.remove_request(slot);
         fastcgi::write_end_request(&mut self.output, slot, 0, status);
     }
 
     fn remove_request(&mut self, slot: u16) -> bool {
-        let ended = self.slots.remove(&slot);
-        self.close_requested |= ended.as_ref().is_some_and(|s| !s.keep_connection);
-        ended.is_some()
+        let removed = self.slots.remove(&slot);
+        self.close_requested |= removed.as_ref().is_some_and(|request| !request.keep_connection);
+        removed.is_some()
     }
 
     fn begin_request(&mut self, slot: u16, content: &[u8]) -> Result<(), MalformedInput> {
@@ -177,7 +179,8 @@
         }
     }
 
-    /// A request that is not complete ends here; the others are known elsewhere, and have to be released there first.
+    /// Ends an incomplete request at once. A complete one has been handed out and must be released there
+    /// first, so the abort is passed on.
     fn handle_abort(&mut self, slot: u16) -> Option<Incoming> {
         if self.slots.get(&slot)?.complete {
             return Some(Incoming::Abort(slot));
@@ -187,18 +190,18 @@
     }
 
     fn handle_stream_data(&mut self, kind: u8, slot: u16, content: &[u8]) -> Option<Incoming> {
-        let open = self.slots.get_mut(&slot).filter(|s| !s.complete)?;
+        let open = self.slots.get_mut(&slot).filter(|request| !request.complete)?;
         if kind == kind::PARAMS && content.is_empty() {
             open.params_done = true;
         } else if kind == kind::STDIN && content.is_empty() {
-            // A request without any parameters has no stream of them that could end.
+            // `params_done` is not required: a request without parameters may have no such stream.
             open.complete = true;
             let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
             return Some(Incoming::Request { slot, params, body, too_long: open.too_long });
         } else if kind == kind::STDIN || !open.params_done {
             open.add(kind, content);
             if open.too_long {
-                // With more behind it than anybody may send, the connection is of no more use after this.
+                // The peer exceeds the limits, so the connection is closed after the response.
                 (open.complete, open.keep_connection) = (true, false);
                 (open.params, open.body) = Default::default();
                 let (params, body) = Default::default();
@@ -209,7 +212,7 @@
     }
 
     fn answer_get_values(&mut self, content: &[u8]) -> Result<(), MalformedInput> {
-        let mut answer = Vec::new();
+        let mut values = Vec::new();
         for (name, _) in fastcgi::parse_pairs(content)? {
             let value = match name {
                 b"FCGI_MAX_CONNS" => self.max_connections.to_string(),
@@ -217,9 +220,9 @@
                 b"FCGI_MPXS_CONNS" => "1".to_owned(),
                 _ => continue,
             };
-            fastcgi::write_pair(&mut answer, name, value.as_bytes());
+            fastcgi::write_pair(&mut values, name, value.as_bytes());
         }
-        fastcgi::write_record(&mut self.output, kind::GET_VALUES_RESULT, 0, &answer);
+        fastcgi::write_record(&mut self.output, kind::GET_VALUES_RESULT, 0, &values);
         Ok(())
     }
 }
