--- a/crates/server/src/wire/cgi/tests.rs
+++ b/crates/server/src/wire/cgi/tests.rs
@@ -2,8 +2,9 @@
 use crate::messages::caller::MAX_TIME_OFFSET;
 use crate::wire::test_bytes;
 
+/// The usual parameters; `change` gives another value for a name.
 fn params(change: impl Fn(&str) -> Option<&'static str>) -> Vec<u8> {
-    let all = [
+    let usual = [
         ("REQUEST_METHOD", "POST"),
         ("SCRIPT_NAME", "/svc/desk-search"),
         ("HTTP_REQUEST_ID", "9b1f03aa5c7e2d41"),
@@ -15,16 +16,18 @@
         ("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"),
     ];
     let mut bytes = Vec::new();
-    for (name, value) in all {
+    for (name, value) in usual {
         fastcgi::write_pair(&mut bytes, name.as_bytes(), change(name).unwrap_or(value).as_bytes());
     }
     bytes
 }
 
-/// The usual parameters, and these.
-fn params_and(more: &[(&str, &str)]) -> Vec<u8> {
+/// The usual parameters and additional ones.
+fn params_with(additional: &[(&str, &str)]) -> Vec<u8> {
     let mut bytes = params(|_| None);
-    more.iter().for_each(|(name, value)| fastcgi::write_pair(&mut bytes, name.as_bytes(), value.as_bytes()));
+    additional
+        .iter()
+        .for_each(|(name, value)| fastcgi::write_pair(&mut bytes, name.as_bytes(), value.as_bytes()));
     bytes
 }
 
@@ -39,39 +42,44 @@
     assert_eq!((work.tenant, work.cost, work.is_retry), (None, None, false), "absent unless sent");
 }
 
-/// Guards against a keyed class of which nothing is served, and tenants that nobody tells apart: callers name these
-/// fields as the platform does.
+/// Callers use the platform's names for these fields. Reading other names would fail every request of a class
+/// that needs an idempotency key, and would not distinguish tenants.
 #[test]
 fn optional_parameters_are_parsed() {
-    let read = |more: &[(&str, &str)]| match parse_request(&params_and(more)) {
+    let parse_work = |additional: &[(&str, &str)]| match parse_request(&params_with(additional)) {
         Ok(CgiRequest::Work(work)) => work,
-        other => panic!("{more:?}: {other:?}"),
+        other => panic!("{additional:?}: {other:?}"),
     };
-    let work =
-        read(&[("HTTP_ACCOUNT", "south"), ("HTTP_ATTEMPT_AGAIN", "1"), ("HTTP_WORK_ESTIMATE", "163.18")]);
+    let work = parse_work(&[
+        ("HTTP_ACCOUNT", "south"),
+        ("HTTP_ATTEMPT_AGAIN", "1"),
+        ("HTTP_WORK_ESTIMATE", "163.18"),
+    ]);
     assert_eq!((work.tenant.as_deref(), work.cost, work.is_retry), (Some("south"), Some(163_180), true));
     for name in ["HTTP_ONCE_KEY", "HTTP_IDEMPOTENCY_KEY"] {
-        assert_eq!(read(&[(name, "tally-77-3")]).idempotency_key.as_deref(), Some("tally-77-3"));
-        assert_eq!(read(&[(name, "")]).idempotency_key, None);
-        assert_eq!(read(&[(name, &"k".repeat(MAX_IDEMPOTENCY_KEY_BYTES + 1))]).idempotency_key, None);
+        assert_eq!(parse_work(&[(name, "tally-77-3")]).idempotency_key.as_deref(), Some("tally-77-3"));
+        assert_eq!(parse_work(&[(name, "")]).idempotency_key, None);
+        assert_eq!(parse_work(&[(name, &"k".repeat(MAX_IDEMPOTENCY_KEY_BYTES + 1))]).idempotency_key, None);
     }
-    let both =
-        |one, other| parse_request(&params_and(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
-    assert!(both("k", "k").is_ok());
-    assert_eq!(both("k", "l"), Err(InvalidParams::ConflictingKeys));
-    assert!(!read(&[("HTTP_ATTEMPT_AGAIN", "0")]).is_retry && read(&[("HTTP_ATTEMPT", "2")]).is_retry);
+    let parse_keys =
+        |one, other| parse_request(&params_with(&[("HTTP_ONCE_KEY", one), ("HTTP_IDEMPOTENCY_KEY", other)]));
+    assert!(parse_keys("k", "k").is_ok());
+    assert_eq!(parse_keys("k", "l"), Err(InvalidParams::ConflictingKeys));
+    assert!(
+        !parse_work(&[("HTTP_ATTEMPT_AGAIN", "0")]).is_retry && parse_work(&[("HTTP_ATTEMPT", "2")]).is_retry
+    );
     assert_eq!(
-        parse_request(&params_and(&[("HTTP_ATTEMPT_AGAIN", "maybe")])),
+        parse_request(&params_with(&[("HTTP_ATTEMPT_AGAIN", "maybe")])),
         Err(InvalidParams::InvalidRetryMark)
     );
-    for senseless in ["", "-3", "NaN", "inf", "1e12", "0.0000001"] {
-        assert_eq!(read(&[("HTTP_WORK_ESTIMATE", senseless)]).cost, None, "{senseless}");
+    for invalid in ["", "-3", "NaN", "inf", "1e12", "0.0000001"] {
+        assert_eq!(parse_work(&[("HTTP_WORK_ESTIMATE", invalid)]).cost, None, "{invalid}");
     }
 }
 
 #[test]
 fn missing_or_invalid_parameter_is_named_in_the_error() {
-    let bad = [
+    let cases = [
         ("HTTP_REQUEST_ID", "", InvalidParams::InvalidId),
         ("HTTP_RECEIVED_AT", "soon", InvalidParams::InvalidArrivalTime),
         ("HTTP_RECEIVED_AT", "18446744073709551615", InvalidParams::InvalidArrivalTime),
@@ -84,15 +92,15 @@
         ("REQUEST_METHOD", "GET", InvalidParams::NotPost),
         ("SCRIPT_NAME", "/else", InvalidParams::UnknownPath),
     ];
-    for (field, value, why) in bad {
-        assert_eq!(parse_request(&params(|name| (name == field).then_some(value))), Err(why), "{field}");
+    for (field, value, error) in cases {
+        assert_eq!(parse_request(&params(|name| (name == field).then_some(value))), Err(error), "{field}");
     }
     assert_eq!(parse_request(&[]), Err(InvalidParams::MissingPath));
     assert!(parse_request(&[9, 9]).is_err());
 }
 
 #[test]
-fn times_far_from_now_are_not_timely() {
+fn times_beyond_the_offset_limit_are_not_timely() {
     let Ok(CgiRequest::Work(work)) = parse_request(&params(|_| None)) else { panic!("work") };
     assert!(work.is_timely(work.received_at) && work.is_timely(work.received_at + MAX_TIME_OFFSET));
     assert!(
@@ -105,18 +113,18 @@
 
 #[test]
 fn damaged_parameters_are_rejected_or_valid() {
-    let (mut refused, mut read) = (0, 0);
+    let (mut rejected, mut parsed) = (0, 0);
     for bytes in test_bytes::damaged_copies(&params(|_| None)) {
         match parse_request(&bytes) {
             Ok(CgiRequest::Work(work)) => {
                 assert!(work.queued_kb > 0.0 && work.rank < 1.0 && !work.id.is_empty());
-                read += 1;
+                parsed += 1;
             }
             Ok(CgiRequest::HealthCheck(_)) => panic!("no such path was sent"),
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         }
     }
-    assert!(refused > 100 && read > 5, "{refused} {read}");
+    assert!(rejected > 100 && parsed > 5, "{rejected} {parsed}");
 }
 
 #[test]
@@ -134,17 +142,17 @@
 
 #[test]
 fn responses_have_their_status_and_headers() {
-    let text = |answer: Response| String::from_utf8(encode_response(&answer, None)).expect("text");
-    let refused = text(Response::Rejected { retry_after: 250_001, terminal: true });
-    assert!(refused.starts_with("Status: 503 "), "{refused}");
-    assert!(refused.contains("Back-Off-Ms: 251\r\n") && refused.contains("Final-Refusal: 1\r\n"));
-    let hinted = encode_response(&Response::Failed, Some(0.25));
-    assert!(String::from_utf8(hinted).expect("text").contains("\r\nServer-Hint: 0.2500\r\n"));
-    assert!(!refused.contains("Server-Hint"));
-    let bare = text(Response::Rejected { retry_after: 0, terminal: false });
-    assert!(!bare.contains("Back-Off") && !bare.contains("Final"));
-    assert!(text(Response::Failed).starts_with("Status: 500 "));
-    assert!(text(Response::BadRequest).starts_with("Status: 400 "));
+    let encode = |response: Response| String::from_utf8(encode_response(&response, None)).expect("text");
+    let rejected = encode(Response::Rejected { retry_after: 250_001, terminal: true });
+    assert!(rejected.starts_with("Status: 503 "), "{rejected}");
+    assert!(rejected.contains("Back-Off-Ms: 251\r\n") && rejected.contains("Final-Refusal: 1\r\n"));
+    let with_hint = encode_response(&Response::Failed, Some(0.25));
+    assert!(String::from_utf8(with_hint).expect("text").contains("\r\nServer-Hint: 0.2500\r\n"));
+    assert!(!rejected.contains("Server-Hint"));
+    let without_advice = encode(Response::Rejected { retry_after: 0, terminal: false });
+    assert!(!without_advice.contains("Back-Off") && !without_advice.contains("Final"));
+    assert!(encode(Response::Failed).starts_with("Status: 500 "));
+    assert!(encode(Response::BadRequest).starts_with("Status: 400 "));
     let body = vec![0u8, 255, 13, 10, 13, 10, 7];
     let served = encode_response(&Response::Served(body.clone()), None);
     assert!(served.starts_with(b"Status: 200 ") && served.ends_with(&[&b"\r\n\r\n"[..], &body].concat()));
--- a/crates/server/src/wire/jsonl/tests.rs
+++ b/crates/server/src/wire/jsonl/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::wire::test_bytes;
 
-fn text(command: &Command) -> String {
+fn encode_to_text(command: &Command) -> String {
     String::from_utf8(command.encode()).expect("text")
 }
 
@@ -22,53 +22,58 @@
         (Command::Exercise { tag: "7" }, r#"{"op":"exercise","tag":"7"}"#),
     ];
     for (command, line) in cases {
-        assert_eq!(text(&command), format!("{line}\n"));
+        assert_eq!(encode_to_text(&command), format!("{line}\n"));
     }
-    assert_eq!(text(&Command::Thaw { id: "a\n\"b" }).lines().count(), 1);
+    assert_eq!(encode_to_text(&Command::Thaw { id: "a\n\"b" }).lines().count(), 1);
 }
 
 #[test]
 fn every_notice_is_parsed() {
-    let is = |line: &str, wanted: Notice, seq| assert_eq!(parse_notice(line.as_bytes()), Ok((wanted, seq)));
-    is(
+    let assert_notice =
+        |line: &str, expected: Notice, seq| assert_eq!(parse_notice(line.as_bytes()), Ok((expected, seq)));
+    assert_notice(
         r#"{"op":"greeting","end":"running","ms":3}"#,
         Notice::Greeting { starting: false, uptime: 3_000 },
         None,
     );
-    is(r#"{"op":"greeting","end":"starting"}"#, Notice::Greeting { starting: true, uptime: 0 }, None);
-    is(
+    assert_notice(
+        r#"{"op":"greeting","end":"starting"}"#,
+        Notice::Greeting { starting: true, uptime: 0 },
+        None,
+    );
+    assert_notice(
         r#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#,
         Notice::RunEnded { id: "a".into(), outcome: RunOutcome::Success(vec![0, 255]), duration: 18_500 },
         Some(3),
     );
-    for (word, end) in
+    for (end, outcome) in
         [("fault", RunOutcome::Failed), ("broken_off", RunOutcome::Aborted), ("late", RunOutcome::NotStarted)]
     {
-        let line = format!(r#"{{"op":"outcome","seq":3,"id":"a","end":"{word}","ms":1}}"#);
-        is(&line, Notice::RunEnded { id: "a".into(), outcome: end, duration: 1_000 }, Some(3));
+        let line = format!(r#"{{"op":"outcome","seq":3,"id":"a","end":"{end}","ms":1}}"#);
+        assert_notice(&line, Notice::RunEnded { id: "a".into(), outcome, duration: 1_000 }, Some(3));
     }
-    is(
+    assert_notice(
         r#"{"op":"request","seq":4,"id":"a","body":"eA=="}"#,
         Notice::NeedsCall { id: "a".into(), notice_seq: 4, body: b"x".to_vec() },
         Some(4),
     );
-    is(
+    assert_notice(
         r#"{"op":"sampled","tag":"7","values":[0.5,3,0.25,9]}"#,
         Notice::GaugesSampled { tag: "7".into(), values: vec![0.5, 3.0, 0.25, 9.0] },
         None,
     );
-    is(
+    assert_notice(
         r#"{"op":"exercised","tag":"7","end":"fault"}"#,
         Notice::HealthCheckEnded { tag: "7".into(), healthy: false },
         None,
     );
-    is(
+    assert_notice(
         r#"{"op":"refusal","end":"launch","id":"a"}"#,
         Notice::CommandRejected { command: "launch".into(), id: "a".into() },
         None,
     );
-    is(r#"{"op":"aside","seq":5,"end":"tea"}"#, Notice::Ignored, Some(5));
-    is(r#"{"op":"something-new"}"#, Notice::Ignored, None);
+    assert_notice(r#"{"op":"aside","seq":5,"end":"tea"}"#, Notice::Ignored, Some(5));
+    assert_notice(r#"{"op":"something-new"}"#, Notice::Ignored, None);
 }
 
 #[test]
@@ -83,21 +88,21 @@
 }
 
 #[test]
-fn damaged_lines_are_malformed_or_still_a_notice() {
+fn damaged_lines_are_malformed_or_parsed() {
     let line = br#"{"op":"request","seq":4,"id":"9b1f03aa5c7e2d41","body":"AP8AP8AP8AP8"}"#;
-    let refused = test_bytes::damaged_copies(line).filter(|bytes| parse_notice(bytes).is_err()).count();
-    assert!((100..500).contains(&refused), "{refused}");
+    let rejected = test_bytes::damaged_copies(line).filter(|bytes| parse_notice(bytes).is_err()).count();
+    assert!((100..500).contains(&rejected), "{rejected}");
 }
 
 #[test]
-fn truncated_lines_are_malformed() {
+fn truncated_or_mistyped_lines_are_malformed() {
     let line = br#"{"op":"outcome","seq":3,"id":"a","end":"fine","ms":18.5,"body":"AP8="}"#;
-    for cut in 0..line.len() {
-        assert!(parse_notice(&line[..cut]).is_err(), "{cut}");
+    for length in 0..line.len() {
+        assert!(parse_notice(&line[..length]).is_err(), "{length}");
     }
-    for bad in
+    for malformed in
         [&b"[]"[..], b"\xff\xfe", br#"{"op":"outcome","seq":-1,"id":"a","end":"fine"}"#, br#"{"op":7}"#]
     {
-        assert!(parse_notice(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+        assert!(parse_notice(malformed).is_err(), "{}", String::from_utf8_lossy(malformed));
     }
 }
--- a/crates/server/src/wire/responder/tests.rs
+++ b/crates/server/src/wire/responder/tests.rs
@@ -19,27 +19,28 @@
 }
 
 fn feed(responder: &mut Responder, mut bytes: &[u8]) -> Result<Vec<Incoming>, MalformedInput> {
-    let mut all = Vec::new();
+    let mut incoming = Vec::new();
     loop {
-        let (used, news) = responder.handle_record(bytes)?;
-        all.extend(news);
+        let (used, completed) = responder.handle_record(bytes)?;
+        incoming.extend(completed);
         bytes = &bytes[used..];
         if used == 0 {
-            return Ok(all);
+            return Ok(incoming);
         }
     }
 }
 
-fn kinds(mut bytes: &[u8]) -> Vec<(u8, u16, Vec<u8>)> {
-    let mut all = Vec::new();
-    while let Some(record) = fastcgi::parse_record(bytes).expect("sound") {
-        all.push((record.kind, record.request, bytes[record.content.clone()].to_vec()));
+/// The kind, request id and content of every record in `bytes`.
+fn parse_records(mut bytes: &[u8]) -> Vec<(u8, u16, Vec<u8>)> {
+    let mut records = Vec::new();
+    while let Some(record) = fastcgi::parse_record(bytes).expect("valid") {
+        records.push((record.kind, record.request, bytes[record.content.clone()].to_vec()));
         bytes = &bytes[record.size..];
     }
-    all
+    records
 }
 
-fn whole(slot: u16, params: &[u8], body: &[u8]) -> Incoming {
+fn complete_request(slot: u16, params: &[u8], body: &[u8]) -> Incoming {
     Incoming::Request { slot, params: params.to_vec(), body: body.to_vec(), too_long: false }
 }
 
@@ -56,8 +57,11 @@
     }
     fastcgi::write_record(&mut split, kind::STDIN, 7, &[]);
     let mut responder = Responder::default();
-    let news = feed(&mut responder, &split).expect("sound");
-    assert_eq!(news, vec![whole(8, b"other", b""), whole(7, b"params", &[0, 1, 255])]);
+    let incoming = feed(&mut responder, &split).expect("valid");
+    assert_eq!(
+        incoming,
+        vec![complete_request(8, b"other", b""), complete_request(7, b"params", &[0, 1, 255])]
+    );
     assert_eq!(
         (responder.open_requests(), responder.complete_requests(), responder.buffered_bytes()),
         (2, 2, 0)
@@ -65,18 +69,18 @@
 }
 
 #[test]
-fn response_is_one_stream_and_an_end_and_is_written_once() {
+fn response_is_written_once_as_a_stream_and_an_end_request() {
     let mut responder = Responder::default();
-    feed(&mut responder, &request(300, b"p", b"b")).expect("sound");
+    feed(&mut responder, &request(300, b"p", b"b")).expect("valid");
     responder.respond(300, b"Status: 200\r\n\r\n");
     responder.respond(300, b"again");
     let end = vec![0; 8];
-    let wanted = vec![
+    let expected = vec![
         (kind::STDOUT, 300, b"Status: 200\r\n\r\n".to_vec()),
         (kind::STDOUT, 300, vec![]),
         (kind::END_REQUEST, 300, end),
     ];
-    assert_eq!(kinds(&responder.output), wanted);
+    assert_eq!(parse_records(&responder.output), expected);
     assert!(!responder.is_close_requested());
 }
 
@@ -85,7 +89,7 @@
     let mut responder = Responder::default();
     let mut bytes = begin(1, 1, 0);
     fastcgi::write_record(&mut bytes, kind::STDIN, 1, &[]);
-    feed(&mut responder, &bytes).expect("sound");
+    feed(&mut responder, &bytes).expect("valid");
     assert!(!responder.is_close_requested());
     responder.respond(1, b"x");
     assert!(responder.is_close_requested());
@@ -95,45 +99,45 @@
 fn requests_beyond_the_limit_are_rejected_as_overloaded() {
     let mut responder = Responder::default();
     for slot in 1..=33 {
-        feed(&mut responder, &begin(slot, 1, 1)).expect("sound");
+        feed(&mut responder, &begin(slot, 1, 1)).expect("valid");
     }
-    assert_eq!(kinds(&responder.output), vec![(kind::END_REQUEST, 33, vec![0, 0, 0, 0, 2, 0, 0, 0])]);
+    assert_eq!(parse_records(&responder.output), vec![(kind::END_REQUEST, 33, vec![0, 0, 0, 0, 2, 0, 0, 0])]);
     assert_eq!(responder.open_requests(), MAX_OPEN_REQUESTS);
-    // What still comes for it is passed over.
-    let mut rest = Vec::new();
-    fastcgi::write_record(&mut rest, kind::STDIN, 33, &[]);
-    assert_eq!(feed(&mut responder, &rest), Ok(vec![]));
+    // Further records of the rejected request are ignored.
+    let mut further = Vec::new();
+    fastcgi::write_record(&mut further, kind::STDIN, 33, &[]);
+    assert_eq!(feed(&mut responder, &further), Ok(vec![]));
 }
 
 #[test]
-fn other_roles_and_unknown_record_types_are_answered() {
+fn other_roles_are_rejected_and_unknown_record_types_are_answered() {
     let mut responder = Responder::default();
     let mut bytes = begin(5, 2, 1);
     fastcgi::write_record(&mut bytes, 77, 0, b"what");
     fastcgi::write_record(&mut bytes, 77, 5, b"what");
     assert_eq!(feed(&mut responder, &bytes), Ok(vec![]));
-    let wanted = vec![
+    let expected = vec![
         (kind::END_REQUEST, 5, vec![0, 0, 0, 0, 3, 0, 0, 0]),
         (kind::UNKNOWN_TYPE, 0, vec![77, 0, 0, 0, 0, 0, 0, 0]),
     ];
-    assert_eq!(kinds(&responder.output), wanted);
+    assert_eq!(parse_records(&responder.output), expected);
 }
 
 #[test]
 fn get_values_is_answered() {
-    let mut asked = Vec::new();
+    let mut queried = Vec::new();
     for name in ["FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS", "FCGI_ELSE"] {
-        fastcgi::write_pair(&mut asked, name.as_bytes(), b"");
+        fastcgi::write_pair(&mut queried, name.as_bytes(), b"");
     }
     let mut bytes = Vec::new();
-    fastcgi::write_record(&mut bytes, kind::GET_VALUES, 0, &asked);
+    fastcgi::write_record(&mut bytes, kind::GET_VALUES, 0, &queried);
     let mut responder = Responder::new(10);
-    feed(&mut responder, &bytes).expect("sound");
-    let mut told = Vec::new();
+    feed(&mut responder, &bytes).expect("valid");
+    let mut values = Vec::new();
     for (name, value) in [("FCGI_MAX_CONNS", "10"), ("FCGI_MAX_REQS", "320"), ("FCGI_MPXS_CONNS", "1")] {
-        fastcgi::write_pair(&mut told, name.as_bytes(), value.as_bytes());
+        fastcgi::write_pair(&mut values, name.as_bytes(), value.as_bytes());
     }
-    assert_eq!(kinds(&responder.output), vec![(kind::GET_VALUES_RESULT, 0, told)]);
+    assert_eq!(parse_records(&responder.output), vec![(kind::GET_VALUES_RESULT, 0, values)]);
 }
 
 #[test]
@@ -141,15 +145,15 @@
     let mut responder = Responder::default();
     let mut abort = Vec::new();
     fastcgi::write_record(&mut abort, kind::ABORT_REQUEST, 9, &[]);
-    feed(&mut responder, &request(9, b"p", b"")).expect("sound");
+    feed(&mut responder, &request(9, b"p", b"")).expect("valid");
     assert_eq!(feed(&mut responder, &abort), Ok(vec![Incoming::Abort(9)]));
     assert_eq!(responder.open_requests(), 1);
     responder.end_aborted(9);
-    assert_eq!(kinds(&responder.output), vec![(kind::END_REQUEST, 9, vec![0, 0, 0, 1, 0, 0, 0, 0])]);
+    assert_eq!(parse_records(&responder.output), vec![(kind::END_REQUEST, 9, vec![0, 0, 0, 1, 0, 0, 0, 0])]);
     assert_eq!(feed(&mut responder, &abort), Ok(vec![]));
-    assert_eq!(feed(&mut responder, &request(9, b"q", b"")), Ok(vec![whole(9, b"q", b"")]));
-    // One that has not come whole yet is known to nobody else.
-    feed(&mut responder, &begin(10, 1, 1)).expect("sound");
+    assert_eq!(feed(&mut responder, &request(9, b"q", b"")), Ok(vec![complete_request(9, b"q", b"")]));
+    // An incomplete request was never handed out, so its abort is not reported.
+    feed(&mut responder, &begin(10, 1, 1)).expect("valid");
     fastcgi::write_record(&mut abort, kind::ABORT_REQUEST, 10, &[]);
     assert_eq!(feed(&mut responder, &abort), Ok(vec![Incoming::Abort(9)]));
     assert_eq!(responder.open_requests(), 1);
@@ -158,24 +162,24 @@
 #[test]
 fn request_that_is_too_long_is_reported_at_once_and_its_data_discarded() {
     let mut responder = Responder::default();
-    let whole = request(1, b"p", &[0; MAX_BODY_BYTES + 1]);
-    // Without the record that ends the body; that one and all others of this number are read past.
-    let (long, end) = whole.split_at(whole.len() - fastcgi::HEADER_BYTES);
-    let wanted = Incoming::Request { slot: 1, params: vec![], body: vec![], too_long: true };
-    assert_eq!(feed(&mut responder, long).expect("sound"), vec![wanted]);
-    assert_eq!(feed(&mut responder, &[end, end].concat()).expect("sound"), vec![]);
+    let bytes = request(1, b"p", &[0; MAX_BODY_BYTES + 1]);
+    // The record that ends the body is held back: it and all further records of this request are ignored.
+    let (too_long, end) = bytes.split_at(bytes.len() - fastcgi::HEADER_BYTES);
+    let expected = Incoming::Request { slot: 1, params: vec![], body: vec![], too_long: true };
+    assert_eq!(feed(&mut responder, too_long).expect("valid"), vec![expected]);
+    assert_eq!(feed(&mut responder, &[end, end].concat()).expect("valid"), vec![]);
     responder.respond(1, b"no");
     assert!(responder.is_close_requested());
     let mut bytes = begin(2, 1, 1);
     for _ in 0..100 {
         fastcgi::write_record(&mut bytes, kind::PARAMS, 2, &[0; 60_000]);
     }
-    feed(&mut responder, &bytes).expect("sound");
+    feed(&mut responder, &bytes).expect("valid");
     assert!(responder.buffered_bytes() <= MAX_PARAMS_BYTES);
 }
 
 #[test]
-fn request_that_begins_twice_or_with_too_few_bytes_is_malformed() {
+fn duplicate_or_short_begin_request_is_malformed() {
     let mut responder = Responder::default();
     assert!(feed(&mut responder, &[begin(1, 1, 1), begin(1, 1, 1)].concat()).is_err());
     let mut short = Vec::new();
@@ -185,8 +189,8 @@
 
 #[test]
 fn damaged_input_stays_within_limits() {
-    let sound = [request(1, b"params", b"body"), request(2, b"params", b"body")].concat();
-    for bytes in test_bytes::damaged_copies(&sound) {
+    let valid = [request(1, b"params", b"body"), request(2, b"params", b"body")].concat();
+    for bytes in test_bytes::damaged_copies(&valid) {
         let mut responder = Responder::default();
         let _ = feed(&mut responder, &bytes);
         assert!(
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -1,5 +1,6 @@
-//! What operators' commands and servers say to each other, and what `--json` prints, as commit 604394b had it: commands
-//! and servers of that version and of this one understand each other, and scripts go on reading the output.
+//! Compares the encoding of operator requests and responses, and the output of `--json`, with golden files
+//! from commit 604394b. Commands and servers of that version must understand those of this version, and
+//! scripts must still be able to read the output.
 
 use std::collections::BTreeMap;
 
@@ -15,20 +16,21 @@
 use super::fleet::{FleetReply, FleetRequest, FleetRequestKind, FleetResponse, FleetView};
 use super::replicated_store::{StoreRequest, StoreResponse};
 
-const QUESTIONS: &str = include_str!("golden/questions.txt");
-const ANSWERS: &str = include_str!("golden/answers.txt");
+const REQUESTS: &str = include_str!("golden/questions.txt");
+const RESPONSES: &str = include_str!("golden/answers.txt");
 const MEMBERS_JSON: &str = include_str!("golden/members.json");
 const EVIDENCE_JSON: &str = include_str!("golden/evidence.json");
 const STATUS_JSON: &str = include_str!("golden/status.json");
 const HISTORY_JSON: &str = include_str!("golden/history.json");
 
-/// These values are written as the golden lines are, and the golden lines are read as these values.
+/// Asserts that each value is encoded as its line of the golden file, and that the line is decoded as the
+/// value.
 fn assert_golden<T>(values: &[T], golden: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let write = |value: &T| to_hex(&postcard::to_allocvec(value).expect("serializable"));
-    assert_eq!(values.iter().map(write).collect::<Vec<_>>().join("\n"), golden.trim_end());
+    let encode = |value: &T| to_hex(&postcard::to_allocvec(value).expect("serializable"));
+    assert_eq!(values.iter().map(encode).collect::<Vec<_>>().join("\n"), golden.trim_end());
     for (value, line) in values.iter().zip(golden.lines()) {
         assert_eq!(postcard::from_bytes::<T>(&from_hex(line)).as_ref(), Ok(value));
     }
@@ -50,14 +52,14 @@
         MemberState::Leaving,
         MemberState::Left,
     ];
-    let standings = [
+    let partition_statuses = [
         PartitionStatus::Unsure,
         PartitionStatus::Alone,
         PartitionStatus::Minority,
         PartitionStatus::Majority,
         PartitionStatus::Whole,
     ];
-    let about = BuildInfo {
+    let build_info = BuildInfo {
         zone: "east".to_owned(),
         program: "0.2.0".to_owned(),
         config: 1 << 60,
@@ -75,15 +77,15 @@
         heard_ms: (n != 0).then_some(12),
         hears_us_ms: (n != 0).then_some(13),
         reached: n == 1,
-        says: standings.get(n).map(|&standing| (standing, 50, 2)),
-        about: about.clone(),
+        says: partition_statuses.get(n).map(|&status| (status, 50, 2)),
+        about: build_info.clone(),
         differs_ms: (n == 2).then_some(900),
     });
     members.collect()
 }
 
 fn quotas() -> Vec<(String, QuotaStatus)> {
-    let moved = [
+    let causes = [
         ChangeCause::Started,
         ChangeCause::Settled,
         ChangeCause::Lent,
@@ -93,7 +95,7 @@
         ChangeCause::Part,
         ChangeCause::Silenced,
     ];
-    let allowance = |moved| QuotaStatus {
+    let quota_status = |cause| QuotaStatus {
         whole: 40,
         part: 13,
         wanted: 14,
@@ -101,10 +103,10 @@
         borrowed: 2,
         used: 3,
         waiting: 4,
-        moved: (moved, 250),
+        moved: (cause, 250),
         quiet_ms: 500,
     };
-    moved.map(|moved| (format!("{moved:?}"), allowance(moved))).to_vec()
+    causes.map(|cause| (format!("{cause:?}"), quota_status(cause))).to_vec()
 }
 
 fn fleet_view() -> FleetView {
@@ -120,18 +122,18 @@
         counts: MessageCounts {
             sent: (500, 70_000),
             heard: (400, 60_000),
-            refused: BTreeMap::from(RejectReason::ALL.map(|why| (why, 300 + why as u64))),
+            refused: BTreeMap::from(RejectReason::ALL.map(|reason| (reason, 300 + reason as u64))),
             standstills: 2,
         },
     }
 }
 
-fn record_standing() -> umberloom_replicated_store::ReplicaStatus {
-    let copy = |copy, votes, applied| ReplicaView {
-        replica_id: copy,
-        server: format!("server-{copy}"),
+fn replica_status() -> umberloom_replicated_store::ReplicaStatus {
+    let replica = |replica_id, is_voter, applied| ReplicaView {
+        replica_id,
+        server: format!("server-{replica_id}"),
         zone: "east".to_owned(),
-        is_voter: votes,
+        is_voter,
         applied,
         heard_ms: applied,
     };
@@ -146,7 +148,7 @@
         last_index: 302,
         leader_heard_ms: Some(20),
         rolling_digest: [5; 16],
-        replicas: vec![copy(7, true, Some(300)), copy(8, false, None)],
+        replicas: vec![replica(7, true, Some(300)), replica(8, false, None)],
         catching_up: Some((3, 9)),
         unsupported_entries: 1,
         frozen: true,
@@ -170,12 +172,13 @@
     (300..).zip(outcomes).map(line).collect()
 }
 
-fn questions() -> Vec<FleetRequest> {
-    let show = |latest| StoreRequest::ReadDocument { name: "limits".to_owned(), latest, from: 70_000 };
-    let record = [
+fn requests() -> Vec<FleetRequest> {
+    let read_document =
+        |latest| StoreRequest::ReadDocument { name: "limits".to_owned(), latest, from: 70_000 };
+    let store = [
         StoreRequest::Status,
-        show(true),
-        show(false),
+        read_document(true),
+        read_document(false),
         StoreRequest::History(20),
         StoreRequest::Write { id: 1 << 100, entry: Entry::Note("a remark".to_owned()) },
         StoreRequest::SetVoter("server-b".to_owned(), true),
@@ -183,14 +186,14 @@
         StoreRequest::Adopt,
     ];
     let fleet = [FleetRequestKind::Members, FleetRequestKind::Explain("server-b".to_owned())];
-    let all = fleet.into_iter().chain(record.map(FleetRequestKind::Store));
-    all.map(|what| FleetRequest { number: 70_000, kind: what }).collect()
+    let all = fleet.into_iter().chain(store.map(FleetRequestKind::Store));
+    all.map(|kind| FleetRequest { number: 70_000, kind }).collect()
 }
 
-fn answers() -> Vec<FleetResponse> {
-    let role = |role| {
-        let standing = umberloom_replicated_store::ReplicaStatus { role, ..record_standing() };
-        StoreResponse::Status(Box::new(standing))
+fn responses() -> Vec<FleetResponse> {
+    let status = |role| {
+        let status = umberloom_replicated_store::ReplicaStatus { role, ..replica_status() };
+        StoreResponse::Status(Box::new(status))
     };
     let document = StoreResponse::Document {
         version: 2,
@@ -200,9 +203,9 @@
         part: vec![1, 2, 255],
         age_ms: Some(40),
     };
-    let mut record: Vec<StoreResponse> =
-        [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(role).to_vec();
-    record.extend([
+    let mut store: Vec<StoreResponse> =
+        [Role::Outside, Role::Returning, Role::Learner, Role::Voter, Role::Leader].map(status).to_vec();
+    store.extend([
         document,
         StoreResponse::UnknownDocument(vec!["limits".to_owned()]),
         StoreResponse::History(history()),
@@ -210,33 +213,34 @@
         StoreResponse::ExportPart(vec![1, 2], 70_000),
         StoreResponse::Rejected("nobody leads".to_owned()),
     ]);
-    record.extend(history().into_iter().map(|line| StoreResponse::WriteOutcome(line.outcome)));
+    store.extend(history().into_iter().map(|line| StoreResponse::WriteOutcome(line.outcome)));
     let fleet = [
         FleetReply::Members(fleet_view()),
         FleetReply::Explain(evidence()),
         FleetReply::UnknownMember(vec!["server-a".to_owned(), "server-b".to_owned()]),
     ];
-    let all = fleet.into_iter().chain(record.into_iter().map(FleetReply::Store));
+    let all = fleet.into_iter().chain(store.into_iter().map(FleetReply::Store));
     all.map(|reply| FleetResponse { number: 70_000, reply }).collect()
 }
 
 #[test]
-fn questions_of_operators_keep_their_bytes() {
-    assert_golden(&questions(), QUESTIONS);
+fn operator_requests_keep_their_encoding() {
+    assert_golden(&requests(), REQUESTS);
 }
 
 #[test]
-fn answers_to_operators_keep_their_bytes() {
-    assert_golden(&answers(), ANSWERS);
+fn operator_responses_keep_their_encoding() {
+    assert_golden(&responses(), RESPONSES);
 }
 
 #[test]
-fn json_output_keeps_its_fields_and_forms() {
+fn json_output_keeps_its_fields_and_format() {
     let text = |value: serde_json::Result<String>| value.expect("serializable");
     assert_eq!(text(serde_json::to_string_pretty(&fleet_view())), MEMBERS_JSON.trim_end());
     assert_eq!(text(serde_json::to_string_pretty(&evidence())), EVIDENCE_JSON.trim_end());
-    // `record status` and `record history` print these by way of a `Value`, which orders fields by name.
-    let status = serde_json::json!(record_standing());
+    // `record status` and `record history` print these through a `serde_json::Value`, which sorts the fields
+    // by name.
+    let status = serde_json::json!(replica_status());
     assert_eq!(text(serde_json::to_string_pretty(&status)), STATUS_JSON.trim_end());
     let history = serde_json::json!(history());
     assert_eq!(text(serde_json::to_string_pretty(&history)), HISTORY_JSON.trim_end());
