--- a/crates/ajp/src/codes.rs
+++ b/crates/ajp/src/codes.rs
@@ -1,6 +1,7 @@
-//! Codes for what is sent often (reference, "Request Packet Structure" and "Response Packet Structure").
+//! Codes of methods, common headers and attributes (reference, "Request Packet Structure" and "Response
+//! Packet Structure").
 
-/// Methods, from code 1 on.
+/// Methods in the order of their codes, which start at 1.
 const METHODS: [&str; 27] = [
     "OPTIONS",
     "GET",
@@ -31,10 +32,10 @@
     "MKACTIVITY",
 ];
 
-/// The code of a method that stands in the attribute `stored_method`.
+/// The method code of requests whose method is in the attribute `stored_method`.
 pub const STORED_METHOD: u8 = 0xff;
 
-/// Headers of requests, from code 0xA001 on.
+/// Request headers in the order of their codes, which start at 0xA001.
 const REQUEST_HEADERS: [&str; 14] = [
     "accept",
     "accept-charset",
@@ -52,7 +53,7 @@
     "user-agent",
 ];
 
-/// Headers of answers, from code 0xA001 on.
+/// Response headers in the order of their codes, which start at 0xA001.
 const RESPONSE_HEADERS: [&str; 11] = [
     "content-type",
     "content-language",
@@ -67,17 +68,17 @@
     "www-authenticate",
 ];
 
-/// What a header's code begins with; no name is as long as that.
+/// The upper byte of a header code, in place of the length of a name, which is always less than this.
 pub const CODED_HEADER_PREFIX: u16 = 0xa000;
 
-/// The method with this code.
+/// Returns the method with this code.
 pub fn method(code: u8) -> Option<&'static str> {
     METHODS.get(usize::from(code).checked_sub(1)?).copied()
 }
 
-/// The code of a method.
+/// Returns the code of a method, which is case-sensitive.
 pub fn method_code(method: &str) -> Option<u8> {
-    METHODS.iter().position(|m| *m == method).map(|place| place as u8 + 1)
+    METHODS.iter().position(|m| *m == method).map(|index| index as u8 + 1)
 }
 
 fn header(names: &'static [&'static str], code: u16) -> Option<&'static str> {
@@ -88,54 +89,54 @@
     names
         .iter()
         .position(|n| n.eq_ignore_ascii_case(name))
-        .map(|place| CODED_HEADER_PREFIX + place as u16 + 1)
+        .map(|index| CODED_HEADER_PREFIX + index as u16 + 1)
 }
 
-/// The name of a request's header with this code.
+/// Returns the name of the request header with this code.
 pub fn request_header(code: u16) -> Option<&'static str> {
     header(&REQUEST_HEADERS, code)
 }
 
-/// The code of a request's header.
+/// Returns the code of a request header. Case is ignored.
 pub fn request_header_code(name: &str) -> Option<u16> {
     header_code(&REQUEST_HEADERS, name)
 }
 
-/// The name of an answer's header with this code.
+/// Returns the name of the response header with this code.
 pub fn response_header(code: u16) -> Option<&'static str> {
     header(&RESPONSE_HEADERS, code)
 }
 
-/// The code of an answer's header.
+/// Returns the code of a response header. Case is ignored.
 pub fn response_header_code(name: &str) -> Option<u16> {
     header_code(&RESPONSE_HEADERS, name)
 }
 
-/// Codes of attributes.
+/// Codes of request attributes.
 pub mod attribute {
-    /// The user who was authenticated.
+    /// The authenticated user.
     pub const REMOTE_USER: u8 = 0x03;
-    /// How.
+    /// The authentication scheme.
     pub const AUTH_TYPE: u8 = 0x04;
-    /// The query.
+    /// The query string.
     pub const QUERY_STRING: u8 = 0x05;
-    /// The route of a session.
+    /// The session route, for sticky load balancing.
     pub const ROUTE: u8 = 0x06;
-    /// The client's certificate.
+    /// The client's TLS certificate.
     pub const SSL_CERT: u8 = 0x07;
-    /// The cipher.
+    /// The TLS cipher.
     pub const SSL_CIPHER: u8 = 0x08;
-    /// The session.
+    /// The TLS session id.
     pub const SSL_SESSION: u8 = 0x09;
-    /// Any other, by its name.
+    /// An attribute without a code of its own, sent with its name.
     pub const NAMED: u8 = 0x0a;
-    /// The size of the key, an integer.
+    /// The TLS key size, as an integer.
     pub const SSL_KEY_SIZE: u8 = 0x0b;
-    /// The secret that both ends know.
+    /// The secret that both sides are configured with.
     pub const SECRET: u8 = 0x0c;
-    /// A method without a code.
+    /// The method of a request whose method has no code.
     pub const STORED_METHOD: u8 = 0x0d;
-    /// No more follow.
+    /// Ends the list of attributes.
     pub const DONE: u8 = 0xff;
 }
 
@@ -144,7 +145,7 @@
     use super::*;
 
     #[test]
-    fn codes_are_those_of_the_reference() {
+    fn codes_match_the_reference() {
         assert_eq!((method(1), method(4), method(27)), (Some("OPTIONS"), Some("POST"), Some("MKACTIVITY")));
         assert_eq!((method(0), method(28), method(0xff)), (None, None, None));
         assert_eq!((method_code("GET"), method_code("get")), (Some(2), None));
--- a/crates/ajp/src/lib.rs
+++ b/crates/ajp/src/lib.rs
@@ -1,33 +1,33 @@
-//! AJP/1.3 from both ends, as state machines without I/O.
+//! AJP/1.3, server and client side, as state machines without I/O.
 //!
-//! Written from the published protocol reference of the Apache Tomcat Connectors ("AJPv13"). Bytes go in, events come
-//! out; what is to be written collects in a buffer that the host empties. A connection carries one request at a time:
+//! Implemented from the published protocol reference of the Apache Tomcat Connectors ("AJPv13"), which the
+//! comments call the reference. Received bytes are decoded into events; bytes to be sent are collected in an
+//! output buffer that the application writes and empties. A connection carries one request at a time:
 //!
-//! - [`server::ServerConnection`] is the end that answers (a *container* in the reference): requests in, answers out;
-//! - [`client::ClientConnection`] is the end that asks (a *web server* in the reference): requests out, answers in;
-//! - [`request::Request`] and [`response`] are the messages, [`packet`] the frames, [`data`] the values in them.
+//! - [`server::ServerConnection`] is the side that answers requests (the *container* in the reference);
+//! - [`client::ClientConnection`] is the side that sends requests (the *web server* in the reference);
+//! - [`request::Request`] and [`response`] are the messages, [`packet`] has the framing, and [`data`] has the
+//!   values within packets.
 //!
-//! No allocation follows a length that has not been checked against the packet it stands in, and no packet is larger
-//! than both ends agreed on. Every failure is a [`DecodeError`] that names what was wrong; a connection on which it
-//! happened can't be read any further and is to be closed.
+//! Lengths are checked against the packet that contains them before memory is allocated, and a packet that
+//! exceeds the configured maximum size is rejected. Invalid input gives a [`DecodeError`]; the connection
+//! can't be read any further and must be closed.
 //!
 //! ```
-//! use umberloom_ajp::server::{ServerConnection, Event};
 //! use umberloom_ajp::client::{self, ClientConnection};
 //! use umberloom_ajp::request::Request;
+//! use umberloom_ajp::server::{Event, ServerConnection};
 //!
-//! let (mut caller, mut callee) = (ClientConnection::new(8192), ServerConnection::new(8192));
-//! caller.send_request(&Request::new("GET", "/desks"), b"").expect("it fits a packet");
-//! let (used, event) = callee.decode(&caller.output).expect("sound");
-//! assert_eq!(used, caller.output.len());
-//! let Some(Event::Request(request)) = event else { panic!("a request") };
-//! assert_eq!(request.uri, "/desks");
-//! callee.send_response(200, "OK", &[("Content-Type", "text/plain")], b"two desks", true).expect("in turn");
-//! let (mut at, mut body) = (0, Vec::new());
-//! while let (used @ 1.., event) = caller.decode(&callee.output[at..]).expect("sound") {
-//!     at += used;
-//!     if let Some(client::Event::Body(part)) = event {
-//!         body.extend(part);
+//! let (mut client, mut server) = (ClientConnection::new(8192), ServerConnection::new(8192));
+//! client.send_request(&Request::new("GET", "/desks"), b"").expect("fits a packet"); let (used, event) =
+//! server.decode(&client.output).expect("valid"); assert_eq!(used, client.output.len()); let
+//! Some(Event::Request(request)) = event else { panic!("a request") }; assert_eq!(request.uri, "/desks");
+//! server.send_response(200, "OK", &[("Content-Type", "text/plain")], b"two desks", true).expect("a request
+//! is open"); let (mut position, mut body) = (0, Vec::new()); while let (used @ 1.., event) =
+//! client.decode(&server.output[position..]).expect("valid") {
+//!     position += used;
+//!     if let Some(client::Event::Body(chunk)) = event {
+//!         body.extend(chunk);
 //!     }
 //! }
 //! assert_eq!(body, b"two desks");
@@ -43,7 +43,7 @@
 
 use std::fmt;
 
-/// What was wrong with bytes that were read.
+/// Why received bytes are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecodeError(pub &'static str);
 
@@ -55,20 +55,20 @@
 
 impl std::error::Error for DecodeError {}
 
-/// Why something can't be written.
+/// Why a message can't be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EncodeError {
-    /// It does not fit a packet of the size agreed on.
+    /// It does not fit a packet of the maximum size.
     TooLong,
-    /// The other end expects something else now.
+    /// The state of the connection does not allow it now.
     OutOfTurn,
 }
 
 impl fmt::Display for EncodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            EncodeError::TooLong => "longer than a packet",
-            EncodeError::OutOfTurn => "not what the other end expects now",
+            EncodeError::TooLong => "message exceeds the maximum packet size",
+            EncodeError::OutOfTurn => "message not allowed in the current state of the connection",
         })
     }
 }
--- a/crates/ajp/src/packet.rs
+++ b/crates/ajp/src/packet.rs
@@ -1,26 +1,28 @@
-//! Frames: two bytes that say which end wrote them, a length, and the content (reference, "Packet Structure").
+//! Framing: a packet consists of two magic bytes, which tell the side that sent it, the length of the
+//! content, and the content (reference, "Packet Structure").
 
 use std::ops::Range;
 
 use crate::DecodeError;
 
-/// Bytes before the content.
+/// Size of the header of a packet, in bytes.
 pub const HEADER_BYTES: usize = 4;
-/// The size of a packet unless both ends agreed on another, and the smallest one.
+/// The default of the maximum packet size, and the smallest value that it may have, in bytes.
 pub const DEFAULT_PACKET_BYTES: usize = 8 * 1024;
-/// The largest that both ends may agree on.
+/// The largest value that the maximum packet size may have, in bytes. Both sides must use the same value.
 pub const MAX_PACKET_BYTES: usize = 64 * 1024 - 1;
 
-/// Which end wrote a packet.
+/// The side that sent a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// The one that asks.
+    /// The side that sends requests.
     Client,
-    /// The one that answers.
+    /// The side that answers them.
     Server,
 }
 
 impl Sender {
+    /// The magic bytes at the start of its packets.
     fn magic(self) -> [u8; 2] {
         match self {
             Sender::Client => [0x12, 0x34],
@@ -29,33 +31,37 @@
     }
 }
 
-/// A whole packet at the start of some bytes.
+/// The position of a complete packet at the start of some bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// Where its content stands.
+    /// The range of the content within these bytes.
     pub content: Range<usize>,
-    /// Bytes it takes in all.
+    /// Size of the whole packet with its header, in bytes.
     pub size: usize,
 }
 
-/// The packet at the start of `bytes`, no larger than `largest`; `None` until all of it is there. A wrong start and a
-/// length that is too large are told from the first bytes that show them.
-pub fn parse_packet(bytes: &[u8], sender: Sender, largest: usize) -> Result<Option<Packet>, DecodeError> {
+/// Parses the packet at the start of `bytes`, which must not exceed `max_packet_bytes`; `None` while it is
+/// incomplete. Wrong magic bytes and a length that is too large are reported as soon as they are received.
+pub fn parse_packet(
+    bytes: &[u8],
+    sender: Sender,
+    max_packet_bytes: usize,
+) -> Result<Option<Packet>, DecodeError> {
     let magic = sender.magic();
-    let seen = bytes.len().min(magic.len());
-    if bytes[..seen] != magic[..seen] {
-        return Err(DecodeError("not the start of an AJP packet"));
+    let received = bytes.len().min(magic.len());
+    if bytes[..received] != magic[..received] {
+        return Err(DecodeError("invalid magic bytes of a packet"));
     }
     let [_, _, high, low, ..] = *bytes else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([high, low]));
     let size = HEADER_BYTES + length;
-    if size > largest {
-        return Err(DecodeError("a packet longer than agreed on"));
+    if size > max_packet_bytes {
+        return Err(DecodeError("packet exceeds the maximum size"));
     }
     Ok((bytes.len() >= size).then_some(Packet { content: HEADER_BYTES..size, size }))
 }
 
-/// Writes a packet with this content, which must fit.
+/// Writes a packet. The content must fit the maximum packet size.
 pub fn write_packet(out: &mut Vec<u8>, sender: Sender, content: &[u8]) {
     debug_assert!(content.len() + HEADER_BYTES <= MAX_PACKET_BYTES);
     out.extend_from_slice(&sender.magic());
@@ -68,12 +74,12 @@
     use super::*;
 
     #[test]
-    fn a_packet_is_whole_or_awaited() {
+    fn incomplete_packet_is_not_parsed() {
         let mut bytes = Vec::new();
         write_packet(&mut bytes, Sender::Client, b"abc");
         assert_eq!(bytes, [0x12, 0x34, 0, 3, b'a', b'b', b'c']);
-        for end in 0..bytes.len() {
-            assert_eq!(parse_packet(&bytes[..end], Sender::Client, DEFAULT_PACKET_BYTES), Ok(None));
+        for length in 0..bytes.len() {
+            assert_eq!(parse_packet(&bytes[..length], Sender::Client, DEFAULT_PACKET_BYTES), Ok(None));
         }
         assert_eq!(
             parse_packet(&bytes, Sender::Client, DEFAULT_PACKET_BYTES),
@@ -82,13 +88,13 @@
     }
 
     #[test]
-    fn what_is_wrong_is_told_as_soon_as_it_shows() {
+    fn invalid_packet_is_rejected_at_the_first_invalid_byte() {
         assert!(parse_packet(b"A", Sender::Client, DEFAULT_PACKET_BYTES).is_err());
         assert!(parse_packet(&[0x12, 0x35], Sender::Client, DEFAULT_PACKET_BYTES).is_err());
         assert!(parse_packet(&[0x12], Sender::Server, DEFAULT_PACKET_BYTES).is_err());
         assert!(
             parse_packet(&[0x12, 0x34, 0x20, 0x00], Sender::Client, DEFAULT_PACKET_BYTES).is_err(),
-            "8192 of content is too long"
+            "8192 bytes of content do not fit with the header"
         );
         assert_eq!(parse_packet(&[0x12, 0x34, 0x1f, 0xfc], Sender::Client, DEFAULT_PACKET_BYTES), Ok(None));
     }
--- a/crates/ajp/src/request.rs
+++ b/crates/ajp/src/request.rs
@@ -4,42 +4,43 @@
 use crate::data::{self, Reader};
 use crate::{DecodeError, EncodeError};
 
-/// Code of a forward request.
+/// The packet code of a forward request.
 pub const FORWARD: u8 = 2;
-/// Headers that one request may have, and attributes likewise.
+/// Limit on the number of headers of a request, and on the number of its attributes.
 pub const MAX_FIELDS: usize = 256;
 
-/// A request, with what the reference lets stand in it.
+/// A forward request with the fields of the reference.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
-    /// Method, coded or stored.
+    /// The method, whether it was sent by its code or by its name.
     pub method: String,
-    /// Such as `HTTP/1.1`.
+    /// The protocol of the client's request, such as `HTTP/1.1`.
     pub protocol: String,
-    /// Path, without the query.
+    /// The path, without the query.
     pub uri: String,
-    /// Address of the client.
+    /// The address of the client.
     pub remote_addr: String,
-    /// Its name.
+    /// The host name of the client.
     pub remote_host: String,
-    /// The name that it asked for.
+    /// The server name that the client requested.
     pub server_name: String,
-    /// The port.
+    /// The port that the client connected to.
     pub server_port: u16,
-    /// The client came over TLS.
+    /// Whether the client connected over TLS.
     pub is_ssl: bool,
-    /// Headers, names in lower case, in their order.
+    /// The headers in the order sent, their names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The query, if there is one.
+    /// The query string, if there is one.
     pub query: Option<String>,
-    /// The secret that came along.
+    /// The secret sent with the request, if there is one.
     pub secret: Option<Vec<u8>>,
-    /// Attributes by name; those that have a code of their own go by the reference's name.
+    /// The other attributes, as names and values. An attribute with a code is stored
+    /// under its name in the reference.
     pub attributes: Vec<(String, String)>,
 }
 
-/// Names of attributes that have a code and a string for a value, and are kept as they come.
-const KEPT: [(u8, &str); 8] = [
+/// Codes and names of the attributes with a string value that are stored in [`Request::attributes`].
+const STRING_ATTRIBUTES: [(u8, &str); 8] = [
     (0x01, "context"),
     (0x02, "servlet_path"),
     (attribute::REMOTE_USER, "remote_user"),
@@ -50,10 +51,11 @@
     (attribute::SSL_SESSION, "ssl_session"),
 ];
 
-const KEY_SIZE: &str = "ssl_key_size";
+/// The name of the attribute [`attribute::SSL_KEY_SIZE`].
+const SSL_KEY_SIZE_NAME: &str = "ssl_key_size";
 
 impl Request {
-    /// A request over HTTP/1.1 without headers.
+    /// Returns an HTTP/1.1 request without headers.
     pub fn new(method: &str, uri: &str) -> Request {
         Request {
             method: method.to_owned(),
@@ -66,34 +68,34 @@
         }
     }
 
-    /// The value of a header, by its name in lower case.
+    /// The value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
 
-    /// The stated length of its body; `None` where none is stated. Two lengths that differ are an error.
+    /// The Content-Length in bytes; `None` if there is none. Values that differ are an error.
     pub fn content_length(&self) -> Result<Option<u64>, DecodeError> {
-        let bad = DecodeError("a content length that is no number");
+        let invalid = DecodeError("a content length that is no number");
         let mut found = None;
-        for (_, value) in self.headers.iter().filter(|(n, _)| n == "content-length") {
+        for (_, value) in self.headers.iter().filter(|(name, _)| name == "content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(bad);
+                return Err(invalid);
             }
-            let length: u64 = value.parse().map_err(|_| bad)?;
-            if found.is_some_and(|before| before != length) {
-                return Err(DecodeError("two content lengths that differ"));
+            let length: u64 = value.parse().map_err(|_| invalid)?;
+            if found.is_some_and(|previous| previous != length) {
+                return Err(DecodeError("Content-Length headers differ"));
             }
             found = Some(length);
         }
         Ok(found)
     }
 
-    /// Whether a body follows whose length is not stated.
+    /// Whether a body of unknown length follows.
     pub fn is_chunked(&self) -> bool {
         self.header("transfer-encoding").is_some()
     }
 
-    /// Reads the content of a packet behind its code.
+    /// Reads the content of a packet after the packet code.
     pub fn read(reader: &mut Reader) -> Result<Request, DecodeError> {
         let code = reader.byte()?;
         let mut request = Request {
@@ -109,30 +111,30 @@
         };
         let count = usize::from(reader.integer()?);
         if count > MAX_FIELDS {
-            return Err(DecodeError("too many headers"));
+            return Err(DecodeError("too many request headers"));
         }
         for _ in 0..count {
             let header = (header_name(reader)?, reader.text()?);
             request.headers.push(header);
         }
-        let mut seen = 0;
+        let mut attribute_count = 0;
         while request.read_attribute(reader)? {
-            seen += 1;
-            if seen > MAX_FIELDS {
+            attribute_count += 1;
+            if attribute_count > MAX_FIELDS {
                 return Err(DecodeError("too many attributes"));
             }
         }
         if !reader.remaining().is_empty() {
-            return Err(DecodeError("bytes behind the end of a request"));
+            return Err(DecodeError("unexpected bytes after the end of a request"));
         }
         match (code, request.method.is_empty()) {
-            (codes::STORED_METHOD, true) => Err(DecodeError("a stored method that is not there")),
-            (_, true) => Err(DecodeError("no known method")),
+            (codes::STORED_METHOD, true) => Err(DecodeError("missing attribute stored_method")),
+            (_, true) => Err(DecodeError("unknown method code")),
             _ => Ok(request),
         }
     }
 
-    /// `false` at the end of them.
+    /// Reads the next attribute. Returns `false` at the end of the list.
     fn read_attribute(&mut self, reader: &mut Reader) -> Result<bool, DecodeError> {
         match reader.byte()? {
             attribute::DONE => return Ok(false),
@@ -140,32 +142,33 @@
             attribute::SECRET => self.secret = Some(reader.string()?.unwrap_or_default().to_vec()),
             attribute::STORED_METHOD => {
                 let method = reader.text()?;
-                // A method with a code keeps it: two that differ would be read differently by different ends.
+                // A request with two methods that differ is rejected: implementations could disagree on which
+                // one applies.
                 if self.method.is_empty() {
                     self.method = method;
                 } else if self.method != method {
-                    return Err(DecodeError("two methods that differ"));
+                    return Err(DecodeError("method and attribute stored_method differ"));
                 }
             }
             attribute::SSL_KEY_SIZE => {
                 let size = reader.integer()?.to_string();
-                self.attributes.push((KEY_SIZE.to_owned(), size));
+                self.attributes.push((SSL_KEY_SIZE_NAME.to_owned(), size));
             }
             attribute::NAMED => {
                 let attribute = (reader.text()?, reader.text()?);
                 self.attributes.push(attribute);
             }
             code => {
-                // Of a code that is not known the form is not known either.
-                let known = KEPT.iter().find(|(c, _)| *c == code);
-                let (_, name) = known.ok_or(DecodeError("no known attribute"))?;
+                // An attribute with an unknown code can't be skipped, since its encoding is not known.
+                let known = STRING_ATTRIBUTES.iter().find(|(known_code, _)| *known_code == code);
+                let (_, name) = known.ok_or(DecodeError("unknown attribute code"))?;
                 self.attributes.push(((*name).to_owned(), reader.text()?));
             }
         }
         Ok(true)
     }
 
-    /// Writes the content of a packet, its code first.
+    /// Writes the content of a packet, including the packet code.
     pub fn write(&self, out: &mut Vec<u8>) -> Result<(), EncodeError> {
         out.push(FORWARD);
         let code = codes::method_code(&self.method);
@@ -174,6 +177,7 @@
         texts.into_iter().try_for_each(|text| data::write_string(out, text))?;
         data::write_integer(out, self.server_port);
         out.push(u8::from(self.is_ssl));
+        // The reader counts the query, the secret and the stored method as attributes too.
         if self.headers.len() > MAX_FIELDS || self.attributes.len() > MAX_FIELDS - 4 {
             return Err(EncodeError::TooLong);
         }
@@ -208,12 +212,12 @@
 }
 
 fn write_attribute(out: &mut Vec<u8>, name: &str, value: &str) -> Result<(), EncodeError> {
-    if let Some(size) = value.parse().ok().filter(|_| name == KEY_SIZE) {
+    if let Some(size) = value.parse().ok().filter(|_| name == SSL_KEY_SIZE_NAME) {
         out.push(attribute::SSL_KEY_SIZE);
         data::write_integer(out, size);
         return Ok(());
     }
-    match KEPT.iter().find(|(_, kept)| *kept == name) {
+    match STRING_ATTRIBUTES.iter().find(|(_, known)| *known == name) {
         Some((code, _)) => out.push(*code),
         None => {
             out.push(attribute::NAMED);
@@ -226,16 +230,18 @@
 fn header_name(reader: &mut Reader) -> Result<String, DecodeError> {
     let length = reader.integer()?;
     if length & 0xff00 == codes::CODED_HEADER_PREFIX {
-        return codes::request_header(length).map(String::from).ok_or(DecodeError("no known header code"));
+        return codes::request_header(length)
+            .map(String::from)
+            .ok_or(DecodeError("unknown request header code"));
     }
     let name = data::text(reader.string_with_length(length)?.unwrap_or_default())?;
     if name.is_empty() || !name.bytes().all(is_token) {
-        return Err(DecodeError("a header without a name"));
+        return Err(DecodeError("invalid header name"));
     }
     Ok(name.to_ascii_lowercase())
 }
 
-/// Bytes of names, as HTTP has them (RFC 9110, section 5.6.2).
+/// Whether a byte may be part of a header name (RFC 9110, section 5.6.2).
 fn is_token(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/crates/ajp/src/response.rs
+++ b/crates/ajp/src/response.rs
@@ -1,76 +1,76 @@
-//! What the end that answers writes (reference, "Response Packet Structure").
+//! Packets from the server (reference, "Response Packet Structure").
 
 use crate::codes;
 use crate::data::{self, Reader};
 use crate::{DecodeError, EncodeError};
 
-/// Codes of its packets.
+/// Packet codes.
 pub mod code {
-    /// A part of the body.
+    /// A chunk of the response body.
     pub const BODY: u8 = 3;
-    /// Status and headers.
+    /// The status and the headers of a response.
     pub const HEADERS: u8 = 4;
-    /// The end, and whether the connection can carry another request.
+    /// The end of a response, and whether the connection can carry another request.
     pub const END: u8 = 5;
-    /// More of the request's body is wanted.
+    /// Requests the next chunk of the request body.
     pub const GET_BODY: u8 = 6;
-    /// It is there.
+    /// Answers a ping.
     pub const CPONG: u8 = 9;
 }
 
-/// Headers that one answer may have.
+/// Limit on the number of headers of a response.
 pub const MAX_HEADERS: usize = 256;
 
-/// Status and headers of an answer.
+/// The status and the headers of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// Status.
+    /// The status code.
     pub status: u16,
-    /// Its reason.
+    /// The reason phrase.
     pub reason: String,
-    /// Headers, names in lower case.
+    /// The headers in the order sent, their names in lower case.
     pub headers: Vec<(String, String)>,
 }
 
-/// One packet.
+/// A packet from the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Status and headers.
+    /// The status and the headers of a response.
     Head(Head),
-    /// A part of the body.
+    /// A chunk of the response body.
     Body(Vec<u8>),
-    /// The end; `true`: another request may follow.
+    /// The end of a response; `true` if the connection can carry another request.
     End(bool),
-    /// So many bytes of the request's body are wanted.
+    /// Requests the next chunk of the request body, of at most this many bytes.
     GetBody(u16),
-    /// It is there.
+    /// The answer to a ping.
     Pong,
 }
 
 impl Response {
-    /// Reads the content of a packet.
+    /// Decodes the content of a packet.
     pub fn read(content: &[u8]) -> Result<Response, DecodeError> {
         let mut reader = Reader::new(content);
         let response = match reader.byte()? {
             code::HEADERS => Response::Head(read_head(&mut reader)?),
             code::BODY => {
                 let length = usize::from(reader.integer()?);
-                let part = reader.bytes(length)?.to_vec();
-                // Implementations put a zero byte behind it, of which the reference says nothing.
-                let end = reader.remaining();
-                if end != b"\0" && !end.is_empty() {
-                    return Err(DecodeError("bytes behind a part of a body"));
+                let chunk = reader.bytes(length)?.to_vec();
+                // Implementations add a zero byte after the chunk, which the reference does not mention.
+                let trailing = reader.remaining();
+                if trailing != b"\0" && !trailing.is_empty() {
+                    return Err(DecodeError("unexpected bytes after a chunk of the response body"));
                 }
-                return Ok(Response::Body(part));
+                return Ok(Response::Body(chunk));
             }
             code::END => Response::End(reader.boolean()?),
             code::GET_BODY => Response::GetBody(reader.integer()?),
             code::CPONG => Response::Pong,
-            _ => return Err(DecodeError("no known answer")),
+            _ => return Err(DecodeError("unknown packet code from the server")),
         };
         match reader.remaining() {
             [] => Ok(response),
-            _ => Err(DecodeError("bytes behind the end of an answer")),
+            _ => Err(DecodeError("unexpected bytes after the end of a response packet")),
         }
     }
 }
@@ -78,17 +78,19 @@
 fn read_head(reader: &mut Reader) -> Result<Head, DecodeError> {
     let (status, reason) = (reader.integer()?, reader.text()?);
     if !(100..1_000).contains(&status) {
-        return Err(DecodeError("a status that is none"));
+        return Err(DecodeError("status code is out of range"));
     }
     let count = usize::from(reader.integer()?);
     if count > MAX_HEADERS {
-        return Err(DecodeError("too many headers"));
+        return Err(DecodeError("too many response headers"));
     }
     let mut headers = Vec::new();
     for _ in 0..count {
         let length = reader.integer()?;
         let name = if length & 0xff00 == codes::CODED_HEADER_PREFIX {
-            codes::response_header(length).map(String::from).ok_or(DecodeError("no known header code"))?
+            codes::response_header(length)
+                .map(String::from)
+                .ok_or(DecodeError("unknown response header code"))?
         } else {
             data::text(reader.string_with_length(length)?.unwrap_or_default())?.to_ascii_lowercase()
         };
@@ -97,7 +99,7 @@
     Ok(Head { status, reason, headers })
 }
 
-/// The content of a packet with status and headers.
+/// Writes the content of a packet with the status and the headers of a response.
 pub fn write_head(
     out: &mut Vec<u8>,
     status: u16,
@@ -121,10 +123,10 @@
     Ok(())
 }
 
-/// The content of a packet with a part of a body, which must fit.
-pub fn write_body(out: &mut Vec<u8>, part: &[u8]) {
+/// Writes the content of a packet with a chunk of the response body, which must fit the packet.
+pub fn write_body(out: &mut Vec<u8>, chunk: &[u8]) {
     out.push(code::BODY);
-    data::write_integer(out, part.len() as u16);
-    out.extend_from_slice(part);
+    data::write_integer(out, chunk.len() as u16);
+    out.extend_from_slice(chunk);
     out.push(0);
 }
--- a/crates/ajp/src/server.rs
+++ b/crates/ajp/src/server.rs
@@ -1,4 +1,4 @@
-//! The end that answers.
+//! The server side of a connection.
 
 use crate::data::Reader;
 use crate::packet::{self, Sender};
@@ -6,147 +6,162 @@
 use crate::response::{self, code};
 use crate::{DecodeError, EncodeError};
 
+/// The packet code of a request to shut down.
 const SHUTDOWN: u8 = 7;
+/// The packet code of a ping.
 const CPING: u8 = 10;
-/// What a part of a body takes besides its bytes: header, code, length and the zero byte behind it.
-const AROUND: usize = packet::HEADER_BYTES + 4;
-/// The same in a part of a request's body: header and length.
-const AROUND_ASKED: usize = packet::HEADER_BYTES + 2;
+/// Bytes of a packet around a chunk of the response body: packet header, code, length and the terminating
+/// zero byte.
+const RESPONSE_CHUNK_OVERHEAD: usize = packet::HEADER_BYTES + 4;
+/// Bytes of a packet around a chunk of the request body: packet header and length.
+const REQUEST_CHUNK_OVERHEAD: usize = packet::HEADER_BYTES + 2;
 
-/// What came.
+/// What a decoded packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request. Whether a body follows is said by [`ServerConnection::awaits_body`].
+    /// A request. [`ServerConnection::awaits_body`] tells whether a body follows.
     Request(Box<Request>),
-    /// A part of its body; `true` with the last.
+    /// A chunk of the request body; `true` for the last one.
     Body(Vec<u8>, bool),
-    /// The other end wants to know whether anybody is here; [`ServerConnection::send_pong`] says so.
+    /// A ping, to be answered with [`ServerConnection::send_pong`].
     Ping,
-    /// The other end wants this one to shut down. It is not to be obeyed: anybody who can connect can say it.
+    /// A request to shut down. It must be ignored, since anybody who can connect can send it.
     Shutdown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// A request may come.
+    /// No request is open: the next one can be received.
     Idle,
-    /// A body comes: so much of it is left, where its length was stated, and whether the next part was asked for.
-    Body { left: Option<u64>, asked: bool },
-    /// The request is whole and its answer is owed.
-    Owing,
+    /// The request body is being received. `remaining` is the number of bytes to come, if the length is
+    /// known; `chunk_requested` tells whether the next chunk was requested.
+    Body { remaining: Option<u64>, chunk_requested: bool },
+    /// The request is complete and not answered yet.
+    AwaitingResponse,
     /// The connection can't carry another request.
-    Over,
+    Closed,
 }
 
-/// One connection, seen from the end that answers.
+/// The server side of one connection.
 #[derive(Clone, Debug)]
 pub struct ServerConnection {
-    largest: usize,
+    max_packet_bytes: usize,
     state: State,
-    /// What is to be written to the other end; the host empties it.
+    /// Bytes to be sent to the client. The application writes and empties it.
     pub output: Vec<u8>,
 }
 
 impl ServerConnection {
-    /// A new connection, whose packets are no larger than this; out of range it is brought into it.
-    pub fn new(largest: usize) -> ServerConnection {
-        let largest = largest.clamp(packet::DEFAULT_PACKET_BYTES, packet::MAX_PACKET_BYTES);
-        ServerConnection { largest, state: State::Idle, output: Vec::new() }
+    /// Returns the state of a new connection with this maximum packet size, which is clamped to the allowed
+    /// range.
+    pub fn new(max_packet_bytes: usize) -> ServerConnection {
+        let max_packet_bytes = max_packet_bytes.clamp(packet::DEFAULT_PACKET_BYTES, packet::MAX_PACKET_BYTES);
+        ServerConnection { max_packet_bytes, state: State::Idle, output: Vec::new() }
     }
 
-    /// Takes the first packet off `bytes`: how many bytes it took (0: it is not yet whole) and what came of it.
-    /// After an error nothing more may be taken.
+    /// Decodes the packet at the start of `bytes`. Returns the number of bytes consumed (0 if the packet is
+    /// incomplete) and the event. After an error the connection must not be used any more.
     pub fn decode(&mut self, bytes: &[u8]) -> Result<(usize, Option<Event>), DecodeError> {
-        let Some(packet) = packet::parse_packet(bytes, Sender::Client, self.largest)? else {
+        let Some(packet) = packet::parse_packet(bytes, Sender::Client, self.max_packet_bytes)? else {
             return Ok((0, None));
         };
         let content = &bytes[packet.content.clone()];
         let event = match self.state {
-            State::Idle => self.begin(content)?,
-            State::Body { left, asked: true } => self.part(content, left)?,
-            State::Body { asked: false, .. } => {
-                return Err(DecodeError("a part of a body that was not asked for"))
+            State::Idle => self.handle_idle_packet(content)?,
+            State::Body { remaining, chunk_requested: true } => self.handle_body_chunk(content, remaining)?,
+            State::Body { chunk_requested: false, .. } => {
+                return Err(DecodeError("body chunk that was not requested"))
             }
-            State::Owing => return Err(DecodeError("a packet before the end of the request before it")),
-            State::Over => return Err(DecodeError("a packet behind the last answer")),
+            State::AwaitingResponse => {
+                return Err(DecodeError("a packet before the end of the request before it"))
+            }
+            State::Closed => return Err(DecodeError("packet received after the last response")),
         };
         Ok((packet.size, Some(event)))
     }
 
-    fn begin(&mut self, content: &[u8]) -> Result<Event, DecodeError> {
+    /// Handles a packet on an idle connection, which must be a request, a ping or a request to shut down.
+    fn handle_idle_packet(&mut self, content: &[u8]) -> Result<Event, DecodeError> {
         let mut reader = Reader::new(content);
         match (reader.byte()?, reader.remaining()) {
             (request::FORWARD, _) => {
                 let request = Request::read(&mut reader)?;
                 let length = request.content_length()?;
                 if length.is_some() && request.is_chunked() {
-                    return Err(DecodeError("a body with a length and in chunks"));
+                    return Err(DecodeError("request has both Content-Length and Transfer-Encoding"));
                 }
                 self.state = match length {
-                    // The first part of a body whose length is stated comes without being asked for.
-                    Some(left) if left > 0 => State::Body { left: Some(left), asked: true },
-                    None if request.is_chunked() => State::Body { left: None, asked: false },
-                    _ => State::Owing,
+                    // The client sends the first chunk of a body of known length without a request for it.
+                    Some(length) if length > 0 => {
+                        State::Body { remaining: Some(length), chunk_requested: true }
+                    }
+                    None if request.is_chunked() => State::Body { remaining: None, chunk_requested: false },
+                    _ => State::AwaitingResponse,
                 };
                 Ok(Event::Request(Box::new(request)))
             }
             (CPING, []) => Ok(Event::Ping),
             (SHUTDOWN, []) => Ok(Event::Shutdown),
-            _ => Err(DecodeError("no known packet")),
+            _ => Err(DecodeError("unknown packet code from the client")),
         }
     }
 
-    fn part(&mut self, content: &[u8], left: Option<u64>) -> Result<Event, DecodeError> {
-        let part = match *content {
+    fn handle_body_chunk(&mut self, content: &[u8], remaining: Option<u64>) -> Result<Event, DecodeError> {
+        let chunk = match *content {
             [] => &[][..],
-            [high, low, ref part @ ..] if usize::from(u16::from_be_bytes([high, low])) == part.len() => part,
-            _ => return Err(DecodeError("a part of a body whose length does not fit")),
+            [high, low, ref chunk @ ..] if usize::from(u16::from_be_bytes([high, low])) == chunk.len() => {
+                chunk
+            }
+            _ => return Err(DecodeError("length of a body chunk does not match its packet")),
         };
-        let size = part.len() as u64;
-        let last = match left {
-            Some(left) if size > left => return Err(DecodeError("a body longer than stated")),
-            Some(left) if size == 0 && left > 0 => return Err(DecodeError("a body shorter than stated")),
-            Some(left) => left == size,
+        let size = chunk.len() as u64;
+        let is_last = match remaining {
+            Some(remaining) if size > remaining => return Err(DecodeError("a body longer than stated")),
+            Some(remaining) if size == 0 && remaining > 0 => {
+                return Err(DecodeError("a body shorter than stated"))
+            }
+            Some(remaining) => remaining == size,
             None => size == 0,
         };
-        let left = left.map(|left| left - size);
-        self.state = if last { State::Owing } else { State::Body { left, asked: false } };
-        Ok(Event::Body(part.to_vec(), last))
+        let remaining = remaining.map(|remaining| remaining - size);
+        self.state =
+            if is_last { State::AwaitingResponse } else { State::Body { remaining, chunk_requested: false } };
+        Ok(Event::Body(chunk.to_vec(), is_last))
     }
 
-    /// Whether parts of a body are still to come.
+    /// Whether chunks of the request body are still to be received.
     pub fn awaits_body(&self) -> bool {
         matches!(self.state, State::Body { .. })
     }
 
-    /// Whether nothing is open: a request may come, or the connection be closed.
+    /// Whether no request is open, so that the connection can be reused or closed.
     pub fn is_idle(&self) -> bool {
         self.state == State::Idle
     }
 
-    /// Whether the connection is to be closed once all is written.
+    /// Whether the connection must be closed once the output is written.
     pub fn should_close(&self) -> bool {
-        self.state == State::Over
+        self.state == State::Closed
     }
 
-    /// Asks for the next part of the body, unless it is on its way.
+    /// Requests the next chunk of the request body, unless it was already requested.
     pub fn request_body_chunk(&mut self) {
-        if let State::Body { left, asked: false } = self.state {
-            let room = (self.largest - AROUND_ASKED) as u64;
-            let wanted = left.unwrap_or(room).min(room) as u16;
-            let [high, low] = wanted.to_be_bytes();
+        if let State::Body { remaining, chunk_requested: false } = self.state {
+            let max_chunk_bytes = (self.max_packet_bytes - REQUEST_CHUNK_OVERHEAD) as u64;
+            let chunk_bytes = remaining.unwrap_or(max_chunk_bytes).min(max_chunk_bytes) as u16;
+            let [high, low] = chunk_bytes.to_be_bytes();
             packet::write_packet(&mut self.output, Sender::Server, &[code::GET_BODY, high, low]);
-            self.state = State::Body { left, asked: true };
+            self.state = State::Body { remaining, chunk_requested: true };
         }
     }
 
-    /// Says that somebody is here.
+    /// Answers a ping.
     pub fn send_pong(&mut self) {
         packet::write_packet(&mut self.output, Sender::Server, &[code::CPONG]);
     }
 
-    /// Gives the whole answer. The connection can carry another request where `reuse` is wanted and the body of this
-    /// one has come whole. Headers that do not fit a packet change nothing.
+    /// Sends the complete response. With `reuse` the connection can carry another request, unless the body of
+    /// this one was not received completely. Nothing is sent if the headers do not fit a packet.
     pub fn send_response(
         &mut self,
         status: u16,
@@ -155,27 +170,28 @@
         body: &[u8],
         reuse: bool,
     ) -> Result<(), EncodeError> {
-        if matches!(self.state, State::Idle | State::Over) {
+        if matches!(self.state, State::Idle | State::Closed) {
             return Err(EncodeError::OutOfTurn);
         }
         let mut head = Vec::new();
         response::write_head(&mut head, status, reason, headers)?;
-        if head.len() + packet::HEADER_BYTES > self.largest {
+        if head.len() + packet::HEADER_BYTES > self.max_packet_bytes {
             return Err(EncodeError::TooLong);
         }
         packet::write_packet(&mut self.output, Sender::Server, &head);
-        for part in body.chunks(self.largest - AROUND) {
-            let mut content = Vec::with_capacity(part.len() + AROUND);
-            response::write_body(&mut content, part);
+        for chunk in body.chunks(self.max_packet_bytes - RESPONSE_CHUNK_OVERHEAD) {
+            let mut content = Vec::with_capacity(chunk.len() + RESPONSE_CHUNK_OVERHEAD);
+            response::write_body(&mut content, chunk);
             packet::write_packet(&mut self.output, Sender::Server, &content);
         }
-        self.end(reuse);
+        self.write_end(reuse);
         Ok(())
     }
 
-    fn end(&mut self, reuse: bool) {
-        let reuse = reuse && self.state == State::Owing;
+    /// Writes the packet that ends a response.
+    fn write_end(&mut self, reuse: bool) {
+        let reuse = reuse && self.state == State::AwaitingResponse;
         packet::write_packet(&mut self.output, Sender::Server, &[code::END, u8::from(reuse)]);
-        self.state = if reuse { State::Idle } else { State::Over };
+        self.state = if reuse { State::Idle } else { State::Closed };
     }
 }
