--- a/crates/ajp/src/request.rs
+++ b/crates/ajp/src/request.rs
@@ -75,7 +75,7 @@
 
     /// The Content-Length in bytes; `None` if there is none. Values that differ are an error.
     pub fn content_length(&self) -> Result<Option<u64>, DecodeError> {
-        let invalid = DecodeError("a content length that is no number");
+        let invalid = DecodeError("Content-Length is not a number");
         let mut found = None;
         for (_, value) in self.headers.iter().filter(|(name, _)| name == "content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/ajp/src/server.rs
+++ b/crates/ajp/src/server.rs
@@ -73,7 +73,7 @@
                 return Err(DecodeError("body chunk that was not requested"))
             }
             State::AwaitingResponse => {
-                return Err(DecodeError("a packet before the end of the request before it"))
+                return Err(DecodeError("packet received before the previous request was answered"))
             }
             State::Closed => return Err(DecodeError("packet received after the last response")),
         };
@@ -116,9 +116,11 @@
         };
         let size = chunk.len() as u64;
         let is_last = match remaining {
-            Some(remaining) if size > remaining => return Err(DecodeError("a body longer than stated")),
+            Some(remaining) if size > remaining => {
+                return Err(DecodeError("body is longer than its Content-Length"))
+            }
             Some(remaining) if size == 0 && remaining > 0 => {
-                return Err(DecodeError("a body shorter than stated"))
+                return Err(DecodeError("body is shorter than its Content-Length"))
             }
             Some(remaining) => remaining == size,
             None => size == 0,
--- a/crates/ajp/tests/both_ends.rs
+++ b/crates/ajp/tests/both_ends.rs
@@ -152,11 +152,14 @@
 #[test]
 fn body_must_match_its_content_length() {
     assert_eq!(receive_body("4", &[b"ab", b"cd"]), Ok(b"abcd".to_vec()));
-    assert_eq!(receive_body("4", &[b"abcde"]), Err("a body longer than stated"));
-    assert_eq!(receive_body("4", &[b"ab", b""]), Err("a body shorter than stated"));
-    assert_eq!(receive_body("2", &[b"ab", b"c"]), Err("a packet before the end of the request before it"));
+    assert_eq!(receive_body("4", &[b"abcde"]), Err("body is longer than its Content-Length"));
+    assert_eq!(receive_body("4", &[b"ab", b""]), Err("body is shorter than its Content-Length"));
+    assert_eq!(
+        receive_body("2", &[b"ab", b"c"]),
+        Err("packet received before the previous request was answered")
+    );
     for invalid in ["-1", "+1", "", " 4", "99999999999999999999", "4,4"] {
-        assert_eq!(receive_body(invalid, &[]), Err("a content length that is no number"), "{invalid:?}");
+        assert_eq!(receive_body(invalid, &[]), Err("Content-Length is not a number"), "{invalid:?}");
     }
 }
 
