--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -12,7 +12,9 @@
 /// Limit on the body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 2 * 1024;
 
+/// The number of the Responder role in a begin-request record.
 const RESPONDER_ROLE: u16 = 1;
+/// The flag of a begin-request record that keeps the connection open after the response.
 const KEEP_CONNECTION_FLAG: u8 = 1;
 
 /// What the records received on a connection amount to.
@@ -34,18 +36,22 @@
     Abort(u16),
 }
 
+/// A request that was begun and not answered yet.
 #[derive(Default)]
-struct PartialRequest {
+struct OpenRequest {
     params: Vec<u8>,
     body: Vec<u8>,
     too_long: bool,
+    /// Whether the end of the parameters was received.
     params_done: bool,
+    /// Whether the request was handed out as [`Incoming::Request`], which empties `params` and `body`.
     complete: bool,
     keep_connection: bool,
 }
 
-impl PartialRequest {
-    fn add(&mut self, kind: u8, bytes: &[u8]) {
+impl OpenRequest {
+    /// Appends the content of a `PARAMS` or `STDIN` record.
+    fn append(&mut self, kind: u8, bytes: &[u8]) {
         let (stream, max_bytes) = match kind {
             kind::PARAMS => (&mut self.params, MAX_PARAMS_BYTES),
             _ => (&mut self.body, MAX_BODY_BYTES),
@@ -64,7 +70,8 @@
 #[derive(Default)]
 pub struct Responder {
     max_connections: usize,
-    slots: BTreeMap<u16, PartialRequest>,
+    /// The open requests by request id.
+    slots: BTreeMap<u16, OpenRequest>,
     /// Bytes to be written to the peer.
     pub output: Vec<u8>,
     close_requested: bool,
@@ -163,10 +170,7 @@
         } else {
             self.slots.insert(
                 slot,
-                PartialRequest {
-                    keep_connection: flags & KEEP_CONNECTION_FLAG != 0,
-                    ..PartialRequest::default()
-                },
+                OpenRequest { keep_connection: flags & KEEP_CONNECTION_FLAG != 0, ..OpenRequest::default() },
             );
         }
         Ok(())
@@ -199,7 +203,7 @@
             let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
             return Some(Incoming::Request { slot, params, body, too_long: open.too_long });
         } else if kind == kind::STDIN || !open.params_done {
-            open.add(kind, content);
+            open.append(kind, content);
             if open.too_long {
                 // The peer exceeds the limits, so the connection is closed after the response.
                 (open.complete, open.keep_connection) = (true, false);
