--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -136,7 +136,7 @@
         let retry_at = now + FENCED_RETRY_INTERVAL;
         self.fencing.holder = Some(NameHolder { boot_id: by_boot_id, retry_at });
         self.outbox.push_event(Event::Fenced { by_boot_id });
-        let cause = format!("another process with this name, started at {by_boot_id}, has replaced this one");
+        let cause = format!("another process of this name, started at {by_boot_id}, has taken its place");
         self.reset_evidence(now, cause);
     }
 
--- a/crates/membership/src/membership/reporting.rs
+++ b/crates/membership/src/membership/reporting.rs
@@ -158,7 +158,7 @@
         evidence.add_at(format!("this server stands as {status}"), self.partition.since());
         evidence.add(self.describe_reach(now, self.count_reachable(now)));
         let (score, stalls) = (self.health_score(), self.counts.standstills);
-        evidence.add(format!("sick {score} of 8, stalled {stalls} times"));
+        evidence.add(format!("sick {score} of 8, stood still {stalls} times"));
         if let Some(boot_id) = self.fencing.holder_boot_id() {
             evidence.add(format!("silent: another process, started at {boot_id}, has its name"));
         }
@@ -168,17 +168,17 @@
         match session.last_heard {
             Some(at) => evidence.add_at("heard directly", at),
             None => {
-                let text = "not heard directly since this server started to listen";
+                let text = "not heard directly since this server began to listen";
                 evidence.add_at(text, self.clock.evidence_valid_from);
             }
         }
         match session.last_heard_by_datagram {
             Some(at) => evidence.add_at("heard by datagram", at),
-            None => evidence.add("no datagram has been received from it"),
+            None => evidence.add("no datagram came from it"),
         }
         match session.heard_us_ago(evidence.now) {
-            Some(age) => evidence.add_aged("it reports that it heard this server", age),
-            None => evidence.add("it has not reported that it hears this server"),
+            Some(age) => evidence.add_aged("by its word it heard this server", age),
+            None => evidence.add("it has not said that it hears this server"),
         }
         if let Some(ReportedStatus { received_at, status }) = session.reported {
             evidence.add_at(describe_status(&status), received_at);
@@ -250,11 +250,11 @@
     }
     let MemberRecord { boot_id, incarnation, renewal, .. } = record;
     evidence
-        .add(format!("process started at {boot_id}, incarnation {incarnation}, rejoined {renewal} times"));
+        .add(format!("process started at {boot_id}, incarnation {incarnation}, came back {renewal} times"));
 }
 
 fn describe_status(status: &SenderStatus) -> String {
     let SenderStatus { partition_status, load_percent, health_score, leaving, .. } = status;
     let leaving = if *leaving { ", leaving" } else { "" };
-    format!("it reports: {partition_status}, load {load_percent} %, sick {health_score} of 8{leaving}")
+    format!("it says: {partition_status}, load {load_percent} %, sick {health_score} of 8{leaving}")
 }
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -68,7 +68,7 @@
         // timers are postponed, as no answer could have reached it.
         self.counts.standstills += 1;
         self.swim.postpone_timers(gap);
-        self.reset_evidence(now, format!("this process was stalled for {} ms", gap / 1_000));
+        self.reset_evidence(now, format!("this server stood still for {} ms", gap / 1_000));
     }
 
     /// Discards all evidence: members do not count as reachable until they are heard again.
--- a/crates/membership/src/membership/views.rs
+++ b/crates/membership/src/membership/views.rs
@@ -22,10 +22,8 @@
 fn state_and_cause(state: foca::State, leaving: bool) -> (MemberState, &'static str) {
     match state {
         foca::State::Alive if leaving => (MemberState::Leaving, "it said that it leaves"),
-        foca::State::Alive => (MemberState::Present, "it answers probes of this server or of other members"),
-        foca::State::Suspect => {
-            (MemberState::Suspected, "a probe by this server or by another member was not answered")
-        }
+        foca::State::Alive => (MemberState::Present, "it answers, to us or to others"),
+        foca::State::Suspect => (MemberState::Suspected, "a probe brought nothing, by us or by others"),
         foca::State::Down if leaving => (MemberState::Left, "it said that it leaves, and is gone"),
         foca::State::Down => (MemberState::Failed, "a suspicion was not refuted in time"),
     }
