--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -114,7 +114,7 @@
     }
 
     /// Begins a handshake or repeats its hello. Returns the nonce to send, or `None` if the last hello was
-    /// sent less than [`HELLO_INTERVAL`] ago. `fresh_nonce` is used if there is no nonce yet or it is too
+    /// sent less than `HELLO_INTERVAL` ago. `fresh_nonce` is used if there is no nonce yet or it is too
     /// old.
     pub fn start_handshake(&mut self, now: Micros, fresh_nonce: u64) -> Option<u64> {
         let nonce = match self.challenge {
