--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that are no balancers: each gets a refusal, an error or a close, and nobody else suffers.
+//! Clients that do not behave like load balancers: their requests are rejected or their connections closed,
+//! and no other client is affected.
 
 mod common;
 
@@ -10,12 +11,12 @@
 use common::{Balancer, Request, World, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 
-/// Idle connections are let be for far longer than a test waits.
+/// Sets the idle timeout to 300 s, far longer than a test waits, so that no connection is closed as idle.
 fn patient(config: &mut Value) {
     config["settings"]["family_info"]["idle_us"] = json!(300_000_000);
 }
 
-/// Waits for the server to end the connection; what it sent before that.
+/// Waits until the server closes the connection, also by a reset, and returns the bytes that it sent before.
 fn closed(mut stream: TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
     let mut all = Vec::new();
@@ -25,6 +26,7 @@
     }
 }
 
+/// A FastCGI record that begins a request and asks for the connection to be kept open.
 fn begin(slot: u16) -> Vec<u8> {
     record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0])
 }
@@ -38,7 +40,7 @@
         whole[..5].to_vec(),
         whole[..whole.len() / 2].to_vec(),
         [begin(1), record(4, 1, b"")].concat(),
-        // Nothing that belongs to a request.
+        // A record that belongs to no request.
         record(11, 0, &[0; 8]),
     ];
     let sent = |bytes: &Vec<u8>| {
@@ -57,7 +59,7 @@
     let half = Request::new(2, "half").bytes();
     balancer.send_bytes(&half[..half.len() / 2]);
     std::thread::sleep(Duration::from_millis(2_200));
-    // What is open on it is answered all the same.
+    // The request in flight on the connection is still answered.
     world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     assert_eq!(balancer.try_answer(), None);
@@ -72,7 +74,7 @@
         assert_eq!(world.agent.expect_command("launch").0, id);
         world.agent.send_outcome(id, "fine", b"r");
         assert_eq!(balancer.answer().body, b"r");
-        // Longer than a first request may take to come.
+        // Longer than the 2 s in which a new connection must complete its first request.
         std::thread::sleep(Duration::from_millis(2_300));
     }
 }
@@ -106,7 +108,8 @@
     let before = world.memory_kb();
     let mut balancer = world.balancer();
     let sound = Request::new(1, "a").bytes();
-    // All but the record that ends the body, and a part of what is to come.
+    // All but the record that ends the body (8 bytes of header, 3 of padding), then a record that makes the
+    // body longer than allowed and does not end it.
     balancer.send_bytes(&sound[..sound.len() - 11]);
     balancer.send_bytes(&record(5, 1, &[7; 65_000]));
     assert_eq!(balancer.answer().status, 400);
@@ -125,10 +128,11 @@
     assert_eq!(usual.round_trip(&Request::health_check(1, "")).status, 200);
     let crowd: Vec<TcpStream> =
         (0..200).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
-    // All of the crowd has been let in when a later connection is served.
+    // Once a later connection is served, all the silent ones have been accepted.
     let mut last = Balancer::connect(world.listen);
     assert_eq!(last.round_trip(&Request::health_check(1, "")).status, 200);
-    // The one that has asked before is still there, though idle for longer than any of them.
+    // The connection that made a request before them is kept, though it has been idle longer than any of
+    // them.
     assert_eq!(usual.round_trip(&Request::health_check(2, "")).status, 200);
     assert!(world.descriptor_count() <= 64, "{}", world.descriptor_count());
     drop(crowd);
@@ -146,7 +150,7 @@
         world.agent.send(&json!({"op": "refusal", "end": "launch", "id": id}));
         assert_eq!(stranger.answer().status, 500);
     }
-    // A server that took these for failed runs would be sick, and let two probes through at most.
+    // If these counted as failed runs, the server would be unhealthy and admit at most two probe requests.
     let mut balancer = world.balancer();
     for slot in 1..=5 {
         balancer.send(&Request::new(slot, &format!("sound{slot}")));
--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Commands and their errors, and the checks of the configuration before anything is served.
+//! Command-line arguments and their errors, and the validation of the configuration before the server starts.
 
 mod common;
 
@@ -13,7 +13,8 @@
     })
 }
 
-/// The error lines of a command that rejects this configuration, just one of which is the program's own.
+/// Runs a command that must reject this configuration. Returns its standard error, of which exactly one line
+/// starts with the program's name.
 fn rejection(command: &str, text: &str) -> String {
     let output = run(&[command], Some(text));
     assert!(!output.status.success());
@@ -72,12 +73,13 @@
     }
 }
 
-/// An error about a field names the file and the line where the field stands, and the reason.
+/// An error about a field names the file, the line of the field and the reason.
 #[test]
 fn errors_name_the_line_of_the_field() {
     let mut config = config();
-    *config.pointer_mut("/settings/classes/0").expect("a class") = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0, "effect": "idempotency_key",
-               "repeat_window_us": 0});
+    let class_without_window = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
+                                      "effect": "idempotency_key", "repeat_window_us": 0});
+    *config.pointer_mut("/settings/classes/0").expect("a class") = class_without_window;
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"repeat_window_us\"")).expect("the field");
     for command in ["check", "serve"] {
@@ -87,8 +89,9 @@
     }
 }
 
-/// Guards against a server of a first tier that does not start: the next tier is reached at `records`, as what all servers
-/// share is. Without that address its calls would go nowhere, which is reported at the start.
+/// Guards against a first-tier server that does not start: the next tier is reached at the address `records`,
+/// as the dependency shared by all servers is. Without that address its calls would go nowhere, so it is
+/// required at the start.
 #[test]
 fn any_downstream_needs_an_address_for_records() {
     for downstream in ["common", "next_hop"] {
@@ -101,8 +104,8 @@
     }
 }
 
-/// Guards against a server that does not start at another customer's: each of these settings stands by itself, and any
-/// mix of them is sound.
+/// Guards against a server that does not start with another customer's configuration: these settings are
+/// independent of each other, so every combination is valid.
 #[test]
 fn settings_are_valid_in_any_combination() {
     let set = |config: &mut Value, path: &str, value: Value| {
@@ -137,8 +140,9 @@
     }
 }
 
-/// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a warning names its
-/// line. It is not rejected, as files may carry keys of their own (the fleet's `admin`).
+/// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a
+/// warning names the line of the unknown key. The key is not rejected, as files may carry keys of their own
+/// (the fleet's `admin`).
 #[test]
 fn unknown_keys_are_warned_about_with_their_line() {
     let mut config = config();
@@ -156,8 +160,9 @@
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
-/// Guards against a server that does not start at a customer whose keys weigh little: a full table rejects first attempts
-/// and drops no live key (`memory/idempotency_cache/tests.rs`, `admission/tests`).
+/// Guards against a server that does not start for a customer whose idempotency keys take little memory. Any
+/// size is safe, as a full table rejects first attempts and drops no live key
+/// (`memory/idempotency_cache/tests.rs`, `admission/tests`).
 #[test]
 fn idempotency_keys_may_have_any_size() {
     let class = json!({"name": "book", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Call plans of several dependencies, on sockets, with each kind of failure.
+//! Call plans with several dependencies over real sockets, with each kind of failure.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use umberloom_dependencies::aggregation::{AggregateResponse, Part};
 
-/// Parts of the aggregated response in a `deliver` command, in one line.
+/// The parts of the aggregated response in a `deliver` command, as one line of text.
 fn parts(deliver: &Value) -> String {
     let body = STANDARD.decode(deliver["body"].as_str().expect("a body")).expect("base64");
     let envelope = AggregateResponse::decode(&body).expect("an envelope");
@@ -26,7 +26,8 @@
     all.join(", ")
 }
 
-/// An operator's file: class `search` needs the platform's records service and may do without `extra`, in a stage of 400 ms.
+/// An operator's file whose plan for class `search` has one stage of at most 400 ms: it requires the
+/// platform's records service, and `extra` is optional. `more` holds further nodes of `extra`.
 fn operator(extra: &[&Dependency], more: &str) -> String {
     let endpoints: Vec<String> = extra.iter().map(|d| format!("\"{}\"", d.address)).collect();
     format!(
@@ -37,7 +38,8 @@
     )
 }
 
-/// Makes one run with calls; gives the parts of its response. The records service replies at once.
+/// Performs one run that requests a call and returns the parts of its aggregated response. The records
+/// service replies at once.
 fn run_one(world: &mut World, id: &str) -> String {
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, id).with("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"));
@@ -60,7 +62,7 @@
     let mut call = world.records.next_call();
     assert_eq!(call.request.request_line, "POST /records/op HTTP/1.1");
     assert_eq!((call.request.header("Op-Of"), call.request.body.as_slice()), ("a", &b"what"[..]));
-    // The other call does not wait for it.
+    // The call to `extra` does not wait for the reply of the records service.
     eventually("the other call", || (extra.call_count() == 1).then_some(()));
     assert_eq!(extra.bodies(), [b"what"]);
     assert!(extra.stated_timeouts_ms().iter().all(|&ms| ms <= 400), "{:?}", extra.stated_timeouts_ms());
@@ -110,11 +112,11 @@
         let start = Instant::now();
         let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
-        // Far less than the time that the request has; the machine may be slow.
+        // Far less than the request's budget of 150 s, but enough for a slow machine.
         assert!(start.elapsed() < Duration::from_secs(10), "{behaviour:?}");
     }
     extra.set_behaviour(Behaviour::Down);
-    eventually("the port to be shut", || std::net::TcpStream::connect(extra.address).is_err().then_some(()));
+    eventually("a closed port", || std::net::TcpStream::connect(extra.address).is_err().then_some(()));
     assert_eq!(run_one(&mut world, "down"), "records: booked, extra: Unreachable");
     assert!(world.memory_kb() < before + 8_192, "a reply of 3 GB is not buffered");
     assert!(world.is_alive());
@@ -124,7 +126,7 @@
 fn a_request_whose_required_dependency_fails_is_not_served() {
     let mut world = World::up_with(
         |config| {
-            // No call may be skipped, so one that fails fails its request.
+            // No call may be skipped, so a failed call fails its request.
             config["settings"]["family_info"]["class_skip_worth"] = json!([0.0, 0.0, 0.0]);
             config["settings"]["classes"][0]["effect"] = json!("non_idempotent");
         },
@@ -139,7 +141,7 @@
 #[test]
 fn calls_to_an_endpoint_that_is_down_go_to_another() {
     let (down, up) = (Dependency::start(Behaviour::Down), Dependency::start(Behaviour::quick(b"notes")));
-    eventually("the port to be shut", || std::net::TcpStream::connect(down.address).is_err().then_some(()));
+    eventually("a closed port", || std::net::TcpStream::connect(down.address).is_err().then_some(()));
     let mut world = World::up_with(|_| (), &operator(&[&down, &up], "retry burst=20"));
     for number in 0..12 {
         assert_eq!(run_one(&mut world, &format!("r{number}")), "records: booked, extra: notes");
@@ -186,7 +188,7 @@
     {
         let lines = world.log().matches("configuration reload rejected").count();
         world.replace_operator_config(broken);
-        eventually("a complaint", || {
+        eventually("a rejected reload in the log", || {
             (world.log().matches("configuration reload rejected").count() > lines).then_some(())
         });
     }
@@ -216,7 +218,7 @@
     world.agent.send_call_request("a", b"what");
     eventually("the call", || (extra.call_count() == 1).then_some(()));
     world.terminate();
-    // There is one answer, and the calls are cancelled with it.
+    // The request gets exactly one answer, and its calls are cancelled.
     assert!(matches!(balancer.answer().status, 500 | 503));
     assert!(world.wait_for_exit().success());
     assert_eq!(balancer.try_answer(), None);
@@ -261,7 +263,8 @@
         let found = run_one(&mut world, &format!("r{number}"));
         assert_eq!(found, format!("records: booked, extra: {wanted}"), "{behaviour:?}");
     }
-    // A connection that was idle for long is tested first; one that does not answer is replaced, and no call is lost.
+    // A connection idle for 1 s or longer is pinged before its next call. If it does not answer, it is
+    // replaced and the call is not lost.
     server.set_behaviour(AjpBehaviour::IgnorePings);
     std::thread::sleep(Duration::from_millis(1_300));
     assert_eq!(run_one(&mut world, "after a pause"), "records: booked, extra: well");
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -1,4 +1,5 @@
-//! Races that are made to happen every time: what arrives between two steps of a server that ends, waits or has no room.
+//! Races that the tests force to happen on every run: input that arrives between two steps of a server that
+//! drains, is stalled, waits for a peer or has no descriptor left.
 
 mod common;
 
@@ -13,20 +14,21 @@
 
 use common::{eventually, Announce, Balancer, Request, World, WAIT_TIMEOUT};
 
-/// Leaves the running server no descriptor beyond those that it has open.
+/// Lowers the descriptor limit of the running server so that it can't open any further descriptor.
 fn exhaust_descriptors(world: &World) {
     let free = (0..).find(|n| !world.has_open_descriptor(*n)).expect("a free number");
     limit_descriptors(world, free);
 }
 
-/// Sets the system's limit on the descriptors of the running server.
+/// Sets the operating system's limit on the descriptors of the running server.
 fn limit_descriptors(world: &World, most: usize) {
     let limit = format!("--nofile={most}:{most}");
     let done = Command::new("prlimit").args(["--pid", &world.pid().to_string(), &limit]).status();
     assert!(done.expect("prlimit").success());
 }
 
-/// What a peer gets until its connection is closed, which must happen without a reset: that may take an answer with it.
+/// Reads until the server closes the connection. It must do so without a reset, as a reset may discard an
+/// answer.
 fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
     let mut bytes = Vec::new();
@@ -34,8 +36,9 @@
     bytes
 }
 
-/// Guards against a reset of the connections in the accept queue when the socket closes while the system has no descriptor:
-/// their requests were sent completely, and each must be answered once other connections are closed.
+/// Guards against a reset of the connections in the accept queue, which happens if the listening socket is
+/// closed while no descriptor is free. Their requests were sent completely, and each must be answered once
+/// other connections are closed.
 #[test]
 fn requests_in_the_accept_queue_are_answered_by_a_draining_server_without_descriptors() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
@@ -54,9 +57,10 @@
     assert!(world.wait_for_exit().success());
 }
 
-/// Guards against a server that idle clients make unreachable: with the registration service down and every descriptor that
-/// the system gives taken by idle clients, requests in flight go on, calls and the agent's link get new connections, signals
-/// are handled, new connections are accepted as idle ones are closed, and the registration goes on by itself.
+/// Guards against a server that idle clients make unreachable. While the announce service is down and idle
+/// clients take every descriptor that the system allows, requests in flight continue, calls and the agent
+/// link get new connections, signals are handled, and new connections are accepted as idle ones are closed.
+/// The registration resumes by itself.
 #[test]
 fn idle_clients_that_take_all_descriptors_block_nothing_while_the_registration_is_down() {
     let mut world = World::up_within(64, |config| {
@@ -71,8 +75,8 @@
         idle.send(&Request::health_check(1, ""));
         idle_clients.push(idle);
     }
-    // A client that comes after them is served within the usual patience, if not at its first attempt.
-    eventually("a connection that is served", || {
+    // A client that connects after them is served within `WAIT_TIMEOUT`, if not at its first attempt.
+    eventually("a new connection to be served", || {
         let mut late = Balancer::tolerant(TcpStream::connect(world.listen).expect("connected"));
         late.stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time limit");
         late.stream.write_all(&Request::health_check(1, "").bytes()).ok()?;
@@ -91,7 +95,7 @@
         world.agent.send_outcome(id, "fine", id.as_bytes());
         assert_eq!((live.answer().slot, slot), (slot, slot));
     }
-    // A signal with a new address of the registration service: the server connects to it.
+    // A reload signal with a new address of the announce service: the server connects to that address.
     let announce = Announce::start();
     world.reconfigure(|config| config["announce"] = serde_json::json!(announce.address));
     let old = std::mem::replace(&mut world.announce, announce);
@@ -104,10 +108,10 @@
     assert!(world.wait_for_exit().success());
 }
 
-/// Waits for a good health check, and serves one request.
+/// Waits until a health check succeeds, then checks that one request is served.
 fn wait_until_ready(world: &mut World, id: &str) {
     let mut balancer = world.balancer();
-    eventually("a good check", || {
+    eventually("a successful health check", || {
         (balancer.round_trip(&Request::health_check(1, "")).status == 200).then_some(())
     });
     balancer.send(&Request::new(2, id));
@@ -116,9 +120,9 @@
     assert_eq!(balancer.answer().body, b"r");
 }
 
-/// The operators' bound for restarts: of all servers that restart together, with the registration service down or up, with
-/// requests in flight and with an agent that is late, nine in ten are ready within 10 s. Ready is a good health check and a
-/// request served.
+/// Checks the operators' bound for restarts: of all servers that restart together, with the announce service
+/// down or up, with requests in flight and with an agent that comes up late, nine in ten are ready within
+/// 10 s. A server is ready when a health check succeeds and a request is served.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_within_ten_seconds() {
     let mut worlds: Vec<World> =
@@ -128,7 +132,7 @@
         let in_flight: Vec<Balancer> =
             worlds.iter_mut().map(|world| world.launch_request("in flight")).collect();
         worlds.iter().for_each(|world| world.announce.set_down(round % 3 != 1));
-        // Killed in three rounds, drained to the end in two; all start together.
+        // The servers are killed in three rounds and drained until they exit in two; all start together.
         if round % 2 == 1 {
             worlds.iter().for_each(|world| world.terminate());
             worlds.iter_mut().for_each(|world| assert!(world.wait_for_exit().success()));
@@ -141,7 +145,8 @@
         for (n, world) in worlds.iter_mut().enumerate() {
             world.agent.wait_for_restarted_server();
             if n % 3 == 0 {
-                // Its agent comes up late; until then it says that it is not well, and is not lost by that.
+                // This server's agent comes up late. Until then its health check fails, and the server keeps
+                // running.
                 assert_eq!(world.balancer().round_trip(&Request::health_check(1, "")).status, 500);
                 std::thread::sleep(Duration::from_millis(300));
             }
@@ -157,7 +162,8 @@
     assert!(in_time >= 27, "{in_time} of 30");
 }
 
-/// Classes that are not idempotent, have idempotency keys, and are idempotent. No call may be skipped.
+/// Makes class `book` non-idempotent, gives `room` idempotency keys, and leaves `search` idempotent. No call
+/// may be skipped.
 fn classes_by_idempotency(config: &mut Value) {
     config["stop_ms"] = 3_000.into();
     config["settings"]["family_info"]["class_skip_worth"] = json!([0.0, 0.0, 0.0]);
@@ -166,13 +172,13 @@
     config["settings"]["classes"][2]["effect"] = "idempotency_key".into();
 }
 
-/// A request of one of these classes.
+/// A request of the given class, with its id as the idempotency key.
 fn request_of_class(slot: u16, id: &str, class: &str) -> Request {
     Request::new(slot, id).with("SCRIPT_NAME", &format!("/svc/{class}")).with("HTTP_ONCE_KEY", id)
 }
 
-/// Guards against a call that takes effect twice: a pooled connection to the records service is closed while the next call
-/// is on it. Only a call that is idempotent is retried.
+/// Guards against a call that takes effect twice: the records service closes a pooled connection after it has
+/// read the next call on it. Only an idempotent call is retried.
 #[test]
 fn a_call_on_a_pooled_connection_that_is_closed_under_it_is_retried_only_if_idempotent() {
     let mut world = World::up(classes_by_idempotency);
@@ -183,7 +189,7 @@
         world.agent.send_call_request(class, b"first");
         world.records.next_call().reply("200 OK", "", b"y");
         assert_eq!(world.agent.expect_command("deliver").0, class);
-        // The next call comes on the same connection, is read completely, and gets no reply.
+        // The next call arrives on the same connection, is read completely, and gets no reply.
         world.agent.send_call_request(class, b"second");
         let call = world.records.next_call();
         assert_eq!(call.request.header("Op-Of"), class);
@@ -201,8 +207,9 @@
     assert!(world.is_alive());
 }
 
-/// Guards against a second run under one idempotency key: the duplicate arrives on another connection as the run of the first
-/// attempt ends, before or after the end is read, and when its caller is gone.
+/// Guards against a second run under one idempotency key: the duplicate arrives on another connection as the
+/// run of the first attempt ends, before or after the server has read the outcome, or when the first caller
+/// has disconnected.
 #[test]
 fn a_duplicate_that_arrives_as_the_run_ends_gets_its_result_and_never_runs() {
     let mut world = World::up(classes_by_idempotency);
@@ -215,7 +222,7 @@
         assert_eq!(world.agent.expect_command("launch").0, id);
         match round % 4 {
             0 => {
-                // While the server is stalled both are unread, the end first.
+                // Both are unread while the server is stopped, the outcome first.
                 world.signal("STOP");
                 world.agent.send_outcome(&id, "fine", b"once");
                 other.send(&again);
@@ -228,7 +235,7 @@
                 world.signal("CONT");
             }
             2 => {
-                // Its caller disconnects as the run ends, which has taken effect all the same.
+                // The first caller disconnects as the run ends; the run has taken effect nevertheless.
                 drop(one);
                 world.agent.send_outcome(&id, "fine", b"once");
                 other.send(&again);
@@ -237,7 +244,7 @@
                 continue;
             }
             _ => {
-                // The end has been read for certain, as its result is answered.
+                // The server has certainly read the outcome, as it has answered the result.
                 world.agent.send_outcome(&id, "fine", b"once");
                 assert_eq!(one.answer().body, b"once");
                 other.send(&again);
@@ -248,7 +255,7 @@
         assert_eq!(one.answer().body, b"once");
         assert_eq!(other.answer().body, b"once");
     }
-    // Nothing was launched but the first attempts: the next command other than a stop is another request's.
+    // Only the first attempts were launched: the next command other than `freeze` is for another request.
     let mut balancer = world.balancer();
     balancer.send(&request_of_class(1, "last", "search"));
     let mut next = world.agent.next_command();
@@ -258,8 +265,8 @@
     assert_eq!((&next["op"], &next["id"]), (&json!("launch"), &json!("last")));
 }
 
-/// Guards against callers sent to a draining server, and against a grace that begins when the agent is up: the notice comes
-/// before that.
+/// Guards against two faults when the notice to drain arrives before the agent is up: callers are sent to the
+/// draining server, or its drain grace begins only once the agent is up.
 #[test]
 fn a_server_that_drains_before_its_agent_is_up_takes_no_work() {
     let mut world = World::start(|config| {
@@ -268,17 +275,18 @@
     });
     world.agent.wait_for_link();
     world.terminate();
-    eventually("the notice", || world.log().contains("to: Draining").then_some(()));
+    eventually("the draining phase in the log", || world.log().contains("to: Draining").then_some(()));
     std::thread::sleep(Duration::from_millis(150));
     world.agent.resend_initial_notice();
     assert_eq!(world.announce.next_report(), "false");
     let mut balancer = world.balancer();
-    // It arrives after the grace, which began with the notice, so it is not run.
+    // The request arrives after the drain grace, which began with the notice, so it is not run.
     assert_eq!(balancer.round_trip(&Request::new(1, "late")).status, 503);
     assert!(world.wait_for_exit().success());
 }
 
-/// Signals that come twice, between two others, or while the program starts: it ends once and in order, or never served.
+/// Signals that arrive twice, between two others or while the program starts: the process exits once and in
+/// order, or is ended by the signal before it has served anything.
 #[test]
 fn signals_at_any_moment_end_the_process_once_and_in_order() {
     let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
@@ -300,8 +308,8 @@
     }
 }
 
-/// A connection that is closed at any byte of a request, with a reset or without, and one whose bytes come one by one: other
-/// connections are not affected.
+/// Connections that are closed at any byte of a request, with a reset or without, and one whose bytes arrive
+/// one by one, do not affect other connections.
 #[test]
 fn a_request_cut_at_any_byte_closes_only_its_connection() {
     let mut world = World::up(|_| ());
@@ -325,7 +333,7 @@
     assert!(world.is_alive());
 }
 
-/// A reply of the records service that is cut at any byte is not delivered, and its call is retried.
+/// A reply of the records service that is cut off at any byte is not delivered, and its call is retried.
 #[test]
 fn a_reply_cut_at_any_byte_is_never_delivered() {
     let mut world = World::up(|_| ());
@@ -349,7 +357,8 @@
     }
 }
 
-/// A flood on one connection and one on many: a client beside them is served.
+/// A client is served while one peer floods a single connection and another floods a new connection each
+/// time.
 #[test]
 fn floods_on_one_connection_and_on_many_delay_no_other_client() {
     let mut world = World::up(|config| config["limits"]["sockets"] = 128.into());
@@ -387,15 +396,16 @@
     assert!(world.descriptor_count() <= 128 && world.is_alive());
 }
 
-/// Guards against an exit right after a stall: the stop has passed by the clock, nobody has killed the process, and requests
-/// are unread on a connection and in the accept queue.
+/// Guards against a server that exits right after a stall and leaves requests unanswered: the time to stop
+/// has passed during the stall, the platform has not killed the process, and requests are unread on a
+/// connection and in the accept queue.
 #[test]
 fn requests_unread_after_a_stall_past_the_stop_are_answered() {
     let mut world = World::up(|config| config["stop_ms"] = 1_000.into());
     let mut idle = world.balancer();
     assert_eq!(idle.round_trip(&Request::health_check(1, "")).status, 200);
     world.terminate();
-    eventually("the notice", || world.log().contains("to: Draining").then_some(()));
+    eventually("the draining phase in the log", || world.log().contains("to: Draining").then_some(()));
     world.signal("STOP");
     idle.send(&Request::new(2, "unread"));
     let mut waiting = world.balancer();
--- a/crates/server/tests/reload.rs
+++ b/crates/server/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New configurations under a running server.
+//! Configuration reloads of a running server.
 
 mod common;
 
@@ -22,7 +22,7 @@
         std::mem::replace(&mut world.records, records),
         std::mem::replace(&mut world.announce, announce),
     );
-    // Runs and numbers carry on at the new address: nothing is launched again.
+    // Runs and notice numbers continue at the new address: nothing is launched again.
     world.agent.send_initial_notice();
     assert_eq!(world.agent.subscribed_seqs, [0]);
     assert_eq!(world.announce.next_report(), "true");
@@ -51,7 +51,7 @@
     world.agent.wait_for_samples(3);
     call.reply("200 OK", "", b"y");
     world.agent.expect_command("deliver");
-    // Its connection carries nothing more: the next call goes to the new address.
+    // The old connection carries no further calls: the next one goes to the new address.
     world.agent.send_call_request("a", b"z");
     assert_eq!(world.records.next_call().request.body, b"z");
     drop(old);
@@ -85,7 +85,7 @@
     }
     world.remove_config_file();
     world.agent.wait_for_samples(3);
-    // Still on the first link, on which nothing was said twice.
+    // The first link is still in use, and the server has subscribed on it only once.
     assert_eq!(world.agent.subscribed_seqs, [0]);
     world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
@@ -96,7 +96,7 @@
 fn consecutive_reloads_end_at_the_last_address() {
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
-    // Nobody is there: the server tries in vain until it is told of the next.
+    // Nothing listens at this address: connection attempts fail until the next reload.
     world.reconfigure(|config| config["agent"] = json!("127.0.0.1:1"));
     balancer.send(&Request::new(1, "a"));
     let (passed, last) = (Agent::start(), Agent::start());
--- a/crates/server/tests/rules.rs
+++ b/crates/server/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Failures of peers, on sockets: cut links, floods, malformed bytes, and the end of the process.
+//! Failures of peers over real sockets (cut links, floods, malformed bytes), and stalls and the exit of the
+//! process.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use common::balancer::record;
 use common::{eventually, Balancer, Request, World};
 
-/// The same bytes for the same seed.
+/// Pseudo-random bytes; the same seed gives the same bytes.
 fn pseudo_random_bytes(seed: u64, length: usize) -> Vec<u8> {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
@@ -35,7 +36,7 @@
     world.agent.wait_for_link();
     assert_eq!(world.agent.subscribed_seqs, [0, 0]);
     world.agent.resend_initial_notice();
-    // One launch was read, and its run ended while there was no link; the other was never read.
+    // The agent had read one launch, whose run ended while there was no link; it had never read the other.
     world.agent.send_outcome("ended", "fine", b"r1");
     let (id, command) = world.agent.expect_command("launch");
     assert_eq!((id.as_str(), command["class"].as_str()), ("unread", Some("search")));
@@ -52,7 +53,7 @@
     world.agent.send_call_request("a", b"x");
     world.records.next_call().reply("200 OK", "", b"y");
     world.agent.expect_command("deliver");
-    // The answer to a later sample shows that all of that has been read.
+    // The answers to later samples show that all of this has been read.
     world.agent.wait_for_samples(3);
     world.agent.disconnect();
     world.agent.wait_for_link();
@@ -62,7 +63,7 @@
     world.agent.send(&serde_json::json!({"op": "request", "seq": 1, "id": "a", "body": body}));
     world.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
-    // Neither the launch nor a second reply came on the new link: the next command is another request's.
+    // Neither the launch nor the reply is repeated on the new link: the next command is for another request.
     balancer.send(&Request::new(1, "b"));
     assert_eq!(world.agent.expect_command("launch").0, "b");
 }
@@ -74,7 +75,7 @@
     world.agent.disconnect();
     world.agent.wait_for_link();
     balancer.send(&Request::new(1, "a"));
-    // Health checks are answered by the readiness meanwhile.
+    // Meanwhile health checks are answered from the server's readiness.
     assert_eq!(world.balancer().round_trip(&Request::health_check(1, "")).status, 200);
     world.agent.resend_initial_notice();
     assert_eq!(world.agent.expect_command("launch").0, "a");
@@ -123,7 +124,7 @@
 fn requests_in_flight_on_a_connection_with_malformed_bytes_are_still_answered() {
     let mut world = World::up(|_| ());
     let mut balancer = world.launch_request("a");
-    // In one write with a valid record before it.
+    // The malformed bytes follow a valid record in the same write.
     balancer.send_bytes(&[record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
     assert_eq!(balancer.record().map(|(kind, ..)| kind), Some(10));
     world.agent.send_outcome("a", "fine", b"r");
@@ -151,7 +152,7 @@
     assert_eq!(balancer.answer().status, 0);
     assert_eq!(world.agent.expect_command("freeze").0, "a");
     world.agent.send_outcome("a", "broken_off", b"");
-    // Its slot is used by another request, which gets only its own answer.
+    // The slot is reused by another request, which gets only its own answer.
     balancer.send(&Request::new(1, "b"));
     let mut next = world.agent.next_command();
     while next["op"] == "freeze" {
@@ -179,7 +180,7 @@
     let mut first = world.launch_request("a");
     let crowd: Vec<TcpStream> =
         (0..80).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
-    // The established ones are idle, so one after the other is closed for another.
+    // The established connections are idle, so they are closed one by one to make room for new ones.
     let mut last = world.balancer();
     assert_eq!(last.round_trip(&Request::health_check(1, "")).status, 200);
     assert!(world.descriptor_count() <= 64, "{}", world.descriptor_count());
@@ -196,7 +197,7 @@
     stuck.stream.set_write_timeout(Some(std::time::Duration::from_millis(300))).expect("a time limit");
     let question = record(9, 0, b"\x0f\x00FCGI_MPXS_CONNS");
     let flood = question.repeat(1_000);
-    // Until nothing more can be written: the answers fill all buffers between the two.
+    // Writes until the server accepts no more: the unread answers fill all buffers between the two.
     let mut sent = 0;
     while sent < 256 << 20 && stuck.stream.write_all(&flood).is_ok() {
         sent += flood.len();
@@ -213,7 +214,8 @@
     let mut flooder = world.balancer();
     let flood = vec![0; 1 << 20];
     let mut sent = 0;
-    // No more than is read while the connection is closed, and what fits into the buffers.
+    // No more can be written than the server reads while it closes the connection, and what fits into the
+    // buffers.
     while sent < 256 && flooder.stream.write_all(&flood).is_ok() {
         sent += 1;
     }
@@ -229,7 +231,7 @@
     let half: Vec<u8> = (1..=32)
         .flat_map(|slot| [record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, slot, &[0; 16_000])].concat())
         .collect();
-    // Ten times as much as may be buffered; some connections may be closed while they send.
+    // Ten times as much as may be buffered; the server may close some connections while they send.
     let mut crowd = Vec::new();
     for _ in 0..300 {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
@@ -315,7 +317,7 @@
     world.agent.send_call_request("a", b"x");
     let mut call = world.records.next_call();
     world.signal("STOP");
-    // What its peers send meanwhile is there when it goes on, as are all the timers that came due.
+    // When the process continues, it finds what its peers sent meanwhile and all the timers that came due.
     call.reply("200 OK", "", b"y");
     balancer.send(&Request::new(2, "b"));
     std::thread::sleep(std::time::Duration::from_millis(700));
--- a/crates/server/tests/serving.rs
+++ b/crates/server/tests/serving.rs
@@ -1,9 +1,10 @@
-//! Requests, downstream calls, health checks and registration, on sockets.
+//! Requests, downstream calls, health checks and registration over real sockets.
 
 mod common;
 
 use common::{Balancer, Request, World};
 
+/// Pseudo-random bytes, the same on every call.
 fn pseudo_random_bytes(length: usize) -> Vec<u8> {
     (0..length as u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
@@ -34,7 +35,7 @@
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     let all: Vec<u8> = (1..=4).flat_map(|n| Request::new(n, &format!("{n:016x}")).bytes()).collect();
-    // In chunks that end anywhere.
+    // Chunks of 11 bytes, which end at arbitrary points within records.
     all.chunks(11).for_each(|chunk| balancer.send_bytes(chunk));
     let mut launched: Vec<String> = (0..4).map(|_| world.agent.expect_command("launch").0).collect();
     launched.reverse();
@@ -55,7 +56,7 @@
     world.agent.send_outcome("a", "fine", b"first");
     world.agent.send_outcome("a", "fine", b"second");
     assert_eq!(balancer.answer().body, b"first");
-    // A second response to it would come before the next answer.
+    // A second response to the run would arrive before the answer to the health check.
     assert_eq!(balancer.round_trip(&Request::health_check(2, "")).status, 200);
 }
 
@@ -64,7 +65,7 @@
     let mut world = World::up(|_| ());
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").with("HTTP_BUDGET_MS", "1500"));
-    // However slow the machine is, the response comes by then, as the run has not ended.
+    // The run never ends, so the final response comes at the deadline, however slow the machine is.
     let answer = balancer.answer();
     assert!(matches!(answer.status, 500 | 503), "{answer:?}");
     world.agent.send_outcome("a", "fine", b"late");
@@ -92,7 +93,7 @@
     let old = Request::new(1, "a").with("HTTP_RECEIVED_AT", &past).with("HTTP_BUDGET_MS", "5");
     assert_eq!(balancer.round_trip(&old).status, 503);
     balancer.send(&Request::new(2, "b"));
-    // Its run is the first that the agent is told to start.
+    // This request's run is the first that the agent is told to start.
     assert_eq!(world.agent.expect_command("launch").0, "b");
 }
 
@@ -122,7 +123,7 @@
     assert_eq!(other.try_answer(), None);
     balancer.send(&Request::new(1, "sound"));
     assert_eq!(world.agent.expect_command("launch").0, "sound");
-    // Nor is one whose name is in use.
+    // A request whose id is in use is rejected as well.
     assert_eq!(balancer.round_trip(&Request::new(2, "sound")).status, 400);
     world.agent.send_outcome("sound", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
@@ -299,7 +300,7 @@
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").without("HTTP_BUDGET_MS").with("HTTP_ATTEMPT", "2"));
     assert_eq!(world.agent.expect_command("launch").0, "a");
-    // A deadline that is stated all the same is ignored: this one would have passed at once.
+    // A deadline that a request states nevertheless is ignored: this one would have passed at once.
     balancer.send(&Request::new(2, "b").with("HTTP_BUDGET_MS", "1"));
     assert_eq!(world.agent.expect_command("launch").0, "b");
     for id in ["a", "b"] {
@@ -310,7 +311,7 @@
     let sent = std::time::Instant::now();
     balancer.send(&room);
     assert_eq!(world.agent.expect_command("launch").0, "c");
-    // Its run does not end: the final response comes by the deadline of its class.
+    // The run does not end: the final response comes by the deadline of the class.
     let answer = balancer.answer();
     assert_eq!(answer.status, 500, "a request that has run is never rejected");
     let took = sent.elapsed().as_millis();
