--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::balancer::record;
-use common::{Balancer, Request, World, WAIT_TIMEOUT};
+use common::{Balancer, Request, TestEnvironment, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 
 /// Idle connections are let be for far longer than a test waits.
@@ -31,7 +31,7 @@
 
 #[test]
 fn connection_without_a_complete_request_is_closed() {
-    let world = World::up(patient);
+    let world = TestEnvironment::start_registered(patient);
     let whole = Request::new(1, "half").bytes();
     let starts = [
         Vec::new(),
@@ -52,7 +52,7 @@
 
 #[test]
 fn connection_with_a_partial_second_request_is_closed() {
-    let mut world = World::up(patient);
+    let mut world = TestEnvironment::start_registered(patient);
     let mut balancer = world.launch_request("a");
     let half = Request::new(2, "half").bytes();
     balancer.send_bytes(&half[..half.len() / 2]);
@@ -65,7 +65,7 @@
 
 #[test]
 fn connection_may_be_idle_between_requests() {
-    let mut world = World::up(patient);
+    let mut world = TestEnvironment::start_registered(patient);
     let mut balancer = world.balancer();
     for id in ["a", "b"] {
         balancer.send(&Request::new(1, id));
@@ -79,7 +79,7 @@
 
 #[test]
 fn run_may_take_longer_than_the_request_timeout() {
-    let mut world = World::up(patient);
+    let mut world = TestEnvironment::start_registered(patient);
     let mut balancer = world.launch_request("a");
     std::thread::sleep(Duration::from_millis(2_300));
     world.agent.send_outcome("a", "fine", b"r");
@@ -88,7 +88,7 @@
 
 #[test]
 fn endless_useless_records_end_the_connection() {
-    let world = World::up(patient);
+    let world = TestEnvironment::start_registered(patient);
     for flood in [record(9, 0, &[]), record(5, 7, &[0; 4096]), record(11, 0, &[0; 8])] {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
         let flood = flood.repeat((1 << 20) / flood.len());
@@ -102,7 +102,7 @@
 
 #[test]
 fn oversized_body_is_rejected_before_its_end() {
-    let mut world = World::up(patient);
+    let mut world = TestEnvironment::start_registered(patient);
     let before = world.memory_kb();
     let mut balancer = world.balancer();
     let sound = Request::new(1, "a").bytes();
@@ -117,7 +117,7 @@
 
 #[test]
 fn silent_connections_do_not_keep_load_balancers_out() {
-    let mut world = World::up(|config| {
+    let mut world = TestEnvironment::start_registered(|config| {
         patient(config);
         config["limits"]["sockets"] = 64.into();
     });
@@ -137,7 +137,7 @@
 
 #[test]
 fn requests_rejected_by_the_agent_do_not_affect_health() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut stranger = world.balancer();
     for n in 0..40 {
         let id = format!("{n:016x}");
--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::run;
+use common::run_program;
 use serde_json::{json, Value};
 
 fn config() -> Value {
@@ -15,7 +15,7 @@
 
 /// The error lines of a command that rejects this configuration, just one of which is the program's own.
 fn rejection(command: &str, text: &str) -> String {
-    let output = run(&[command], Some(text));
+    let output = run_program(&[command], Some(text));
     assert!(!output.status.success());
     let stderr = String::from_utf8(output.stderr).expect("text");
     assert_eq!(stderr.lines().filter(|line| line.starts_with("umberloom: ")).count(), 1, "{stderr}");
@@ -24,14 +24,14 @@
 
 #[test]
 fn check_accepts_a_valid_configuration() {
-    let output = run(&["check"], Some(&config().to_string()));
+    let output = run_program(&["check"], Some(&config().to_string()));
     assert!(output.status.success());
     assert_eq!(output.stdout, b"n3: sound\n");
 }
 
 #[test]
 fn version_is_printed() {
-    let output = run(&["version"], None);
+    let output = run_program(&["version"], None);
     assert!(output.status.success());
     assert!(String::from_utf8(output.stdout).expect("text").starts_with("umberloom "));
 }
@@ -94,7 +94,7 @@
     for downstream in ["common", "next_hop"] {
         let mut config = config();
         config["settings"]["family_info"]["downstream"] = json!(downstream);
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{downstream}: {output:?}");
         config.as_object_mut().expect("an object").remove("records");
         assert!(rejection("check", &config.to_string()).contains("`records` is absent"), "{downstream}");
@@ -132,7 +132,7 @@
         set(&mut config, "/settings/classes/0/effect", json!(effect));
         set(&mut config, "/settings/classes/0/write", json!(true));
         set(&mut config, "/settings/classes/0/repeat_window_us", json!(3_000_000));
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{report} {preemption} {hint} {effect} {marks_retry}: {output:?}");
     }
 }
@@ -146,7 +146,7 @@
     class.as_object_mut().expect("an object").insert("wirte".to_owned(), json!(true));
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"wirte\"")).expect("the field");
-    let output = run(&["check"], Some(&text));
+    let output = run_program(&["check"], Some(&text));
     assert!(output.status.success(), "{output:?}");
     let stderr = String::from_utf8(output.stderr).expect("text");
     assert!(
@@ -166,7 +166,7 @@
     *config.pointer_mut("/settings/classes/1").expect("a class") = class;
     for size_kb in [170.0, 1.0, 0.0] {
         *config.pointer_mut("/settings/family_info/key_kb").expect("a field") = json!(size_kb);
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{size_kb}: {output:?}");
     }
 }
@@ -176,10 +176,10 @@
     assert!(rejection("serve", "{").contains("not JSON"));
     assert!(rejection("serve", "[]").contains("expected an object"));
     assert!(rejection("serve", "{}").contains("`settings`"));
-    let missing = run(&["serve", "--config", "/nonexistent/config.json"], None);
+    let missing = run_program(&["serve", "--config", "/nonexistent/config.json"], None);
     assert!(!missing.status.success());
     assert!(String::from_utf8(missing.stderr).expect("text").contains("/nonexistent/config.json"));
-    let unnamed = run(&["serve"], None);
+    let unnamed = run_program(&["serve"], None);
     assert!(!unnamed.status.success() && !unnamed.stderr.is_empty());
 }
 
@@ -194,7 +194,7 @@
 #[test]
 fn unknown_commands_and_options_are_rejected() {
     for arguments in [&["unheard-of"][..], &[], &["serve", "--unheard-of"]] {
-        let output = run(arguments, None);
+        let output = run_program(arguments, None);
         assert!(!output.status.success(), "{arguments:?}");
         assert!(!output.stderr.is_empty() && output.stdout.is_empty(), "{arguments:?}");
     }
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -15,48 +15,51 @@
 };
 
 /// That server and its fakes.
-pub struct World(umberloom_protocol_fakes::TestEnvironment);
+pub struct TestEnvironment(umberloom_protocol_fakes::TestEnvironment);
 
-pub fn program() -> &'static Path {
+pub fn server_executable() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_umberloom"))
 }
 
-impl World {
+impl TestEnvironment {
     /// A server whose agent is up and that is registered.
-    pub fn up(change: ConfigChange) -> World {
-        World(umberloom_protocol_fakes::TestEnvironment::start_registered(program(), change))
+    pub fn start_registered(change: ConfigChange) -> TestEnvironment {
+        TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start_registered(
+            server_executable(),
+            change,
+        ))
     }
 
     /// The same with an operator's file.
-    pub fn up_with(change: ConfigChange, operator: &str) -> World {
-        World(umberloom_protocol_fakes::TestEnvironment::start_registered_with(
-            program(),
+    pub fn start_registered_with(change: ConfigChange, operator: &str) -> TestEnvironment {
+        TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start_registered_with(
+            server_executable(),
             change,
             Some(operator),
         ))
     }
 
     /// A server that is up under a limit of the system itself on its descriptors.
-    pub fn up_within(descriptors: usize, change: ConfigChange) -> World {
+    pub fn start_with_descriptor_limit(descriptors: usize, change: ConfigChange) -> TestEnvironment {
         let world = umberloom_protocol_fakes::TestEnvironment::start_with_descriptor_limit(
-            program(),
+            server_executable(),
             change,
             None,
             Some(descriptors),
         );
-        let mut world = World(world);
+        let mut world = TestEnvironment(world);
         world.agent.send_initial_notice();
         assert_eq!(world.announce.next_report(), "true");
         world
     }
 
     /// A server whose agent accepts its link and has not greeted yet.
-    pub fn start(change: ConfigChange) -> World {
-        World(umberloom_protocol_fakes::TestEnvironment::start(program(), change))
+    pub fn start(change: ConfigChange) -> TestEnvironment {
+        TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start(server_executable(), change))
     }
 }
 
-impl Deref for World {
+impl Deref for TestEnvironment {
     type Target = umberloom_protocol_fakes::TestEnvironment;
 
     fn deref(&self) -> &Self::Target {
@@ -64,26 +67,26 @@
     }
 }
 
-impl DerefMut for World {
+impl DerefMut for TestEnvironment {
     fn deref_mut(&mut self) -> &mut Self::Target {
         &mut self.0
     }
 }
 
 /// Runs the program to its end with these arguments, and a configuration if there is one.
-pub fn run(arguments: &[&str], config: Option<&str>) -> Output {
-    umberloom_protocol_fakes::test_environment::run_program(program(), arguments, config)
+pub fn run_program(arguments: &[&str], config: Option<&str>) -> Output {
+    umberloom_protocol_fakes::test_environment::run_program(server_executable(), arguments, config)
 }
 
 /// Options of a fleet of this server.
-pub fn options(servers: usize) -> umberloom_fault_harness::Options {
-    umberloom_fault_harness::Options::new(program(), servers)
+pub fn fleet_options(servers: usize) -> umberloom_fault_harness::Options {
+    umberloom_fault_harness::Options::new(server_executable(), servers)
 }
 
 /// A fleet that is complete and gets requests all the time.
-pub fn whole(servers: usize) -> umberloom_fault_harness::Fleet {
+pub fn start_converged_fleet(servers: usize) -> umberloom_fault_harness::Fleet {
     let mut fleet =
-        umberloom_fault_harness::Fleet::start(options(servers)).unwrap_or_else(|why| panic!("{why}"));
+        umberloom_fault_harness::Fleet::start(fleet_options(servers)).unwrap_or_else(|why| panic!("{why}"));
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_else(|why| panic!("{why}"));
     fleet.start_traffic(2, std::time::Duration::from_millis(20));
     fleet
@@ -101,12 +104,12 @@
 }
 
 /// Asserts that no invariant was broken.
-pub fn sound(mut fleet: umberloom_fault_harness::Fleet) {
+pub fn assert_invariants(mut fleet: umberloom_fault_harness::Fleet) {
     let breaches = fleet.finish_and_check();
     assert!(breaches.is_empty(), "{}", breaches.join("\n"));
 }
 
 /// Gives a fault time to show.
-pub fn rest(ms: u64) {
+pub fn sleep_ms(ms: u64) {
     std::thread::sleep(std::time::Duration::from_millis(ms));
 }
--- a/crates/server/tests/common/replicated_store.rs
+++ b/crates/server/tests/common/replicated_store.rs
@@ -11,11 +11,11 @@
 use umberloom_fault_harness::linear::{violations, Operation};
 use umberloom_fault_harness::Fleet;
 
-use super::{options, program, UnwrapOrPanic};
+use super::{fleet_options, server_executable, UnwrapOrPanic};
 
 /// Starts servers that keep a store with short timeouts, with disks or in memory, under a light load of requests.
 pub fn start_fleet_with_store(servers: usize, voters: usize, with_disks: bool) -> Fleet {
-    let mut options = options(servers);
+    let mut options = fleet_options(servers);
     options.store_options = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
     options.store_folder_options = with_disks.then(|| "most-mb=64".to_owned());
     let mut fleet = Fleet::start(options).unwrap_or_else(|why| panic!("{why}"));
@@ -52,7 +52,7 @@
 }
 
 /// The log lines of a server with this message.
-pub fn logged(fleet: &mut Fleet, server: usize, message: &str) -> Vec<Value> {
+pub fn log_events(fleet: &mut Fleet, server: usize, message: &str) -> Vec<Value> {
     fleet.servers[server].read_log();
     let name = fleet.servers[server].name.clone();
     fleet.history.log_lines(&name, message).into_iter().map(|event| event.details).collect()
@@ -85,7 +85,7 @@
     }
 
     /// Stops them and asserts that at least so many operations were done and that all are linearizable.
-    pub fn finish(self, min_done: usize) {
+    pub fn stop_and_assert_linearizable(self, min_done: usize) {
         self.stop.store(true, Ordering::Relaxed);
         let all: Vec<Operation> =
             self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect();
@@ -143,7 +143,7 @@
     }
 
     fn command(&self, arguments: &[&str]) -> Option<Value> {
-        let mut command = Command::new(program());
+        let mut command = Command::new(server_executable());
         command.args(["fleet", "record", "--json", "--operator"]).arg(&self.operator_file);
         let output = command.args(["--at", &self.address]).args(arguments).output().ok()?;
         let reply: Option<Value> = serde_json::from_slice(&output.stdout).ok();
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use common::dependency::Behaviour;
-use common::{eventually, Dependency, Request, World};
+use common::{eventually, Dependency, Request, TestEnvironment};
 use serde_json::{json, Value};
 use umberloom_dependencies::aggregation::{AggregateResponse, Part};
 
@@ -38,7 +38,7 @@
 }
 
 /// Makes one run with calls; gives the parts of its response. The records service replies at once.
-fn run_one(world: &mut World, id: &str) -> String {
+fn run_one(world: &mut TestEnvironment, id: &str) -> String {
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, id).with("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"));
     assert_eq!(world.agent.expect_command("launch").0, id);
@@ -54,7 +54,7 @@
 #[test]
 fn calls_of_a_stage_are_concurrent_and_delivered_as_one_response() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
-    let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], ""));
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"what");
     let mut call = world.records.next_call();
@@ -74,7 +74,7 @@
 #[test]
 fn a_class_without_a_plan_gets_its_reply_unchanged() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
-    let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], ""));
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").with("SCRIPT_NAME", "/svc/room"));
     assert_eq!(world.agent.expect_command("launch").0, "a");
@@ -90,7 +90,7 @@
     let extra = Dependency::start(Behaviour::Hang);
     // No circuit breaker and no retries, so that a call is made under every behaviour.
     let more = "retry most=0 share=0\n no-breaker";
-    let mut world = World::up_with(|_| (), &operator(&[&extra], more));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], more));
     let before = world.memory_kb();
     let cases = [
         (Behaviour::quick(b"notes"), "notes"),
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_request_whose_required_dependency_fails_is_not_served() {
-    let mut world = World::up_with(
+    let mut world = TestEnvironment::start_registered_with(
         |config| {
             // No call may be skipped, so one that fails fails its request.
             config["settings"]["family_info"]["class_skip_worth"] = json!([0.0, 0.0, 0.0]);
@@ -140,7 +140,8 @@
 fn calls_to_an_endpoint_that_is_down_go_to_another() {
     let (down, up) = (Dependency::start(Behaviour::Down), Dependency::start(Behaviour::quick(b"notes")));
     eventually("the port to be shut", || std::net::TcpStream::connect(down.address).is_err().then_some(()));
-    let mut world = World::up_with(|_| (), &operator(&[&down, &up], "retry burst=20"));
+    let mut world =
+        TestEnvironment::start_registered_with(|_| (), &operator(&[&down, &up], "retry burst=20"));
     for number in 0..12 {
         assert_eq!(run_one(&mut world, &format!("r{number}")), "records: booked, extra: notes");
     }
@@ -151,7 +152,7 @@
 fn a_failed_call_falls_back_to_the_cached_reply() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
     let more = "retry most=0\n fallback {\n kept max-age-ms=60000\n constant \"none\"\n }";
-    let mut world = World::up_with(|_| (), &operator(&[&extra], more));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], more));
     assert_eq!(run_one(&mut world, "first"), "records: booked, extra: notes");
     extra.set_behaviour(Behaviour::failing());
     assert_eq!(run_one(&mut world, "second"), "records: booked, extra: kept notes");
@@ -162,7 +163,10 @@
     let extra =
         Dependency::start(Behaviour::Answer { body: b"notes".to_vec(), median_ms: 300.0, sigma: 0.01 });
     let other = Dependency::start(Behaviour::quick(b"other"));
-    let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
+    let mut world = TestEnvironment::start_registered_with(
+        |_| (),
+        &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"),
+    );
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"what");
     eventually("the call", || (extra.call_count() == 1).then_some(()));
@@ -180,7 +184,7 @@
 #[test]
 fn an_invalid_operator_file_changes_nothing() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
-    let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], ""));
     for broken in
         ["plan \"search\" {\n  stage { needs \"nobody\"; }\n}\n", "dependency \"a\" {", "kept kb=999999\n"]
     {
@@ -197,7 +201,7 @@
 #[test]
 fn calls_follow_the_configured_address_of_the_records_service() {
     let extra = Dependency::start(Behaviour::quick(b"notes"));
-    let mut world = World::up_with(|_| (), &operator(&[&extra], ""));
+    let mut world = TestEnvironment::start_registered_with(|_| (), &operator(&[&extra], ""));
     assert_eq!(run_one(&mut world, "a"), "records: booked, extra: notes");
     let records = common::Records::start();
     world.reconfigure(|config| config["records"] = json!(records.address));
@@ -211,7 +215,10 @@
 #[test]
 fn a_server_that_drains_during_a_stage_answers_and_exits() {
     let extra = Dependency::start(Behaviour::Hang);
-    let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
+    let mut world = TestEnvironment::start_registered_with(
+        |_| (),
+        &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"),
+    );
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"what");
     eventually("the call", || (extra.call_count() == 1).then_some(()));
@@ -225,7 +232,10 @@
 #[test]
 fn an_aborted_request_cancels_its_calls() {
     let extra = Dependency::start(Behaviour::Hang);
-    let mut world = World::up_with(|_| (), &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"));
+    let mut world = TestEnvironment::start_registered_with(
+        |_| (),
+        &operator(&[&extra], "").replace("most-ms=400", "most-ms=20000"),
+    );
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"what");
     let mut call = world.records.next_call();
@@ -242,7 +252,7 @@
     let server = AjpServer::start(AjpBehaviour::Answer(200, vec![b'n'; 20_000]));
     let more = "transport \"ajp\" secret=\"s\"\n retry most=0 share=0\n no-breaker";
     let file = operator(&[], more).replace("endpoints ", &format!("endpoints \"{}\"", server.address));
-    let mut world = World::up_with(|_| (), &file);
+    let mut world = TestEnvironment::start_registered_with(|_| (), &file);
     let whole = format!("records: booked, extra: {}", "n".repeat(20_000));
     assert_eq!(run_one(&mut world, "first"), whole);
     assert_eq!(server.calls(), [b"what"]);
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{program, rest};
+use common::{server_executable, sleep_ms};
 use serde_json::json;
 use umberloom_fault_harness::history::History;
 use umberloom_fault_harness::server::Server;
@@ -27,7 +27,7 @@
 fn count_calls(service: &Dependency, span: Duration) -> (f64, f64) {
     service.take_counts();
     let began = Instant::now();
-    rest(span.as_millis() as u64);
+    sleep_ms(span.as_millis() as u64);
     let calls = service.take_counts().0 as f64;
     let budget = CAPACITY * (began.elapsed().as_secs_f64() / 0.1);
     (calls, budget + 2.0 * budget.sqrt() + 2.0)
@@ -39,8 +39,8 @@
     let service = Dependency::start(healthy());
     let mut servers: Vec<Server> = (0..SERVERS)
         .map(|n| {
-            let mut server =
-                Server::new(&format!("n{n}"), program(), &folder, History::default()).expect("a place");
+            let mut server = Server::new(&format!("n{n}"), server_executable(), &folder, History::default())
+                .expect("a place");
             server.config_overrides = vec![
                 ("/records", json!(service.address)),
                 ("/seed", json!(format!("8c1f30d27a5b{n:04x}"))),
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{options, rest, sound, whole, UnwrapOrPanic};
+use common::{assert_invariants, fleet_options, sleep_ms, start_converged_fleet, UnwrapOrPanic};
 use serde_json::Value;
 use umberloom_fault_harness::{Faults, Fleet};
 
@@ -35,7 +35,7 @@
 
 /// Three servers that stand whole, and a place for a second process named `n1`, whose address no file has.
 fn twins() -> Fleet {
-    let mut told = options(4);
+    let mut told = fleet_options(4);
     told.names[3] = "n1".to_owned();
     let mut fleet = Fleet::prepare(told).expect("a fleet");
     for n in 0..4 {
@@ -54,23 +54,23 @@
 #[test]
 fn servers_started_together_without_a_seed_find_each_other() {
     // What they say first is lost: nobody is up yet for anybody.
-    let mut fleet = Fleet::prepare(options(5)).expect("a fleet");
+    let mut fleet = Fleet::prepare(fleet_options(5)).expect("a fleet");
     fleet.set_all_faults(Faults { cut: true, ..Faults::default() });
     (0..5).for_each(|n| fleet.servers[n].start().expect("a process"));
     (0..5).for_each(|n| fleet.servers[n].wait_until_healthy().unwrap_or_panic());
-    rest(500);
+    sleep_ms(500);
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.start_traffic(2, Duration::from_millis(20));
     for (n, other) in [(0, 4), (4, 0), (2, 1)] {
         assert_eq!(fleet.member_state(n, other), "present");
     }
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn both_ends_of_a_one_way_cut_know_that_they_do_not_reach_each_other() {
-    let mut fleet = whole(5);
+    let mut fleet = start_converged_fleet(5);
     // The first still hears the second; the second hears nothing of it.
     fleet.change_faults(0, 1, |faults| faults.cut = true);
     fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
@@ -78,7 +78,7 @@
     fleet
         .wait_until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0))
         .unwrap_or_panic();
-    rest(2_000);
+    sleep_ms(2_000);
     // Others reach both, so nobody holds either for failed.
     assert_eq!((held(&mut fleet, 0, 1, "failed"), held(&mut fleet, 1, 0, "failed")), (0, 0));
     assert!(
@@ -88,12 +88,12 @@
     assert_eq!(fleet.partition_status(2), "whole");
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_partition_into_three_leaves_no_majority_and_heals() {
-    let fleet = whole(5);
+    let fleet = start_converged_fleet(5);
     fleet.partition(&[&[0, 1], &[2, 3], &[4]]);
     fleet.wait_for_partition_status(0, "minority").unwrap_or_panic();
     fleet.wait_for_partition_status(3, "minority").unwrap_or_panic();
@@ -104,31 +104,31 @@
     fleet
         .wait_until("one view", |fleet| (1..5).all(|n| fleet.member_state(0, n) == "present"))
         .unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn over_a_bridge_nobody_fails_and_partition_status_follows_direct_reach() {
-    let mut fleet = whole(5);
+    let mut fleet = start_converged_fleet(5);
     fleet.partition(&[&[0, 1], &[3, 4]]);
     for n in [0, 1, 3, 4] {
         fleet.wait_for_partition_status(n, "majority").unwrap_or_panic();
     }
-    rest(2_500);
+    sleep_ms(2_500);
     assert_eq!(fleet.partition_status(2), "whole");
     for (n, other) in [(0, 3), (1, 4), (3, 0), (4, 1)] {
         assert_eq!(held(&mut fleet, n, other, "failed"), 0, "the bridge answers for it");
     }
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn live_servers_stay_present_while_a_third_of_datagrams_is_lost() {
-    let fleet = whole(5);
+    let fleet = start_converged_fleet(5);
     fleet.set_all_faults(Faults { drop: 0.3, ..Faults::default() });
-    rest(3_000);
+    sleep_ms(3_000);
     let there = |state: String| state == "present" || state == "suspected";
     // Held for failed for a moment at worst: who hears of it comes back.
     let all =
@@ -136,26 +136,26 @@
     fleet.wait_until("all to be there", all).unwrap_or_panic();
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn duplicated_and_late_datagrams_count_once() {
-    let fleet = whole(3);
+    let fleet = start_converged_fleet(3);
     fleet.set_all_faults(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
-    rest(2_500);
+    sleep_ms(2_500);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     for n in 0..3 {
         let view = fleet.view(n).expect("a view");
         let (heard, replayed) = (view["counts"]["heard"][0].as_u64(), refused(&fleet, n, "Replayed"));
         assert!(replayed > 20 && heard > Some(20), "{heard:?} believed, {replayed} not");
     }
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn damaged_messages_are_counted_and_rejected() {
-    let fleet = whole(3);
+    let fleet = start_converged_fleet(3);
     fleet.set_all_faults(Faults { damage: 0.1, ..Faults::default() });
     fleet
         .wait_until("damage", |fleet| {
@@ -165,16 +165,16 @@
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_server_that_stalled_for_long_is_failed_and_trusts_nothing_when_it_wakes() {
-    let mut fleet = whole(3);
+    let mut fleet = start_converged_fleet(3);
     fleet.servers[2].set_stopped(true);
     fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
     fleet.wait_for_member_state(1, 2, "failed").unwrap_or_panic();
-    rest(1_500);
+    sleep_ms(1_500);
     fleet.servers[2].set_stopped(false);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
@@ -182,12 +182,12 @@
     assert_eq!(held(&mut fleet, 2, 0, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
     let said = fleet.history.log_lines("n3", "partition status changed");
     assert!(said.iter().any(|e| e.details["to"] == "unsure"), "{said:?}");
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_suspicion_that_expired_during_a_stall_of_its_holder_can_still_be_refuted() {
-    let mut told = options(3);
+    let mut told = fleet_options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=2500");
     let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
     fleet.servers[2].set_stopped(true);
@@ -196,38 +196,38 @@
     // Nothing waits for it on wake that would tell it better before it looks at its timers.
     fleet.change_faults(1, 0, |faults| faults.cut = true);
     fleet.change_faults(2, 0, |faults| faults.cut = true);
-    rest(300);
+    sleep_ms(300);
     fleet.servers[2].set_stopped(false);
     // By now the time to refute is over, but for the one that stood still it has not passed.
-    rest(3_500);
+    sleep_ms(3_500);
     fleet.servers[0].set_stopped(false);
-    rest(200);
+    sleep_ms(200);
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 2, "failed"), 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_pause_of_five_seconds_within_the_suspicion_timeout_costs_nothing() {
-    let mut told = options(3);
+    let mut told = fleet_options(3);
     told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=20000");
     let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
     fleet.start_traffic(2, Duration::from_millis(20));
     fleet.servers[1].set_stopped(true);
     fleet.wait_for_member_state(0, 1, "suspected").unwrap_or_panic();
-    rest(5_000);
+    sleep_ms(5_000);
     fleet.servers[1].set_stopped(false);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 1, "present").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_restarted_process_takes_over_its_name_at_once() {
-    let mut fleet = whole(3);
+    let mut fleet = start_converged_fleet(3);
     let before = member(&fleet, 0, 1)["boot"].as_u64();
     fleet.servers[1].kill();
     fleet.servers[1].start().expect("a process");
@@ -238,7 +238,7 @@
         .unwrap_or_panic();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!((fleet.member_state(0, 1), fleet.member_state(2, 1)), ("present".into(), "present".into()));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -250,11 +250,11 @@
         .unwrap_or_panic();
     (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // Silent, it uses nothing of the part that belongs to its name, but it serves.
-    rest(1_500);
+    sleep_ms(1_500);
     assert_eq!(fleet.view(3).expect("a view")["allowances"][0][1]["used"], 0);
     assert_eq!(fleet.view(0).expect("a view")["silenced"], false);
     fleet.servers[3].wait_until_healthy().unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -272,12 +272,12 @@
         .unwrap_or_panic();
     fleet.servers[1].read_log();
     assert!(!fleet.history.log_lines("n2", "name conflict: two processes use one name").is_empty());
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn the_last_server_of_a_fleet_serves_alone() {
-    let mut fleet = whole(4);
+    let mut fleet = start_converged_fleet(4);
     (1..4).for_each(|n| fleet.servers[n].kill());
     fleet.wait_for_partition_status(0, "alone").unwrap_or_panic();
     let served = |fleet: &Fleet| {
@@ -289,12 +289,12 @@
         fleet.servers[n].start().expect("a process");
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_flapping_link_changes_no_status_faster_than_the_damping_allows() {
-    let mut told = options(3);
+    let mut told = fleet_options(3);
     told.timing = told.timing.replace("damp-ms=500", "damp-ms=1800");
     told.damp_ms = 1_800;
     let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
@@ -302,36 +302,36 @@
         let cut = round % 2 == 0;
         fleet.change_faults(0, 1, |faults| faults.cut = cut);
         fleet.change_faults(1, 0, |faults| faults.cut = cut);
-        rest(1_000);
+        sleep_ms(1_000);
     }
     fleet.servers[0].read_log();
     let changes = fleet.history.log_lines("n1", "partition status changed").len();
     assert!((2..=7).contains(&changes), "{changes} changes");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn streams_carry_membership_where_datagrams_are_lost() {
-    let mut fleet = whole(4);
+    let mut fleet = start_converged_fleet(4);
     fleet.set_all_faults(Faults { no_datagrams: true, ..Faults::default() });
-    rest(3_000);
+    sleep_ms(3_000);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     // Who starts meanwhile comes in by streams alone.
     fleet.servers[3].kill();
     fleet.servers[3].start().expect("a process");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!(held(&mut fleet, 0, 1, "failed"), 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_peer_that_accepts_and_never_reads_blocks_nobody() {
-    let fleet = whole(3);
+    let fleet = start_converged_fleet(3);
     fleet.change_faults(0, 1, |faults| faults.stall = true);
     fleet.change_faults(2, 1, |faults| faults.stall = true);
     // Every member asks for loans and writes by stream; what waits for the one that never reads is lost.
-    rest(2_500);
+    sleep_ms(2_500);
     (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
     // Without datagrams towards it, only it is off.
     fleet.change_faults(0, 1, |faults| faults.no_datagrams = true);
@@ -342,13 +342,13 @@
     assert!(reaches(&fleet, 0, 2) && reaches(&fleet, 2, 0));
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn replayed_messages_revive_nobody() {
-    let mut fleet = whole(3);
-    rest(1_000);
+    let mut fleet = start_converged_fleet(3);
+    sleep_ms(1_000);
     let past = fleet.direction(1, 0).recent_datagrams();
     assert!(past.len() > 10);
     fleet.servers[1].kill();
@@ -366,17 +366,17 @@
     fleet.servers[0].start().expect("a process");
     fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
     fleet.relay(1, 0).replay(&past);
-    rest(300);
+    sleep_ms(300);
     assert!(!reaches(&fleet, 0, 1));
     assert!(refused(&fleet, 0, "Unproven") + refused(&fleet, 0, "NotForUs") > 0);
     fleet.servers[1].start().expect("a process");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_leaving_server_announces_it_and_is_not_suspected() {
-    let mut fleet = whole(4);
+    let mut fleet = start_converged_fleet(4);
     fleet.servers[3].terminate();
     fleet.wait_for_member_state(0, 3, "leaving").unwrap_or_panic();
     let status = fleet.servers[3].wait_for_exit().expect("it ends");
@@ -388,12 +388,12 @@
     fleet.servers[2].kill();
     fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
     fleet.wait_for_partition_status(0, "minority").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn a_changed_roster_is_applied_completely_or_not_at_all() {
-    let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
+    let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
     for n in 0..3 {
         fleet.configured_peers[n].retain(|other| *other != 2);
         fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
@@ -408,7 +408,7 @@
         {
             fleet.servers[n].write_operator_config(&sound.replace(part, other)).expect("written");
             fleet.servers[n].signal("HUP");
-            rest(200);
+            sleep_ms(200);
         }
         fleet.servers[n].write_operator_config(&sound).expect("written");
         fleet
@@ -425,12 +425,12 @@
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!(member(&fleet, 0, 2)["named"], true);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn lasting_view_divergence_is_logged_with_its_rows() {
-    let mut fleet = Fleet::prepare(options(3)).expect("a fleet");
+    let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
     // The second was never told of the third.
     fleet.configured_peers[1].retain(|other| *other != 2);
     for n in 0..3 {
@@ -455,5 +455,5 @@
             fleet.view(0).is_ok_and(|view| view["disagreements"] == serde_json::json!([]))
         })
         .unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
--- a/crates/server/tests/fleet_quota.rs
+++ b/crates/server/tests/fleet_quota.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
-use common::{options, rest, sound, UnwrapOrPanic};
+use common::{assert_invariants, fleet_options, sleep_ms, UnwrapOrPanic};
 use umberloom_fault_harness::{script, Faults, Fleet, Script};
 
 /// A fleet whose first server has nearly all of the need, each with a part of four.
 fn uneven(servers: usize) -> Fleet {
-    let mut told = options(servers);
+    let mut told = fleet_options(servers);
     told.capacity = 4 * servers as u32;
     told.service_time_ms = 60.0;
     let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
@@ -50,7 +50,7 @@
     // Need that moves takes the loans along.
     need(&fleet, 2);
     until_borrowed(&fleet, 2);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     fleet.heal();
     need(&fleet, 0);
     until_borrowed(&fleet, 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -77,12 +77,12 @@
         fleet.servers[0].set_stopped(true);
         need_everywhere(&fleet);
         // Past the loan, and so short of it that it is nearly over on wake.
-        rest(if round % 2 == 0 { 1_100 } else { 520 });
+        sleep_ms(if round % 2 == 0 { 1_100 } else { 520 });
         fleet.servers[0].set_stopped(false);
-        rest(1_000);
+        sleep_ms(1_000);
         need(&fleet, 0);
     }
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -95,10 +95,10 @@
         // Others still use what it lent, and the calls of the one before it go on.
         need_everywhere(&fleet);
         fleet.wait_until("its part", |fleet| figure(fleet, n, "part") == 4).unwrap_or_panic();
-        rest(700);
+        sleep_ms(700);
         need(&fleet, 0);
     }
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -112,10 +112,10 @@
     // What it lent before its end is still in use, and it has need of its own now.
     need_everywhere(&fleet);
     fleet.wait_until("its part", |fleet| figure(fleet, 1, "part") == 4).unwrap_or_panic();
-    rest(700);
+    sleep_ms(700);
     need(&fleet, 0);
     until_borrowed(&fleet, 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -128,7 +128,7 @@
         fleet.configured_peers[n].retain(|other| *other != 0);
     }
     fleet.reload(1);
-    rest(1_500);
+    sleep_ms(1_500);
     assert_eq!(figure(&fleet, 1, "part"), 4, "the others still go by the old parts");
     fleet.reload(2);
     fleet.reload(3);
@@ -137,7 +137,7 @@
         fleet.wait_until("a greater part", |fleet| figure(fleet, n, "part") >= 5).unwrap_or_panic();
     }
     until_borrowed(&fleet, 1);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -148,7 +148,7 @@
     fleet.cut_shared_dependency(2, true);
     fleet.cut_shared_dependency(3, true);
     // Loans from before the cut have run out; what there is now was lent within the part.
-    rest(1_200);
+    sleep_ms(1_200);
     fleet
         .wait_until("a loan within its part", |fleet| {
             figure(fleet, 0, "borrowed") > 0 && figure(fleet, 0, "borrowed") <= 4
@@ -158,7 +158,7 @@
     fleet.wait_until("more calls", |fleet| fleet.call_intervals().len() > before + 20).unwrap_or_panic();
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -168,13 +168,13 @@
     for faults in [bad, Faults { no_datagrams: true, ..bad }, Faults { stall: true, ..bad }] {
         fleet.set_all_faults(faults);
         need(&fleet, 1);
-        rest(1_200);
+        sleep_ms(1_200);
         need(&fleet, 0);
-        rest(1_200);
+        sleep_ms(1_200);
     }
     fleet.heal();
     until_borrowed(&fleet, 0);
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 /// Drawn faults of all kinds, two at a time now and then. A seed that fails is printed with its script, and stays.
--- a/crates/server/tests/fleet_replicated_store.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -8,7 +8,7 @@
 use common::replicated_store::{
     any_follower, put_document, read_latest, start_fleet_with_store, wait_for_other_leader, Clients,
 };
-use common::{options, rest, sound, UnwrapOrPanic};
+use common::{assert_invariants, fleet_options, sleep_ms, UnwrapOrPanic};
 use serde_json::Value;
 use umberloom_fault_harness::Fleet;
 
@@ -44,7 +44,7 @@
     *bytes.last_mut().expect("bytes") ^= 1;
     std::fs::write(&kept, bytes).expect("written");
     assert!(fleet.store_command(1, &["verify", &kept.display().to_string()]).is_err());
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut fleet = start_fleet_with_store(3, 3, true);
     let clients = Clients::start(&fleet, 1);
     for round in 0..6 {
-        rest(1_000);
+        sleep_ms(1_000);
         let leader = fleet.leader().expect("a leader");
         match round % 3 {
             0 => {
@@ -63,7 +63,7 @@
             1 => {
                 fleet.servers[leader].set_stopped(true);
                 wait_for_other_leader(&fleet, leader);
-                rest(1_500);
+                sleep_ms(1_500);
                 // It wakes and believes that it leads: what it is asked then is in the clients' histories.
                 fleet.servers[leader].set_stopped(false);
             }
@@ -71,14 +71,14 @@
                 // Clients still reach it: it must not answer with what it has.
                 let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
                 fleet.partition(&[&[leader], &others]);
-                rest(3_000);
+                sleep_ms(3_000);
                 fleet.heal();
             }
         }
         fleet.wait_for_replication(3).unwrap_or_panic();
     }
-    clients.finish(60);
-    sound(fleet);
+    clients.stop_and_assert_linearizable(60);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -108,7 +108,7 @@
         (version, content.as_str()),
         (Some(1), "from the majority") | (Some(2), "from the minority")
     ));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -141,7 +141,7 @@
                 // The only one that will reach a majority lacks what was agreed on: it can't be elected itself, and the
                 // others reach each other through it alone.
                 fleet.partition(&[&[hub], &[leader, others[1], others[2], others[3]]]);
-                rest(1_000);
+                sleep_ms(1_000);
                 (0..3).for_each(|n| {
                     assert!(put_document(&fleet, leader, "x", &format!("without the hub {n}")).is_ok());
                 });
@@ -155,7 +155,7 @@
         }
         fleet.wait_until(case, |fleet| put_document(fleet, hub, "x", case).is_ok()).unwrap_or_panic();
         let before = fleet.store_status_field(hub, "term").as_u64();
-        rest(2_500);
+        sleep_ms(2_500);
         let after = fleet.store_status_field(hub, "term").as_u64();
         assert!(after <= before.map(|term| term + 2), "{case}: {before:?} to {after:?}: endless elections");
         assert_eq!(read_latest(&fleet, hub, "x"), Ok(case.to_owned()), "{case}");
@@ -163,7 +163,7 @@
         fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
         fleet.wait_for_replication(5).unwrap_or_panic();
     }
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -185,13 +185,13 @@
     // By hand it votes again, in the place of another, and stays.
     fleet.store_command(n, &["promote", &name]).expect("asked");
     fleet.wait_until("its vote", |fleet| fleet.store_status_field(n, "role") == "Voter").unwrap_or_panic();
-    rest(1_500);
+    sleep_ms(1_500);
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(fleet.store_status_field(n, "role"), "Voter");
     let leader = fleet.leader().expect("a leader");
     let why = fleet.store_command(leader, &["promote", &name]).expect_err("it votes");
     assert!(why.contains("votes already"), "{why}");
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -217,7 +217,7 @@
     assert_eq!(read_latest(&fleet, found[0], "x"), Ok("kept".to_owned()));
     fleet.servers[leader].start().expect("a process");
     fleet.wait_for_replication(3).unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -225,20 +225,20 @@
     let mut fleet = start_fleet_with_store(4, 3, true);
     put_document(&fleet, 0, "x", "before").expect("written");
     fleet.partition(&[&[0, 1], &[2, 3]]);
-    rest(800);
+    sleep_ms(800);
     for n in 0..3 {
         fleet.configured_peers[n].retain(|other| *other != 3);
         fleet.reload(n);
     }
     fleet.servers[3].terminate();
     fleet.servers[3].wait_for_exit().expect("it ends");
-    rest(800);
+    sleep_ms(800);
     fleet.heal();
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(fleet.store_status_field(0, "copies").as_array().map(Vec::len), Some(3));
     put_document(&fleet, 2, "x", "after").expect("written");
     assert_eq!(read_latest(&fleet, 1, "x"), Ok("after".to_owned()));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -256,7 +256,7 @@
         fleet.servers[n].start().expect("a process");
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    rest(2_500);
+    sleep_ms(2_500);
     assert_eq!((fleet.leader(), fleet.store_status_field(0, "record")), (None, record.clone()));
     assert_eq!(
         fleet.store_command(0, &["show", "--local", "x"]).expect("there")["content"],
@@ -268,12 +268,12 @@
     assert_ne!(fleet.store_status_field(0, "record"), record);
     let lines = fleet.store_command(1, &["history"]).expect("there");
     assert!(lines[0]["what"].as_str().is_some_and(|what| what.starts_with("adopted from record")), "{lines}");
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn twenty_four_processes_keep_one_replicated_store() {
-    let mut told = options(24);
+    let mut told = fleet_options(24);
     told.store_options = Some("voters=5 election-ms=1500 replace-after-s=60".to_owned());
     told.timing = "timing".to_owned();
     told.damp_ms = 1_000;
@@ -292,5 +292,5 @@
     fleet
         .wait_until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n)))
         .unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
--- a/crates/server/tests/fleet_store_disks.rs
+++ b/crates/server/tests/fleet_store_disks.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use common::replicated_store::{any_follower, logged, put_document, read_latest, start_fleet_with_store};
-use common::{options, rest, sound, UnwrapOrPanic};
+use common::replicated_store::{any_follower, log_events, put_document, read_latest, start_fleet_with_store};
+use common::{assert_invariants, fleet_options, sleep_ms, UnwrapOrPanic};
 use serde_json::Value;
 use umberloom_fault_harness::Fleet;
 
@@ -23,7 +23,7 @@
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_ne!(fleet.store_status_field(n, "copy"), copy);
     assert_eq!(fleet.store_command(n, &["show", "--local", "x"]).expect("there")["content"], "meanwhile");
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -38,24 +38,24 @@
     for round in 0..5 {
         put_document(&fleet, n, "x", &format!("round {round}")).expect("written");
     }
-    rest(600);
+    sleep_ms(600);
     fleet.servers[n].kill();
     fleet.servers[n].restore_disk(&old).expect("put back");
     fleet.servers[n].start().expect("a process");
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_ne!(fleet.store_status_field(n, "copy"), copy, "it voted under its old number");
-    assert_eq!(logged(&mut fleet, n, "replica rollback detected").len(), 1);
+    assert_eq!(log_events(&mut fleet, n, "replica rollback detected").len(), 1);
     assert!(
         fleet.servers[n].store_folder().join("rows.redb.aside-1").exists(),
         "the old copy stays for the operator"
     );
     assert_eq!(read_latest(&fleet, n, "x"), Ok("round 4".to_owned()));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn flipped_bits_are_logged_quarantined_and_repaired_at_rest_and_while_running() {
-    let mut told = options(3);
+    let mut told = fleet_options(3);
     told.store_options = Some("voters=3 election-ms=400 replace-after-s=30".to_owned());
     told.store_folder_options = Some("most-mb=64 scrub-s=1".to_owned());
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
@@ -69,7 +69,7 @@
     // It serves at once, whatever its disk holds.
     fleet.servers[n].wait_until_healthy().unwrap_or_panic();
     fleet.wait_for_replication(3).unwrap_or_panic();
-    let lines = logged(&mut fleet, n, "stored replica quarantined");
+    let lines = log_events(&mut fleet, n, "stored replica quarantined");
     let why = lines.first().map(|line| line["reason"].to_string()).unwrap_or_default();
     assert!(why.contains("rows.redb: damaged at"), "{lines:?}");
     // And while it runs: found by reading all of it, without a restart.
@@ -83,7 +83,7 @@
         .unwrap_or_panic();
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(read_latest(&fleet, m, "x").map(|content| content.len()), Ok(32_000));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -105,9 +105,9 @@
     (0..3).for_each(|n| fleet.servers[n].start().expect("a process"));
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_ne!(fleet.store_status_field(0, "record"), record);
-    let begun: usize = (0..3).map(|n| logged(&mut fleet, n, NEW).len()).sum();
+    let begun: usize = (0..3).map(|n| log_events(&mut fleet, n, NEW).len()).sum();
     assert_eq!(begun, 2, "each new record is told of by its founder");
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 /// What a founder says.
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_replica_far_behind_catches_up_while_it_serves_and_is_killed_three_times() {
-    let mut told = options(3);
+    let mut told = fleet_options(3);
     told.store_options = Some("voters=3 election-ms=400 replace-after-s=60 catch-up-kb=1500".to_owned());
     told.store_folder_options = Some("most-mb=64".to_owned());
     let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
@@ -152,14 +152,14 @@
     fleet.servers[n].start().expect("a process");
     fleet.wait_for_replication(3).unwrap_or_panic();
     let large_ones = |line: &&Value| line["bytes"].as_u64() > Some(5_000_000);
-    assert_eq!(logged(&mut fleet, n, "replica caught up").iter().filter(large_ones).count(), 1);
+    assert_eq!(log_events(&mut fleet, n, "replica caught up").iter().filter(large_ones).count(), 1);
     assert_eq!(read_latest(&fleet, n, "large11").map(|content| content.len()), Ok(large.len()));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
 fn two_full_disks_of_five_block_nobody_and_recover_once_there_is_room() {
-    let mut told = options(5);
+    let mut told = fleet_options(5);
     told.store_options = Some("voters=5 election-ms=400 replace-after-s=60".to_owned());
     told.store_folder_options = Some("most-mb=64".to_owned());
     let mut fleet = Fleet::prepare(told).expect("a fleet");
@@ -194,7 +194,7 @@
             .unwrap_or_panic();
     }
     fleet.wait_for_replication(5).unwrap_or_panic();
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -217,7 +217,7 @@
     // Without a restart.
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(read_latest(&fleet, n, "x"), Ok("by the others".to_owned()));
-    sound(fleet);
+    assert_invariants(fleet);
 }
 
 #[test]
@@ -244,5 +244,5 @@
     assert_eq!(lines.len(), 9);
     assert_eq!(about(&lines[0]), "document limits");
     assert_eq!(about(&lines[1]), "rolled back the spring limits");
-    sound(fleet);
+    assert_invariants(fleet);
 }
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -11,16 +11,16 @@
 
 use serde_json::{json, Value};
 
-use common::{eventually, Announce, Balancer, Request, World, WAIT_TIMEOUT};
+use common::{eventually, Announce, Balancer, Request, TestEnvironment, WAIT_TIMEOUT};
 
 /// Leaves the running server no descriptor beyond those that it has open.
-fn exhaust_descriptors(world: &World) {
+fn exhaust_descriptors(world: &TestEnvironment) {
     let free = (0..).find(|n| !world.has_open_descriptor(*n)).expect("a free number");
     limit_descriptors(world, free);
 }
 
 /// Sets the system's limit on the descriptors of the running server.
-fn limit_descriptors(world: &World, most: usize) {
+fn limit_descriptors(world: &TestEnvironment, most: usize) {
     let limit = format!("--nofile={most}:{most}");
     let done = Command::new("prlimit").args(["--pid", &world.pid().to_string(), &limit]).status();
     assert!(done.expect("prlimit").success());
@@ -38,7 +38,7 @@
 /// their requests were sent completely, and each must be answered once other connections are closed.
 #[test]
 fn requests_in_the_accept_queue_are_answered_by_a_draining_server_without_descriptors() {
-    let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
+    let mut world = TestEnvironment::start_registered(|config| config["stop_ms"] = 1_500.into());
     let mut idle: Vec<Balancer> = (0..8).map(|_| world.balancer()).collect();
     idle.iter_mut().for_each(|b| assert_eq!(b.round_trip(&Request::health_check(1, "")).status, 200));
     exhaust_descriptors(&world);
@@ -59,7 +59,7 @@
 /// are handled, new connections are accepted as idle ones are closed, and the registration goes on by itself.
 #[test]
 fn idle_clients_that_take_all_descriptors_block_nothing_while_the_registration_is_down() {
-    let mut world = World::up_within(64, |config| {
+    let mut world = TestEnvironment::start_with_descriptor_limit(64, |config| {
         config["limits"]["sockets"] = 1_024.into();
         config["settings"]["family_info"]["idle_us"] = 300_000_000.into();
     });
@@ -105,7 +105,7 @@
 }
 
 /// Waits for a good health check, and serves one request.
-fn wait_until_ready(world: &mut World, id: &str) {
+fn wait_until_ready(world: &mut TestEnvironment, id: &str) {
     let mut balancer = world.balancer();
     eventually("a good check", || {
         (balancer.round_trip(&Request::health_check(1, "")).status == 200).then_some(())
@@ -121,8 +121,9 @@
 /// request served.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_within_ten_seconds() {
-    let mut worlds: Vec<World> =
-        (0..6).map(|_| World::up(|config| config["stop_ms"] = 2_000.into())).collect();
+    let mut worlds: Vec<TestEnvironment> = (0..6)
+        .map(|_| TestEnvironment::start_registered(|config| config["stop_ms"] = 2_000.into()))
+        .collect();
     let mut in_time = 0;
     for round in 0..5 {
         let in_flight: Vec<Balancer> =
@@ -175,7 +176,7 @@
 /// is on it. Only a call that is idempotent is retried.
 #[test]
 fn a_call_on_a_pooled_connection_that_is_closed_under_it_is_retried_only_if_idempotent() {
-    let mut world = World::up(classes_by_idempotency);
+    let mut world = TestEnvironment::start_registered(classes_by_idempotency);
     let mut balancer = world.balancer();
     for class in ["book", "room", "search"] {
         balancer.send(&request_of_class(1, class, class));
@@ -205,7 +206,7 @@
 /// attempt ends, before or after the end is read, and when its caller is gone.
 #[test]
 fn a_duplicate_that_arrives_as_the_run_ends_gets_its_result_and_never_runs() {
-    let mut world = World::up(classes_by_idempotency);
+    let mut world = TestEnvironment::start_registered(classes_by_idempotency);
     for round in 0..8 {
         let id = format!("first{round}");
         let first = request_of_class(1, &id, "room");
@@ -262,7 +263,7 @@
 /// before that.
 #[test]
 fn a_server_that_drains_before_its_agent_is_up_takes_no_work() {
-    let mut world = World::start(|config| {
+    let mut world = TestEnvironment::start(|config| {
         config["stop_ms"] = 2_000.into();
         config["settings"]["guarantees"]["drain_grace_us"] = 100_000.into();
     });
@@ -281,7 +282,7 @@
 /// Signals that come twice, between two others, or while the program starts: it ends once and in order, or never served.
 #[test]
 fn signals_at_any_moment_end_the_process_once_and_in_order() {
-    let mut world = World::up(|config| config["stop_ms"] = 1_500.into());
+    let mut world = TestEnvironment::start_registered(|config| config["stop_ms"] = 1_500.into());
     let mut balancer = world.launch_request("a");
     world.reconfigure(|config| config["records"] = "127.0.0.1:9".into());
     world.terminate();
@@ -304,7 +305,7 @@
 /// connections are not affected.
 #[test]
 fn a_request_cut_at_any_byte_closes_only_its_connection() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut neighbour = world.launch_request("neighbour");
     let bytes = Request::health_check(7, "").bytes();
     for cut in 0..bytes.len() {
@@ -328,7 +329,7 @@
 /// A reply of the records service that is cut at any byte is not delivered, and its call is retried.
 #[test]
 fn a_reply_cut_at_any_byte_is_never_delivered() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let reply = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes";
     let mut balancer = world.balancer();
     for cut in (0..reply.len()).step_by(3) {
@@ -352,7 +353,7 @@
 /// A flood on one connection and one on many: a client beside them is served.
 #[test]
 fn floods_on_one_connection_and_on_many_delay_no_other_client() {
-    let mut world = World::up(|config| config["limits"]["sockets"] = 128.into());
+    let mut world = TestEnvironment::start_registered(|config| config["limits"]["sockets"] = 128.into());
     let mut usual = world.balancer();
     assert_eq!(usual.round_trip(&Request::health_check(1, "")).status, 200);
     let one = TcpStream::connect(world.listen).expect("connected");
@@ -391,7 +392,7 @@
 /// are unread on a connection and in the accept queue.
 #[test]
 fn requests_unread_after_a_stall_past_the_stop_are_answered() {
-    let mut world = World::up(|config| config["stop_ms"] = 1_000.into());
+    let mut world = TestEnvironment::start_registered(|config| config["stop_ms"] = 1_000.into());
     let mut idle = world.balancer();
     assert_eq!(idle.round_trip(&Request::health_check(1, "")).status, 200);
     world.terminate();
--- a/crates/server/tests/reload.rs
+++ b/crates/server/tests/reload.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Agent, Announce, Records, Request, World};
+use common::{Agent, Announce, Records, Request, TestEnvironment};
 use serde_json::json;
 
 #[test]
 fn new_addresses_of_all_peers_lose_no_request() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("before");
     world.agent.wait_for_samples(3);
     let (agent, records, announce) = (Agent::start(), Records::start(), Announce::start());
@@ -41,7 +41,7 @@
 
 #[test]
 fn call_in_flight_ends_on_its_old_connection() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let _balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     let mut call = world.records.next_call();
@@ -59,7 +59,7 @@
 
 #[test]
 fn invalid_or_unsupported_reload_changes_nothing() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     let sound = world.config().clone();
     let with = |field: &str, value: serde_json::Value| {
@@ -94,7 +94,7 @@
 
 #[test]
 fn consecutive_reloads_end_at_the_last_address() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     // Nobody is there: the server tries in vain until it is told of the next.
     world.reconfigure(|config| config["agent"] = json!("127.0.0.1:1"));
@@ -112,7 +112,7 @@
 
 #[test]
 fn draining_server_still_reloads() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.terminate();
     world.announce.wait_for_report("false");
@@ -131,7 +131,7 @@
 
 #[test]
 fn reload_before_the_agent_is_connected_takes_effect() {
-    let mut world = World::start(|_| ());
+    let mut world = TestEnvironment::start(|_| ());
     world.agent.wait_for_link();
     let agent = Agent::start();
     let address = agent.address;
--- a/crates/server/tests/rules.rs
+++ b/crates/server/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 use common::balancer::record;
-use common::{eventually, Balancer, Request, World};
+use common::{eventually, Balancer, Request, TestEnvironment};
 
 /// The same bytes for the same seed.
 fn pseudo_random_bytes(seed: u64, length: usize) -> Vec<u8> {
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_new_agent_link_resumes_where_the_last_one_was_cut() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     world.agent.wait_for_samples(2);
     world.agent.answers_samples = false;
@@ -47,7 +47,7 @@
 
 #[test]
 fn notices_seen_before_are_dropped_and_confirmed_commands_are_not_repeated() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     world.records.next_call().reply("200 OK", "", b"y");
@@ -69,7 +69,7 @@
 
 #[test]
 fn requests_that_arrive_without_an_agent_link_are_launched_on_the_next() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     world.agent.disconnect();
     world.agent.wait_for_link();
@@ -84,7 +84,7 @@
 
 #[test]
 fn malformed_lines_from_the_agent_close_only_the_link() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     let endless = vec![b'x'; 70_000];
     for (slot, bad) in [(1, &b"nonsense\n"[..]), (2, b"{\"op\":7}\n"), (3, &endless)] {
@@ -101,7 +101,7 @@
 
 #[test]
 fn malformed_bytes_close_only_their_connection() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut healthy = world.launch_request("healthy");
     for seed in 0..40 {
         let mut stream = TcpStream::connect(world.listen).expect("connected");
@@ -121,7 +121,7 @@
 
 #[test]
 fn requests_in_flight_on_a_connection_with_malformed_bytes_are_still_answered() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     // In one write with a valid record before it.
     balancer.send_bytes(&[record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_balancer_that_shuts_down_its_side_still_gets_its_answers() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a"));
     balancer.stream.shutdown(std::net::Shutdown::Write).expect("shut");
@@ -145,7 +145,7 @@
 
 #[test]
 fn an_aborted_request_ends_and_its_run_is_stopped() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     balancer.send_bytes(&record(2, 1, &[]));
     assert_eq!(balancer.answer().status, 0);
@@ -164,7 +164,7 @@
 
 #[test]
 fn requests_beyond_the_limit_of_a_connection_are_overloaded() {
-    let world = World::up(|_| ());
+    let world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     for slot in 1..=33 {
         balancer.send_bytes(&record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]));
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_full_connection_table_delays_no_established_connection() {
-    let mut world = World::up(|config| config["limits"]["sockets"] = 64.into());
+    let mut world = TestEnvironment::start_registered(|config| config["limits"]["sockets"] = 64.into());
     let mut first = world.launch_request("a");
     let crowd: Vec<TcpStream> =
         (0..80).map(|_| TcpStream::connect(world.listen).expect("connected")).collect();
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_peer_that_does_not_read_delays_no_other_peer() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut stuck = world.balancer();
     stuck.stream.set_write_timeout(Some(std::time::Duration::from_millis(300))).expect("a time limit");
     let question = record(9, 0, b"\x0f\x00FCGI_MPXS_CONNS");
@@ -209,7 +209,7 @@
 
 #[test]
 fn a_peer_that_keeps_sending_malformed_bytes_is_disconnected() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut flooder = world.balancer();
     let flood = vec![0; 1 << 20];
     let mut sent = 0;
@@ -224,7 +224,7 @@
 
 #[test]
 fn half_sent_requests_stay_within_the_memory_limit() {
-    let mut world = World::up(|config| config["limits"]["memory_mb"] = 32.into());
+    let mut world = TestEnvironment::start_registered(|config| config["limits"]["memory_mb"] = 32.into());
     let before = world.memory_kb();
     let half: Vec<u8> = (1..=32)
         .flat_map(|slot| [record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, slot, &[0; 16_000])].concat())
@@ -244,7 +244,7 @@
 
 #[test]
 fn a_second_request_of_the_same_id_cannot_abort_the_first() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let (mut owner, mut other) = (world.balancer(), world.balancer());
     owner.send(&Request::new(1, "a"));
     world.agent.expect_command("launch");
@@ -257,7 +257,7 @@
 
 #[test]
 fn a_draining_server_answers_all_requests_and_exits_with_success() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("before");
     world.terminate();
     world.announce.wait_for_report("false");
@@ -277,7 +277,7 @@
 
 #[test]
 fn idle_connections_are_closed_without_a_reset() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut idle = world.balancer();
     assert_eq!(idle.round_trip(&Request::health_check(1, "")).status, 200);
     world.terminate();
@@ -288,7 +288,7 @@
 
 #[test]
 fn a_connection_without_keep_conn_is_closed_after_its_answer() {
-    let world = World::up(|_| ());
+    let world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     let mut check = Request::health_check(1, "");
     check.flags = 0;
@@ -298,7 +298,7 @@
 
 #[test]
 fn a_server_waits_for_an_agent_that_comes_up_late() {
-    let mut world = World::start(|_| ());
+    let mut world = TestEnvironment::start(|_| ());
     world.agent.wait_for_link();
     eventually("the listening socket", || TcpStream::connect(world.listen).ok());
     world.agent.resend_initial_notice();
@@ -310,7 +310,7 @@
 
 #[test]
 fn a_stall_of_the_process_closes_no_connection() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     let mut call = world.records.next_call();
--- a/crates/server/tests/serving.rs
+++ b/crates/server/tests/serving.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Balancer, Request, World};
+use common::{Balancer, Request, TestEnvironment};
 
 fn pseudo_random_bytes(length: usize) -> Vec<u8> {
     (0..length as u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
@@ -16,7 +16,7 @@
 
 #[test]
 fn bodies_and_results_pass_unchanged() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let (body, result) = (pseudo_random_bytes(2 * 1024), pseudo_random_bytes(4 * 1024));
     let mut balancer = world.balancer();
     balancer.send(&Request::new(7, "9b1f03aa5c7e2d41").body(&body));
@@ -31,7 +31,7 @@
 
 #[test]
 fn many_requests_share_a_connection_and_are_answered_in_any_order() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     let all: Vec<u8> = (1..=4).flat_map(|n| Request::new(n, &format!("{n:016x}")).bytes()).collect();
     // In chunks that end anywhere.
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_run_that_ends_twice_is_answered_once() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_outcome("a", "fine", b"first");
     world.agent.send_outcome("a", "fine", b"second");
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_result_after_the_final_response_is_dropped() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").with("HTTP_BUDGET_MS", "1500"));
     // However slow the machine is, the response comes by then, as the run has not ended.
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_failed_run_is_answered_500_and_not_rejected() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     for end in ["fault", "broken_off", "late"] {
         balancer.send(&Request::new(1, end));
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_request_whose_caller_no_longer_waits_is_rejected_without_a_run() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     let past = (common::unix_ms() - 60_000).to_string();
     let old = Request::new(1, "a").with("HTTP_RECEIVED_AT", &past).with("HTTP_BUDGET_MS", "5");
@@ -98,7 +98,7 @@
 
 #[test]
 fn malformed_requests_are_answered_400_and_never_launched() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     let valid = Request::new(1, "a");
     let malformed = [
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_call_and_its_reply_pass_unchanged() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let (asked, reply) = (pseudo_random_bytes(96), pseudo_random_bytes(700));
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", &asked);
@@ -147,7 +147,7 @@
 
 #[test]
 fn consecutive_calls_share_one_connection() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let _balancer = world.launch_request("a");
     let mut peers = Vec::new();
     for _ in 0..3 {
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_call_that_was_not_begun_is_retried() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     world.records.next_call().reply("503 Busy", "Op-Not-Begun: 1\r\n", b"");
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_run_goes_on_without_a_call_that_keeps_failing() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     let seq = world.agent.send_call_request("a", b"x");
     // A reply that is cut off does not prove that the call never ran, and neither does an error.
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_run_goes_on_without_a_call_to_an_unreachable_service() {
-    let mut world = World::up(|config| config["records"] = "127.0.0.1:1".into());
+    let mut world = TestEnvironment::start_registered(|config| config["records"] = "127.0.0.1:1".into());
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     world.agent.expect_command("forgo");
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_call_is_cancelled_when_its_run_ends() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_call_request("a", b"x");
     let mut call = world.records.next_call();
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_launch_that_the_agent_rejects_fails_its_request() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send(&serde_json::json!({"op": "refusal", "end": "launch", "id": "a"}));
     assert_eq!(balancer.answer().status, 500);
@@ -218,7 +218,7 @@
 
 #[test]
 fn an_invalid_notice_fails_its_request_and_keeps_the_link() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.launch_request("a");
     world.agent.send_outcome("a", "never heard of", b"");
     assert_eq!(balancer.answer().status, 500);
@@ -231,7 +231,7 @@
 
 #[test]
 fn health_checks_fail_and_requests_are_rejected_until_the_agent_is_up() {
-    let mut world = World::start(|_| ());
+    let mut world = TestEnvironment::start(|_| ());
     world.agent.wait_for_link();
     let mut balancer = world.balancer();
     assert_eq!(balancer.round_trip(&Request::health_check(1, "")).status, 500);
@@ -244,7 +244,7 @@
 
 #[test]
 fn a_deep_health_check_makes_the_agent_work_until_readiness_is_set() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     for (end, status) in [("fine", 200), ("fault", 500)] {
         balancer.send(&Request::health_check(1, "full=1"));
@@ -256,7 +256,7 @@
 
 #[test]
 fn the_registration_is_repeated_and_goes_on_after_an_outage() {
-    let world = World::up(|_| ());
+    let world = TestEnvironment::start_registered(|_| ());
     for _ in 0..3 {
         assert_eq!(world.announce.next_report(), "true");
     }
@@ -270,7 +270,7 @@
 
 #[test]
 fn a_killed_server_restarts_under_its_address() {
-    let mut world = World::up(|_| ());
+    let mut world = TestEnvironment::start_registered(|_| ());
     let _balancer = world.launch_request("a");
     world.kill_and_restart();
     world.agent.wait_for_link();
@@ -295,7 +295,7 @@
 
 #[test]
 fn without_stated_deadlines_the_deadline_of_the_class_counts() {
-    let mut world = World::up(without_deadlines);
+    let mut world = TestEnvironment::start_registered(without_deadlines);
     let mut balancer = world.balancer();
     balancer.send(&Request::new(1, "a").without("HTTP_BUDGET_MS").with("HTTP_ATTEMPT", "2"));
     assert_eq!(world.agent.expect_command("launch").0, "a");
@@ -320,10 +320,10 @@
 
 #[test]
 fn a_request_without_a_deadline_is_malformed_only_where_deadlines_are_stated() {
-    let world = World::up(|_| ());
+    let world = TestEnvironment::start_registered(|_| ());
     let mut balancer = world.balancer();
     assert_eq!(balancer.round_trip(&Request::new(1, "a").without("HTTP_BUDGET_MS")).status, 400);
-    let mut world = World::up(without_deadlines);
+    let mut world = TestEnvironment::start_registered(without_deadlines);
     let mut balancer = world.balancer();
     assert_eq!(balancer.round_trip(&Request::new(1, "a").with("HTTP_ATTEMPT", "0")).status, 400);
     balancer.send(&Request::new(2, "b").without("HTTP_BUDGET_MS"));
