--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -77,9 +77,9 @@
 #[test]
 fn errors_name_the_line_of_the_field() {
     let mut config = config();
-    let class_without_window = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
+    let class_with_zero_window = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
                                       "effect": "idempotency_key", "repeat_window_us": 0});
-    *config.pointer_mut("/settings/classes/0").expect("a class") = class_without_window;
+    *config.pointer_mut("/settings/classes/0").expect("a class") = class_with_zero_window;
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"repeat_window_us\"")).expect("the field");
     for command in ["check", "serve"] {
@@ -181,11 +181,11 @@
     assert!(rejection("serve", "{").contains("not JSON"));
     assert!(rejection("serve", "[]").contains("expected an object"));
     assert!(rejection("serve", "{}").contains("`settings`"));
-    let missing = run_program(&["serve", "--config", "/nonexistent/config.json"], None);
-    assert!(!missing.status.success());
-    assert!(String::from_utf8(missing.stderr).expect("text").contains("/nonexistent/config.json"));
-    let unnamed = run_program(&["serve"], None);
-    assert!(!unnamed.status.success() && !unnamed.stderr.is_empty());
+    let missing_file = run_program(&["serve", "--config", "/nonexistent/config.json"], None);
+    assert!(!missing_file.status.success());
+    assert!(String::from_utf8(missing_file.stderr).expect("text").contains("/nonexistent/config.json"));
+    let without_path = run_program(&["serve"], None);
+    assert!(!without_path.status.success() && !without_path.stderr.is_empty());
 }
 
 #[test]
