--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -414,7 +414,8 @@
     std::thread::sleep(Duration::from_millis(1_200));
     env.signal("CONT");
     for (connection, balancer) in [("idle", &mut idle), ("waiting", &mut waiting)] {
-        let answer = balancer.try_answer().unwrap_or_else(|| panic!("{connection}: no answer\n{}", env.log()));
+        let answer =
+            balancer.try_answer().unwrap_or_else(|| panic!("{connection}: no answer\n{}", env.log()));
         assert!(answer.protocol_status == 2 || matches!(answer.status, 500 | 503), "{answer:?}");
         assert_eq!(balancer.try_answer(), None);
     }
