--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -1,8 +1,8 @@
-//! Commands and their errors, and the checks of the configuration before anything is served.
+//! Command-line arguments and their errors, and the validation of the configuration before the server starts.
 
 mod common;
 
-use common::run;
+use common::run_program;
 use serde_json::{json, Value};
 
 fn config() -> Value {
@@ -13,9 +13,10 @@
     })
 }
 
-/// The error lines of a command that rejects this configuration, just one of which is the program's own.
+/// Runs a command that must reject this configuration. Returns its standard error, of which exactly one line
+/// starts with the program's name.
 fn rejection(command: &str, text: &str) -> String {
-    let output = run(&[command], Some(text));
+    let output = run_program(&[command], Some(text));
     assert!(!output.status.success());
     let stderr = String::from_utf8(output.stderr).expect("text");
     assert_eq!(stderr.lines().filter(|line| line.starts_with("umberloom: ")).count(), 1, "{stderr}");
@@ -24,14 +25,14 @@
 
 #[test]
 fn check_accepts_a_valid_configuration() {
-    let output = run(&["check"], Some(&config().to_string()));
+    let output = run_program(&["check"], Some(&config().to_string()));
     assert!(output.status.success());
     assert_eq!(output.stdout, b"n3: sound\n");
 }
 
 #[test]
 fn version_is_printed() {
-    let output = run(&["version"], None);
+    let output = run_program(&["version"], None);
     assert!(output.status.success());
     assert!(String::from_utf8(output.stdout).expect("text").starts_with("umberloom "));
 }
@@ -72,12 +73,13 @@
     }
 }
 
-/// An error about a field names the file and the line where the field stands, and the reason.
+/// An error about a field names the file, the line of the field and the reason.
 #[test]
 fn errors_name_the_line_of_the_field() {
     let mut config = config();
-    *config.pointer_mut("/settings/classes/0").expect("a class") = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0, "effect": "idempotency_key",
-               "repeat_window_us": 0});
+    let class_with_zero_window = json!({"name": "search", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
+                                      "effect": "idempotency_key", "repeat_window_us": 0});
+    *config.pointer_mut("/settings/classes/0").expect("a class") = class_with_zero_window;
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"repeat_window_us\"")).expect("the field");
     for command in ["check", "serve"] {
@@ -87,22 +89,23 @@
     }
 }
 
-/// Guards against a server of a first tier that does not start: the next tier is reached at `records`, as what all servers
-/// share is. Without that address its calls would go nowhere, which is reported at the start.
+/// Guards against a first-tier server that does not start: the next tier is reached at the address `records`,
+/// as the dependency shared by all servers is. Without that address its calls would go nowhere, so it is
+/// required at the start.
 #[test]
 fn any_downstream_needs_an_address_for_records() {
     for downstream in ["common", "next_hop"] {
         let mut config = config();
         config["settings"]["family_info"]["downstream"] = json!(downstream);
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{downstream}: {output:?}");
         config.as_object_mut().expect("an object").remove("records");
         assert!(rejection("check", &config.to_string()).contains("`records` is absent"), "{downstream}");
     }
 }
 
-/// Guards against a server that does not start at another customer's: each of these settings stands by itself, and any
-/// mix of them is sound.
+/// Guards against a server that does not start with another customer's configuration: these settings are
+/// independent of each other, so every combination is valid.
 #[test]
 fn settings_are_valid_in_any_combination() {
     let set = |config: &mut Value, path: &str, value: Value| {
@@ -132,13 +135,14 @@
         set(&mut config, "/settings/classes/0/effect", json!(effect));
         set(&mut config, "/settings/classes/0/write", json!(true));
         set(&mut config, "/settings/classes/0/repeat_window_us", json!(3_000_000));
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{report} {preemption} {hint} {effect} {marks_retry}: {output:?}");
     }
 }
 
-/// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a warning names its
-/// line. It is not rejected, as files may carry keys of their own (the fleet's `admin`).
+/// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a
+/// warning names the line of the unknown key. The key is not rejected, as files may carry keys of their own
+/// (the fleet's `admin`).
 #[test]
 fn unknown_keys_are_warned_about_with_their_line() {
     let mut config = config();
@@ -146,7 +150,7 @@
     class.as_object_mut().expect("an object").insert("wirte".to_owned(), json!(true));
     let text = serde_json::to_string_pretty(&config).expect("text");
     let line = 1 + text.lines().position(|l| l.contains("\"wirte\"")).expect("the field");
-    let output = run(&["check"], Some(&text));
+    let output = run_program(&["check"], Some(&text));
     assert!(output.status.success(), "{output:?}");
     let stderr = String::from_utf8(output.stderr).expect("text");
     assert!(
@@ -156,8 +160,9 @@
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
-/// Guards against a server that does not start at a customer whose keys weigh little: a full table rejects first attempts
-/// and drops no live key (`memory/idempotency_cache/tests.rs`, `admission/tests`).
+/// Guards against a server that does not start for a customer whose idempotency keys take little memory. Any
+/// size is safe, as a full table rejects first attempts and drops no live key
+/// (`memory/idempotency_cache/tests.rs`, `admission/tests`).
 #[test]
 fn idempotency_keys_may_have_any_size() {
     let class = json!({"name": "book", "aim_us": 1, "hard_limit_us": 2, "credit": 1.0,
@@ -166,7 +171,7 @@
     *config.pointer_mut("/settings/classes/1").expect("a class") = class;
     for size_kb in [170.0, 1.0, 0.0] {
         *config.pointer_mut("/settings/family_info/key_kb").expect("a field") = json!(size_kb);
-        let output = run(&["check"], Some(&config.to_string()));
+        let output = run_program(&["check"], Some(&config.to_string()));
         assert!(output.status.success(), "{size_kb}: {output:?}");
     }
 }
@@ -176,11 +181,11 @@
     assert!(rejection("serve", "{").contains("not JSON"));
     assert!(rejection("serve", "[]").contains("expected an object"));
     assert!(rejection("serve", "{}").contains("`settings`"));
-    let missing = run(&["serve", "--config", "/nonexistent/config.json"], None);
-    assert!(!missing.status.success());
-    assert!(String::from_utf8(missing.stderr).expect("text").contains("/nonexistent/config.json"));
-    let unnamed = run(&["serve"], None);
-    assert!(!unnamed.status.success() && !unnamed.stderr.is_empty());
+    let missing_file = run_program(&["serve", "--config", "/nonexistent/config.json"], None);
+    assert!(!missing_file.status.success());
+    assert!(String::from_utf8(missing_file.stderr).expect("text").contains("/nonexistent/config.json"));
+    let without_path = run_program(&["serve"], None);
+    assert!(!without_path.status.success() && !without_path.stderr.is_empty());
 }
 
 #[test]
@@ -194,7 +199,7 @@
 #[test]
 fn unknown_commands_and_options_are_rejected() {
     for arguments in [&["unheard-of"][..], &[], &["serve", "--unheard-of"]] {
-        let output = run(arguments, None);
+        let output = run_program(arguments, None);
         assert!(!output.status.success(), "{arguments:?}");
         assert!(!output.stderr.is_empty() && output.stdout.is_empty(), "{arguments:?}");
     }
