--- a/crates/fault-harness/src/linear.rs
+++ b/crates/fault-harness/src/linear.rs
@@ -1,61 +1,68 @@
-//! Whether what clients saw of registers is linearizable.
+//! Checks whether the results that clients saw of registers are linearizable.
 //!
-//! Each write that is done has a version, in the order in which the register took them on, so that no order has to be
-//! searched for: it is enough that versions and real time never disagree. Writes whose end nobody saw may have happened at
-//! any time after they began, or never.
+//! Each completed write has a version, which is its place in the order of the register's writes. So no order
+//! has to be searched for: it is enough that versions and real time never contradict each other. A write that
+//! never ended for its client may have taken effect at any time after it started, or never.
 
 use std::collections::BTreeMap;
 
-/// What a client asked for and what it was told.
+/// A client's operation on a register and its result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// The register.
+    /// The name of the register.
     pub register: String,
-    /// It wrote this value; `None`: it read.
+    /// The value that a write writes; `None` for a read.
     pub written: Option<u128>,
-    /// When it began, and when it ended, if it did.
+    /// When the operation started, on the clock of the caller.
     pub started_at: u64,
+    /// When it ended; `None` if it never did.
     pub ended_at: Option<u64>,
-    /// The version and the value that it was told; `None` for one that was refused or never ended.
+    /// The version and the value that the client received; `None` if the operation was rejected or never
+    /// ended.
     pub result: Option<(u64, u128)>,
-    /// It was refused: it certainly changed nothing, where it was a write that was refused by its version.
+    /// Whether the operation was rejected. A write that was rejected for its version certainly changed
+    /// nothing.
     pub rejected: bool,
 }
 
 impl Operation {
-    pub fn write(name: &str, began: u64, value: u128) -> Operation {
-        Operation { written: Some(value), ..Operation::read(name, began) }
+    /// A write that has not ended yet.
+    pub fn write(register: &str, started_at: u64, value: u128) -> Operation {
+        Operation { written: Some(value), ..Operation::read(register, started_at) }
     }
 
-    pub fn read(name: &str, began: u64) -> Operation {
+    /// A read that has not ended yet.
+    pub fn read(register: &str, started_at: u64) -> Operation {
         Operation {
-            register: name.to_owned(),
+            register: register.to_owned(),
             written: None,
-            started_at: began,
+            started_at,
             ended_at: None,
             result: None,
             rejected: false,
         }
     }
 
+    /// Records the end of the operation and its result.
     pub fn complete(&mut self, at: u64, version: u64, value: u128) {
         (self.ended_at, self.result) = (Some(at), Some((version, value)));
     }
 
+    /// Records that the operation was rejected.
     pub fn reject(&mut self, at: u64) {
         (self.ended_at, self.rejected) = (Some(at), true);
     }
 }
 
-/// Every breach.
+/// Returns a description of each violation.
 pub fn violations(operations: &[Operation]) -> Vec<String> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     let mut registers: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in operations {
         registers.entry(&operation.register).or_default().push(operation);
     }
     for (name, all) in registers {
-        let began: BTreeMap<u128, u64> =
+        let write_starts: BTreeMap<u128, u64> =
             all.iter().filter_map(|o| Some((o.written?, o.started_at))).collect();
         let mut values: BTreeMap<u64, u128> = BTreeMap::new();
         for operation in &all {
@@ -65,45 +72,46 @@
             if version == 0 {
                 continue;
             }
-            // One value a version, and one that somebody wrote, after it was asked for.
+            // A version has one value, and a write of that value started before the value was seen.
             let known = *values.entry(version).or_insert(value);
             if known != value {
-                found.push(format!("{name}: version {version} was both {known} and {value}"));
+                violations.push(format!("{name}: version {version} was both {known} and {value}"));
             }
-            match began.get(&value) {
-                None => found.push(format!("{name}: {value} was read and never written")),
+            match write_starts.get(&value) {
+                None => violations.push(format!("{name}: {value} was read and never written")),
                 Some(at) if *at > ended => {
-                    found.push(format!("{name}: {value} was read before it was written"));
+                    violations.push(format!("{name}: {value} was read before it was written"));
                 }
                 Some(_) => {}
             }
         }
-        // In the order of their ends: what began after an end sees that version or a later one.
-        let mut done: Vec<&Operation> = all.iter().copied().filter(|o| o.result.is_some()).collect();
-        done.sort_by_key(|o| o.started_at);
-        let mut ends: Vec<&Operation> = done.clone();
-        ends.sort_by_key(|o| o.ended_at);
+        // An operation that starts after another one ended sees its version or a later one.
+        let mut completed: Vec<&Operation> = all.iter().copied().filter(|o| o.result.is_some()).collect();
+        completed.sort_by_key(|o| o.started_at);
+        let mut by_end: Vec<&Operation> = completed.clone();
+        by_end.sort_by_key(|o| o.ended_at);
         let (mut next, mut highest) = (0, (0, false));
-        for operation in done {
-            while next < ends.len() && ends[next].ended_at < Some(operation.started_at) {
-                let version = ends[next].result.map_or(0, |(version, _)| version);
+        for operation in completed {
+            while next < by_end.len() && by_end[next].ended_at < Some(operation.started_at) {
+                let version = by_end[next].result.map_or(0, |(version, _)| version);
                 highest = highest.max((version, false));
                 next += 1;
             }
             let version = operation.result.map_or(0, |(version, _)| version);
-            let old =
+            // A write never repeats a version that a completed operation had.
+            let stale =
                 version < highest.0 || (operation.written.is_some() && version == highest.0 && version > 0);
-            if old {
-                let (what, at) =
+            if stale {
+                let (kind, at) =
                     (if operation.written.is_some() { "write" } else { "read" }, operation.started_at);
-                found.push(format!(
-                    "{name}: a {what} begun at {at} had version {version} after {}",
+                violations.push(format!(
+                    "{name}: a {kind} started at {at} had version {version} after {}",
                     highest.0
                 ));
             }
         }
     }
-    found
+    violations
 }
 
 #[cfg(test)]
@@ -111,37 +119,38 @@
     use super::*;
 
     #[test]
-    fn what_disagrees_with_real_time_is_a_breach() {
-        let write = |began, ended, version, value| {
-            let mut one = Operation::write("x", began, value);
-            one.complete(ended, version, value);
-            one
+    fn results_that_contradict_real_time_are_violations() {
+        let write = |start, end, version, value| {
+            let mut operation = Operation::write("x", start, value);
+            operation.complete(end, version, value);
+            operation
         };
-        let read = |began, ended, version, value| {
-            let mut one = Operation::read("x", began);
-            one.complete(ended, version, value);
-            one
+        let read = |start, end, version, value| {
+            let mut operation = Operation::read("x", start);
+            operation.complete(end, version, value);
+            operation
         };
-        let lost = Operation::write("x", 30, 9);
+        let unfinished = Operation::write("x", 30, 9);
         let cases = [
             (vec![write(0, 10, 1, 7), read(11, 12, 1, 7), write(13, 20, 2, 8), read(15, 16, 1, 7)], 0),
             // A read after the end of a write sees an older version.
             (vec![write(0, 10, 1, 7), write(13, 20, 2, 8), read(21, 22, 1, 7)], 1),
-            // Reads go back.
+            // A later read sees an older version than an earlier read.
             (vec![write(0, 10, 1, 7), write(12, 30, 2, 8), read(13, 14, 2, 8), read(15, 16, 1, 7)], 1),
-            // Two values of one version, and one that nobody wrote.
+            // A version has two values; a value was never written.
             (vec![write(0, 10, 1, 7), write(0, 10, 1, 8)], 1),
             (vec![write(0, 10, 1, 7), read(11, 12, 2, 5)], 1),
-            // One whose end nobody saw may be read, but not before it began.
-            (vec![write(0, 10, 1, 7), lost.clone(), read(31, 40, 2, 9)], 0),
-            (vec![write(0, 10, 1, 7), lost, read(11, 20, 2, 9)], 1),
-            // A second write of the version that was told already: two values of it, and no later one.
+            // The value of an unfinished write may be read, but not before the write started.
+            (vec![write(0, 10, 1, 7), unfinished.clone(), read(31, 40, 2, 9)], 0),
+            (vec![write(0, 10, 1, 7), unfinished, read(11, 20, 2, 9)], 1),
+            // A write repeats the version of an earlier write: the version has two values, and it did not
+            // grow.
             (vec![write(0, 10, 3, 7), write(11, 12, 3, 8)], 2),
         ];
-        for (operations, wanted) in cases {
+        for (operations, expected) in cases {
             assert_eq!(
                 violations(&operations).len(),
-                wanted,
+                expected,
                 "{operations:#?} {:?}",
                 violations(&operations)
             );
--- a/crates/fault-harness/src/virtual_fleet.rs
+++ b/crates/fault-harness/src/virtual_fleet.rs
@@ -1,4 +1,4 @@
-//! Up to a thousand members in one process, on a virtual network and clock: the same seed gives the same run.
+//! Up to a thousand members in one process on a virtual network and clock. Equal seeds give equal runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,69 +9,82 @@
     Action, Config, Event, MemberState, Membership, Micros, PartitionStatus, ReturnPath,
 };
 
-/// What the network does to datagrams. Streams carry what they take, late.
+/// Faults of the virtual network. Messages on streams are delayed but neither lost nor duplicated.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Network {
+    /// Share of datagrams that are lost, from 0 to 1.
     pub loss: f64,
+    /// Share of datagrams that are duplicated, from 0 to 1.
     pub double: f64,
-    /// Of streams and datagrams: a bit is turned over.
+    /// Share of messages, on streams and as datagrams, in which one bit is flipped, from 0 to 1.
     pub damage: f64,
-    /// Datagrams are late by up to this.
+    /// Largest random delay of a message, in microseconds; less than 300 counts as 300. A fixed 300 is added.
     pub max_delay: Micros,
-    /// Streams carry nothing.
+    /// Whether messages on streams are dropped.
     pub no_streams: bool,
 }
 
-enum Due {
-    Mail { from: usize, to: usize, bytes: Vec<u8>, datagram: bool },
-    Pass(usize),
+/// A scheduled event.
+enum ScheduledEvent {
+    /// A message arrives.
+    Message { from: usize, to: usize, bytes: Vec<u8>, datagram: bool },
+    /// The timeout of a member is due.
+    Timeout(usize),
 }
 
-/// Which way something came: the sender's place.
-type Way = usize;
+/// Identifies the return path of a message: the index of its sender.
+type SenderIndex = usize;
 
-/// All members.
+/// All members and the network between them. Members are identified by their index.
 pub struct VirtualFleet {
+    /// The virtual time in microseconds.
     pub now: Micros,
+    /// The members; `None` for one that does not run.
     pub members: Vec<Option<Membership>>,
     pub network: Network,
     names: Vec<String>,
-    places: BTreeMap<String, usize>,
-    rates: Vec<f64>,
-    /// Stopped until then.
-    stopped: Vec<Micros>,
-    /// Directions that carry nothing.
+    index_by_name: BTreeMap<String, usize>,
+    /// The speed of each member's clock, relative to the virtual time.
+    clock_rates: Vec<f64>,
+    /// The time until which each member is suspended.
+    paused_until: Vec<Micros>,
+    /// Directions, as sender and receiver, in which every message is lost.
     pub cut_links: std::collections::BTreeSet<(usize, usize)>,
+    /// Times and numbers of scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    due: BTreeMap<u64, Due>,
-    next: u64,
+    /// Scheduled events by number.
+    scheduled: BTreeMap<u64, ScheduledEvent>,
+    last_number: u64,
     random: ChaCha8Rng,
-    /// Lines that members said, with their times and places.
+    /// Events that members reported, with the virtual time and the index of the member.
     pub events: Vec<(Micros, usize, Event)>,
+    /// Bytes of all messages sent.
     pub bytes: u64,
+    /// Number of messages sent.
     pub messages: u64,
+    /// Changes the default configuration of each member.
     adjust: fn(&mut Config),
 }
 
 impl VirtualFleet {
-    /// So many members, with times as `adjust` leaves them; their clocks are up to one percent off.
+    /// Starts `count` members, configured by `adjust`. Their clocks are up to one percent fast or slow.
     pub fn new(count: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualFleet {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let names: Vec<String> = (0..count).map(|n| format!("m{n}")).collect();
-        let places = names.iter().cloned().zip(0..).collect();
-        let rates = (0..count).map(|_| random.random_range(0.99..1.01)).collect();
+        let index_by_name = names.iter().cloned().zip(0..).collect();
+        let clock_rates = (0..count).map(|_| random.random_range(0.99..1.01)).collect();
         let mut fleet = VirtualFleet {
             now: 0,
             members: (0..count).map(|_| None).collect(),
             network: Network::default(),
             names,
-            places,
-            rates,
-            stopped: vec![0; count],
+            index_by_name,
+            clock_rates,
+            paused_until: vec![0; count],
             cut_links: Default::default(),
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            next: 0,
+            scheduled: BTreeMap::new(),
+            last_number: 0,
             random,
             events: Vec::new(),
             bytes: 0,
@@ -82,91 +95,97 @@
         fleet
     }
 
+    /// The time on a member's own clock.
     fn clock(&self, n: usize) -> Micros {
-        (self.now as f64 * self.rates[n]) as Micros
+        (self.now as f64 * self.clock_rates[n]) as Micros
     }
 
-    /// A process starts under this name, from nothing.
+    /// Starts a new process of a member, without any state.
     pub fn start(&mut self, n: usize) {
-        // The start by the Unix clock, which is the same for all but for some skew.
-        let boot = 1_700_000_000_000_000 + self.now + self.random.random_range(0..1_000);
-        self.start_with_boot_id(n, boot);
+        // The boot id is the start by the Unix clock, which all members share up to a skew of 1 ms.
+        let boot_id = 1_700_000_000_000_000 + self.now + self.random.random_range(0..1_000);
+        self.start_with_boot_id(n, boot_id);
     }
 
-    /// The same with a Unix clock that shows this.
-    pub fn start_with_boot_id(&mut self, n: usize, boot: u64) {
+    /// Does the same with a given boot id, the Unix time of the start in microseconds.
+    pub fn start_with_boot_id(&mut self, n: usize, boot_id: u64) {
         let others: Vec<&str> =
             self.names.iter().enumerate().filter(|(o, _)| *o != n).map(|(_, s)| s.as_str()).collect();
         let mut config = Config::new("virtual", &self.names[n], &others);
         (self.adjust)(&mut config);
         let (clock, seed) = (self.clock(n), self.random.random());
-        self.members[n] = Membership::new(clock, config, boot, seed).ok();
-        self.plan(self.now, Due::Pass(n));
+        self.members[n] = Membership::new(clock, config, boot_id, seed).ok();
+        self.schedule(self.now, ScheduledEvent::Timeout(n));
     }
 
+    /// Ends a member's process.
     pub fn kill(&mut self, n: usize) {
         self.members[n] = None;
     }
 
-    /// It is not run until then; what comes for it waits.
-    pub fn pause(&mut self, n: usize, span: Micros) {
-        self.stopped[n] = self.now + span;
+    /// Suspends a member for `duration`. Messages to it wait.
+    pub fn pause(&mut self, n: usize, duration: Micros) {
+        self.paused_until[n] = self.now + duration;
     }
 
-    fn plan(&mut self, at: Micros, due: Due) {
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next)));
-        self.due.insert(self.next, due);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.last_number += 1;
+        self.queue.push(Reverse((at, self.last_number)));
+        self.scheduled.insert(self.last_number, event);
     }
 
-    /// Goes on until then.
+    /// Runs until this virtual time. The error describes a violated invariant.
     pub fn run_until(&mut self, until: Micros) -> Result<(), String> {
         while let Some(Reverse((at, number))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= until)
         {
             self.queue.pop();
-            let Some(due) = self.due.remove(&number) else { continue };
+            let Some(event) = self.scheduled.remove(&number) else { continue };
             self.now = self.now.max(at);
-            let n = match &due {
-                Due::Mail { to, .. } => *to,
-                Due::Pass(n) => *n,
+            let n = match &event {
+                ScheduledEvent::Message { to, .. } => *to,
+                ScheduledEvent::Timeout(n) => *n,
             };
-            if self.members[n].is_some() && self.stopped[n] > self.now {
-                let later = self.stopped[n];
-                self.plan(later, due);
+            if self.members[n].is_some() && self.paused_until[n] > self.now {
+                let later = self.paused_until[n];
+                self.schedule(later, event);
                 continue;
             }
-            self.step(n, due)?;
+            self.step(n, event)?;
         }
         self.now = until;
         Ok(())
     }
 
-    fn step(&mut self, n: usize, due: Due) -> Result<(), String> {
+    /// Passes an event to a member and carries out the resulting actions.
+    fn step(&mut self, n: usize, event: ScheduledEvent) -> Result<(), String> {
         let clock = self.clock(n);
         let Some(member) = &mut self.members[n] else { return Ok(()) };
-        let passes = matches!(due, Due::Pass(_));
-        match due {
-            Due::Mail { from, bytes, datagram, .. } => {
-                let way: Way = from;
-                let via =
-                    if datagram { ReturnPath::Datagram(way as u64) } else { ReturnPath::Stream(way as u64) };
-                member.handle_message(clock, &bytes, via);
+        let is_timeout = matches!(event, ScheduledEvent::Timeout(_));
+        match event {
+            ScheduledEvent::Message { from, bytes, datagram, .. } => {
+                let sender: SenderIndex = from;
+                let return_path = if datagram {
+                    ReturnPath::Datagram(sender as u64)
+                } else {
+                    ReturnPath::Stream(sender as u64)
+                };
+                member.handle_message(clock, &bytes, return_path);
             }
-            Due::Pass(_) => member.handle_timeout(clock),
+            ScheduledEvent::Timeout(_) => member.handle_timeout(clock),
         }
-        if passes {
-            member.check_invariants().map_err(|why| format!("m{n} at {}: {why}", self.now))?;
+        if is_timeout {
+            member.check_invariants().map_err(|error| format!("m{n} at {}: {error}", self.now))?;
         }
-        let (actions, told, next) = (member.take_actions(), member.take_events(), member.next_timeout());
-        self.events.extend(told.into_iter().map(|line| (self.now, n, line)));
+        let (actions, events, next) = (member.take_actions(), member.take_events(), member.next_timeout());
+        self.events.extend(events.into_iter().map(|event| (self.now, n, event)));
         for action in actions {
             let to = match &action {
                 Action::Datagram { to, .. } | Action::Stream { to, .. } | Action::Bulk { to, .. } => {
-                    self.places.get(&**to).copied()
+                    self.index_by_name.get(&**to).copied()
                 }
-                Action::Reply { path: ReturnPath::Datagram(way) | ReturnPath::Stream(way), .. } => {
-                    Some(*way as usize)
+                Action::Reply { path: ReturnPath::Datagram(sender) | ReturnPath::Stream(sender), .. } => {
+                    Some(*sender as usize)
                 }
             };
             let datagram = matches!(
@@ -174,18 +193,19 @@
                 Action::Datagram { .. } | Action::Reply { path: ReturnPath::Datagram(_), .. }
             );
             if let Some(to) = to {
-                self.carry(n, to, action.bytes().to_vec(), datagram);
+                self.send(n, to, action.bytes().to_vec(), datagram);
             }
         }
-        if passes {
-            let at = self.now + ((next.saturating_sub(clock)) as f64 / self.rates[n]) as Micros + 1;
-            self.plan(at, Due::Pass(n));
+        if is_timeout {
+            let at = self.now + ((next.saturating_sub(clock)) as f64 / self.clock_rates[n]) as Micros + 1;
+            self.schedule(at, ScheduledEvent::Timeout(n));
         }
         Ok(())
     }
 
-    fn carry(&mut self, from: usize, to: usize, mut bytes: Vec<u8>, datagram: bool) {
-        let Network { loss, double, damage, max_delay: late, no_streams } = self.network;
+    /// Sends a message over the network with its faults.
+    fn send(&mut self, from: usize, to: usize, mut bytes: Vec<u8>, datagram: bool) {
+        let Network { loss, double, damage, max_delay, no_streams } = self.network;
         self.messages += 1;
         self.bytes += bytes.len() as u64;
         let lost = if datagram { self.random.random_bool(loss) } else { no_streams };
@@ -193,22 +213,25 @@
             return;
         }
         if self.random.random_bool(damage) {
-            let place = self.random.random_range(0..bytes.len());
-            bytes[place] ^= 1 << self.random.random_range(0..8);
+            let index = self.random.random_range(0..bytes.len());
+            bytes[index] ^= 1 << self.random.random_range(0..8);
         }
         let copies = if datagram && self.random.random_bool(double) { 2 } else { 1 };
         for _ in 0..copies {
-            let wait = 300 + self.random.random_range(0..=late.max(300));
-            self.plan(self.now + wait, Due::Mail { from, to, bytes: bytes.clone(), datagram });
+            let delay = 300 + self.random.random_range(0..=max_delay.max(300));
+            self.schedule(
+                self.now + delay,
+                ScheduledEvent::Message { from, to, bytes: bytes.clone(), datagram },
+            );
         }
     }
 
-    /// Members that run.
+    /// The running members with their indices.
     pub fn running_members(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.members.iter().enumerate().filter_map(|(n, member)| Some((n, member.as_ref()?)))
     }
 
-    /// Whether all living members hold the same view, and how many stand whole.
+    /// Whether all running members have the same view, and the number whose partition status is `Whole`.
     pub fn view_agreement(&self) -> (bool, usize) {
         let views: std::collections::BTreeSet<u64> =
             self.running_members().map(|(_, member)| member.view_digest()).collect();
@@ -218,10 +241,11 @@
         )
     }
 
-    /// Goes on in steps until all living members hold the same view; how long that took, if it came.
-    pub fn run_until_views_agree(&mut self, most: Micros) -> Result<Option<Micros>, String> {
+    /// Runs until all running members have the same view. Returns the time that it took, or `None` if it took
+    /// longer than `timeout`.
+    pub fn run_until_views_agree(&mut self, timeout: Micros) -> Result<Option<Micros>, String> {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + timeout {
             if self.view_agreement().0 {
                 return Ok(Some(self.now - start));
             }
@@ -230,13 +254,13 @@
         Ok(None)
     }
 
-    /// When each living member began to hold this one for failed, from `since` on.
-    pub fn failure_detection_times(&self, name: usize, since: Micros) -> Vec<Micros> {
-        let name = &self.names[name];
+    /// For each member that has seen `failed` as failed since `since`: when it first did.
+    pub fn failure_detection_times(&self, failed: usize, since: Micros) -> Vec<Micros> {
+        let failed = &self.names[failed];
         let mut first: BTreeMap<usize, Micros> = BTreeMap::new();
-        for (at, n, line) in &self.events {
-            if let Event::MemberStateChanged { name: about, to: MemberState::Failed, .. } = line {
-                if **about == **name && *at >= since {
+        for (at, n, event) in &self.events {
+            if let Event::MemberStateChanged { name, to: MemberState::Failed, .. } = event {
+                if **name == **failed && *at >= since {
                     first.entry(*n).or_insert(*at);
                 }
             }
@@ -244,13 +268,13 @@
         first.into_values().collect()
     }
 
-    /// Times that a member was held for suspected, and for failed, since then.
+    /// The numbers of changes to suspected and to failed that all members have reported since `since`.
     pub fn suspicion_counts(&self, since: Micros) -> (usize, usize) {
-        let count = |wanted: MemberState| {
-            let fits = |(at, _, line): &&(Micros, usize, Event)| {
-                *at >= since && matches!(line, Event::MemberStateChanged { to, .. } if *to == wanted)
+        let count = |state: MemberState| {
+            let matches = |(at, _, event): &&(Micros, usize, Event)| {
+                *at >= since && matches!(event, Event::MemberStateChanged { to, .. } if *to == state)
             };
-            self.events.iter().filter(fits).count()
+            self.events.iter().filter(matches).count()
         };
         (count(MemberState::Suspected), count(MemberState::Failed))
     }
--- a/crates/fault-harness/src/virtual_replicated_store.rs
+++ b/crates/fault-harness/src/virtual_replicated_store.rs
@@ -1,4 +1,4 @@
-//! A record on a virtual network, clock and disks: the same seed gives the same run.
+//! A replicated store on a virtual network, clock and disks. Equal seeds give equal runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -16,276 +16,304 @@
 
 use crate::linear::Operation;
 
+/// One millisecond in microseconds.
 const MS: Micros = 1_000;
 
-enum Due {
-    Mail { from: usize, boot: u64, to: usize, bytes: Vec<u8> },
-    Pass(usize, u64),
+/// A scheduled event. The first two numbers of `Timeout` and `Synced` are a server and its process.
+enum ScheduledEvent {
+    /// A message arrives that process `process` of server `from` sent.
+    Message { from: usize, process: u64, to: usize, bytes: Vec<u8> },
+    /// The timeout of a server's process is due.
+    Timeout(usize, u64),
+    /// The disk of a server has synced the batch with this number, written by this process.
     Synced(usize, u64, u64),
 }
 
 /// One server.
-struct Place {
-    record: Option<Replica>,
-    /// Counts processes, as the start of one does.
-    boot: u64,
+struct Node {
+    /// The replica; `None` while no process runs.
+    replica: Option<Replica>,
+    /// Number of processes started so far; stands for the boot id of the present one.
+    process: u64,
     disk: FaultInjectingDisk,
     store: Option<Store>,
-    stopped: Micros,
-    /// How long a sync takes at most.
-    sync: Micros,
+    /// The time until which the process is suspended.
+    paused_until: Micros,
+    /// Longest duration of a sync.
+    max_sync: Micros,
 }
 
-/// What a client waits for.
-struct Asked {
-    at: usize,
-    boot: u64,
+/// An operation whose client waits for the result.
+struct PendingOperation {
+    /// The server that the client called, and its process at that time.
+    node: usize,
+    process: u64,
+    /// Index into the operations.
     operation: usize,
-    what: Ask,
-    until: Micros,
+    kind: PendingKind,
+    /// When the client stops waiting.
+    timeout_at: Micros,
 }
 
-enum Ask {
+enum PendingKind {
+    /// The id of the written entry.
     Write(u128),
+    /// The number of the read request.
     Read(u64),
 }
 
-/// All of it.
+/// All servers, their disks and the network between them. Servers are identified by their index.
 pub struct VirtualReplicatedStore {
+    /// The virtual time in microseconds.
     pub now: Micros,
-    places: Vec<Place>,
+    nodes: Vec<Node>,
     names: Vec<MemberName>,
+    /// Changes the default configuration of each replica.
     adjust: fn(&mut Config),
-    /// Directions that carry nothing.
+    /// Directions, as sender and receiver, in which every message is lost.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// The share of messages that is lost, and how late they come at most.
+    /// Share of messages that are lost, from 0 to 1.
     pub loss: f64,
+    /// Largest random delay of a message, in microseconds. A fixed 300 is added.
     pub max_delay: Micros,
+    /// Times and numbers of scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    due: BTreeMap<u64, Due>,
-    next: u64,
+    /// Scheduled events by number.
+    scheduled: BTreeMap<u64, ScheduledEvent>,
+    last_number: u64,
     random: ChaCha8Rng,
+    /// Events that replicas reported, with the virtual time and the index of the server.
     pub events: Vec<(Micros, usize, Event)>,
-    /// What clients asked for and were told, for the checker.
+    /// The operations of all clients with their results, for [`crate::linear::violations`].
     pub operations: Vec<Operation>,
-    asked: Vec<Asked>,
-    next_id: u128,
+    pending: Vec<PendingOperation>,
+    /// The id of the latest entry.
+    last_id: u128,
+    /// Bytes of all messages sent.
     pub bytes: u64,
-    /// How often a copy was set aside, and why.
+    /// Every quarantined replica: the index of its server and the reason.
     pub quarantined: Vec<(usize, String)>,
+    /// The first leader seen in each term of each store.
     leaders: BTreeMap<(StoreId, u64), usize>,
 }
 
 impl VirtualReplicatedStore {
-    /// So many servers, each with a disk.
+    /// Starts `count` servers, each with an empty disk, configured by `adjust`.
     pub fn new(count: usize, seed: u64, adjust: fn(&mut Config)) -> VirtualReplicatedStore {
         let names: Vec<MemberName> = (0..count).map(|n| MemberName::from(format!("m{n}"))).collect();
-        let place = |n: usize| Place {
-            record: None,
-            boot: 0,
+        let new_node = |n: usize| Node {
+            replica: None,
+            process: 0,
             disk: FaultInjectingDisk::new(seed ^ (n as u64) << 32),
             store: None,
-            stopped: 0,
-            sync: 2 * MS,
+            paused_until: 0,
+            max_sync: 2 * MS,
         };
-        let mut all = VirtualReplicatedStore {
+        let mut store = VirtualReplicatedStore {
             now: 0,
-            places: (0..count).map(place).collect(),
+            nodes: (0..count).map(new_node).collect(),
             names,
             adjust,
             cut_links: BTreeSet::new(),
             loss: 0.0,
             max_delay: 2 * MS,
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            next: 0,
+            scheduled: BTreeMap::new(),
+            last_number: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             events: Vec::new(),
             operations: Vec::new(),
-            asked: Vec::new(),
-            next_id: 1,
+            pending: Vec::new(),
+            last_id: 1,
             bytes: 0,
             quarantined: Vec::new(),
             leaders: BTreeMap::new(),
         };
-        (0..count).for_each(|n| all.start(n));
-        all
+        (0..count).for_each(|n| store.start(n));
+        store
     }
 
-    fn plan(&mut self, at: Micros, due: Due) {
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next)));
-        self.due.insert(self.next, due);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.last_number += 1;
+        self.queue.push(Reverse((at, self.last_number)));
+        self.scheduled.insert(self.last_number, event);
     }
 
-    /// A process starts with what its disk holds.
+    /// Starts a process with the replica on its disk. A damaged store is quarantined and replaced by an empty
+    /// one.
     pub fn start(&mut self, n: usize) {
         let others: Vec<&str> = self.names.iter().filter(|o| **o != self.names[n]).map(|o| &**o).collect();
         let mut config = Config::new(&self.names[n], &others);
         config.zone = format!("z{}", n % 3).as_str().into();
         (self.adjust)(&mut config);
         let (now, seed) = (self.now, self.random.random());
-        let place = &mut self.places[n];
-        place.boot += 1;
-        place.store = None;
-        let told = StoreConfig { max_bytes: 64 << 20, ..StoreConfig::new("record") };
-        let mut store = Store::open(&place.disk, &told);
+        let node = &mut self.nodes[n];
+        node.process += 1;
+        node.store = None;
+        let store_config = StoreConfig { max_bytes: 64 << 20, ..StoreConfig::new("record") };
+        let mut store = Store::open(&node.disk, &store_config);
         if store.as_ref().is_err_and(umberloom_store::StoreError::is_damage) {
             self.quarantined.push((n, store.as_ref().map_or_else(ToString::to_string, |_| String::new())));
-            let _ = Store::quarantine(&place.disk, &told);
-            store = Store::open(&place.disk, &told);
+            let _ = Store::quarantine(&node.disk, &store_config);
+            store = Store::open(&node.disk, &store_config);
         }
         let Ok(store) = store else { return };
         let rows =
             KEYSPACES.map(|space| (space, store.range(space, &[], None, usize::MAX).unwrap_or_default()));
-        let image = StoredReplica::read(rows.to_vec());
-        place.store = Some(store);
-        place.record = image.ok().and_then(|image| Replica::new(now, config, image, seed).ok());
-        let boot = place.boot;
-        self.plan(now, Due::Pass(n, boot));
-        self.carry_out(n);
+        let stored = StoredReplica::read(rows.to_vec());
+        node.store = Some(store);
+        node.replica = stored.ok().and_then(|stored| Replica::new(now, config, stored, seed).ok());
+        let process = node.process;
+        self.schedule(now, ScheduledEvent::Timeout(n, process));
+        self.execute_actions(n);
     }
 
-    /// A process ends as by SIGKILL, or with the power: then what was not synced may be lost.
-    pub fn kill(&mut self, n: usize, power: bool) {
-        let place = &mut self.places[n];
-        (place.record, place.store) = (None, None);
-        if power {
-            place.disk.cut_power();
+    /// Ends a process as by SIGKILL or, with `power_loss`, by a power failure, which may lose data not
+    /// synced.
+    pub fn kill(&mut self, n: usize, power_loss: bool) {
+        let node = &mut self.nodes[n];
+        (node.replica, node.store) = (None, None);
+        if power_loss {
+            node.disk.cut_power();
         }
     }
 
-    /// Its disk is gone.
+    /// Ends a process and replaces its disk by an empty one.
     pub fn lose_disk(&mut self, n: usize) {
         self.kill(n, false);
-        self.places[n].disk = FaultInjectingDisk::new(self.next);
+        self.nodes[n].disk = FaultInjectingDisk::new(self.last_number);
     }
 
-    /// How its disk is now, to be put back later.
+    /// The present content of a server's disk, for [`VirtualReplicatedStore::restore_disk`].
     pub fn disk_image(&self, n: usize) -> BTreeMap<std::path::PathBuf, Vec<u8>> {
-        self.places[n].disk.image()
+        self.nodes[n].disk.image()
     }
 
-    /// Its disk is what it was; the process has ended before.
+    /// Ends a process and replaces the content of its disk by an earlier one.
     pub fn restore_disk(&mut self, n: usize, image: BTreeMap<std::path::PathBuf, Vec<u8>>) {
         self.kill(n, false);
-        self.places[n].disk.restore(image);
+        self.nodes[n].disk.restore(image);
     }
 
-    /// It is not run until then; what comes for it waits.
-    pub fn pause(&mut self, n: usize, span: Micros) {
-        self.places[n].stopped = self.now + span;
+    /// Suspends a process for `duration`. Messages to it wait.
+    pub fn pause(&mut self, n: usize, duration: Micros) {
+        self.nodes[n].paused_until = self.now + duration;
     }
 
+    /// Whether a server has a process with a replica.
     pub fn is_running(&self, n: usize) -> bool {
-        self.places[n].record.is_some()
+        self.nodes[n].replica.is_some()
     }
 
+    /// The replica of a server, if it runs.
     pub fn replica(&self, n: usize) -> Option<&Replica> {
-        self.places[n].record.as_ref()
+        self.nodes[n].replica.as_ref()
     }
 
-    /// An operator decides for this copy.
+    /// Adopts the replica of this server, as an operator would.
     pub fn adopt(&mut self, n: usize) -> Result<StoreId, String> {
         let now = self.now;
-        let adopted = self.places[n].record.as_mut().map(|record| record.adopt(now, 0));
-        self.carry_out(n);
-        adopted.ok_or("it is down".to_owned())?.map_err(|why| why.to_string())
+        let adopted = self.nodes[n].replica.as_mut().map(|replica| replica.adopt(now, 0));
+        self.execute_actions(n);
+        adopted.ok_or("it is down".to_owned())?.map_err(|error| error.to_string())
     }
 
-    /// Turns a bit of a copy's state over.
+    /// Flips a bit of a replica's state in memory.
     pub fn corrupt_state(&mut self, n: usize, bit: u8) {
-        if let Some(record) = &mut self.places[n].record {
-            record.corrupt(bit);
+        if let Some(replica) = &mut self.nodes[n].replica {
+            replica.corrupt(bit);
         }
     }
 
-    fn open(&self, from: usize, to: usize) -> bool {
-        !self.cut_links.contains(&(from, to)) && self.places[to].record.is_some()
+    /// Whether a message from one server to another arrives: the direction is not cut and the receiver runs.
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        !self.cut_links.contains(&(from, to)) && self.nodes[to].replica.is_some()
     }
 
-    /// Goes on until then; an error is something that must never be.
+    /// Runs until this virtual time. The error describes a violated invariant.
     pub fn run_until(&mut self, until: Micros) -> Result<(), String> {
         while let Some(Reverse((at, number))) =
             self.queue.peek().copied().filter(|Reverse((at, _))| *at <= until)
         {
             self.queue.pop();
-            let Some(due) = self.due.remove(&number) else { continue };
+            let Some(event) = self.scheduled.remove(&number) else { continue };
             self.now = self.now.max(at);
-            let n = match &due {
-                Due::Mail { to, .. } => *to,
-                Due::Pass(n, _) | Due::Synced(n, ..) => *n,
+            let n = match &event {
+                ScheduledEvent::Message { to, .. } => *to,
+                ScheduledEvent::Timeout(n, _) | ScheduledEvent::Synced(n, ..) => *n,
             };
-            if self.places[n].stopped > self.now {
-                let later = self.places[n].stopped;
-                self.plan(later, due);
+            if self.nodes[n].paused_until > self.now {
+                let later = self.nodes[n].paused_until;
+                self.schedule(later, event);
                 continue;
             }
-            self.step(n, due)?;
+            self.step(n, event)?;
         }
         self.now = until;
         Ok(())
     }
 
-    /// Goes on for so many events.
+    /// Runs `count` events. Events with equal times count as one.
     pub fn run_events(&mut self, count: usize) -> Result<(), String> {
         for _ in 0..count {
             let Some(Reverse((at, _))) = self.queue.peek().copied() else { break };
-            // All that is due at this very time is one event.
             self.run_until(at)?;
         }
         Ok(())
     }
 
-    /// Its disk says that it has synced, and has not, from now on.
+    /// From now on a server's disk reports syncs as done without doing them.
     pub fn ignore_syncs(&mut self, n: usize) {
-        self.places[n].disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
+        self.nodes[n].disk.set_faults(Faults { ignore_syncs: true, ..Faults::default() });
     }
 
-    fn step(&mut self, n: usize, due: Due) -> Result<(), String> {
+    /// Passes an event to a replica, checks the invariants and executes the resulting actions. Timeouts and
+    /// syncs of an earlier process of the server are ignored.
+    fn step(&mut self, n: usize, event: ScheduledEvent) -> Result<(), String> {
         let now = self.now;
-        let boot = self.places[n].boot;
-        let reached: Vec<MemberName> = (0..self.names.len())
-            .filter(|o| *o != n && self.open(n, *o) && self.open(*o, n))
+        let process = self.nodes[n].process;
+        let reachable: Vec<MemberName> = (0..self.names.len())
+            .filter(|o| *o != n && self.can_reach(n, *o) && self.can_reach(*o, n))
             .map(|o| self.names[o].clone())
             .collect();
-        let Some(record) = &mut self.places[n].record else { return Ok(()) };
-        let mut again = None;
-        match due {
-            Due::Mail { from, boot, bytes, .. } => {
-                record.handle_message(now, &self.names[from], boot, &bytes);
+        let Some(replica) = &mut self.nodes[n].replica else { return Ok(()) };
+        let mut next_timeout = None;
+        match event {
+            ScheduledEvent::Message { from, process, bytes, .. } => {
+                replica.handle_message(now, &self.names[from], process, &bytes);
             }
-            Due::Pass(_, of) if of == boot => {
-                record.set_reachable(reached, 0);
-                record.handle_timeout(now);
-                again = Some(record.next_timeout().max(now + 1).min(now + 20 * MS));
+            ScheduledEvent::Timeout(_, of) if of == process => {
+                replica.set_reachable(reachable, 0);
+                replica.handle_timeout(now);
+                next_timeout = Some(replica.next_timeout().max(now + 1).min(now + 20 * MS));
             }
-            Due::Synced(_, of, number) if of == boot => record.persisted(now, number),
+            ScheduledEvent::Synced(_, of, number) if of == process => replica.persisted(now, number),
             _ => return Ok(()),
         }
-        record.check_invariants().map_err(|why| format!("{} at {now}: {why}", self.names[n]))?;
-        if record.role() == Role::Leader {
-            // One leader a term, of one record.
-            let standing = record.status(now);
-            let first = *self.leaders.entry((standing.store_id, standing.term)).or_insert(n);
+        replica.check_invariants().map_err(|error| format!("{} at {now}: {error}", self.names[n]))?;
+        if replica.role() == Role::Leader {
+            // Each term of a store has at most one leader.
+            let status = replica.status(now);
+            let first = *self.leaders.entry((status.store_id, status.term)).or_insert(n);
             if first != n {
-                return Err(format!("m{first} and m{n} both lead in term {}", standing.term));
+                return Err(format!("m{first} and m{n} both lead in term {}", status.term));
             }
         }
-        if let Some(at) = again {
-            self.plan(at, Due::Pass(n, boot));
+        if let Some(at) = next_timeout {
+            self.schedule(at, ScheduledEvent::Timeout(n, process));
         }
-        self.carry_out(n);
+        self.execute_actions(n);
         Ok(())
     }
 
-    fn carry_out(&mut self, n: usize) {
+    /// Executes the actions of a replica and collects its events and finished reads.
+    fn execute_actions(&mut self, n: usize) {
         let now = self.now;
-        let Some(record) = &mut self.places[n].record else { return };
-        let (actions, told, reads) =
-            (record.take_actions(), record.take_events(), record.take_finished_reads());
-        self.events.extend(told.into_iter().map(|line| (now, n, line)));
-        let mut aside = None;
+        let Some(replica) = &mut self.nodes[n].replica else { return };
+        let (actions, events, reads) =
+            (replica.take_actions(), replica.take_events(), replica.take_finished_reads());
+        self.events.extend(events.into_iter().map(|event| (now, n, event)));
+        let mut quarantine_reason = None;
         for action in actions {
             match action {
                 Action::Send { to, bytes, .. } => {
@@ -295,112 +323,128 @@
                         continue;
                     }
                     let at = now + 300 + self.random.random_range(0..=self.max_delay);
-                    let boot = self.places[n].boot;
-                    self.plan(at, Due::Mail { from: n, boot, to, bytes });
+                    let process = self.nodes[n].process;
+                    self.schedule(at, ScheduledEvent::Message { from: n, process, to, bytes });
                 }
                 Action::Persist { number, batch } => self.persist(n, number, batch),
-                Action::Quarantine { reason: why } => aside = Some(why),
+                Action::Quarantine { reason } => quarantine_reason = Some(reason),
             }
         }
-        self.finish(n, &reads);
-        if let Some(why) = aside {
-            self.quarantined.push((n, why));
-            let place = &mut self.places[n];
-            (place.record, place.store) = (None, None);
-            let _ = Store::quarantine(&place.disk, &StoreConfig::new("record"));
+        self.finish_operations(n, &reads);
+        if let Some(reason) = quarantine_reason {
+            self.quarantined.push((n, reason));
+            let node = &mut self.nodes[n];
+            (node.replica, node.store) = (None, None);
+            let _ = Store::quarantine(&node.disk, &StoreConfig::new("record"));
             self.start(n);
         }
     }
 
+    /// Commits a batch to a server's disk and schedules the end of its sync.
     fn persist(&mut self, n: usize, number: u64, batch: WriteBatch) {
-        let place = &mut self.places[n];
-        let wrote = place.store.as_mut().map(|store| store.commit(&batch));
-        if matches!(wrote, Some(Ok(_))) {
-            let (boot, sync) = (place.boot, place.sync);
-            let at = self.now + self.random.random_range(0..=sync);
-            self.plan(at, Due::Synced(n, boot, number));
+        let node = &mut self.nodes[n];
+        let committed = node.store.as_mut().map(|store| store.commit(&batch));
+        if matches!(committed, Some(Ok(_))) {
+            let (process, max_sync) = (node.process, node.max_sync);
+            let at = self.now + self.random.random_range(0..=max_sync);
+            self.schedule(at, ScheduledEvent::Synced(n, process, number));
         }
     }
 
-    /// A client writes a register at a server: `expect` is the version that must be there.
-    pub fn write(&mut self, n: usize, name: &str, expect: Option<u64>) {
-        self.next_id += 1;
-        let id = self.next_id;
+    /// Writes a register as a client of server `n`. The write is rejected if the register does not have the
+    /// version `expected_version`; `None` accepts any. The client waits up to 5 s for the result.
+    pub fn write(&mut self, n: usize, register: &str, expected_version: Option<u64>) {
+        self.last_id += 1;
+        let id = self.last_id;
         let content = Content::Inline(id.to_le_bytes().to_vec());
-        let entry =
-            Entry::Document(DocumentUpdate { name: name.to_owned(), expected_version: expect, content });
-        let (now, boot) = (self.now, self.places[n].boot);
-        let Some(record) = &mut self.places[n].record else { return };
-        let given = record.propose(now, id, 0, &entry);
-        self.operations.push(Operation::write(name, now, id));
+        let entry = Entry::Document(DocumentUpdate { name: register.to_owned(), expected_version, content });
+        let (now, process) = (self.now, self.nodes[n].process);
+        let Some(replica) = &mut self.nodes[n].replica else { return };
+        let proposed = replica.propose(now, id, 0, &entry);
+        self.operations.push(Operation::write(register, now, id));
         let operation = self.operations.len() - 1;
-        if given.is_ok() {
-            let until = now + 5_000 * MS;
-            self.asked.push(Asked { at: n, boot, operation, what: Ask::Write(id), until });
+        if proposed.is_ok() {
+            let timeout_at = now + 5_000 * MS;
+            self.pending.push(PendingOperation {
+                node: n,
+                process,
+                operation,
+                kind: PendingKind::Write(id),
+                timeout_at,
+            });
         } else {
             self.operations[operation].reject(now);
         }
-        self.carry_out(n);
+        self.execute_actions(n);
     }
 
-    /// A client writes these entries at a server, and does not wait for them.
+    /// Proposes entries as a client of a server, without waiting for the results.
     pub fn propose(&mut self, n: usize, entries: Vec<Entry>) {
         let now = self.now;
         for entry in entries {
-            self.next_id += 1;
-            if let Some(record) = &mut self.places[n].record {
-                let _ = record.propose(now, self.next_id, 0, &entry);
+            self.last_id += 1;
+            if let Some(replica) = &mut self.nodes[n].replica {
+                let _ = replica.propose(now, self.last_id, 0, &entry);
             }
         }
-        self.carry_out(n);
+        self.execute_actions(n);
     }
 
-    /// A client reads the latest value of a register at a server.
-    pub fn read(&mut self, n: usize, name: &str) {
-        let (now, boot) = (self.now, self.places[n].boot);
-        let Some(record) = &mut self.places[n].record else { return };
-        if let Ok(ticket) = record.request_read(now) {
-            self.operations.push(Operation::read(name, now));
-            let (operation, until) = (self.operations.len() - 1, now + 20_000 * MS);
-            self.asked.push(Asked { at: n, boot, operation, what: Ask::Read(ticket), until });
+    /// Reads the latest value of a register as a client of server `n`, which waits up to 20 s for the result.
+    pub fn read(&mut self, n: usize, register: &str) {
+        let (now, process) = (self.now, self.nodes[n].process);
+        let Some(replica) = &mut self.nodes[n].replica else { return };
+        if let Ok(request) = replica.request_read(now) {
+            self.operations.push(Operation::read(register, now));
+            let (operation, timeout_at) = (self.operations.len() - 1, now + 20_000 * MS);
+            self.pending.push(PendingOperation {
+                node: n,
+                process,
+                operation,
+                kind: PendingKind::Read(request),
+                timeout_at,
+            });
         }
-        self.carry_out(n);
+        self.execute_actions(n);
     }
 
-    fn finish(&mut self, n: usize, reads: &[(u64, ReadOutcome)]) {
-        let (now, place) = (self.now, &self.places[n]);
-        let Some(record) = &place.record else { return };
+    /// Records the results of a server's pending operations that have ended, and drops those without a
+    /// result.
+    fn finish_operations(&mut self, n: usize, reads: &[(u64, ReadOutcome)]) {
+        let (now, node) = (self.now, &self.nodes[n]);
+        let Some(replica) = &node.replica else { return };
         let operations = &mut self.operations;
-        let boot = place.boot;
-        self.asked.retain(|asked| {
-            if asked.at != n {
+        let process = node.process;
+        self.pending.retain(|pending| {
+            if pending.node != n {
                 return true;
             }
-            if asked.boot != boot || now > asked.until {
-                // Nobody tells the client what became of it.
+            if pending.process != process || now > pending.timeout_at {
+                // The client never learns the result.
                 return false;
             }
-            match &asked.what {
-                Ask::Write(id) => match record.outcome(*id) {
+            match &pending.kind {
+                PendingKind::Write(id) => match replica.outcome(*id) {
                     Some(Outcome::Applied(version)) => {
-                        operations[asked.operation].complete(now, version, *id);
+                        operations[pending.operation].complete(now, version, *id);
                     }
-                    Some(_) => operations[asked.operation].reject(now),
+                    Some(_) => operations[pending.operation].reject(now),
                     None => return true,
                 },
-                Ask::Read(ticket) => match reads.iter().find(|(done, _)| done == ticket) {
+                PendingKind::Read(request) => match reads.iter().find(|(done, _)| done == request) {
                     Some((_, ReadOutcome::Ready)) => {
-                        let name = operations[asked.operation].register.clone();
-                        let held = record.state().get(&name);
-                        let value =
-                            held.and_then(|h| h.bytes.as_deref()?.try_into().ok()).map(u128::from_le_bytes);
-                        operations[asked.operation].complete(
+                        let register = operations[pending.operation].register.clone();
+                        let document = replica.state().get(&register);
+                        let value = document
+                            .and_then(|d| d.bytes.as_deref()?.try_into().ok())
+                            .map(u128::from_le_bytes);
+                        operations[pending.operation].complete(
                             now,
-                            held.map_or(0, |h| h.version),
+                            document.map_or(0, |d| d.version),
                             value.unwrap_or(0),
                         );
                     }
-                    Some(_) => operations[asked.operation].reject(now),
+                    Some(_) => operations[pending.operation].reject(now),
                     None => return true,
                 },
             }
@@ -408,56 +452,63 @@
         });
     }
 
-    /// Who leads, by its own word.
+    /// The server that considers itself leader in the highest term, unless it is suspended.
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &usize| {
-            let place = &self.places[*n];
-            place.stopped <= self.now && place.record.as_ref().is_some_and(|r| r.role() == Role::Leader)
+            let node = &self.nodes[*n];
+            node.paused_until <= self.now && node.replica.as_ref().is_some_and(|r| r.role() == Role::Leader)
         };
-        let term = |n: &usize| self.places[*n].record.as_ref().map_or(0, |r| r.status(self.now).term);
-        (0..self.places.len()).filter(leads).max_by_key(term)
+        let term = |n: &usize| self.nodes[*n].replica.as_ref().map_or(0, |r| r.status(self.now).term);
+        (0..self.nodes.len()).filter(leads).max_by_key(term)
     }
 
-    /// Goes on until something holds; how long that took.
+    /// Runs until a condition holds. Returns the time that it took; the error contains the status of all
+    /// servers.
     pub fn run_until_condition(
         &mut self,
-        most: Micros,
-        holds: impl Fn(&VirtualReplicatedStore) -> bool,
+        timeout: Micros,
+        condition: impl Fn(&VirtualReplicatedStore) -> bool,
     ) -> Result<Micros, String> {
         let start = self.now;
-        while self.now < start + most {
-            if holds(self) {
+        while self.now < start + timeout {
+            if condition(self) {
                 return Ok(self.now - start);
             }
             self.run_until(self.now + 10 * MS)?;
         }
-        let stand = |n: usize| {
-            let Some(record) = self.places[n].record.as_ref() else { return format!("m{n} is down") };
-            let s = record.status(self.now);
-            let copies =
+        let status_text = |n: usize| {
+            let Some(replica) = self.nodes[n].replica.as_ref() else { return format!("m{n} is down") };
+            let s = replica.status(self.now);
+            let replicas =
                 s.replicas.iter().map(|c| format!("{}{}", c.server, if c.is_voter { "*" } else { "" }));
-            let copies: Vec<String> = copies.collect();
+            let replicas: Vec<String> = replicas.collect();
             format!(
                 "m{n} {} of {:04x} term {} leader {:?} applied {} commit {} last {} frozen {} fetching {:?}: {}",
                 s.role, s.store_id.0 as u16, s.term, s.leader, s.applied, s.commit, s.last_index, s.frozen, s.catching_up,
-                copies.join(" ")
+                replicas.join(" ")
             )
         };
-        let all: Vec<_> = (0..self.places.len()).map(stand).collect();
-        Err(format!("not within {} ms, set aside {:?}\n{}", most / MS, self.quarantined, all.join("\n")))
+        let statuses: Vec<_> = (0..self.nodes.len()).map(status_text).collect();
+        Err(format!(
+            "not within {} ms, quarantined {:?}\n{}",
+            timeout / MS,
+            self.quarantined,
+            statuses.join("\n")
+        ))
     }
 
-    /// Every server that runs is in the record, so many vote, and all have applied the same.
+    /// Whether every running server has a replica of the store, `voters` of them vote, and all have applied
+    /// the same entries.
     pub fn is_converged(&self, voters: usize) -> bool {
-        let records: Vec<&Replica> = self.places.iter().filter_map(|place| place.record.as_ref()).collect();
+        let replicas: Vec<&Replica> = self.nodes.iter().filter_map(|node| node.replica.as_ref()).collect();
         let Some(leader) = self.leader().and_then(|n| self.replica(n)) else { return false };
-        let stands = leader.status(self.now);
-        let votes = stands.replicas.iter().filter(|c| c.is_voter).count();
+        let status = leader.status(self.now);
+        let voter_count = status.replicas.iter().filter(|c| c.is_voter).count();
         let same = |r: &&Replica| {
             r.state().applied == leader.state().applied
                 && r.state().rolling_digest == leader.state().rolling_digest
                 && matches!(r.role(), Role::Learner | Role::Voter | Role::Leader)
         };
-        votes == voters && stands.replicas.len() == records.len() && records.iter().all(same)
+        voter_count == voters && status.replicas.len() == replicas.len() && replicas.iter().all(same)
     }
 }
