--- a/crates/fault-harness/src/golden.rs
+++ b/crates/fault-harness/src/golden.rs
@@ -1,27 +1,27 @@
-//! Golden bytes in test files: one case a line, a name and its bytes in hexadecimal.
+//! Golden bytes in test files. Each line is one case: its name and its bytes in hexadecimal.
 
 use std::fmt::Debug;
 
-/// Two lower-case digits for each byte.
+/// Encodes bytes as hexadecimal text with two lower-case digits per byte.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of a hexadecimal text.
+/// Decodes hexadecimal text.
 ///
 /// # Panics
 ///
-/// On an odd length or a character that is no digit: the file is damaged.
+/// Panics on an odd length or on a character that is not a hexadecimal digit, as the file is damaged then.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let digits = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("two digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// Asserts that each case is encoded as its line of the golden text says.
+/// Asserts that each case is encoded to the bytes on its line of the golden text.
 ///
 /// # Panics
 ///
-/// If one is not.
+/// Panics if a case is not.
 pub fn assert_encoded<T>(cases: &[(&str, T)], golden: &str, encode: impl Fn(&T) -> Vec<u8>) {
     let line = |(name, value): &(&str, T)| format!("{name} {}", to_hex(&encode(value)));
     let lines: Vec<String> = cases.iter().map(line).collect();
@@ -32,7 +32,7 @@
 ///
 /// # Panics
 ///
-/// If one is not, or if there are more or fewer lines than cases.
+/// Panics if a line is not, or if the numbers of lines and cases differ.
 pub fn assert_decoded<T>(cases: &[(&str, T)], golden: &str, decode: impl Fn(&[u8]) -> Option<T>)
 where
     T: Debug + PartialEq,
