--- a/crates/fault-harness/src/check.rs
+++ b/crates/fault-harness/src/check.rs
@@ -1,4 +1,4 @@
-//! What must always hold, read from what happened. Each check gives the breaches that it found.
+//! Invariants, checked against a recorded history. Each check returns a description of each violation.
 
 use std::collections::BTreeMap;
 
@@ -7,56 +7,59 @@
 use crate::history::Event;
 use crate::traffic::{Outcome, RequestOutcome};
 
-/// At no instant were more calls in use at the shared dependency than it survives.
-pub fn capacity_exceeded(spans: &[CallInterval], whole: usize) -> Vec<String> {
-    let (most, _) = peak_concurrency(spans);
-    let breach = format!("{most} calls at once at the shared dependency, which survives {whole}");
-    (most > whole).then_some(breach).into_iter().collect()
+/// Checks that the calls in progress at the shared dependency never exceeded its capacity.
+pub fn capacity_exceeded(intervals: &[CallInterval], capacity: usize) -> Vec<String> {
+    let (peak, _) = peak_concurrency(intervals);
+    let violation = format!("{peak} concurrent calls at the shared dependency, whose capacity is {capacity}");
+    (peak > capacity).then_some(violation).into_iter().collect()
 }
 
-/// Every request had one answer, unless its connection ended with its server.
-pub fn lost_or_extra_answers(asked: &[RequestOutcome]) -> Vec<String> {
-    let wrong = |a: &&RequestOutcome| matches!(a.outcome, Outcome::Lost | Outcome::Extra);
-    asked
+/// Checks that every request was answered exactly once, unless its connection ended with its server.
+pub fn lost_or_extra_answers(requests: &[RequestOutcome]) -> Vec<String> {
+    let wrong = |r: &&RequestOutcome| matches!(r.outcome, Outcome::Lost | Outcome::Extra);
+    requests
         .iter()
         .filter(wrong)
-        .map(|a| format!("a request to n{} ended as {:?}", a.server + 1, a.outcome))
+        .map(|r| format!("a request to n{} ended as {:?}", r.server + 1, r.outcome))
         .collect()
 }
 
-/// Standings changed no faster than their damping, but for becoming unsure and getting over that.
+/// Checks that no partition status changed again within `damp_ms` milliseconds. Changes to and from `unsure`
+/// are exempt: the damping does not apply to them.
 pub fn flapping(events: &[Event], damp_ms: u64) -> Vec<String> {
-    let mut last: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    let mut starts: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut found = Vec::new();
+    // The time of the last change by server and process, in milliseconds of the server's own clock.
+    let mut last_changes: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+    let mut start_counts: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut violations = Vec::new();
     for event in events {
         if event.kind == "process" {
-            *starts.entry(&event.source).or_default() += 1;
+            *start_counts.entry(&event.source).or_default() += 1;
         }
         if event.kind != "log" || event.details["msg"] != "partition status changed" {
             continue;
         }
         let ms = event.details["ms"].as_u64().unwrap_or(0);
         let unsure = event.details["to"] == "unsure" || event.details["from"] == "unsure";
-        let key = (event.source.as_str(), starts.get(event.source.as_str()).copied().unwrap_or(0));
-        if let Some(before) =
-            last.insert(key, ms).filter(|before| !unsure && ms >= *before && ms - before + 1 < damp_ms)
+        let process = (event.source.as_str(), start_counts.get(event.source.as_str()).copied().unwrap_or(0));
+        let previous = last_changes.insert(process, ms);
+        if let Some(previous) =
+            previous.filter(|previous| !unsure && ms >= *previous && ms - previous + 1 < damp_ms)
         {
-            found.push(format!(
-                "{} changed its standing {} ms after the last time",
+            violations.push(format!(
+                "{} changed its partition status {} ms after the previous change",
                 event.source,
-                ms - before
+                ms - previous
             ));
         }
     }
-    found
+    violations
 }
 
-/// No server said that it panicked.
+/// Checks that no server logged a panic.
 pub fn panics(events: &[Event]) -> Vec<String> {
-    let said =
+    let panicked =
         |e: &&Event| e.kind == "log" && e.details["msg"].as_str().is_some_and(|m| m.contains("panicked"));
-    events.iter().filter(said).map(|e| format!("{}: {}", e.source, e.details["msg"])).collect()
+    events.iter().filter(panicked).map(|e| format!("{}: {}", e.source, e.details["msg"])).collect()
 }
 
 #[cfg(test)]
@@ -68,9 +71,9 @@
     use super::*;
 
     #[test]
-    fn each_check_finds_a_planted_breach() {
+    fn each_check_detects_an_injected_violation() {
         let start = Instant::now();
-        let span = |from: u64, answered: Option<u64>, stated: u64| {
+        let call = |from: u64, answered: Option<u64>, stated: u64| {
             let at = |ms| start + Duration::from_millis(ms);
             CallInterval {
                 started_at: at(from),
@@ -78,33 +81,38 @@
                 stated_timeout: Duration::from_millis(stated),
             }
         };
-        // The second is never answered: it counts until the time that it stated.
-        let spans =
-            [span(0, Some(10), 100), span(5, None, 30), span(20, Some(40), 100), span(36, Some(50), 100)];
-        assert_eq!(capacity_exceeded(&spans, 2), Vec::<String>::new());
-        assert_eq!(capacity_exceeded(&spans, 1).len(), 1);
+        // The second is never answered, so it counts as in progress until its stated timeout.
+        let calls =
+            [call(0, Some(10), 100), call(5, None, 30), call(20, Some(40), 100), call(36, Some(50), 100)];
+        assert_eq!(capacity_exceeded(&calls, 2), Vec::<String>::new());
+        assert_eq!(capacity_exceeded(&calls, 1).len(), 1);
 
-        let asked = |end| RequestOutcome { server: 0, at_us: 0, took: Duration::ZERO, outcome: end };
-        let fine = [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Broken].map(asked);
-        assert!(lost_or_extra_answers(&fine).is_empty());
-        assert_eq!(lost_or_extra_answers(&[asked(Outcome::Lost), asked(Outcome::Extra)]).len(), 2);
+        let request = |outcome| RequestOutcome { server: 0, at_us: 0, took: Duration::ZERO, outcome };
+        let allowed = [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Broken].map(request);
+        assert!(lost_or_extra_answers(&allowed).is_empty());
+        assert_eq!(lost_or_extra_answers(&[request(Outcome::Lost), request(Outcome::Extra)]).len(), 2);
 
-        let line = |ms: u64, from: &str, to: &str| Event {
+        let status_change = |ms: u64, from: &str, to: &str| Event {
             at_us: ms,
             source: "n1".to_owned(),
             kind: "log",
             details: json!({"msg": "partition status changed", "ms": ms, "from": from, "to": to}),
         };
-        let calm = [line(0, "unsure", "whole"), line(600, "whole", "alone"), line(700, "alone", "unsure")];
-        assert!(flapping(&calm, 500).is_empty());
-        assert_eq!(flapping(&[line(0, "unsure", "whole"), line(90, "whole", "alone")], 500).len(), 1);
+        let damped = [
+            status_change(0, "unsure", "whole"),
+            status_change(600, "whole", "alone"),
+            status_change(700, "alone", "unsure"),
+        ];
+        assert!(flapping(&damped, 500).is_empty());
+        let too_soon = [status_change(0, "unsure", "whole"), status_change(90, "whole", "alone")];
+        assert_eq!(flapping(&too_soon, 500).len(), 1);
 
-        let said = Event {
+        let panic_line = Event {
             at_us: 0,
             source: "n1".to_owned(),
             kind: "log",
             details: json!({"msg": "thread panicked at"}),
         };
-        assert_eq!(panics(&[said]).len(), 1);
+        assert_eq!(panics(&[panic_line]).len(), 1);
     }
 }
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,16 +1,17 @@
-//! Several server processes with everything around them, faults between them, and one history of all of it.
+//! Runs a fleet of server processes with stand-ins for their peers, injects faults and records a history.
 //!
-//! - [`Fleet`] starts `umberloom serve` processes, each on a loopback address of its own with stand-ins of agent,
-//!   records and announce service, and a shared dependency; between each ordered pair of servers a [`relay`] for
-//!   datagrams and streams, each direction of which can fail by itself;
-//! - [`script`] has faults as lines that can be printed, read and drawn from a seed, and plays them;
-//! - [`traffic`] asks every server all the while and notes how each request ended;
-//! - [`history`] keeps what every server said, every fault and every answer, on one clock;
-//! - [`check`] reads the history and says what was broken;
-//! - [`virtual_fleet`] has up to a thousand members in one process, on virtual time, and [`virtual_replicated_store`] a record with
-//!   its disks; [`linear`] says whether what clients saw of it is linearizable.
-//!
-//! [`golden`] compares encoded bytes with those of an earlier version.
+//! - [`Fleet`] starts `umberloom serve` processes, each on its own loopback address with stand-ins for the
+//!   agent, the records service and the announce service, and one shared dependency. A [`relay`] connects
+//!   each ordered pair of servers for datagrams and streams; each of its directions can fail independently.
+//! - [`script`] represents faults as lines of text that can be printed, parsed, generated from a seed and
+//!   played.
+//! - [`traffic`] sends requests to every server and records the outcome of each.
+//! - [`history`] records the servers' log lines and all faults on one clock.
+//! - [`check`] searches the history for violated invariants.
+//! - [`virtual_fleet`] runs up to a thousand members in one process on virtual time, and
+//!   [`virtual_replicated_store`] a replicated store with simulated disks. [`linear`] checks whether the
+//!   results that its clients saw are linearizable.
+//! - [`golden`] compares encoded bytes with those of an earlier version.
 //!
 //! All waits are bounded, all addresses are on loopback, and every process is ended by its own id.
 #![allow(missing_docs)]
--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -1,4 +1,4 @@
-//! One server process with its files and the stand-ins of its own peers.
+//! One server of a fleet: its process, its files and the stand-ins for its own peers.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -13,55 +13,60 @@
 
 use crate::history::{Event, History};
 
-/// Longest wait for anything.
+/// Upper bound of every wait.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long requests of each class may take, in milliseconds.
+/// The time budget of a request by class, in milliseconds.
 pub const CLASS_BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 800), ("book-room", 1_000)];
 
-/// A host on loopback that nothing else of this machine uses: by the process and a number of its own.
+/// A loopback address that nothing else on this machine uses, derived from the process id and a counter.
 pub fn unique_loopback_host() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let [_, more, high, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, 20 + (number % 75) as u8, high ^ (more << 6) ^ (number / 75) as u8, low.max(1))
+    let [_, upper, high, low] = std::process::id().to_be_bytes();
+    Ipv4Addr::new(127, 20 + (number % 75) as u8, high ^ (upper << 6) ^ (number / 75) as u8, low.max(1))
 }
 
-/// Below the ports that the system gives to connections: relays connect from this host, and one of them could take a port
-/// that was free a moment ago.
+/// Finds a free port from `from` on. `from` is below the system's ephemeral ports: relays connect from this
+/// host, and one of their connections could take an ephemeral port that was free a moment before.
 fn free_address(host: Ipv4Addr, from: u16) -> std::io::Result<SocketAddr> {
     let free = |port: &u16| TcpListener::bind((host, *port)).is_ok();
     let port = (from..from + 500).find(free).ok_or(std::io::ErrorKind::AddrInUse)?;
     Ok(SocketAddr::from((host, port)))
 }
 
-/// One server: its place stays, its process comes and goes.
+/// One server. Its addresses and files stay while its process is stopped and started again.
 pub struct Server {
     pub name: String,
+    /// The server's own loopback address.
     pub host: Ipv4Addr,
-    /// Where balancers connect, and where the fleet does.
+    /// The address at which balancers connect.
     pub listen: SocketAddr,
+    /// The address at which other servers connect.
     pub fleet_address: SocketAddr,
+    /// The stand-in for the agent.
     pub farm: Farm,
+    /// The stand-in for the records service.
     pub records: Dependency,
-    /// Fields of its configuration that differ from the usual, by their places.
+    /// Configuration fields that differ from the defaults, by JSON pointer.
     pub config_overrides: Vec<(&'static str, Value)>,
     _announce: Announce,
+    /// The folder of the server's files.
     pub folder: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    /// How many processes there have been.
+    /// Number of processes started so far.
     pub start_count: u32,
-    /// Bytes of the log that have been taken into the history.
-    read: u64,
-    /// Stopped by SIGSTOP.
+    /// Bytes of the log that have been copied to the history.
+    log_bytes_read: u64,
+    /// Whether the process is suspended by SIGSTOP.
     pub stopped: bool,
-    /// Told to end, so that its end is no breach.
+    /// Whether the process was killed or told to exit, so that its exit is not a crash.
     pub stop_requested: bool,
     history: History,
 }
 
 impl Server {
-    /// The place of a server; nothing runs yet.
+    /// Prepares a server's addresses, folder and stand-ins; no process runs yet.
     pub fn new(name: &str, program: &Path, folder: &Path, history: History) -> std::io::Result<Server> {
         let host = unique_loopback_host();
         let folder = folder.join(name);
@@ -86,14 +91,14 @@
             program: program.to_owned(),
             child: None,
             start_count: 0,
-            read: 0,
+            log_bytes_read: 0,
             stopped: false,
             stop_requested: false,
             history,
         })
     }
 
-    /// Its configuration.
+    /// The server's configuration.
     pub fn config(&self) -> Value {
         let class = |(name, budget): (&str, u64), worth: f64| {
             json!({"name": name, "aim_us": budget * 1_000, "hard_limit_us": budget * 1_000, "credit": worth,
@@ -120,24 +125,25 @@
                 "tick_us": 4_000, "tier": 0
             }
         });
-        for (place, value) in &self.config_overrides {
-            *config.pointer_mut(place).expect("a field of the configuration") = value.clone();
+        for (pointer, value) in &self.config_overrides {
+            *config.pointer_mut(pointer).expect("a field of the configuration") = value.clone();
         }
         config
     }
 
+    /// The path of the operator configuration.
     pub fn operator_config_path(&self) -> PathBuf {
         self.folder.join("operator.kdl")
     }
 
-    /// Puts an operator's file in the place of the one before, whole.
+    /// Replaces the operator configuration atomically.
     pub fn write_operator_config(&self, text: &str) -> std::io::Result<()> {
         let new = self.folder.join("operator.new");
         std::fs::write(&new, text)?;
         std::fs::rename(new, self.operator_config_path())
     }
 
-    /// Starts a process.
+    /// Writes the configuration and starts a process.
     pub fn start(&mut self) -> std::io::Result<()> {
         self.start_count += 1;
         std::fs::write(self.folder.join("config.json"), self.config().to_string())?;
@@ -159,12 +165,12 @@
         Ok(())
     }
 
-    /// Waits until it answers a health check well; what it said instead is the error.
+    /// Waits until the server answers a health check with 200. The error contains its log.
     pub fn wait_until_healthy(&mut self) -> Result<(), String> {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
             if let Some(status) = self.exit_status() {
-                return Err(format!("{} ended at its start: {status}\n{}", self.name, self.log()));
+                return Err(format!("{} exited during startup: {status}\n{}", self.name, self.log()));
             }
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 let _ = stream.set_read_timeout(Some(WAIT_TIMEOUT));
@@ -176,14 +182,15 @@
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        Err(format!("{} did not come up\n{}", self.name, self.log()))
+        Err(format!("{} did not become healthy\n{}", self.name, self.log()))
     }
 
-    /// The id of its process.
+    /// The id of the server's process, if it has one.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
+    /// Sends the process a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         if let Some(id) = self.pid() {
             let sent = Command::new("kill").arg(format!("-{name}")).arg(id.to_string()).status();
@@ -195,7 +202,7 @@
         }
     }
 
-    /// Ends it as the system would at worst.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         self.stop_requested = true;
         if let Some(mut child) = self.child.take() {
@@ -206,26 +213,26 @@
         self.stopped = false;
     }
 
-    /// Stops it from running, or lets it go on.
+    /// Suspends or resumes the process.
     pub fn set_stopped(&mut self, stopped: bool) {
         self.stopped = stopped;
         self.signal(if stopped { "STOP" } else { "CONT" });
     }
 
-    /// Tells it to drain and end.
+    /// Tells the server to drain and exit.
     pub fn terminate(&mut self) {
         self.stop_requested = true;
         self.signal("TERM");
     }
 
-    /// How its process ended, if it has.
+    /// The exit status of the process, if it has ended since the last call.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status)
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end; `None` if it has not ended within [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
@@ -237,76 +244,80 @@
         None
     }
 
+    /// Whether the server has a process that is not suspended.
     pub fn is_running(&self) -> bool {
         self.child.is_some() && !self.stopped
     }
 
-    /// Whether it ended although nobody told it to.
+    /// Whether the process ended without being told to.
     pub fn has_crashed(&mut self) -> bool {
         self.child.is_some() && self.exit_status().is_some() && !self.stop_requested
     }
 
+    /// The server's log so far, of all its processes.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Takes what it has said since into the history.
+    /// Copies the log lines since the last call to the history.
     pub fn read_log(&mut self) {
         let log = self.log();
-        let new = log.get(self.read as usize..).unwrap_or_default();
+        let new = log.get(self.log_bytes_read as usize..).unwrap_or_default();
         let Some(last) = new.rfind('\n') else { return };
         for line in new[..last].lines() {
             let what = serde_json::from_str(line).unwrap_or_else(|_| json!({"msg": line}));
             let at = what["ts"].as_str().and_then(unix_us).unwrap_or_else(crate::history::now_us);
             self.history.add(Event { at_us: at, source: self.name.clone(), kind: "log", details: what });
         }
-        self.read += last as u64 + 1;
+        self.log_bytes_read += last as u64 + 1;
     }
 
-    /// Time that its process has had a core, in microseconds, where the system counts that.
+    /// CPU time of the process in microseconds, if the system counts it.
     pub fn cpu_time_us(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok().map(|ns| ns / 1_000)
     }
 
-    /// Asks it about its fleet with the product's own command.
-    pub fn fleet_command(&self, about: &[&str]) -> Result<Value, String> {
-        let (first, rest) = about.split_first().map_or((&"members", &[][..]), |parts| parts);
+    /// Runs `umberloom fleet` with these arguments against the server and returns its JSON output.
+    pub fn fleet_command(&self, arguments: &[&str]) -> Result<Value, String> {
+        let (subcommand, rest) = arguments.split_first().map_or((&"members", &[][..]), |split| split);
         let mut command = Command::new(&self.program);
-        command.arg("fleet").arg(first).arg("--json").arg("--operator").arg(self.operator_config_path());
+        command.arg("fleet").arg(subcommand).arg("--json").arg("--operator").arg(self.operator_config_path());
         command.arg("--at").arg(self.fleet_address.to_string()).args(rest);
         let output = command.output().map_err(|e| e.to_string())?;
         if !output.status.success() {
             return Err(String::from_utf8_lossy(&output.stderr).into_owned());
         }
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        // A line for people, where there is nothing to be read by a program.
+        // Some commands print a plain line instead of JSON.
         Ok(serde_json::from_str(&text).unwrap_or_else(|_| Value::String(text.trim().to_owned())))
     }
 
-    /// Where its copy of the record is.
+    /// The folder of the server's replica.
     pub fn store_folder(&self) -> PathBuf {
         self.folder.join("record")
     }
 
-    /// Its disk is gone. The process has ended before.
+    /// Removes the replica's files. The process must have ended.
     pub fn lose_disk(&self) {
         self.history.record(&self.name, "fault", json!({"disk": "lost"}));
         let _ = std::fs::remove_dir_all(self.store_folder());
     }
 
-    /// The file of its copy, as it is now.
+    /// The present content of the replica's file.
     pub fn disk_image(&self) -> std::io::Result<Vec<u8>> {
         std::fs::read(self.store_folder().join("rows.redb"))
     }
 
-    /// Puts the file of its copy back as it was, or with other bytes. The process has ended before.
+    /// Replaces the content of the replica's file, for instance by an earlier one. The process must have
+    /// ended.
     pub fn restore_disk(&self, image: &[u8]) -> std::io::Result<()> {
         self.history.record(&self.name, "fault", json!({"disk": "put back"}));
         std::fs::write(self.store_folder().join("rows.redb"), image)
     }
 
-    /// Turns a bit over every so many bytes of the file of its copy, whether a process has it open or not.
+    /// Flips one bit in every `every` bytes of the replica's file from `from` on, whether or not a process
+    /// has it open.
     pub fn corrupt_disk(&self, from: u64, every: u64) -> std::io::Result<()> {
         use std::os::unix::fs::FileExt;
         self.history.record(&self.name, "fault", json!({"disk": "bits turned over"}));
@@ -325,18 +336,18 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        // A stopped process ends by this too.
+        // SIGKILL also ends a suspended process.
         self.kill();
     }
 }
 
-/// Unix microseconds of a time as log lines have it: `2026-12-01T22:58:04.123456789+00:00`.
+/// Parses the UTC time of a log line, such as `2026-12-01T22:58:04.123456789+00:00`, to Unix microseconds.
 fn unix_us(text: &str) -> Option<u64> {
-    let part = |from: usize, to: usize| text.get(from..to)?.parse::<i64>().ok();
-    let (year, month, day) = (part(0, 4)?, part(5, 7)?, part(8, 10)?);
-    let (hour, minute, second) = (part(11, 13)?, part(14, 16)?, part(17, 19)?);
-    let digits: String = text.get(20..)?.chars().take_while(char::is_ascii_digit).collect();
-    let micros = format!("{digits:0<6}").get(..6)?.parse::<i64>().ok()?;
+    let number = |from: usize, to: usize| text.get(from..to)?.parse::<i64>().ok();
+    let (year, month, day) = (number(0, 4)?, number(5, 7)?, number(8, 10)?);
+    let (hour, minute, second) = (number(11, 13)?, number(14, 16)?, number(17, 19)?);
+    let fraction: String = text.get(20..)?.chars().take_while(char::is_ascii_digit).collect();
+    let micros = format!("{fraction:0<6}").get(..6)?.parse::<i64>().ok()?;
     // Days since 1970 in the proleptic Gregorian calendar.
     let (y, m) = if month <= 2 { (year - 1, month + 9) } else { (year, month - 3) };
     let days = 365 * y + y / 4 - y / 100 + y / 400 + (153 * m + 2) / 5 + day - 1 - 719_468;
@@ -348,7 +359,7 @@
     use super::*;
 
     #[test]
-    fn times_of_log_lines_are_read() {
+    fn log_line_times_are_parsed() {
         assert_eq!(unix_us("1970-01-02T00:00:01.5Z"), Some(86_401_500_000));
         assert_eq!(unix_us("2026-12-01T22:54:22.123456789+00:00"), Some(1_796_165_662_123_456));
         assert_eq!(unix_us("nonsense"), None);
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Balancers that ask every server all the while, and note how each request ended.
+//! Callers that send requests to every server continuously and record the outcome of each.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,138 +12,145 @@
 use crate::history::{lock, now_us};
 use crate::server::{CLASS_BUDGETS_MS, WAIT_TIMEOUT};
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
+    /// Answered with status 200.
     Served,
+    /// Rejected by the protocol or with status 503.
     Refused,
+    /// Answered with any other status.
     Failed,
-    /// Its connection ended before its answer: the server was killed, or told to end.
+    /// The connection ended before the answer, because the server was killed or told to exit.
     Broken,
-    /// No answer for as long as anything is waited for.
+    /// Not answered within [`WAIT_TIMEOUT`].
     Lost,
-    /// An answer that nobody asked for.
+    /// Another answer arrived than the one to this request.
     Extra,
 }
 
-/// One request.
+/// One request that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOutcome {
-    /// The server, by its place.
+    /// The index of the server.
     pub server: usize,
-    /// When it was sent, in Unix microseconds, and how long it took.
+    /// Unix time in microseconds at which it was sent.
     pub at_us: u64,
+    /// Time until the outcome.
     pub took: Duration,
     pub outcome: Outcome,
 }
 
-struct Inside {
-    over: AtomicBool,
-    /// Wait between two requests of one caller, in microseconds, by server.
-    gaps: Vec<AtomicU64>,
-    asked: Mutex<Vec<RequestOutcome>>,
-    next: AtomicU64,
+/// The state that all callers share.
+struct Shared {
+    stopped: AtomicBool,
+    /// Pause between two requests of one caller, in microseconds, by server.
+    gaps_us: Vec<AtomicU64>,
+    outcomes: Mutex<Vec<RequestOutcome>>,
+    next_number: AtomicU64,
 }
 
-/// All callers.
+/// Callers of all servers. Dropping it stops them and waits for their requests in progress.
 pub struct Traffic {
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl Traffic {
-    /// So many callers for each of these servers, with a pause between their requests.
+    /// Starts this many callers per server, each of which pauses for `gap` between its requests. A server is
+    /// given by its address and the notifier of its agent.
     pub fn start(servers: &[(SocketAddr, CompletionNotifier)], callers: usize, gap: Duration) -> Traffic {
-        let gaps = servers.iter().map(|_| AtomicU64::new(gap.as_micros() as u64)).collect();
-        let inside = Arc::new(Inside {
-            over: AtomicBool::new(false),
-            gaps,
-            asked: Mutex::default(),
-            next: AtomicU64::new(0),
+        let gaps_us = servers.iter().map(|_| AtomicU64::new(gap.as_micros() as u64)).collect();
+        let shared = Arc::new(Shared {
+            stopped: AtomicBool::new(false),
+            gaps_us,
+            outcomes: Mutex::default(),
+            next_number: AtomicU64::new(0),
         });
         let mut threads = Vec::new();
-        for (server, (listen, over)) in servers.iter().enumerate() {
+        for (server, (listen, notifier)) in servers.iter().enumerate() {
             for _ in 0..callers {
-                let (inside, listen, over) = (inside.clone(), *listen, over.clone());
-                threads.push(thread::spawn(move || inside.call(server, listen, &over)));
+                let (shared, listen, notifier) = (shared.clone(), *listen, notifier.clone());
+                threads.push(thread::spawn(move || shared.run_caller(server, listen, &notifier)));
             }
         }
-        Traffic { inside, threads }
+        Traffic { shared, threads }
     }
 
-    /// Another pause between requests to one server.
+    /// Changes the pause between a caller's requests to one server.
     pub fn set_gap(&self, server: usize, gap: Duration) {
-        self.inside.gaps[server].store(gap.as_micros() as u64, Ordering::Relaxed);
+        self.shared.gaps_us[server].store(gap.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// Every request so far that is over.
+    /// All requests that have ended so far.
     pub fn outcomes(&self) -> Vec<RequestOutcome> {
-        lock(&self.inside.asked).clone()
+        lock(&self.shared.outcomes).clone()
     }
 
-    /// Requests so far that ended so at a server.
-    pub fn count(&self, server: usize, end: Outcome) -> usize {
-        lock(&self.inside.asked).iter().filter(|a| a.server == server && a.outcome == end).count()
+    /// The number of requests to a server with this outcome so far.
+    pub fn count(&self, server: usize, outcome: Outcome) -> usize {
+        lock(&self.shared.outcomes).iter().filter(|a| a.server == server && a.outcome == outcome).count()
     }
 
-    /// Asks no more, and waits for what is open.
+    /// Stops the callers, waits for their requests in progress and returns all outcomes.
     pub fn finish(mut self) -> Vec<RequestOutcome> {
-        self.end();
+        self.stop();
         self.outcomes()
     }
 
-    fn end(&mut self) {
-        self.inside.over.store(true, Ordering::SeqCst);
+    fn stop(&mut self) {
+        self.shared.stopped.store(true, Ordering::SeqCst);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
 
 impl Drop for Traffic {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
 
-impl Inside {
-    fn call(&self, server: usize, listen: SocketAddr, over: &CompletionNotifier) {
-        let mut line: Option<Balancer> = None;
-        while !self.over.load(Ordering::SeqCst) {
+impl Shared {
+    /// Sends requests to one server until the callers are stopped; connects again after a connection ended.
+    fn run_caller(&self, server: usize, listen: SocketAddr, notifier: &CompletionNotifier) {
+        let mut connection: Option<Balancer> = None;
+        while !self.stopped.load(Ordering::SeqCst) {
             self.pause(server);
-            let Some(balancer) = line.take().or_else(|| connect(listen)) else {
+            let Some(balancer) = connection.take().or_else(|| connect(listen)) else {
                 thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            line = self.ask(server, balancer, over);
+            connection = self.call(server, balancer, notifier);
         }
     }
 
-    /// Waits for the gap of a server, as it is by the end of it: a need that comes is felt at once.
+    /// Waits for the gap of a server. A gap that is changed meanwhile applies to this wait too.
     fn pause(&self, server: usize) {
         let start = Instant::now();
-        while !self.over.load(Ordering::SeqCst) {
-            let gap = Duration::from_micros(self.gaps[server].load(Ordering::Relaxed));
-            let Some(left) = gap.checked_sub(start.elapsed()) else { return };
-            thread::sleep(left.min(Duration::from_millis(20)));
+        while !self.stopped.load(Ordering::SeqCst) {
+            let gap = Duration::from_micros(self.gaps_us[server].load(Ordering::Relaxed));
+            let Some(remaining) = gap.checked_sub(start.elapsed()) else { return };
+            thread::sleep(remaining.min(Duration::from_millis(20)));
         }
     }
 
-    /// One request; the connection, if it can carry another.
-    fn ask(&self, server: usize, mut balancer: Balancer, over: &CompletionNotifier) -> Option<Balancer> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    /// Sends one request and records its outcome. Returns the connection if it can carry another request.
+    fn call(&self, server: usize, mut balancer: Balancer, notifier: &CompletionNotifier) -> Option<Balancer> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{server}-{number}");
-        let (class, budget) = CLASS_BUDGETS_MS[(number % 2) as usize];
+        let (class, budget_ms) = CLASS_BUDGETS_MS[(number % 2) as usize];
         let path = format!("/svc/{class}");
         let slot = (number % 60_000) as u16 + 1;
         let request = Request::new(slot, &id)
             .with("SCRIPT_NAME", &path)
-            .with("HTTP_BUDGET_MS", &budget.to_string())
+            .with("HTTP_BUDGET_MS", &budget_ms.to_string())
             .with("HTTP_PRIORITY_RANK", &format!("{:.4}", (number % 97) as f64 / 97.0));
-        let (at, start) = (now_us(), Instant::now());
+        let (at_us, start) = (now_us(), Instant::now());
         let sent = std::io::Write::write_all(&mut balancer.stream, &request.bytes()).is_ok();
         let answer = if sent { balancer.try_answer() } else { None };
-        over.notify(&id);
+        notifier.notify(&id);
         let took = start.elapsed();
-        let end = match &answer {
+        let outcome = match &answer {
             Some(answer) if answer.slot != slot => Outcome::Extra,
             Some(answer) if answer.protocol_status != 0 || answer.status == 503 => Outcome::Refused,
             Some(answer) if answer.status == 200 => Outcome::Served,
@@ -151,7 +158,7 @@
             None if took >= WAIT_TIMEOUT => Outcome::Lost,
             None => Outcome::Broken,
         };
-        lock(&self.asked).push(RequestOutcome { server, at_us: at, took, outcome: end });
+        lock(&self.outcomes).push(RequestOutcome { server, at_us, took, outcome });
         answer.filter(|answer| answer.slot == slot && answer.protocol_status == 0).map(|_| balancer)
     }
 }
