--- a/crates/protocol-fakes/src/agent.rs
+++ b/crates/protocol-fakes/src/agent.rs
@@ -1,4 +1,4 @@
-//! A render farm agent that does what a test tells it.
+//! A render farm agent that a test controls.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Write};
@@ -10,33 +10,38 @@
 
 use crate::test_environment::WAIT_TIMEOUT;
 
-enum Heard {
+/// What arrives from the server: a new link, or one line on a link.
+enum Incoming {
     Link(TcpStream),
     Line(Value),
 }
 
-/// The agent's end of the link. Samples are answered as they come, in the order of the commands.
+/// The agent's end of the link. Sample requests are answered in their order among the commands, while a test
+/// waits for a message.
 pub struct Agent {
     pub address: SocketAddr,
-    heard: Receiver<Heard>,
+    incoming: Receiver<Incoming>,
     link: Option<TcpStream>,
+    /// Commands that were received and not yet returned.
     commands: VecDeque<Value>,
+    /// The number of the latest notice.
     seq: u64,
-    /// Numbers of the last notice that the server said it had read, for each link.
+    /// For each subscription: the number of the last notice that the server reports as read.
     pub subscribed_seqs: Vec<u64>,
-    /// Whether samples are answered; if not, it is as if they were never read.
+    /// Whether sample requests are answered; if not, they are discarded.
     pub answers_samples: bool,
 }
 
-fn listen(listener: &TcpListener, heard: &Sender<Heard>) {
+/// Accepts links and passes on what arrives on them, one link after the other.
+fn listen(listener: &TcpListener, incoming: &Sender<Incoming>) {
     for link in listener.incoming().map_while(Result::ok) {
         let lines = BufReader::new(link.try_clone().expect("a second handle"));
-        if heard.send(Heard::Link(link)).is_err() {
+        if incoming.send(Incoming::Link(link)).is_err() {
             return;
         }
         for line in lines.lines().map_while(Result::ok) {
             let value = serde_json::from_str(&line).expect("commands are JSON");
-            if heard.send(Heard::Line(value)).is_err() {
+            if incoming.send(Incoming::Line(value)).is_err() {
                 return;
             }
         }
@@ -44,15 +49,16 @@
 }
 
 impl Agent {
+    /// Starts on a free port.
     pub fn start() -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, heard) = channel();
-        std::thread::spawn(move || listen(&listener, &tell));
+        let (sender, incoming) = channel();
+        std::thread::spawn(move || listen(&listener, &sender));
         let (commands, subscribed) = (VecDeque::new(), Vec::new());
         Agent {
             address,
-            heard,
+            incoming,
             link: None,
             commands,
             seq: 0,
@@ -61,11 +67,11 @@
         }
     }
 
-    /// Takes in one thing the server did.
-    fn hear(&mut self) {
-        match self.heard.recv_timeout(WAIT_TIMEOUT).expect("the server says something") {
-            Heard::Link(link) => self.link = Some(link),
-            Heard::Line(line) => match line["op"].as_str() {
+    /// Processes the next message from the server, or a new link.
+    fn process_next(&mut self) {
+        match self.incoming.recv_timeout(WAIT_TIMEOUT).expect("a message from the server") {
+            Incoming::Link(link) => self.link = Some(link),
+            Incoming::Line(line) => match line["op"].as_str() {
                 Some("subscribe") => self.subscribed_seqs.push(line["seq"].as_u64().expect("a number")),
                 Some("sample") if !self.answers_samples => {}
                 Some("sample") => {
@@ -76,88 +82,89 @@
         }
     }
 
-    /// Waits for a link that has been subscribed to.
+    /// Waits until the server has subscribed on a link.
     pub fn wait_for_link(&mut self) {
         let before = self.subscribed_seqs.len();
         while self.subscribed_seqs.len() == before {
-            self.hear();
+            self.process_next();
         }
     }
 
-    /// Comes up on a new link.
+    /// Waits for a link and sends the initial notice on it.
     pub fn send_initial_notice(&mut self) {
         self.wait_for_link();
         self.resend_initial_notice();
     }
 
-    /// Waits for the link of another process of the server: what the one before said is over, and notices are numbered anew.
+    /// Waits for the link of a restarted server. Commands of its earlier process are dropped, and the numbers
+    /// of notices start anew.
     pub fn wait_for_restarted_server(&mut self) {
         self.wait_for_link();
         self.seq = 0;
         self.commands.clear();
     }
 
-    /// Greets on the present link.
+    /// Sends the initial notice on the present link.
     pub fn resend_initial_notice(&mut self) {
         self.send(&json!({"op": "greeting", "end": "running", "ms": 5}));
     }
 
-    /// Breaks the link.
+    /// Closes the link.
     pub fn disconnect(&mut self) {
         let _ = self.link.take().expect("a link").shutdown(Shutdown::Both);
     }
 
-    /// Writes one line.
+    /// Sends one line of JSON.
     pub fn send(&mut self, line: &Value) {
         self.send_bytes(format!("{line}\n").as_bytes());
     }
 
-    /// Writes bytes, whatever they are. A link that has just ended takes none.
+    /// Sends bytes that need not be valid. Does nothing if the link has just ended.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(bytes);
         }
     }
 
-    /// The next command that is no sample.
+    /// Waits for the next command other than a sample request.
     pub fn next_command(&mut self) -> Value {
         let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(command) = self.commands.pop_front() {
                 return command;
             }
-            // Samples go on whatever happens.
-            assert!(Instant::now() < end, "waited in vain for a command");
-            self.hear();
+            // Sample requests never cease, so the receive timeout alone would not end this loop.
+            assert!(Instant::now() < end, "timed out waiting for a command");
+            self.process_next();
         }
     }
 
-    /// The next command, which must be this one; the request it names.
+    /// Asserts that the next command is `op`. Returns the id of its request and the command.
     pub fn expect_command(&mut self, op: &str) -> (String, Value) {
         let command = self.next_command();
         assert_eq!(command["op"], op, "{command}");
         (command["id"].as_str().unwrap_or("").to_owned(), command)
     }
 
-    /// The number of a notice that the server is yet to see.
+    /// Takes the next number for a notice.
     pub fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
     }
 
-    /// An outcome with a result, as a notice under this number.
+    /// Sends the outcome of a run with its result, as the notice with this number.
     pub fn send_outcome_with_seq(&mut self, seq: u64, id: &str, end: &str, body: &[u8]) {
         let body = crate::balancer::base64(body);
         self.send(&json!({"op": "outcome", "seq": seq, "id": id, "end": end, "ms": 18.5, "body": body}));
     }
 
-    /// A run is over.
+    /// Sends the outcome of a run with its result, as the next notice.
     pub fn send_outcome(&mut self, id: &str, end: &str, body: &[u8]) {
         let seq = self.next_seq();
         self.send_outcome_with_seq(seq, id, end, body);
     }
 
-    /// A run waits for a call; the number of the notice.
+    /// Sends the notice that a run waits for a call. Returns the number of the notice.
     pub fn send_call_request(&mut self, id: &str, body: &[u8]) -> u64 {
         let seq = self.next_seq();
         let body = crate::balancer::base64(body);
@@ -165,12 +172,14 @@
         seq
     }
 
-    /// Waits for so many more samples, and so for as many looks of the module at what there is.
+    /// Waits for this many more sample requests. The admission controller evaluates its state with each of
+    /// them.
     pub fn wait_for_samples(&mut self, count: usize) {
         self.answers_samples = false;
         let mut seen = 0;
         while seen < count {
-            let Heard::Line(line) = self.heard.recv_timeout(WAIT_TIMEOUT).expect("samples go on") else {
+            let Incoming::Line(line) = self.incoming.recv_timeout(WAIT_TIMEOUT).expect("samples go on")
+            else {
                 panic!("a new link");
             };
             if line["op"] == "sample" {
--- a/crates/protocol-fakes/src/balancer.rs
+++ b/crates/protocol-fakes/src/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer: FastCGI from its side.
+//! A balancer that sends requests over FastCGI.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -6,14 +6,14 @@
 
 use crate::test_environment::{eventually, unix_ms, WAIT_TIMEOUT};
 
-/// Bytes in base64, for the agent.
+/// Encodes bytes in base64, as the agent protocol does.
 pub fn base64(bytes: &[u8]) -> String {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine;
     STANDARD.encode(bytes)
 }
 
-/// One record.
+/// Encodes one FastCGI record.
 pub fn record(kind: u8, slot: u16, content: &[u8]) -> Vec<u8> {
     let mut out = vec![1, kind];
     out.extend_from_slice(&slot.to_be_bytes());
@@ -24,7 +24,8 @@
     out
 }
 
-fn pair(out: &mut Vec<u8>, name: &str, value: &str) {
+/// Appends a name and its value with their lengths.
+fn encode_pair(out: &mut Vec<u8>, name: &str, value: &str) {
     for size in [name.len(), value.len()] {
         if size < 128 {
             out.push(size as u8);
@@ -36,17 +37,19 @@
     out.extend_from_slice(value.as_bytes());
 }
 
-/// A request as a balancer would send it.
+/// A request of a balancer.
 #[derive(Clone)]
 pub struct Request {
+    /// The FastCGI request id.
     pub slot: u16,
+    /// The FastCGI flags; 1 keeps the connection open.
     pub flags: u8,
     pub body: Vec<u8>,
     pub fields: BTreeMap<&'static str, String>,
 }
 
 impl Request {
-    /// Work of class `search`, with time enough.
+    /// A request of class `search` with a time budget that no test exceeds.
     pub fn new(slot: u16, id: &str) -> Request {
         let fields = [
             ("REQUEST_METHOD", "POST".to_owned()),
@@ -71,24 +74,28 @@
         Request { slot, flags: 1, body: Vec::new(), fields: BTreeMap::from(fields) }
     }
 
+    /// Sets a field.
     pub fn with(mut self, field: &'static str, value: &str) -> Request {
         self.fields.insert(field, value.to_owned());
         self
     }
 
+    /// Removes a field.
     pub fn without(mut self, field: &str) -> Request {
         self.fields.remove(field);
         self
     }
 
+    /// Sets the body.
     pub fn body(mut self, body: &[u8]) -> Request {
         self.body = body.to_vec();
         self
     }
 
+    /// Encodes all records of the request.
     pub fn bytes(&self) -> Vec<u8> {
         let mut params = Vec::new();
-        self.fields.iter().for_each(|(name, value)| pair(&mut params, name, value));
+        self.fields.iter().for_each(|(name, value)| encode_pair(&mut params, name, value));
         let mut out = record(1, self.slot, &[0, 1, self.flags, 0, 0, 0, 0, 0]);
         out.extend(record(4, self.slot, &params));
         out.extend(record(4, self.slot, &[]));
@@ -100,56 +107,66 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
+    /// The FastCGI request id.
     pub slot: u16,
+    /// The FastCGI protocol status; 0 for a completed request.
     pub protocol_status: u8,
+    /// The HTTP status; 0 for an answer without output.
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
-/// One connection.
+/// One connection of a balancer.
 pub struct Balancer {
     pub stream: TcpStream,
     unread: Vec<u8>,
+    /// Output of requests without an end record so far, by request id.
     streams: BTreeMap<u16, Vec<u8>>,
-    /// A connection that breaks is one that has ended: its server may be killed at any time.
+    /// Whether a failed read counts as the end of the connection, because its server may be killed at any
+    /// time.
     tolerant: bool,
 }
 
 impl Balancer {
-    /// Connects, for as long as the server is not listening yet.
+    /// Connects, and retries while the server does not listen yet.
     pub fn connect(to: SocketAddr) -> Balancer {
         let stream = eventually("a connection", || TcpStream::connect(to).ok());
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
         Balancer { stream, unread: Vec::new(), streams: BTreeMap::new(), tolerant: false }
     }
 
-    /// Over a connection to a server that may be killed or stand still at any time.
+    /// Uses a connection to a server that may be killed or suspended at any time: a failed read counts as its
+    /// end.
     pub fn tolerant(stream: TcpStream) -> Balancer {
         Balancer { stream, unread: Vec::new(), streams: BTreeMap::new(), tolerant: true }
     }
 
+    /// Sends a request.
     pub fn send(&mut self, request: &Request) {
         self.send_bytes(&request.bytes());
     }
 
+    /// Sends bytes that need not be valid.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    /// The next record, or `None` at the end of the connection.
+    /// The type, request id and content of the next record, or `None` at the end of the connection.
     pub fn record(&mut self) -> Option<(u8, u16, Vec<u8>)> {
         loop {
-            if let [1, kind, high, low, more, less, padding, _, rest @ ..] = self.unread.as_slice() {
-                let length = usize::from(u16::from_be_bytes([*more, *less]));
+            if let [1, kind, id_high, id_low, length_high, length_low, padding, _, rest @ ..] =
+                self.unread.as_slice()
+            {
+                let length = usize::from(u16::from_be_bytes([*length_high, *length_low]));
                 let size = 8 + length + usize::from(*padding);
                 if self.unread.len() >= size {
-                    let read = (*kind, u16::from_be_bytes([*high, *low]), rest[..length].to_vec());
+                    let record = (*kind, u16::from_be_bytes([*id_high, *id_low]), rest[..length].to_vec());
                     self.unread.drain(..size);
-                    return Some(read);
+                    return Some(record);
                 }
             }
             let mut bytes = [0; 4096];
@@ -165,7 +182,7 @@
         }
     }
 
-    /// The next whole answer, or `None` at the end of the connection.
+    /// The next complete answer, or `None` at the end of the connection.
     pub fn try_answer(&mut self) -> Option<Answer> {
         loop {
             let (kind, slot, content) = self.record()?;
@@ -180,6 +197,7 @@
         }
     }
 
+    /// The next complete answer; panics at the end of the connection.
     pub fn answer(&mut self) -> Answer {
         self.try_answer().expect("an answer before the end of the connection")
     }
@@ -193,6 +211,7 @@
     }
 }
 
+/// Parses the status, headers and body of an answer; an answer without output keeps status 0.
 fn parse(slot: u16, protocol_status: u8, stream: &[u8]) -> Answer {
     let mut answer = Answer { slot, protocol_status, status: 0, headers: BTreeMap::new(), body: Vec::new() };
     if stream.is_empty() {
