--- a/crates/protocol-fakes/src/ajp.rs
+++ b/crates/protocol-fakes/src/ajp.rs
@@ -1,5 +1,5 @@
-//! AJP/1.3 from both ends, with an encoder of its own: a front end that asks, and a server that answers. Either can
-//! misbehave.
+//! Both ends of AJP/1.3, with an encoder of their own: a front end that sends requests and a server that
+//! answers them. Either can misbehave.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,12 +8,14 @@
 
 use crate::test_environment::{eventually, unix_ms, WAIT_TIMEOUT};
 
-/// Packets from the end that asks begin so, those from the end that answers so.
-const ASKS: [u8; 2] = [0x12, 0x34];
-const ANSWERS: [u8; 2] = [0x41, 0x42];
-/// Bytes of a body in one packet.
-const PART: usize = 8_192 - 6;
+/// The first bytes of a packet from the front end.
+const REQUEST_MAGIC: [u8; 2] = [0x12, 0x34];
+/// The first bytes of a packet from the server.
+const ANSWER_MAGIC: [u8; 2] = [0x41, 0x42];
+/// Largest number of body bytes in one packet.
+const MAX_BODY_CHUNK: usize = 8_192 - 6;
 
+/// Encodes a packet.
 fn packet(magic: [u8; 2], content: &[u8]) -> Vec<u8> {
     let mut out = magic.to_vec();
     out.extend((content.len() as u16).to_be_bytes());
@@ -21,27 +23,29 @@
     out
 }
 
+/// Appends a string with its length and its terminating zero.
 fn string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend((text.len() as u16).to_be_bytes());
     out.extend(text);
     out.push(0);
 }
 
-/// A request as a front end would send it.
+/// A request of a front end.
 #[derive(Clone, Debug)]
 pub struct AjpRequest {
+    /// The code of the method.
     pub method: u8,
     pub uri: String,
     pub headers: Vec<(String, String)>,
     pub query: Option<String>,
     pub secret: Option<String>,
     pub body: Vec<u8>,
-    /// The length that is stated; unless set, that of the body.
+    /// The stated length of the body; `None` states its actual length.
     pub stated_length: Option<usize>,
 }
 
 impl AjpRequest {
-    /// Work of class `search`, with time enough.
+    /// A request of class `search` with a time budget that no test exceeds.
     pub fn new(id: &str) -> AjpRequest {
         let headers = [
             ("Request-Id", id.to_owned()),
@@ -68,23 +72,26 @@
         AjpRequest { method: 2, uri, headers: vec![], query, secret: None, body: vec![], stated_length: None }
     }
 
+    /// Sets a header.
     pub fn with(mut self, name: &str, value: &str) -> AjpRequest {
         self.headers.retain(|(n, _)| n != name);
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
+    /// Sets the body.
     pub fn body(mut self, body: &[u8]) -> AjpRequest {
         self.body = body.to_vec();
         self
     }
 
+    /// Sets the secret.
     pub fn secret(mut self, secret: &str) -> AjpRequest {
         self.secret = Some(secret.to_owned());
         self
     }
 
-    /// The first packet.
+    /// The first packet, with the headers.
     pub fn first_packet(&self) -> Vec<u8> {
         let mut out = vec![2, self.method];
         for text in ["HTTP/1.1", &self.uri, "10.0.0.9", "client", "desks.example"] {
@@ -111,32 +118,34 @@
             string(&mut out, secret.as_bytes());
         }
         out.push(0xff);
-        packet(ASKS, &out)
+        packet(REQUEST_MAGIC, &out)
     }
 
-    /// The packet with the part of the body from `from` on.
-    pub fn body_packet(&self, from: usize, most: usize) -> Vec<u8> {
-        let rest = self.body.get(from..).unwrap_or_default();
-        let part = &rest[..rest.len().min(PART).min(most)];
+    /// The packet with the next bytes of the body from `from` on, at most `max`.
+    pub fn body_packet(&self, from: usize, max: usize) -> Vec<u8> {
+        let unsent = self.body.get(from..).unwrap_or_default();
+        let chunk = &unsent[..unsent.len().min(MAX_BODY_CHUNK).min(max)];
         let mut content = Vec::new();
-        if !part.is_empty() {
-            content.extend((part.len() as u16).to_be_bytes());
-            content.extend(part);
+        if !chunk.is_empty() {
+            content.extend((chunk.len() as u16).to_be_bytes());
+            content.extend(chunk);
         }
-        packet(ASKS, &content)
+        packet(REQUEST_MAGIC, &content)
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AjpAnswer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
+    /// Whether the connection may carry another request.
     pub reuse: bool,
 }
 
 impl AjpAnswer {
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
@@ -149,7 +158,7 @@
 }
 
 impl FrontEnd {
-    /// Connects, for as long as the server is not listening yet.
+    /// Connects, and retries while the server does not listen yet.
     pub fn connect(to: SocketAddr) -> FrontEnd {
         let stream = eventually("a connection", || TcpStream::connect(to).ok());
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time limit");
@@ -157,15 +166,16 @@
         FrontEnd { stream, unread: Vec::new() }
     }
 
+    /// Sends bytes that need not be valid.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    /// Sends the head and, if there is a body, its first part.
+    /// Sends the headers and, if there is a body, its first packet.
     pub fn send(&mut self, request: &AjpRequest) {
         self.send_bytes(&request.first_packet());
         if !request.body.is_empty() {
-            self.send_bytes(&request.body_packet(0, PART));
+            self.send_bytes(&request.body_packet(0, MAX_BODY_CHUNK));
         }
     }
 
@@ -173,7 +183,7 @@
     pub fn packet(&mut self) -> Option<Vec<u8>> {
         loop {
             if let [a, b, high, low, rest @ ..] = self.unread.as_slice() {
-                assert_eq!([*a, *b], ANSWERS, "the start of an answer's packet");
+                assert_eq!([*a, *b], ANSWER_MAGIC, "the start of an answer's packet");
                 let length = usize::from(u16::from_be_bytes([*high, *low]));
                 if rest.len() >= length {
                     let content = rest[..length].to_vec();
@@ -194,23 +204,24 @@
         }
     }
 
-    /// The next whole answer; more of the body is sent as it is asked for.
+    /// The next complete answer, or `None` at the end of the connection. Sends more of the body as the server
+    /// requests it.
     pub fn try_answer(&mut self, request: &AjpRequest) -> Option<AjpAnswer> {
-        let mut sent = request.body.len().min(PART);
+        let mut sent = request.body.len().min(MAX_BODY_CHUNK);
         let mut answer = AjpAnswer { status: 0, headers: vec![], body: vec![], reuse: false };
         loop {
             let content = self.packet()?;
             match content[0] {
-                4 => (answer.status, answer.headers) = head(&content[1..]),
+                4 => (answer.status, answer.headers) = parse_headers(&content[1..]),
                 3 => {
                     let length = usize::from(u16::from_be_bytes([content[1], content[2]]));
                     answer.body.extend(&content[3..3 + length]);
                 }
                 6 => {
                     let wanted = usize::from(u16::from_be_bytes([content[1], content[2]]));
-                    let part = request.body_packet(sent, wanted);
-                    sent += part.len().saturating_sub(6);
-                    self.send_bytes(&part);
+                    let chunk = request.body_packet(sent, wanted);
+                    sent += chunk.len().saturating_sub(6);
+                    self.send_bytes(&chunk);
                 }
                 5 => {
                     answer.reuse = content[1] == 1;
@@ -221,6 +232,7 @@
         }
     }
 
+    /// The next complete answer; panics at the end of the connection.
     pub fn answer(&mut self, request: &AjpRequest) -> AjpAnswer {
         self.try_answer(request).expect("an answer before the end of the connection")
     }
@@ -231,13 +243,14 @@
         self.answer(request)
     }
 
-    /// Whether a ping is answered; `false` where the connection ends instead.
+    /// Sends a ping. Returns whether it is answered; `false` if the connection ends instead.
     pub fn ping(&mut self) -> bool {
         self.send_bytes(&[0x12, 0x34, 0, 1, 10]);
         self.packet().is_some_and(|content| content == [9])
     }
 }
 
+/// Splits a string off the front of `bytes`.
 fn take_string(bytes: &mut &[u8]) -> String {
     let length = usize::from(u16::from_be_bytes([bytes[0], bytes[1]]));
     let text = String::from_utf8_lossy(&bytes[2..2 + length]).into_owned();
@@ -245,8 +258,9 @@
     text
 }
 
-/// Status and headers; coded names of answers stand in the order of the reference.
-fn head(mut bytes: &[u8]) -> (u16, Vec<(String, String)>) {
+/// Parses the status and headers of an answer. `NAMES` lists the coded header names in the order of their
+/// codes.
+fn parse_headers(mut bytes: &[u8]) -> (u16, Vec<(String, String)>) {
     const NAMES: [&str; 11] = [
         "Content-Type",
         "Content-Language",
@@ -283,17 +297,17 @@
 /// How an AJP server treats calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AjpBehaviour {
-    /// This status and body.
+    /// Answers with this status and body.
     Answer(u16, Vec<u8>),
-    /// The same with a header that says that nothing ran.
+    /// Answers with this status and the header that says that the operation did not begin.
     NotBegun(u16),
-    /// Nothing.
+    /// Never answers a call.
     Hang,
-    /// The connection ends in the middle of the answer.
+    /// Closes the connection in the middle of the answer.
     TruncatedAnswer,
-    /// What is no AJP.
+    /// Answers with bytes that are not AJP.
     InvalidBytes,
-    /// Pings are not answered; calls are.
+    /// Answers calls, but not pings.
     IgnorePings,
 }
 
@@ -301,54 +315,59 @@
 pub struct AjpServer {
     pub address: SocketAddr,
     behaviour: Arc<Mutex<AjpBehaviour>>,
+    /// The bodies of all calls.
     calls: Arc<Mutex<Vec<Vec<u8>>>>,
 }
 
 impl AjpServer {
+    /// Starts on a free port.
     pub fn start(behaviour: AjpBehaviour) -> AjpServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (behaviour, calls) = (Arc::new(Mutex::new(behaviour)), Arc::new(Mutex::new(Vec::new())));
-        let (its, seen) = (behaviour.clone(), calls.clone());
+        let (shared_behaviour, shared_calls) = (behaviour.clone(), calls.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (its, seen) = (its.clone(), seen.clone());
-                thread::spawn(move || serve(stream, &its, &seen));
+                let (behaviour, calls) = (shared_behaviour.clone(), shared_calls.clone());
+                thread::spawn(move || serve(stream, &behaviour, &calls));
             }
         });
         AjpServer { address, behaviour, calls }
     }
 
+    /// Changes the behaviour from the next packet on.
     pub fn set_behaviour(&self, behaviour: AjpBehaviour) {
         *self.behaviour.lock().expect("no panic") = behaviour;
     }
 
-    /// Bodies of the calls that came.
+    /// The bodies of the calls received so far.
     pub fn calls(&self) -> Vec<Vec<u8>> {
         self.calls.lock().expect("no panic").clone()
     }
 }
 
-/// The content of the next packet from the end that asks.
-fn asked(stream: &mut TcpStream) -> Option<Vec<u8>> {
+/// The content of the next packet from the front end.
+fn read_packet(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut header = [0; 4];
     stream.read_exact(&mut header).ok()?;
     let mut content = vec![0; usize::from(u16::from_be_bytes([header[2], header[3]]))];
     stream.read_exact(&mut content).ok()?;
-    (header[..2] == ASKS).then_some(content)
+    (header[..2] == REQUEST_MAGIC).then_some(content)
 }
 
-/// The stated length of a body in a forward request: the value behind the coded header's name.
+/// The stated body length of a forward request: the value that follows the coded name of its header.
 fn stated_length(content: &[u8]) -> usize {
     let at = content.windows(2).position(|w| w == [0xa0, 0x08]);
     at.map_or(0, |at| take_string(&mut &content[at + 2..]).parse().unwrap_or(0))
 }
 
+/// Answers the calls of one connection.
 fn serve(mut stream: TcpStream, behaviour: &Mutex<AjpBehaviour>, calls: &Mutex<Vec<Vec<u8>>>) {
-    while let Some(content) = asked(&mut stream) {
-        let now = behaviour.lock().expect("no panic").clone();
+    while let Some(content) = read_packet(&mut stream) {
+        let current = behaviour.lock().expect("no panic").clone();
         if content == [10] {
-            if now != AjpBehaviour::IgnorePings && stream.write_all(&packet(ANSWERS, &[9])).is_err() {
+            if current != AjpBehaviour::IgnorePings && stream.write_all(&packet(ANSWER_MAGIC, &[9])).is_err()
+            {
                 return;
             }
             continue;
@@ -356,22 +375,22 @@
         let (length, mut body) = (stated_length(&content), Vec::new());
         while body.len() < length {
             if !body.is_empty() {
-                let _ = stream.write_all(&packet(ANSWERS, &[6, 0x1f, 0xfa]));
+                let _ = stream.write_all(&packet(ANSWER_MAGIC, &[6, 0x1f, 0xfa]));
             }
-            let Some(part) = asked(&mut stream).filter(|p| p.len() > 2) else { return };
-            body.extend(&part[2..]);
+            let Some(chunk) = read_packet(&mut stream).filter(|p| p.len() > 2) else { return };
+            body.extend(&chunk[2..]);
         }
         calls.lock().expect("no panic").push(body);
-        let (status, reply, mark) = match now {
+        let (status, reply, not_begun) = match current {
             AjpBehaviour::Answer(status, reply) => (status, reply, false),
             AjpBehaviour::NotBegun(status) => (status, vec![], true),
             AjpBehaviour::IgnorePings => (200, b"well".to_vec(), false),
             AjpBehaviour::Hang => {
-                let _ = asked(&mut stream);
+                let _ = read_packet(&mut stream);
                 return;
             }
             AjpBehaviour::TruncatedAnswer => {
-                let _ = stream.write_all(&packet(ANSWERS, &[4, 0, 200])[..5]);
+                let _ = stream.write_all(&packet(ANSWER_MAGIC, &[4, 0, 200])[..5]);
                 return;
             }
             AjpBehaviour::InvalidBytes => {
@@ -382,18 +401,18 @@
         let mut head = vec![4];
         head.extend(status.to_be_bytes());
         string(&mut head, b"x");
-        head.extend([0, u8::from(mark)]);
-        if mark {
+        head.extend([0, u8::from(not_begun)]);
+        if not_begun {
             string(&mut head, b"Op-Not-Begun");
             string(&mut head, b"1");
         }
-        let mut out = packet(ANSWERS, &head);
-        for part in reply.chunks(8_000) {
+        let mut out = packet(ANSWER_MAGIC, &head);
+        for chunk in reply.chunks(8_000) {
             let mut content = vec![3];
-            string(&mut content, part);
-            out.extend(packet(ANSWERS, &content));
+            string(&mut content, chunk);
+            out.extend(packet(ANSWER_MAGIC, &content));
         }
-        out.extend(packet(ANSWERS, &[5, 1]));
+        out.extend(packet(ANSWER_MAGIC, &[5, 1]));
         if stream.write_all(&out).is_err() {
             return;
         }
--- a/crates/protocol-fakes/src/lib.rs
+++ b/crates/protocol-fakes/src/lib.rs
@@ -1,17 +1,18 @@
-//! The other side of every protocol that umberloom speaks, for tests and demonstrations on loopback.
+//! Stand-ins for the peers of umberloom in every protocol that it speaks, for tests and demonstrations on
+//! loopback.
 //!
-//! Each stand-in is written from the protocol's specification, with encoders and decoders of its own, so that a
-//! mistake in the product's reading of a protocol is not made here again:
+//! Each stand-in is written from the protocol's specification, with its own encoders and decoders, so that a
+//! mistake in the product's interpretation of a protocol is not repeated here:
 //!
-//! - [`Balancer`] sends requests over FastCGI and reads answers;
-//! - [`Agent`] is a render farm agent that does what a test tells it, [`farm::Farm`] one that works by itself;
-//! - [`Records`] and [`Announce`] are the records and the announce service, call by call;
-//! - [`Dependency`] is a service that can be slow, hang, refuse, lie and come back;
-//! - [`AjpServer`] answers calls over AJP, and [`ajp::FrontEnd`] asks;
-//! - [`TestEnvironment`] puts a real server process in their middle.
+//! - [`Balancer`] sends requests over FastCGI and reads the answers;
+//! - [`Agent`] is a render farm agent that a test controls, [`farm::Farm`] one that works by itself;
+//! - [`Records`] is the records service and [`Announce`] the announce service;
+//! - [`Dependency`] is a service that can be slow, hang, reject, send invalid replies and recover;
+//! - [`AjpServer`] answers calls over AJP, and [`ajp::FrontEnd`] sends them;
+//! - [`TestEnvironment`] runs a real server process with stand-ins for its peers.
 //!
-//! Nothing here depends on the machine's speed: every wait is for something that must come, and is bounded only so
-//! that a failure ends. All addresses are on loopback.
+//! Nothing here depends on the machine's speed: every wait is for something that must happen, and has a limit
+//! only so that a failing test ends. All addresses are on loopback.
 #![allow(missing_docs)]
 
 pub mod agent;
--- a/crates/protocol-fakes/src/test_environment.rs
+++ b/crates/protocol-fakes/src/test_environment.rs
@@ -1,4 +1,4 @@
-//! A real server process on loopback with a stand-in for each of its peers.
+//! Runs a real server process on loopback with a stand-in for each of its peers.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -10,17 +10,21 @@
 
 use crate::{Agent, Announce, Balancer, Records, Request};
 
-/// Longest wait for anything.
+/// Upper bound of every wait.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `holds` gives something.
-pub fn eventually<T>(what: &str, mut holds: impl FnMut() -> Option<T>) -> T {
+/// Waits until `condition` returns a value.
+///
+/// # Panics
+///
+/// Panics after [`WAIT_TIMEOUT`]; `what` names the condition in the message.
+pub fn eventually<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = holds() {
-            return found;
+        if let Some(value) = condition() {
+            return value;
         }
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -30,29 +34,30 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// A number that no other caller in this process gets.
-fn number() -> u32 {
+/// A number that is unique in this process.
+fn unique_number() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// An address for a server: a loopback address of its own, so that no other test can take the port before
+/// A free address for a server, on a loopback host of its own so that no other test can take the port before
 /// the server does.
 fn free_address() -> SocketAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, 100 + (number() % 100) as u8, high, low.max(1));
+    let host = Ipv4Addr::new(127, 100 + (unique_number() % 100) as u8, high, low.max(1));
     let listener = TcpListener::bind((host, 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
-fn scratch() -> PathBuf {
-    let number = number();
+/// Creates a temporary folder.
+fn create_temp_folder() -> PathBuf {
+    let number = unique_number();
     let folder = std::env::temp_dir().join(format!("umberloom-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-/// Settings under which nothing is late, so that what a test sees does not depend on the machine's speed.
+/// Settings with deadlines that no test exceeds, so that results do not depend on the machine's speed.
 pub fn settings() -> Value {
     let class = |name: &str, worth: f64| {
         json!({"name": name, "aim_us": 100_000_000, "hard_limit_us": 200_000_000, "credit": worth,
@@ -75,7 +80,7 @@
     })
 }
 
-/// A server process with stand-ins around it.
+/// A server process with stand-ins for its peers. Dropping it kills the server and removes its files.
 pub struct TestEnvironment {
     /// The render farm agent.
     pub agent: Agent,
@@ -83,53 +88,53 @@
     pub records: Records,
     /// The announce service.
     pub announce: Announce,
-    /// Where the server listens.
+    /// The address at which the server listens for balancers.
     pub listen: SocketAddr,
     program: PathBuf,
-    /// The system's own limit on its descriptors.
-    descriptors: Option<usize>,
+    /// The system's limit on the server's descriptors; `None` for the default.
+    descriptor_limit: Option<usize>,
     config: Value,
     folder: PathBuf,
     server: Child,
 }
 
-/// What a test may change of the configuration.
+/// A change of the default configuration.
 pub type ConfigChange = fn(&mut Value);
 
 impl TestEnvironment {
-    /// A server whose agent is up and whose list has heard of it.
+    /// Starts a server and waits until its agent is up and it is registered with the announce service.
     pub fn start_registered(program: &Path, change: ConfigChange) -> TestEnvironment {
         TestEnvironment::start_registered_with(program, change, None)
     }
 
-    /// The same with an operator's file.
+    /// Does the same with an operator configuration.
     pub fn start_registered_with(
         program: &Path,
         change: ConfigChange,
         operator: Option<&str>,
     ) -> TestEnvironment {
-        let mut world = TestEnvironment::start_with(program, change, operator);
-        world.agent.send_initial_notice();
-        assert_eq!(world.announce.next_report(), "true");
-        world
+        let mut environment = TestEnvironment::start_with(program, change, operator);
+        environment.agent.send_initial_notice();
+        assert_eq!(environment.announce.next_report(), "true");
+        environment
     }
 
-    /// A server whose agent accepts its link and says nothing yet.
+    /// Starts a server whose agent accepts its link and sends nothing yet.
     pub fn start(program: &Path, change: ConfigChange) -> TestEnvironment {
         TestEnvironment::start_with(program, change, None)
     }
 
-    /// The same with an operator's file.
+    /// Does the same with an operator configuration.
     pub fn start_with(program: &Path, change: ConfigChange, operator: Option<&str>) -> TestEnvironment {
         TestEnvironment::start_with_descriptor_limit(program, change, operator, None)
     }
 
-    /// The same, with a limit of the system itself on the descriptors of the process.
+    /// Does the same with a limit of the system on the descriptors of the process.
     pub fn start_with_descriptor_limit(
         program: &Path,
         change: ConfigChange,
         operator: Option<&str>,
-        descriptors: Option<usize>,
+        descriptor_limit: Option<usize>,
     ) -> TestEnvironment {
         let (agent, records, announce) = (Agent::start(), Records::start(), Announce::start());
         let listen = free_address();
@@ -139,22 +144,33 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()
         });
         change(&mut config);
-        let folder = scratch();
+        let folder = create_temp_folder();
         std::fs::write(folder.join("config.json"), config.to_string()).expect("written");
         if let Some(text) = operator {
             std::fs::write(folder.join("operator.kdl"), text).expect("written");
         }
         let program = program.to_owned();
-        let server = launch(&program, &folder, descriptors);
-        TestEnvironment { agent, records, announce, listen, program, descriptors, config, folder, server }
+        let server = launch(&program, &folder, descriptor_limit);
+        TestEnvironment {
+            agent,
+            records,
+            announce,
+            listen,
+            program,
+            descriptor_limit,
+            config,
+            folder,
+            server,
+        }
     }
 
-    /// A connection of a balancer.
+    /// Opens a connection of a balancer.
     pub fn balancer(&self) -> Balancer {
         Balancer::connect(self.listen)
     }
 
-    /// A connection on which this request, under the number 1, has been launched.
+    /// Opens a connection, sends a request with the FastCGI id 1 and waits until the agent is told to launch
+    /// its run.
     pub fn launch_request(&mut self, id: &str) -> Balancer {
         let mut balancer = self.balancer();
         balancer.send(&Request::new(1, id));
@@ -162,20 +178,20 @@
         balancer
     }
 
-    /// Ends the server as the system would at worst, and starts it again.
+    /// Kills the server with SIGKILL and starts it again.
     pub fn kill_and_restart(&mut self) {
         self.server.kill().expect("killed");
         self.server.wait().expect("ended");
-        self.server = launch(&self.program, &self.folder, self.descriptors);
+        self.server = launch(&self.program, &self.folder, self.descriptor_limit);
     }
 
-    /// Replaces the configuration file as a whole, as operators would, and says so.
+    /// Changes the configuration, replaces its file atomically and signals the server to reload it.
     pub fn reconfigure(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
         self.replace_config_file(&self.config.to_string());
     }
 
-    /// Puts any text in the place of the configuration file, and says so.
+    /// Replaces the configuration file by any text and signals the server to reload it.
     pub fn replace_config_file(&self, text: &str) {
         let new = self.folder.join("config.new");
         std::fs::write(&new, text).expect("written");
@@ -183,7 +199,7 @@
         self.signal("HUP");
     }
 
-    /// Replaces the operator's file, and says so.
+    /// Replaces the operator configuration and signals the server to reload it.
     pub fn replace_operator_config(&self, text: &str) {
         let new = self.folder.join("operator.new");
         std::fs::write(&new, text).expect("written");
@@ -191,50 +207,50 @@
         self.signal("HUP");
     }
 
-    /// What the server has logged.
+    /// The server's log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// The configuration that was written last.
+    /// The latest configuration of [`TestEnvironment::reconfigure`] or of the start.
     pub fn config(&self) -> &Value {
         &self.config
     }
 
-    /// Takes the configuration file away, and says so.
+    /// Removes the configuration file and signals the server to reload it.
     pub fn remove_config_file(&self) {
         std::fs::remove_file(self.folder.join("config.json")).expect("removed");
         self.signal("HUP");
     }
 
-    /// Notice to drain.
+    /// Tells the server to drain and exit.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Sends the server a signal.
+    /// Sends the server a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let pid = self.server.id().to_string();
         let sent = Command::new("kill").arg(format!("-{name}")).arg(&pid).status().expect("kill");
         assert!(sent.success());
     }
 
-    /// Starts it again once it has ended.
+    /// Starts the server again after it has ended.
     pub fn restart(&mut self) {
-        self.server = launch(&self.program, &self.folder, self.descriptors);
+        self.server = launch(&self.program, &self.folder, self.descriptor_limit);
     }
 
-    /// Waits for the server to end by itself.
+    /// Waits for the server to end.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         eventually("the server's end", || self.server.try_wait().expect("a child"))
     }
 
-    /// Whether the server still runs.
+    /// Whether the server is still running.
     pub fn is_alive(&mut self) -> bool {
         self.server.try_wait().expect("a child").is_none()
     }
 
-    /// Memory that the server takes, in kilobytes.
+    /// Resident memory of the server in kilobytes.
     pub fn memory_kb(&self) -> usize {
         let path = format!("/proc/{}/status", self.server.id());
         let status = std::fs::read_to_string(path).expect("a running server");
@@ -242,17 +258,17 @@
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Number of the server's process.
+    /// The id of the server's process.
     pub fn pid(&self) -> u32 {
         self.server.id()
     }
 
-    /// Whether the server holds the descriptor of this number.
+    /// Whether the server has this descriptor open.
     pub fn has_open_descriptor(&self, number: usize) -> bool {
         std::fs::symlink_metadata(format!("/proc/{}/fd/{number}", self.server.id())).is_ok()
     }
 
-    /// Descriptors that the server holds.
+    /// The number of descriptors that the server has open.
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.server.id())).map_or(0, Iterator::count)
     }
@@ -266,19 +282,21 @@
     }
 }
 
+/// A command that is independent of the caller's environment and input.
 fn command(program: &Path) -> Command {
     let mut command = Command::new(program);
     command.env_remove("BALANCER_CONFIG").stdin(Stdio::null());
     command
 }
 
-fn launch(program: &Path, folder: &Path, descriptors: Option<usize>) -> Child {
-    let mut command = match descriptors {
+/// Starts the server with the configuration in `folder`.
+fn launch(program: &Path, folder: &Path, descriptor_limit: Option<usize>) -> Child {
+    let mut command = match descriptor_limit {
         None => command(program),
-        // It sets the limit and becomes the program.
-        Some(most) => {
+        // `prlimit` sets the limit and then becomes the program, with the same process id.
+        Some(limit) => {
             let mut command = command(Path::new("prlimit"));
-            command.arg(format!("--nofile={most}:{most}")).arg(program);
+            command.arg(format!("--nofile={limit}:{limit}")).arg(program);
             command
         }
     };
@@ -291,9 +309,9 @@
     command.stderr(log.expect("a log")).spawn().expect("a server")
 }
 
-/// Runs the program to its end with these arguments, and a configuration if there is one.
+/// Runs the program to its end with these arguments and, if given, a configuration file.
 pub fn run_program(program: &Path, arguments: &[&str], config: Option<&str>) -> Output {
-    let folder = scratch();
+    let folder = create_temp_folder();
     let mut command = command(program);
     command.args(arguments);
     if let Some(text) = config {
