--- a/crates/fault-harness/src/relay.rs
+++ b/crates/fault-harness/src/relay.rs
@@ -163,7 +163,7 @@
         host: Ipv4Addr,
         from: SocketAddr,
         to: SocketAddr,
-        (there, back): (Direction, Direction),
+        (outgoing, returning): (Direction, Direction),
     ) -> std::io::Result<Relay> {
         let (datagrams, listener) = bind_same_port(host)?;
         let target: Target = Arc::new(Mutex::new(to));
@@ -178,7 +178,7 @@
                 datagrams.clone(),
                 upstream.clone(),
                 target.clone(),
-                there.clone(),
+                outgoing.clone(),
             ))
             .detach();
         executor
@@ -187,10 +187,12 @@
                 upstream.clone(),
                 datagrams.clone(),
                 return_target,
-                back.clone(),
+                returning.clone(),
             ))
             .detach();
-        executor.spawn(accept_streams(executor.clone(), listener, target.clone(), there, back)).detach();
+        executor
+            .spawn(accept_streams(executor.clone(), listener, target.clone(), outgoing, returning))
+            .detach();
         Ok(Relay { address, datagrams, upstream, target })
     }
 
@@ -265,30 +267,33 @@
     executor: Arc<Executor<'static>>,
     listener: Async<TcpListener>,
     target: Target,
-    there: Direction,
-    back: Direction,
+    outgoing: Direction,
+    returning: Direction,
 ) {
     loop {
-        let Ok((near, _)) = listener.accept().await else {
+        let Ok((client, _)) = listener.accept().await else {
             // Accepting fails while no descriptor is free; the pause keeps the loop from spinning.
             Timer::after(POLL_INTERVAL).await;
             continue;
         };
         future::yield_now().await;
-        let (there, back, target) = (there.clone(), back.clone(), target.clone());
+        let (outgoing, returning, target) = (outgoing.clone(), returning.clone(), target.clone());
         let forward = async move {
-            while there.stalls_streams() {
+            while outgoing.stalls_streams() {
                 Timer::after(POLL_INTERVAL).await;
             }
-            if there.refuses_streams() {
+            if outgoing.refuses_streams() {
                 return;
             }
             let address = *lock(&target);
             // If the server is down, the client's connection is closed.
-            let Ok(far) = Async::<TcpStream>::connect(address).await else { return };
-            let (near, far) = (Arc::new(near), Arc::new(far));
-            future::or(forward_stream(near.clone(), far.clone(), there), forward_stream(far, near, back))
-                .await;
+            let Ok(server) = Async::<TcpStream>::connect(address).await else { return };
+            let (client, server) = (Arc::new(client), Arc::new(server));
+            future::or(
+                forward_stream(client.clone(), server.clone(), outgoing),
+                forward_stream(server, client, returning),
+            )
+            .await;
         };
         executor.spawn(forward).detach();
     }
--- a/crates/fault-harness/src/script.rs
+++ b/crates/fault-harness/src/script.rs
@@ -86,7 +86,7 @@
             || format!("found {text:?}, expected an action such as \"cut n1 n2\" or \"pause n3 2000\"");
         let n = |word: &str| word.strip_prefix('n')?.parse::<usize>().ok()?.checked_sub(1);
         let percent = |word: &str| word.parse::<u8>().ok().filter(|p| *p <= 100);
-        let found = match words.as_slice() {
+        let parsed = match words.as_slice() {
             ["cut", a, b] => n(a).zip(n(b)).map(|(a, b)| FaultAction::Cut(a, b)),
             ["part", group @ ..] if !group.is_empty() => {
                 group.iter().map(|w| n(w)).collect::<Option<_>>().map(FaultAction::Partition)
@@ -111,7 +111,7 @@
             ["term", a] => n(a).map(FaultAction::Terminate),
             _ => None,
         };
-        found.ok_or_else(error)
+        parsed.ok_or_else(error)
     }
 }
 
@@ -155,15 +155,17 @@
         kinds.shuffle(&mut random);
         while at + 500 < end {
             let duration = random.random_range(500..3_000u64);
-            let over = (at + duration).min(end);
+            let end_at = (at + duration).min(end);
             let (a, b) = (random.random_range(0..servers), random.random_range(0..servers));
             match kinds.choose(&mut random).copied().unwrap_or("cut") {
-                "cut" if a != b => actions.extend([(at, FaultAction::Cut(a, b)), (over, FaultAction::Heal)]),
+                "cut" if a != b => {
+                    actions.extend([(at, FaultAction::Cut(a, b)), (end_at, FaultAction::Heal)]);
+                }
                 "part" => {
                     let mut group: Vec<usize> = (0..servers).collect();
                     group.shuffle(&mut random);
                     group.truncate(random.random_range(1..=(servers / 2).max(1)));
-                    actions.extend([(at, FaultAction::Partition(group)), (over, FaultAction::Heal)]);
+                    actions.extend([(at, FaultAction::Partition(group)), (end_at, FaultAction::Heal)]);
                 }
                 "weather" => {
                     let mut percent = |max| random.random_range(0..=max);
@@ -172,20 +174,21 @@
                     let late_ms = random.random_range(0..40);
                     actions.extend([
                         (at, FaultAction::LinkFaults { drop, double, damage, reorder, late_ms }),
-                        (over, FaultAction::Heal),
+                        (end_at, FaultAction::Heal),
                     ]);
                 }
-                "kill" => actions.extend([(at, FaultAction::Kill(a)), (over, FaultAction::Start(a))]),
+                "kill" => actions.extend([(at, FaultAction::Kill(a)), (end_at, FaultAction::Start(a))]),
                 "pause" => actions.push((at, FaultAction::Pause(a, duration))),
                 "term" => {
-                    actions.extend([(at, FaultAction::Terminate(a)), (over + 2_500, FaultAction::Start(a))]);
+                    actions
+                        .extend([(at, FaultAction::Terminate(a)), (end_at + 2_500, FaultAction::Start(a))]);
                 }
                 "shared" => {
-                    actions.extend([(at, FaultAction::CutSharedDependency(a)), (over, FaultAction::Heal)]);
+                    actions.extend([(at, FaultAction::CutSharedDependency(a)), (end_at, FaultAction::Heal)]);
                 }
                 _ => {}
             }
-            at = over + random.random_range(0..1_500);
+            at = end_at + random.random_range(0..1_500);
         }
         actions.push((end.max(at), FaultAction::Heal));
         actions.extend((0..servers).map(|n| (end.max(at) + 2_500, FaultAction::Start(n))));
--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -265,9 +265,9 @@
         let new = log.get(self.log_bytes_read as usize..).unwrap_or_default();
         let Some(last) = new.rfind('\n') else { return };
         for line in new[..last].lines() {
-            let what = serde_json::from_str(line).unwrap_or_else(|_| json!({"msg": line}));
-            let at = what["ts"].as_str().and_then(unix_us).unwrap_or_else(crate::history::now_us);
-            self.history.add(Event { at_us: at, source: self.name.clone(), kind: "log", details: what });
+            let details: Value = serde_json::from_str(line).unwrap_or_else(|_| json!({"msg": line}));
+            let at_us = details["ts"].as_str().and_then(unix_us).unwrap_or_else(crate::history::now_us);
+            self.history.add(Event { at_us, source: self.name.clone(), kind: "log", details });
         }
         self.log_bytes_read += last as u64 + 1;
     }
--- a/crates/protocol-fakes/src/ajp.rs
+++ b/crates/protocol-fakes/src/ajp.rs
@@ -182,8 +182,8 @@
     /// The content of the next packet, or `None` at the end of the connection.
     pub fn packet(&mut self) -> Option<Vec<u8>> {
         loop {
-            if let [a, b, high, low, rest @ ..] = self.unread.as_slice() {
-                assert_eq!([*a, *b], ANSWER_MAGIC, "the start of an answer's packet");
+            if let [first, second, high, low, rest @ ..] = self.unread.as_slice() {
+                assert_eq!([*first, *second], ANSWER_MAGIC, "the start of an answer's packet");
                 let length = usize::from(u16::from_be_bytes([*high, *low]));
                 if rest.len() >= length {
                     let content = rest[..length].to_vec();
@@ -218,8 +218,8 @@
                     answer.body.extend(&content[3..3 + length]);
                 }
                 6 => {
-                    let wanted = usize::from(u16::from_be_bytes([content[1], content[2]]));
-                    let chunk = request.body_packet(sent, wanted);
+                    let max = usize::from(u16::from_be_bytes([content[1], content[2]]));
+                    let chunk = request.body_packet(sent, max);
                     sent += chunk.len().saturating_sub(6);
                     self.send_bytes(&chunk);
                 }
