--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -41,16 +41,16 @@
 
     /// A server that is up under a limit of the system itself on its descriptors.
     pub fn start_with_descriptor_limit(descriptors: usize, change: ConfigChange) -> TestEnvironment {
-        let world = umberloom_protocol_fakes::TestEnvironment::start_with_descriptor_limit(
+        let environment = umberloom_protocol_fakes::TestEnvironment::start_with_descriptor_limit(
             server_executable(),
             change,
             None,
             Some(descriptors),
         );
-        let mut world = TestEnvironment(world);
-        world.agent.send_initial_notice();
-        assert_eq!(world.announce.next_report(), "true");
-        world
+        let mut environment = TestEnvironment(environment);
+        environment.agent.send_initial_notice();
+        assert_eq!(environment.announce.next_report(), "true");
+        environment
     }
 
     /// A server whose agent accepts its link and has not greeted yet.
@@ -85,9 +85,9 @@
 
 /// A fleet that is complete and gets requests all the time.
 pub fn start_converged_fleet(servers: usize) -> umberloom_fault_harness::Fleet {
-    let mut fleet =
-        umberloom_fault_harness::Fleet::start(fleet_options(servers)).unwrap_or_else(|why| panic!("{why}"));
-    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_else(|why| panic!("{why}"));
+    let mut fleet = umberloom_fault_harness::Fleet::start(fleet_options(servers))
+        .unwrap_or_else(|error| panic!("{error}"));
+    fleet.wait_for_partition_status_everywhere("whole").unwrap_or_else(|error| panic!("{error}"));
     fleet.start_traffic(2, std::time::Duration::from_millis(20));
     fleet
 }
@@ -99,14 +99,14 @@
 
 impl UnwrapOrPanic for Result<(), String> {
     fn unwrap_or_panic(self) {
-        self.unwrap_or_else(|why| panic!("{why}"));
+        self.unwrap_or_else(|error| panic!("{error}"));
     }
 }
 
 /// Asserts that no invariant was broken.
 pub fn assert_invariants(mut fleet: umberloom_fault_harness::Fleet) {
-    let breaches = fleet.finish_and_check();
-    assert!(breaches.is_empty(), "{}", breaches.join("\n"));
+    let violations = fleet.finish_and_check();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// Gives a fault time to show.
--- a/crates/server/tests/common/replicated_store.rs
+++ b/crates/server/tests/common/replicated_store.rs
@@ -18,7 +18,7 @@
     let mut options = fleet_options(servers);
     options.store_options = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
     options.store_folder_options = with_disks.then(|| "most-mb=64".to_owned());
-    let mut fleet = Fleet::start(options).unwrap_or_else(|why| panic!("{why}"));
+    let mut fleet = Fleet::start(options).unwrap_or_else(|error| panic!("{error}"));
     fleet.wait_for_replication(voters).unwrap_or_panic();
     fleet.start_traffic(2, Duration::from_millis(20));
     fleet
@@ -40,15 +40,15 @@
 
 /// Waits until a server other than `former` leads; its index.
 pub fn wait_for_other_leader(fleet: &Fleet, former: usize) -> usize {
-    let leads = |fleet: &Fleet| fleet.leader().is_some_and(|leader| leader != former);
-    fleet.wait_until("another leader", leads).unwrap_or_panic();
+    let other_leads = |fleet: &Fleet| fleet.leader().is_some_and(|leader| leader != former);
+    fleet.wait_until("another leader", other_leads).unwrap_or_panic();
     fleet.leader().expect("a leader")
 }
 
 /// A voter that does not lead.
 pub fn any_follower(fleet: &Fleet) -> usize {
-    let follows = |server: &usize| fleet.store_status_field(*server, "role") == "Voter";
-    (0..fleet.servers.len()).find(follows).expect("a follower")
+    let is_follower = |server: &usize| fleet.store_status_field(*server, "role") == "Voter";
+    (0..fleet.servers.len()).find(is_follower).expect("a follower")
 }
 
 /// The log lines of a server with this message.
@@ -69,12 +69,12 @@
     pub fn start(fleet: &Fleet, seed: u128) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let started = Instant::now();
-        let threads = fleet.servers.iter().zip(0u128..).map(|(server, number)| {
+        let threads = fleet.servers.iter().zip(0u128..).map(|(server, client_index)| {
             let client = Client {
-                file: server.folder.join(format!("client-{seed}")),
+                content_file: server.folder.join(format!("client-{seed}")),
                 operator_file: server.operator_config_path(),
                 address: server.fleet_address.to_string(),
-                number,
+                client_index,
                 seed,
                 started,
             };
@@ -85,23 +85,23 @@
     }
 
     /// Stops them and asserts that at least so many operations were done and that all are linearizable.
-    pub fn stop_and_assert_linearizable(self, min_done: usize) {
+    pub fn stop_and_assert_linearizable(self, min_completed: usize) {
         self.stop.store(true, Ordering::Relaxed);
-        let all: Vec<Operation> =
+        let operations: Vec<Operation> =
             self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect();
-        let done = all.iter().filter(|operation| operation.result.is_some()).count();
-        assert!(done >= min_done, "{done} of {} operations were done", all.len());
-        assert_eq!(violations(&all), Vec::<String>::new());
+        let completed = operations.iter().filter(|operation| operation.result.is_some()).count();
+        assert!(completed >= min_completed, "{completed} of {} operations were done", operations.len());
+        assert_eq!(violations(&operations), Vec::<String>::new());
     }
 }
 
 /// A client of one server.
 struct Client {
     /// Where the content that it writes is.
-    file: PathBuf,
+    content_file: PathBuf,
     operator_file: PathBuf,
     address: String,
-    number: u128,
+    client_index: u128,
     seed: u128,
     started: Instant,
 }
@@ -114,30 +114,30 @@
             if stop.load(Ordering::Relaxed) {
                 break;
             }
-            let is_write = !(round + self.number).is_multiple_of(3);
+            let is_write = !(round + self.client_index).is_multiple_of(3);
             operations.push(if is_write { self.write(round) } else { self.read() });
         }
         operations
     }
 
     fn write(&self, round: u128) -> Operation {
-        let value = (self.seed << 64) + (self.number << 32) + round + 1;
-        let mut operation = Operation::write("x", self.now(), value);
+        let value = (self.seed << 64) + (self.client_index << 32) + round + 1;
+        let mut operation = Operation::write("x", self.elapsed_us(), value);
         // Without the file the command fails, and so does the operation.
-        let _ = std::fs::write(&self.file, value.to_string());
-        let reply = self.command(&["put", "x", &self.file.display().to_string()]);
+        let _ = std::fs::write(&self.content_file, value.to_string());
+        let reply = self.command(&["put", "x", &self.content_file.display().to_string()]);
         if let Some(version) = reply.and_then(|reply| reply["version"].as_u64()) {
-            operation.complete(self.now(), version, value);
+            operation.complete(self.elapsed_us(), version, value);
         }
         operation
     }
 
     fn read(&self) -> Operation {
-        let mut operation = Operation::read("x", self.now());
+        let mut operation = Operation::read("x", self.elapsed_us());
         let Some(reply) = self.command(&["show", "x"]) else { return operation };
         let content = reply["content"].as_str().and_then(|text| text.parse().ok());
         if let Some(version) = reply["version"].as_u64() {
-            operation.complete(self.now(), version, content.unwrap_or(0));
+            operation.complete(self.elapsed_us(), version, content.unwrap_or(0));
         }
         operation
     }
@@ -151,7 +151,7 @@
     }
 
     /// Microseconds since the clients were started.
-    fn now(&self) -> u64 {
+    fn elapsed_us(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 }
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -26,11 +26,11 @@
 /// machine that is slow makes it fewer.
 fn count_calls(service: &Dependency, span: Duration) -> (f64, f64) {
     service.take_counts();
-    let began = Instant::now();
+    let started_at = Instant::now();
     sleep_ms(span.as_millis() as u64);
     let calls = service.take_counts().0 as f64;
-    let budget = CAPACITY * (began.elapsed().as_secs_f64() / 0.1);
-    (calls, budget + 2.0 * budget.sqrt() + 2.0)
+    let expected = CAPACITY * (started_at.elapsed().as_secs_f64() / 0.1);
+    (calls, expected + 2.0 * expected.sqrt() + 2.0)
 }
 
 #[test]
@@ -38,12 +38,13 @@
     let folder = std::env::temp_dir().join(format!("umberloom-calls-{}", std::process::id()));
     let service = Dependency::start(healthy());
     let mut servers: Vec<Server> = (0..SERVERS)
-        .map(|n| {
-            let mut server = Server::new(&format!("n{n}"), server_executable(), &folder, History::default())
-                .expect("a place");
+        .map(|index| {
+            let mut server =
+                Server::new(&format!("n{index}"), server_executable(), &folder, History::default())
+                    .expect("a place");
             server.config_overrides = vec![
                 ("/records", json!(service.address)),
-                ("/seed", json!(format!("8c1f30d27a5b{n:04x}"))),
+                ("/seed", json!(format!("8c1f30d27a5b{index:04x}"))),
                 ("/settings/servers", json!(SERVERS)),
                 ("/settings/family_info/dep_share", json!(CAPACITY / SERVERS as f64)),
             ];
@@ -52,18 +53,18 @@
         .collect();
     servers.iter_mut().for_each(|server| server.start().expect("a process"));
     servers.iter_mut().for_each(|server| server.wait_until_healthy().expect("well"));
-    let at: Vec<_> =
+    let targets: Vec<_> =
         servers.iter().map(|server| (server.listen, server.farm.completion_notifier())).collect();
-    let traffic = Traffic::start(&at, 2, Duration::from_millis(10));
+    let traffic = Traffic::start(&targets, 2, Duration::from_millis(10));
     // First calls after a start; then all lose the service at one moment, and find it back.
-    let (calls, allowed) = count_calls(&service, Duration::from_secs(2));
-    assert!(calls > 0.0 && calls <= allowed, "{calls} first calls, {allowed} allowed");
+    let (calls, max_calls) = count_calls(&service, Duration::from_secs(2));
+    assert!(calls > 0.0 && calls <= max_calls, "{calls} first calls, {max_calls} allowed");
     service.set_behaviour(Behaviour::failing());
-    let (calls, allowed) = count_calls(&service, Duration::from_secs(4));
-    assert!(calls > 0.0 && calls <= allowed, "{calls} calls while it was down, {allowed} allowed");
+    let (calls, max_calls) = count_calls(&service, Duration::from_secs(4));
+    assert!(calls > 0.0 && calls <= max_calls, "{calls} calls while it was down, {max_calls} allowed");
     service.set_behaviour(healthy());
-    let (calls, allowed) = count_calls(&service, Duration::from_secs(3));
-    assert!(calls > 0.0 && calls <= allowed, "{calls} calls after it returned, {allowed} allowed");
+    let (calls, max_calls) = count_calls(&service, Duration::from_secs(3));
+    assert!(calls > 0.0 && calls <= max_calls, "{calls} calls after it returned, {max_calls} allowed");
     drop(traffic);
     assert!(servers.iter_mut().all(|server| !server.has_crashed()));
     servers.iter_mut().for_each(Server::kill);
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -10,44 +10,44 @@
 use umberloom_fault_harness::{Faults, Fleet};
 
 /// What a server says of another.
-fn member(fleet: &Fleet, n: usize, other: usize) -> Value {
-    let view = fleet.view(n).unwrap_or_else(|why| panic!("{why}"));
-    let name = fleet.servers[other].name.as_str();
-    let all = view["members"].as_array().expect("members");
-    all.iter().find(|m| m["name"] == name).cloned().unwrap_or(Value::Null)
+fn member_view(fleet: &Fleet, server: usize, peer: usize) -> Value {
+    let view = fleet.view(server).unwrap_or_else(|error| panic!("{error}"));
+    let name = fleet.servers[peer].name.as_str();
+    let members = view["members"].as_array().expect("members");
+    members.iter().find(|m| m["name"] == name).cloned().unwrap_or(Value::Null)
 }
 
-fn reaches(fleet: &Fleet, n: usize, other: usize) -> bool {
-    member(fleet, n, other)["reached"] == true
+fn reaches(fleet: &Fleet, server: usize, peer: usize) -> bool {
+    member_view(fleet, server, peer)["reached"] == true
 }
 
-fn refused(fleet: &Fleet, n: usize, why: &str) -> u64 {
-    fleet.view(n).map_or(0, |view| view["counts"]["refused"][why].as_u64().unwrap_or(0))
+fn rejected_messages(fleet: &Fleet, server: usize, reason: &str) -> u64 {
+    fleet.view(server).map_or(0, |view| view["counts"]["refused"][reason].as_u64().unwrap_or(0))
 }
 
 /// Lines by which a server held another for something.
-fn held(fleet: &mut Fleet, n: usize, other: usize, state: &str) -> usize {
-    fleet.servers[n].read_log();
-    let name = fleet.servers[other].name.clone();
-    let said = fleet.history.log_lines(&fleet.servers[n].name, "member state changed");
-    said.iter().filter(|e| e.details["name"] == name.as_str() && e.details["to"] == state).count()
+fn count_state_changes(fleet: &mut Fleet, server: usize, peer: usize, state: &str) -> usize {
+    fleet.servers[server].read_log();
+    let name = fleet.servers[peer].name.clone();
+    let changes = fleet.history.log_lines(&fleet.servers[server].name, "member state changed");
+    changes.iter().filter(|e| e.details["name"] == name.as_str() && e.details["to"] == state).count()
 }
 
 /// Three servers that stand whole, and a place for a second process named `n1`, whose address no file has.
-fn twins() -> Fleet {
-    let mut told = fleet_options(4);
-    told.names[3] = "n1".to_owned();
-    let mut fleet = Fleet::prepare(told).expect("a fleet");
-    for n in 0..4 {
+fn start_fleet_with_duplicate_name() -> Fleet {
+    let mut options = fleet_options(4);
+    options.names[3] = "n1".to_owned();
+    let mut fleet = Fleet::prepare(options).expect("a fleet");
+    for server in 0..4 {
         // The others know one address of n1, and it leads to the first.
-        fleet.configured_peers[n] =
-            (0..3).filter(|o| *o != n && fleet.servers[*o].name != fleet.servers[n].name).collect();
-        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
+        fleet.configured_peers[server] =
+            (0..3).filter(|o| *o != server && fleet.servers[*o].name != fleet.servers[server].name).collect();
+        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
     }
-    for n in 0..3 {
-        fleet.servers[n].start().expect("a process");
+    for server in 0..3 {
+        fleet.servers[server].start().expect("a process");
     }
-    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     fleet
 }
 
@@ -56,14 +56,14 @@
     // What they say first is lost: nobody is up yet for anybody.
     let mut fleet = Fleet::prepare(fleet_options(5)).expect("a fleet");
     fleet.set_all_faults(Faults { cut: true, ..Faults::default() });
-    (0..5).for_each(|n| fleet.servers[n].start().expect("a process"));
-    (0..5).for_each(|n| fleet.servers[n].wait_until_healthy().unwrap_or_panic());
+    (0..5).for_each(|server| fleet.servers[server].start().expect("a process"));
+    (0..5).for_each(|server| fleet.servers[server].wait_until_healthy().unwrap_or_panic());
     sleep_ms(500);
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.start_traffic(2, Duration::from_millis(20));
-    for (n, other) in [(0, 4), (4, 0), (2, 1)] {
-        assert_eq!(fleet.member_state(n, other), "present");
+    for (server, peer) in [(0, 4), (4, 0), (2, 1)] {
+        assert_eq!(fleet.member_state(server, peer), "present");
     }
     assert_invariants(fleet);
 }
@@ -80,9 +80,12 @@
         .unwrap_or_panic();
     sleep_ms(2_000);
     // Others reach both, so nobody holds either for failed.
-    assert_eq!((held(&mut fleet, 0, 1, "failed"), held(&mut fleet, 1, 0, "failed")), (0, 0));
+    assert_eq!(
+        (count_state_changes(&mut fleet, 0, 1, "failed"), count_state_changes(&mut fleet, 1, 0, "failed")),
+        (0, 0)
+    );
     assert!(
-        member(&fleet, 0, 1)["heard_ms"].as_u64() < Some(450),
+        member_view(&fleet, 0, 1)["heard_ms"].as_u64() < Some(450),
         "the first hears the second all the while"
     );
     assert_eq!(fleet.partition_status(2), "whole");
@@ -102,7 +105,7 @@
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet
-        .wait_until("one view", |fleet| (1..5).all(|n| fleet.member_state(0, n) == "present"))
+        .wait_until("one view", |fleet| (1..5).all(|server| fleet.member_state(0, server) == "present"))
         .unwrap_or_panic();
     assert_invariants(fleet);
 }
@@ -111,13 +114,13 @@
 fn over_a_bridge_nobody_fails_and_partition_status_follows_direct_reach() {
     let mut fleet = start_converged_fleet(5);
     fleet.partition(&[&[0, 1], &[3, 4]]);
-    for n in [0, 1, 3, 4] {
-        fleet.wait_for_partition_status(n, "majority").unwrap_or_panic();
+    for server in [0, 1, 3, 4] {
+        fleet.wait_for_partition_status(server, "majority").unwrap_or_panic();
     }
     sleep_ms(2_500);
     assert_eq!(fleet.partition_status(2), "whole");
-    for (n, other) in [(0, 3), (1, 4), (3, 0), (4, 1)] {
-        assert_eq!(held(&mut fleet, n, other, "failed"), 0, "the bridge answers for it");
+    for (server, peer) in [(0, 3), (1, 4), (3, 0), (4, 1)] {
+        assert_eq!(count_state_changes(&mut fleet, server, peer, "failed"), 0, "the bridge answers for it");
     }
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
@@ -129,11 +132,12 @@
     let fleet = start_converged_fleet(5);
     fleet.set_all_faults(Faults { drop: 0.3, ..Faults::default() });
     sleep_ms(3_000);
-    let there = |state: String| state == "present" || state == "suspected";
+    let is_alive = |state: String| state == "present" || state == "suspected";
     // Held for failed for a moment at worst: who hears of it comes back.
-    let all =
-        |fleet: &Fleet| (0..5).all(|n| (0..5).filter(|o| *o != n).all(|o| there(fleet.member_state(n, o))));
-    fleet.wait_until("all to be there", all).unwrap_or_panic();
+    let all_alive = |fleet: &Fleet| {
+        (0..5).all(|server| (0..5).filter(|o| *o != server).all(|o| is_alive(fleet.member_state(server, o))))
+    };
+    fleet.wait_until("all to be there", all_alive).unwrap_or_panic();
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
@@ -145,10 +149,11 @@
     fleet.set_all_faults(Faults { double: 1.0, reorder: 0.3, late_ms: 30, ..Faults::default() });
     sleep_ms(2_500);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    for n in 0..3 {
-        let view = fleet.view(n).expect("a view");
-        let (heard, replayed) = (view["counts"]["heard"][0].as_u64(), refused(&fleet, n, "Replayed"));
-        assert!(replayed > 20 && heard > Some(20), "{heard:?} believed, {replayed} not");
+    for server in 0..3 {
+        let view = fleet.view(server).expect("a view");
+        let (accepted, replayed) =
+            (view["counts"]["heard"][0].as_u64(), rejected_messages(&fleet, server, "Replayed"));
+        assert!(replayed > 20 && accepted > Some(20), "{accepted:?} believed, {replayed} not");
     }
     assert_invariants(fleet);
 }
@@ -159,7 +164,9 @@
     fleet.set_all_faults(Faults { damage: 0.1, ..Faults::default() });
     fleet
         .wait_until("damage", |fleet| {
-            (0..3).all(|n| refused(fleet, n, "Damaged") + refused(fleet, n, "Foreign") > 3)
+            (0..3).all(|server| {
+                rejected_messages(fleet, server, "Damaged") + rejected_messages(fleet, server, "Foreign") > 3
+            })
         })
         .unwrap_or_panic();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
@@ -169,7 +176,7 @@
 }
 
 #[test]
-fn a_server_that_stalled_for_long_is_failed_and_trusts_nothing_when_it_wakes() {
+fn a_server_that_resumes_after_a_long_stall_is_unsure_and_fails_no_member() {
     let mut fleet = start_converged_fleet(3);
     fleet.servers[2].set_stopped(true);
     fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
@@ -179,17 +186,20 @@
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
     // Its timers had all run out; nobody is failed by that.
-    assert_eq!(held(&mut fleet, 2, 0, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
-    let said = fleet.history.log_lines("n3", "partition status changed");
-    assert!(said.iter().any(|e| e.details["to"] == "unsure"), "{said:?}");
+    assert_eq!(
+        count_state_changes(&mut fleet, 2, 0, "failed") + count_state_changes(&mut fleet, 2, 1, "failed"),
+        0
+    );
+    let changes = fleet.history.log_lines("n3", "partition status changed");
+    assert!(changes.iter().any(|e| e.details["to"] == "unsure"), "{changes:?}");
     assert_invariants(fleet);
 }
 
 #[test]
 fn a_suspicion_that_expired_during_a_stall_of_its_holder_can_still_be_refuted() {
-    let mut told = fleet_options(3);
-    told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=2500");
-    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+    let mut options = fleet_options(3);
+    options.timing = options.timing.replace("suspect-ms=600", "suspect-ms=2500");
+    let mut fleet = Fleet::start_converged(options).unwrap_or_else(|error| panic!("{error}"));
     fleet.servers[2].set_stopped(true);
     fleet.wait_for_member_state(0, 2, "suspected").unwrap_or_panic();
     fleet.servers[0].set_stopped(true);
@@ -205,15 +215,15 @@
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
-    assert_eq!(held(&mut fleet, 0, 2, "failed"), 0);
+    assert_eq!(count_state_changes(&mut fleet, 0, 2, "failed"), 0);
     assert_invariants(fleet);
 }
 
 #[test]
-fn a_pause_of_five_seconds_within_the_suspicion_timeout_costs_nothing() {
-    let mut told = fleet_options(3);
-    told.timing = told.timing.replace("suspect-ms=600", "suspect-ms=20000");
-    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+fn a_pause_of_five_seconds_within_the_suspicion_timeout_fails_no_member() {
+    let mut options = fleet_options(3);
+    options.timing = options.timing.replace("suspect-ms=600", "suspect-ms=20000");
+    let mut fleet = Fleet::start_converged(options).unwrap_or_else(|error| panic!("{error}"));
     fleet.start_traffic(2, Duration::from_millis(20));
     fleet.servers[1].set_stopped(true);
     fleet.wait_for_member_state(0, 1, "suspected").unwrap_or_panic();
@@ -221,19 +231,22 @@
     fleet.servers[1].set_stopped(false);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 1, "present").unwrap_or_panic();
-    assert_eq!(held(&mut fleet, 0, 1, "failed") + held(&mut fleet, 2, 1, "failed"), 0);
+    assert_eq!(
+        count_state_changes(&mut fleet, 0, 1, "failed") + count_state_changes(&mut fleet, 2, 1, "failed"),
+        0
+    );
     assert_invariants(fleet);
 }
 
 #[test]
 fn a_restarted_process_takes_over_its_name_at_once() {
     let mut fleet = start_converged_fleet(3);
-    let before = member(&fleet, 0, 1)["boot"].as_u64();
+    let before = member_view(&fleet, 0, 1)["boot"].as_u64();
     fleet.servers[1].kill();
     fleet.servers[1].start().expect("a process");
     fleet
         .wait_until("the new process", |fleet| {
-            member(fleet, 0, 1)["boot"].as_u64() > before && reaches(fleet, 0, 1)
+            member_view(fleet, 0, 1)["boot"].as_u64() > before && reaches(fleet, 0, 1)
         })
         .unwrap_or_panic();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
@@ -243,12 +256,12 @@
 
 #[test]
 fn a_second_process_with_a_name_at_another_address_is_fenced() {
-    let mut fleet = twins();
+    let mut fleet = start_fleet_with_duplicate_name();
     fleet.servers[3].start().expect("a process");
     fleet
         .wait_until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true))
         .unwrap_or_panic();
-    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     // Silent, it uses nothing of the part that belongs to its name, but it serves.
     sleep_ms(1_500);
     assert_eq!(fleet.view(3).expect("a view")["allowances"][0][1]["used"], 0);
@@ -259,12 +272,12 @@
 
 #[test]
 fn after_an_address_moved_the_later_process_has_the_name_and_the_earlier_is_fenced() {
-    let mut fleet = twins();
-    for n in [1, 2] {
-        fleet.relay(n, 0).redirect(fleet.servers[3].fleet_address);
+    let mut fleet = start_fleet_with_duplicate_name();
+    for server in [1, 2] {
+        fleet.relay(server, 0).redirect(fleet.servers[3].fleet_address);
     }
     fleet.servers[3].start().expect("a process");
-    (1..4).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (1..4).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     fleet
         .wait_until("the earlier to be told", |fleet| {
             fleet.view(0).is_ok_and(|view| view["silenced"] == true)
@@ -278,15 +291,15 @@
 #[test]
 fn the_last_server_of_a_fleet_serves_alone() {
     let mut fleet = start_converged_fleet(4);
-    (1..4).for_each(|n| fleet.servers[n].kill());
+    (1..4).for_each(|server| fleet.servers[server].kill());
     fleet.wait_for_partition_status(0, "alone").unwrap_or_panic();
     let served = |fleet: &Fleet| {
         fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::Outcome::Served))
     };
     let before = served(&fleet);
     fleet.wait_until("more to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
-    for n in 1..4 {
-        fleet.servers[n].start().expect("a process");
+    for server in 1..4 {
+        fleet.servers[server].start().expect("a process");
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
@@ -294,10 +307,10 @@
 
 #[test]
 fn a_flapping_link_changes_no_status_faster_than_the_damping_allows() {
-    let mut told = fleet_options(3);
-    told.timing = told.timing.replace("damp-ms=500", "damp-ms=1800");
-    told.damp_ms = 1_800;
-    let mut fleet = Fleet::start_converged(told).unwrap_or_else(|why| panic!("{why}"));
+    let mut options = fleet_options(3);
+    options.timing = options.timing.replace("damp-ms=500", "damp-ms=1800");
+    options.damp_ms = 1_800;
+    let mut fleet = Fleet::start_converged(options).unwrap_or_else(|error| panic!("{error}"));
     for round in 0..8 {
         let cut = round % 2 == 0;
         fleet.change_faults(0, 1, |faults| faults.cut = cut);
@@ -321,7 +334,7 @@
     fleet.servers[3].kill();
     fleet.servers[3].start().expect("a process");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    assert_eq!(held(&mut fleet, 0, 1, "failed"), 0);
+    assert_eq!(count_state_changes(&mut fleet, 0, 1, "failed"), 0);
     assert_invariants(fleet);
 }
 
@@ -332,7 +345,7 @@
     fleet.change_faults(2, 1, |faults| faults.stall = true);
     // Every member asks for loans and writes by stream; what waits for the one that never reads is lost.
     sleep_ms(2_500);
-    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     // Without datagrams towards it, only it is off.
     fleet.change_faults(0, 1, |faults| faults.no_datagrams = true);
     fleet.change_faults(2, 1, |faults| faults.no_datagrams = true);
@@ -349,26 +362,26 @@
 fn replayed_messages_revive_nobody() {
     let mut fleet = start_converged_fleet(3);
     sleep_ms(1_000);
-    let past = fleet.direction(1, 0).recent_datagrams();
-    assert!(past.len() > 10);
+    let recorded = fleet.direction(1, 0).recent_datagrams();
+    assert!(recorded.len() > 10);
     fleet.servers[1].kill();
     fleet.wait_for_member_state(0, 1, "failed").unwrap_or_panic();
-    let before = refused(&fleet, 0, "Replayed");
+    let before = rejected_messages(&fleet, 0, "Replayed");
     let end = Instant::now() + Duration::from_millis(1_500);
     while Instant::now() < end {
-        fleet.relay(1, 0).replay(&past);
+        fleet.relay(1, 0).replay(&recorded);
         assert!(!reaches(&fleet, 0, 1), "a dead process is held to be there");
     }
     assert_eq!(fleet.member_state(0, 1), "failed");
-    assert!(refused(&fleet, 0, "Replayed") > before);
+    assert!(rejected_messages(&fleet, 0, "Replayed") > before);
     // A process that has started since is not the one that they were for.
     fleet.servers[0].kill();
     fleet.servers[0].start().expect("a process");
     fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
-    fleet.relay(1, 0).replay(&past);
+    fleet.relay(1, 0).replay(&recorded);
     sleep_ms(300);
     assert!(!reaches(&fleet, 0, 1));
-    assert!(refused(&fleet, 0, "Unproven") + refused(&fleet, 0, "NotForUs") > 0);
+    assert!(rejected_messages(&fleet, 0, "Unproven") + rejected_messages(&fleet, 0, "NotForUs") > 0);
     fleet.servers[1].start().expect("a process");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
@@ -383,7 +396,7 @@
     assert!(status.success(), "{status}");
     fleet.wait_for_member_state(0, 3, "left").unwrap_or_panic();
     fleet.wait_for_member_state(1, 3, "left").unwrap_or_panic();
-    (0..3).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     // Killed, one is missed.
     fleet.servers[2].kill();
     fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
@@ -394,37 +407,42 @@
 #[test]
 fn a_changed_roster_is_applied_completely_or_not_at_all() {
     let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
-    for n in 0..3 {
-        fleet.configured_peers[n].retain(|other| *other != 2);
-        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
-        fleet.servers[n].start().expect("a process");
+    for server in 0..3 {
+        fleet.configured_peers[server].retain(|other| *other != 2);
+        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
+        fleet.servers[server].start().expect("a process");
     }
-    (0..2).for_each(|n| fleet.wait_for_partition_status(n, "whole").unwrap_or_panic());
+    (0..2).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     // The third is a guest of the two, as no file names it.
-    fleet.wait_until("a guest", |fleet| member(fleet, 0, 2)["named"] == false).unwrap_or_panic();
-    for n in 0..2 {
-        let sound = fleet.operator_config(n);
-        for (part, other) in [("secret \"between us\"", "secret \"new\""), ("peer \"n", "peer \"n1\" x=1 //")]
+    fleet.wait_until("a guest", |fleet| member_view(fleet, 0, 2)["named"] == false).unwrap_or_panic();
+    for server in 0..2 {
+        let valid_config = fleet.operator_config(server);
+        for (found, replacement) in
+            [("secret \"between us\"", "secret \"new\""), ("peer \"n", "peer \"n1\" x=1 //")]
         {
-            fleet.servers[n].write_operator_config(&sound.replace(part, other)).expect("written");
-            fleet.servers[n].signal("HUP");
+            fleet.servers[server]
+                .write_operator_config(&valid_config.replace(found, replacement))
+                .expect("written");
+            fleet.servers[server].signal("HUP");
             sleep_ms(200);
         }
-        fleet.servers[n].write_operator_config(&sound).expect("written");
+        fleet.servers[server].write_operator_config(&valid_config).expect("written");
         fleet
             .wait_until("both to be refused", |fleet| {
-                fleet.servers[n].log().matches("configuration reload rejected").count() == 2
+                fleet.servers[server].log().matches("configuration reload rejected").count() == 2
             })
             .unwrap_or_panic();
-        assert!(fleet.servers[n].log().contains("the fleet's secret has changed, which needs a new start"));
+        assert!(fleet.servers[server]
+            .log()
+            .contains("the fleet's secret has changed, which needs a new start"));
     }
-    (0..2).for_each(|n| assert_eq!(fleet.partition_status(n), "whole"));
-    for n in 0..2 {
-        fleet.configured_peers[n].push(2);
-        fleet.reload(n);
+    (0..2).for_each(|server| assert_eq!(fleet.partition_status(server), "whole"));
+    for server in 0..2 {
+        fleet.configured_peers[server].push(2);
+        fleet.reload(server);
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    assert_eq!(member(&fleet, 0, 2)["named"], true);
+    assert_eq!(member_view(&fleet, 0, 2)["named"], true);
     assert_invariants(fleet);
 }
 
@@ -433,9 +451,9 @@
     let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
     // The second was never told of the third.
     fleet.configured_peers[1].retain(|other| *other != 2);
-    for n in 0..3 {
-        fleet.servers[n].write_operator_config(&fleet.operator_config(n)).expect("written");
-        fleet.servers[n].start().expect("a process");
+    for server in 0..3 {
+        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
+        fleet.servers[server].start().expect("a process");
     }
     fleet
         .wait_until("a disagreement", |fleet| {
--- a/crates/server/tests/fleet_replicated_store.rs
+++ b/crates/server/tests/fleet_replicated_store.rs
@@ -16,34 +16,37 @@
 fn writes_are_visible_everywhere_and_survive_restarts() {
     let mut fleet = start_fleet_with_store(3, 3, true);
     assert_eq!(put_document(&fleet, 0, "limits", "forty"), Ok(1));
-    for n in 0..3 {
-        assert_eq!(read_latest(&fleet, n, "limits"), Ok("forty".to_owned()));
+    for server in 0..3 {
+        assert_eq!(read_latest(&fleet, server, "limits"), Ok("forty".to_owned()));
     }
     // Compared and set: a version that is not there any more changes nothing and is told.
     let file = fleet.servers[1].folder.join("document");
     std::fs::write(&file, "fifty").expect("written");
-    let why = fleet.store_command(1, &["put", "--expect", "0", "limits", &file.display().to_string()]);
-    assert!(why.as_ref().is_err_and(|why| why.contains("it has version 1 now")), "{why:?}");
-    let record = fleet.store_status_field(0, "record");
-    let copies: Vec<Value> = (0..3).map(|n| fleet.store_status_field(n, "copy")).collect();
-    (0..3).for_each(|n| fleet.servers[n].kill());
-    (0..3).for_each(|n| fleet.servers[n].start().expect("a process"));
+    let error = fleet.store_command(1, &["put", "--expect", "0", "limits", &file.display().to_string()]);
+    assert!(error.as_ref().is_err_and(|error| error.contains("it has version 1 now")), "{error:?}");
+    let store_id = fleet.store_status_field(0, "record");
+    let replica_ids: Vec<Value> = (0..3).map(|server| fleet.store_status_field(server, "copy")).collect();
+    (0..3).for_each(|server| fleet.servers[server].kill());
+    (0..3).for_each(|server| fleet.servers[server].start().expect("a process"));
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(
         (fleet.store_status_field(0, "record"), read_latest(&fleet, 2, "limits")),
-        (record, Ok("forty".to_owned()))
+        (store_id, Ok("forty".to_owned()))
     );
     // The same copies, not new ones: a disk that is there is used.
-    assert_eq!((0..3).map(|n| fleet.store_status_field(n, "copy")).collect::<Vec<_>>(), copies);
+    assert_eq!(
+        (0..3).map(|server| fleet.store_status_field(server, "copy")).collect::<Vec<_>>(),
+        replica_ids
+    );
     // What an operator keeps can be checked without a server, and a change of it is seen.
-    let kept = fleet.servers[0].folder.join("kept");
-    fleet.store_command(0, &["export", &kept.display().to_string()]).expect("exported");
-    let found = fleet.store_command(1, &["verify", &kept.display().to_string()]).expect("sound");
-    assert_eq!(found["documents"][0][0], "limits");
-    let mut bytes = std::fs::read(&kept).expect("there");
+    let export_file = fleet.servers[0].folder.join("kept");
+    fleet.store_command(0, &["export", &export_file.display().to_string()]).expect("exported");
+    let verified = fleet.store_command(1, &["verify", &export_file.display().to_string()]).expect("sound");
+    assert_eq!(verified["documents"][0][0], "limits");
+    let mut bytes = std::fs::read(&export_file).expect("there");
     *bytes.last_mut().expect("bytes") ^= 1;
-    std::fs::write(&kept, bytes).expect("written");
-    assert!(fleet.store_command(1, &["verify", &kept.display().to_string()]).is_err());
+    std::fs::write(&export_file, bytes).expect("written");
+    assert!(fleet.store_command(1, &["verify", &export_file.display().to_string()]).is_err());
     assert_invariants(fleet);
 }
 
@@ -69,7 +72,7 @@
             }
             _ => {
                 // Clients still reach it: it must not answer with what it has.
-                let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
+                let others: Vec<usize> = (0..3).filter(|server| *server != leader).collect();
                 fleet.partition(&[&[leader], &others]);
                 sleep_ms(3_000);
                 fleet.heal();
@@ -85,20 +88,21 @@
 fn a_minority_rejects_writes_with_a_reason_while_the_majority_accepts_them() {
     let fleet = start_fleet_with_store(5, 3, false);
     let leader = fleet.leader().expect("a leader");
-    let learners: Vec<usize> = (0..5).filter(|n| fleet.store_status_field(*n, "role") == "Learner").collect();
+    let learners: Vec<usize> =
+        (0..5).filter(|server| fleet.store_status_field(*server, "role") == "Learner").collect();
     // The leader with one that learns, and the other two voters with the last.
-    let others: Vec<usize> = (0..5).filter(|n| *n != leader && *n != learners[0]).collect();
+    let others: Vec<usize> = (0..5).filter(|server| *server != leader && *server != learners[0]).collect();
     fleet.partition(&[&[leader, learners[0]], &others]);
-    let new = wait_for_other_leader(&fleet, leader);
-    assert!(others.contains(&new));
-    assert_eq!(put_document(&fleet, new, "x", "from the majority"), Ok(1));
-    let why = put_document(&fleet, leader, "x", "from the minority").expect_err("no majority");
-    assert!(why.contains("it took too long") || why.contains("nobody leads"), "{why}");
-    let why = read_latest(&fleet, leader, "x").expect_err("no majority");
-    assert!(why.contains("it took too long") || why.contains("nobody leads"), "{why}");
+    let new_leader = wait_for_other_leader(&fleet, leader);
+    assert!(others.contains(&new_leader));
+    assert_eq!(put_document(&fleet, new_leader, "x", "from the majority"), Ok(1));
+    let error = put_document(&fleet, leader, "x", "from the minority").expect_err("no majority");
+    assert!(error.contains("it took too long") || error.contains("nobody leads"), "{error}");
+    let error = read_latest(&fleet, leader, "x").expect_err("no majority");
+    assert!(error.contains("it took too long") || error.contains("nobody leads"), "{error}");
     // As it is there it can be read, with its age.
     let local = fleet.store_command(learners[0], &["show", "--local", "x"]);
-    assert!(local.is_err_and(|why| why.contains("no document")));
+    assert!(local.is_err_and(|error| error.contains("no document")));
     fleet.heal();
     fleet.wait_until("one record", |fleet| read_latest(fleet, leader, "x").is_ok()).unwrap_or_panic();
     // The minority's write may come through now, after the other: never in its place.
@@ -116,48 +120,56 @@
     let fleet = start_fleet_with_store(5, 5, false);
     for case in ["star", "chain", "deaf leader", "hub behind"] {
         let leader = fleet.leader().expect("a leader");
-        let others: Vec<usize> = (0..5).filter(|n| *n != leader).collect();
+        let others: Vec<usize> = (0..5).filter(|server| *server != leader).collect();
         let hub = others[0];
         // Everyone but the hub is apart.
-        let apart = || {
-            for n in (0..5).filter(|n| *n != hub) {
-                fleet.partition(&[&[n], &(0..5).filter(|o| *o != hub && *o != n).collect::<Vec<_>>()]);
+        let isolate_spokes = || {
+            for server in (0..5).filter(|server| *server != hub) {
+                fleet.partition(&[
+                    &[server],
+                    &(0..5).filter(|o| *o != hub && *o != server).collect::<Vec<_>>(),
+                ]);
             }
         };
         match case {
-            "star" => apart(),
+            "star" => isolate_spokes(),
             "chain" => {
                 let chain = [others[1], leader, hub, others[2], others[3]];
-                for a in 0..5usize {
-                    for b in (0..5).filter(|b| a.abs_diff(*b) > 1) {
-                        fleet.change_faults(chain[a], chain[b], |faults| faults.cut = true);
+                for first in 0..5usize {
+                    for second in (0..5).filter(|second| first.abs_diff(*second) > 1) {
+                        fleet.change_faults(chain[first], chain[second], |faults| faults.cut = true);
                     }
                 }
             }
             "deaf leader" => {
-                others.iter().for_each(|n| fleet.change_faults(*n, leader, |faults| faults.cut = true));
+                others
+                    .iter()
+                    .for_each(|server| fleet.change_faults(*server, leader, |faults| faults.cut = true));
             }
             _ => {
                 // The only one that will reach a majority lacks what was agreed on: it can't be elected itself, and the
                 // others reach each other through it alone.
                 fleet.partition(&[&[hub], &[leader, others[1], others[2], others[3]]]);
                 sleep_ms(1_000);
-                (0..3).for_each(|n| {
-                    assert!(put_document(&fleet, leader, "x", &format!("without the hub {n}")).is_ok());
+                (0..3).for_each(|write| {
+                    assert!(put_document(&fleet, leader, "x", &format!("without the hub {write}")).is_ok());
                 });
-                apart();
-                for n in &others[1..] {
-                    for (from, to) in [(hub, *n), (*n, hub)] {
+                isolate_spokes();
+                for server in &others[1..] {
+                    for (from, to) in [(hub, *server), (*server, hub)] {
                         fleet.change_faults(from, to, |faults| faults.cut = false);
                     }
                 }
             }
         }
         fleet.wait_until(case, |fleet| put_document(fleet, hub, "x", case).is_ok()).unwrap_or_panic();
-        let before = fleet.store_status_field(hub, "term").as_u64();
+        let term_before = fleet.store_status_field(hub, "term").as_u64();
         sleep_ms(2_500);
-        let after = fleet.store_status_field(hub, "term").as_u64();
-        assert!(after <= before.map(|term| term + 2), "{case}: {before:?} to {after:?}: endless elections");
+        let term_after = fleet.store_status_field(hub, "term").as_u64();
+        assert!(
+            term_after <= term_before.map(|term| term + 2),
+            "{case}: {term_before:?} to {term_after:?}: endless elections"
+        );
         assert_eq!(read_latest(&fleet, hub, "x"), Ok(case.to_owned()), "{case}");
         fleet.heal();
         fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
@@ -169,28 +181,30 @@
 #[test]
 fn a_voter_that_is_gone_for_long_is_replaced_and_returns_as_a_learner() {
     let mut fleet = start_fleet_with_store(5, 3, true);
-    let n = any_follower(&fleet);
-    let name = fleet.servers[n].name.clone();
-    fleet.servers[n].kill();
+    let follower = any_follower(&fleet);
+    let name = fleet.servers[follower].name.clone();
+    fleet.servers[follower].kill();
     let replaced = |fleet: &Fleet| {
-        let copies = fleet.leader().map(|leader| fleet.store_status_field(leader, "copies"));
-        let copies = copies.and_then(|copies| copies.as_array().cloned()).unwrap_or_default();
-        let votes: Vec<&Value> = copies.iter().filter(|copy| copy["votes"] == true).collect();
-        votes.len() == 3 && votes.iter().all(|copy| copy["name"] != name.as_str())
+        let replicas = fleet.leader().map(|leader| fleet.store_status_field(leader, "copies"));
+        let replicas = replicas.and_then(|replicas| replicas.as_array().cloned()).unwrap_or_default();
+        let voters: Vec<&Value> = replicas.iter().filter(|replica| replica["votes"] == true).collect();
+        voters.len() == 3 && voters.iter().all(|replica| replica["name"] != name.as_str())
     };
     fleet.wait_until("another voter", replaced).unwrap_or_panic();
-    fleet.servers[n].start().expect("a process");
+    fleet.servers[follower].start().expect("a process");
     fleet.wait_for_replication(3).unwrap_or_panic();
-    assert_eq!(fleet.store_status_field(n, "role"), "Learner");
+    assert_eq!(fleet.store_status_field(follower, "role"), "Learner");
     // By hand it votes again, in the place of another, and stays.
-    fleet.store_command(n, &["promote", &name]).expect("asked");
-    fleet.wait_until("its vote", |fleet| fleet.store_status_field(n, "role") == "Voter").unwrap_or_panic();
+    fleet.store_command(follower, &["promote", &name]).expect("asked");
+    fleet
+        .wait_until("its vote", |fleet| fleet.store_status_field(follower, "role") == "Voter")
+        .unwrap_or_panic();
     sleep_ms(1_500);
     fleet.wait_for_replication(3).unwrap_or_panic();
-    assert_eq!(fleet.store_status_field(n, "role"), "Voter");
+    assert_eq!(fleet.store_status_field(follower, "role"), "Voter");
     let leader = fleet.leader().expect("a leader");
-    let why = fleet.store_command(leader, &["promote", &name]).expect_err("it votes");
-    assert!(why.contains("votes already"), "{why}");
+    let error = fleet.store_command(leader, &["promote", &name]).expect_err("it votes");
+    assert!(error.contains("votes already"), "{error}");
     assert_invariants(fleet);
 }
 
@@ -199,11 +213,11 @@
     let mut fleet = start_fleet_with_store(3, 3, true);
     put_document(&fleet, 0, "x", "kept").expect("written");
     let leader = fleet.leader().expect("a leader");
-    let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
+    let others: Vec<usize> = (0..3).filter(|server| *server != leader).collect();
     fleet.servers[leader].terminate();
     fleet
         .wait_until("another leader", |fleet| {
-            others.iter().any(|n| fleet.store_status_field(*n, "role") == "Leader")
+            others.iter().any(|server| fleet.store_status_field(*server, "role") == "Leader")
         })
         .unwrap_or_panic();
     // Nobody had to miss it first: it still drains.
@@ -211,10 +225,13 @@
     let status = fleet.servers[leader].wait_for_exit().expect("it ends");
     assert!(status.success(), "{status}");
     fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
-    let found: Vec<usize> =
-        others.iter().copied().filter(|n| fleet.store_status_field(*n, "role") == "Leader").collect();
-    assert_eq!(found.len(), 1);
-    assert_eq!(read_latest(&fleet, found[0], "x"), Ok("kept".to_owned()));
+    let leaders: Vec<usize> = others
+        .iter()
+        .copied()
+        .filter(|server| fleet.store_status_field(*server, "role") == "Leader")
+        .collect();
+    assert_eq!(leaders.len(), 1);
+    assert_eq!(read_latest(&fleet, leaders[0], "x"), Ok("kept".to_owned()));
     fleet.servers[leader].start().expect("a process");
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_invariants(fleet);
@@ -226,9 +243,9 @@
     put_document(&fleet, 0, "x", "before").expect("written");
     fleet.partition(&[&[0, 1], &[2, 3]]);
     sleep_ms(800);
-    for n in 0..3 {
-        fleet.configured_peers[n].retain(|other| *other != 3);
-        fleet.reload(n);
+    for server in 0..3 {
+        fleet.configured_peers[server].retain(|other| *other != 3);
+        fleet.reload(server);
     }
     fleet.servers[3].terminate();
     fleet.servers[3].wait_for_exit().expect("it ends");
@@ -245,19 +262,21 @@
 fn an_operator_adopts_the_remaining_replica_after_a_majority_is_lost() {
     let mut fleet = start_fleet_with_store(3, 3, true);
     put_document(&fleet, 0, "x", "all that is left").expect("written");
-    let record = fleet.store_status_field(0, "record");
-    assert!(fleet.store_command(0, &["adopt"]).is_err_and(|why| why.contains("nothing is to be decided")));
-    for n in [1, 2] {
-        fleet.servers[n].kill();
-        fleet.servers[n].lose_disk();
+    let store_id = fleet.store_status_field(0, "record");
+    assert!(fleet
+        .store_command(0, &["adopt"])
+        .is_err_and(|error| error.contains("nothing is to be decided")));
+    for server in [1, 2] {
+        fleet.servers[server].kill();
+        fleet.servers[server].lose_disk();
     }
     // Two at once: nothing by itself, whatever comes back.
-    for n in [1, 2] {
-        fleet.servers[n].start().expect("a process");
+    for server in [1, 2] {
+        fleet.servers[server].start().expect("a process");
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     sleep_ms(2_500);
-    assert_eq!((fleet.leader(), fleet.store_status_field(0, "record")), (None, record.clone()));
+    assert_eq!((fleet.leader(), fleet.store_status_field(0, "record")), (None, store_id.clone()));
     assert_eq!(
         fleet.store_command(0, &["show", "--local", "x"]).expect("there")["content"],
         "all that is left"
@@ -265,32 +284,41 @@
     fleet.wait_until("a decision", |fleet| fleet.store_command(0, &["adopt"]).is_ok()).unwrap_or_panic();
     fleet.wait_for_replication(3).unwrap_or_panic();
     assert_eq!(read_latest(&fleet, 2, "x"), Ok("all that is left".to_owned()));
-    assert_ne!(fleet.store_status_field(0, "record"), record);
-    let lines = fleet.store_command(1, &["history"]).expect("there");
-    assert!(lines[0]["what"].as_str().is_some_and(|what| what.starts_with("adopted from record")), "{lines}");
+    assert_ne!(fleet.store_status_field(0, "record"), store_id);
+    let history = fleet.store_command(1, &["history"]).expect("there");
+    assert!(
+        history[0]["what"].as_str().is_some_and(|text| text.starts_with("adopted from record")),
+        "{history}"
+    );
     assert_invariants(fleet);
 }
 
 #[test]
 fn twenty_four_processes_keep_one_replicated_store() {
-    let mut told = fleet_options(24);
-    told.store_options = Some("voters=5 election-ms=1500 replace-after-s=60".to_owned());
-    told.timing = "timing".to_owned();
-    told.damp_ms = 1_000;
-    let mut fleet = Fleet::start(told).unwrap_or_else(|why| panic!("{why}"));
+    let mut options = fleet_options(24);
+    options.store_options = Some("voters=5 election-ms=1500 replace-after-s=60".to_owned());
+    options.timing = "timing".to_owned();
+    options.damp_ms = 1_000;
+    let mut fleet = Fleet::start(options).unwrap_or_else(|error| panic!("{error}"));
     fleet.wait_for_replication(5).unwrap_or_panic();
     fleet.start_traffic(1, Duration::from_millis(200));
     put_document(&fleet, 23, "x", "everywhere").expect("written");
     let leader = fleet.leader().expect("a leader");
     fleet.servers[leader].kill();
     wait_for_other_leader(&fleet, leader);
-    let n = (leader + 1) % 24;
-    fleet.wait_until("a write", |fleet| put_document(fleet, n, "x", "after it").is_ok()).unwrap_or_panic();
-    let there = |fleet: &Fleet, n: usize| {
-        fleet.store_command(n, &["show", "--local", "x"]).is_ok_and(|said| said["content"] == "after it")
+    let server = (leader + 1) % 24;
+    fleet
+        .wait_until("a write", |fleet| put_document(fleet, server, "x", "after it").is_ok())
+        .unwrap_or_panic();
+    let has_document = |fleet: &Fleet, server: usize| {
+        fleet
+            .store_command(server, &["show", "--local", "x"])
+            .is_ok_and(|reply| reply["content"] == "after it")
     };
     fleet
-        .wait_until("it at all", |fleet| (0..24).filter(|n| *n != leader).all(|n| there(fleet, n)))
+        .wait_until("it at all", |fleet| {
+            (0..24).filter(|server| *server != leader).all(|server| has_document(fleet, server))
+        })
         .unwrap_or_panic();
     assert_invariants(fleet);
 }
