--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The server that was built with these tests, with fakes of all its peers around it.
+//! Starts the server that was built with these tests, alone with fakes of all its peers or as a fleet.
 #![allow(dead_code, unused_imports)]
 
 pub mod replicated_store;
@@ -14,15 +14,16 @@
     balancer, dependency, Agent, Announce, Balancer, Dependency, Records, Request,
 };
 
-/// That server and its fakes.
+/// The server and the fakes of its peers.
 pub struct TestEnvironment(umberloom_protocol_fakes::TestEnvironment);
 
+/// The path of the server that was built with these tests.
 pub fn server_executable() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_umberloom"))
 }
 
 impl TestEnvironment {
-    /// A server whose agent is up and that is registered.
+    /// Starts a server and waits until it has connected to its agent and is registered.
     pub fn start_registered(change: ConfigChange) -> TestEnvironment {
         TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start_registered(
             server_executable(),
@@ -30,7 +31,7 @@
         ))
     }
 
-    /// The same with an operator's file.
+    /// Like [`TestEnvironment::start_registered`], with an operator configuration.
     pub fn start_registered_with(change: ConfigChange, operator: &str) -> TestEnvironment {
         TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start_registered_with(
             server_executable(),
@@ -39,7 +40,8 @@
         ))
     }
 
-    /// A server that is up under a limit of the system itself on its descriptors.
+    /// Like [`TestEnvironment::start_registered`], with a limit of the operating system on the descriptors of
+    /// the server's process.
     pub fn start_with_descriptor_limit(descriptors: usize, change: ConfigChange) -> TestEnvironment {
         let environment = umberloom_protocol_fakes::TestEnvironment::start_with_descriptor_limit(
             server_executable(),
@@ -53,7 +55,7 @@
         environment
     }
 
-    /// A server whose agent accepts its link and has not greeted yet.
+    /// Starts a server whose agent accepts the connection but has not sent its initial notice.
     pub fn start(change: ConfigChange) -> TestEnvironment {
         TestEnvironment(umberloom_protocol_fakes::TestEnvironment::start(server_executable(), change))
     }
@@ -73,17 +75,17 @@
     }
 }
 
-/// Runs the program to its end with these arguments, and a configuration if there is one.
+/// Runs the program with these arguments, and with a configuration if given, until it exits.
 pub fn run_program(arguments: &[&str], config: Option<&str>) -> Output {
     umberloom_protocol_fakes::test_environment::run_program(server_executable(), arguments, config)
 }
 
-/// Options of a fleet of this server.
+/// The default options of a fleet of this server.
 pub fn fleet_options(servers: usize) -> umberloom_fault_harness::Options {
     umberloom_fault_harness::Options::new(server_executable(), servers)
 }
 
-/// A fleet that is complete and gets requests all the time.
+/// Starts a fleet, waits until every server's partition status is whole, and starts traffic at every server.
 pub fn start_converged_fleet(servers: usize) -> umberloom_fault_harness::Fleet {
     let mut fleet = umberloom_fault_harness::Fleet::start(fleet_options(servers))
         .unwrap_or_else(|error| panic!("{error}"));
@@ -103,13 +105,13 @@
     }
 }
 
-/// Asserts that no invariant was broken.
+/// Stops the traffic and asserts that no invariant was violated.
 pub fn assert_invariants(mut fleet: umberloom_fault_harness::Fleet) {
     let violations = fleet.finish_and_check();
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Gives a fault time to show.
+/// Sleeps for this many milliseconds, so that a fault can take effect.
 pub fn sleep_ms(ms: u64) {
     std::thread::sleep(std::time::Duration::from_millis(ms));
 }
--- a/crates/server/tests/common/replicated_store.rs
+++ b/crates/server/tests/common/replicated_store.rs
@@ -1,4 +1,4 @@
-//! A fleet whose servers keep a replicated store, and clients that read and write it by the server's own command.
+//! A fleet with a replicated store, and clients that read and write it through the server's command line.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -13,7 +13,8 @@
 
 use super::{fleet_options, server_executable, UnwrapOrPanic};
 
-/// Starts servers that keep a store with short timeouts, with disks or in memory, under a light load of requests.
+/// Starts servers with a replicated store that has short timeouts, on disk or in memory, under a light
+/// request load.
 pub fn start_fleet_with_store(servers: usize, voters: usize, with_disks: bool) -> Fleet {
     let mut options = fleet_options(servers);
     options.store_options = Some(format!("voters={voters} election-ms=400 replace-after-s=3"));
@@ -24,7 +25,7 @@
     fleet
 }
 
-/// Writes a document at a server; its version.
+/// Writes a document at a server and returns its version.
 pub fn put_document(fleet: &Fleet, server: usize, name: &str, content: &str) -> Result<u64, String> {
     let file = fleet.servers[server].folder.join("document");
     std::fs::write(&file, content).map_err(|e| e.to_string())?;
@@ -32,40 +33,40 @@
     reply["version"].as_u64().ok_or(reply.to_string())
 }
 
-/// The latest content of a document, read at a server.
+/// Reads the latest content of a document at a server.
 pub fn read_latest(fleet: &Fleet, server: usize, name: &str) -> Result<String, String> {
     let reply = fleet.store_command(server, &["show", name])?;
     Ok(reply["content"].as_str().unwrap_or_default().to_owned())
 }
 
-/// Waits until a server other than `former` leads; its index.
+/// Waits until a server other than `former` leads and returns its index.
 pub fn wait_for_other_leader(fleet: &Fleet, former: usize) -> usize {
     let other_leads = |fleet: &Fleet| fleet.leader().is_some_and(|leader| leader != former);
     fleet.wait_until("another leader", other_leads).unwrap_or_panic();
-    fleet.leader().expect("a leader")
+    fleet.leader().expect("the store has a leader")
 }
 
-/// A voter that does not lead.
+/// The first voter that does not lead.
 pub fn any_follower(fleet: &Fleet) -> usize {
     let is_follower = |server: &usize| fleet.store_status_field(*server, "role") == "Voter";
-    (0..fleet.servers.len()).find(is_follower).expect("a follower")
+    (0..fleet.servers.len()).find(is_follower).expect("the store has a follower")
 }
 
-/// The log lines of a server with this message.
+/// The fields of each log line of a server with this message.
 pub fn log_events(fleet: &mut Fleet, server: usize, message: &str) -> Vec<Value> {
     fleet.servers[server].read_log();
     let name = fleet.servers[server].name.clone();
     fleet.history.log_lines(&name, message).into_iter().map(|event| event.details).collect()
 }
 
-/// One client at each server, which write and read one register until they are stopped.
+/// One client for each server; they write and read one document until they are stopped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<Operation>>>,
 }
 
 impl Clients {
-    /// Starts them; `seed` tells their values from those of other clients.
+    /// Starts the clients. `seed` distinguishes the values that they write from those of other clients.
     pub fn start(fleet: &Fleet, seed: u128) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let started = Instant::now();
@@ -84,20 +85,24 @@
         Clients { threads: threads.collect(), stop }
     }
 
-    /// Stops them and asserts that at least so many operations were done and that all are linearizable.
+    /// Stops the clients and asserts that at least `min_completed` operations completed and that all
+    /// operations are linearizable.
     pub fn stop_and_assert_linearizable(self, min_completed: usize) {
         self.stop.store(true, Ordering::Relaxed);
-        let operations: Vec<Operation> =
-            self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect();
+        let operations: Vec<Operation> = self
+            .threads
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("the client did not panic"))
+            .collect();
         let completed = operations.iter().filter(|operation| operation.result.is_some()).count();
-        assert!(completed >= min_completed, "{completed} of {} operations were done", operations.len());
+        assert!(completed >= min_completed, "{completed} of {} operations completed", operations.len());
         assert_eq!(violations(&operations), Vec::<String>::new());
     }
 }
 
 /// A client of one server.
 struct Client {
-    /// Where the content that it writes is.
+    /// The file with the content that the client writes.
     content_file: PathBuf,
     operator_file: PathBuf,
     address: String,
@@ -107,7 +112,7 @@
 }
 
 impl Client {
-    /// Writes in two rounds of three and reads in the third.
+    /// Writes in two of three rounds and reads in the third, until it is stopped.
     fn run(&self, stop: &AtomicBool) -> Vec<Operation> {
         let mut operations = Vec::new();
         for round in 0u128.. {
@@ -123,7 +128,7 @@
     fn write(&self, round: u128) -> Operation {
         let value = (self.seed << 64) + (self.client_index << 32) + round + 1;
         let mut operation = Operation::write("x", self.elapsed_us(), value);
-        // Without the file the command fails, and so does the operation.
+        // If the file can't be written, the command fails and the operation does not complete.
         let _ = std::fs::write(&self.content_file, value.to_string());
         let reply = self.command(&["put", "x", &self.content_file.display().to_string()]);
         if let Some(version) = reply.and_then(|reply| reply["version"].as_u64()) {
--- a/crates/server/tests/fleet_calls.rs
+++ b/crates/server/tests/fleet_calls.rs
@@ -1,4 +1,4 @@
-//! Twenty-four servers without a fleet call one service, a fake that counts the calls.
+//! Twenty-four servers that do not form a fleet call one service, a fake that counts the calls.
 
 mod common;
 
@@ -13,17 +13,18 @@
 use umberloom_protocol_fakes::Dependency;
 
 const SERVERS: usize = 24;
-/// Calls at once that the service survives, of all servers: less than one for each.
+/// Concurrent calls, from all servers together, that the service survives: less than one per server.
 const CAPACITY: f64 = 12.0;
 
-/// Calls take a tenth of a second.
+/// The service answers in 100 ms.
 fn healthy() -> Behaviour {
     Behaviour::Answer { body: b"booked".to_vec(), median_ms: 100.0, sigma: 0.05 }
 }
 
-/// Calls of all servers while `span` passes, and what the budget allows for as long as that took: N in each 100 ms, as a call
-/// takes as long, and 2 x root of N + 2 for chance. Servers wait by their own clocks between calls, so that a
-/// machine that is slow makes it fewer.
+/// Counts the calls of all servers during `span`, and returns with them the most calls allowed in the time
+/// that has passed: [`CAPACITY`] in each 100 ms, the duration of a call, plus 2 * sqrt(expected) + 2 for
+/// random variation. Servers pace their calls by their own clocks, so a slow machine only makes the calls
+/// fewer.
 fn count_calls(service: &Dependency, span: Duration) -> (f64, f64) {
     service.take_counts();
     let started_at = Instant::now();
@@ -41,7 +42,7 @@
         .map(|index| {
             let mut server =
                 Server::new(&format!("n{index}"), server_executable(), &folder, History::default())
-                    .expect("a place");
+                    .expect("the server is prepared");
             server.config_overrides = vec![
                 ("/records", json!(service.address)),
                 ("/seed", json!(format!("8c1f30d27a5b{index:04x}"))),
@@ -51,12 +52,12 @@
             server
         })
         .collect();
-    servers.iter_mut().for_each(|server| server.start().expect("a process"));
-    servers.iter_mut().for_each(|server| server.wait_until_healthy().expect("well"));
+    servers.iter_mut().for_each(|server| server.start().expect("the server starts"));
+    servers.iter_mut().for_each(|server| server.wait_until_healthy().expect("the server is healthy"));
     let targets: Vec<_> =
         servers.iter().map(|server| (server.listen, server.farm.completion_notifier())).collect();
     let traffic = Traffic::start(&targets, 2, Duration::from_millis(10));
-    // First calls after a start; then all lose the service at one moment, and find it back.
+    // The first calls after the start. Then the service fails for all servers at once, and recovers later.
     let (calls, max_calls) = count_calls(&service, Duration::from_secs(2));
     assert!(calls > 0.0 && calls <= max_calls, "{calls} first calls, {max_calls} allowed");
     service.set_behaviour(Behaviour::failing());
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -1,5 +1,6 @@
-//! Who is there: several server processes, and faults between them. One test for each hard case, named after what
-//! must hold; all the while every server is asked, and what must always hold is checked at the end.
+//! Fleet membership of several server processes with faults between them, one test for each hard case. In the
+//! tests that start traffic every server gets requests throughout; each test ends with a check of the
+//! invariants.
 
 mod common;
 
@@ -9,23 +10,25 @@
 use serde_json::Value;
 use umberloom_fault_harness::{Faults, Fleet};
 
-/// What a server says of another.
+/// The entry of a peer in a server's fleet view; null if it has none.
 fn member_view(fleet: &Fleet, server: usize, peer: usize) -> Value {
     let view = fleet.view(server).unwrap_or_else(|error| panic!("{error}"));
     let name = fleet.servers[peer].name.as_str();
-    let members = view["members"].as_array().expect("members");
+    let members = view["members"].as_array().expect("the view lists members");
     members.iter().find(|m| m["name"] == name).cloned().unwrap_or(Value::Null)
 }
 
+/// Whether a server counts a peer as reached.
 fn reaches(fleet: &Fleet, server: usize, peer: usize) -> bool {
     member_view(fleet, server, peer)["reached"] == true
 }
 
+/// The number of messages that a server rejected for this reason.
 fn rejected_messages(fleet: &Fleet, server: usize, reason: &str) -> u64 {
     fleet.view(server).map_or(0, |view| view["counts"]["refused"][reason].as_u64().unwrap_or(0))
 }
 
-/// Lines by which a server held another for something.
+/// The number of times a server logged that the state of a peer changed to `state`.
 fn count_state_changes(fleet: &mut Fleet, server: usize, peer: usize, state: &str) -> usize {
     fleet.servers[server].read_log();
     let name = fleet.servers[peer].name.clone();
@@ -33,19 +36,22 @@
     changes.iter().filter(|e| e.details["name"] == name.as_str() && e.details["to"] == state).count()
 }
 
-/// Three servers that stand whole, and a place for a second process named `n1`, whose address no file has.
+/// Starts three servers and waits until their partition status is whole. The fourth, which is not started, is
+/// a second process named `n1`, and no operator configuration has its address.
 fn start_fleet_with_duplicate_name() -> Fleet {
     let mut options = fleet_options(4);
     options.names[3] = "n1".to_owned();
-    let mut fleet = Fleet::prepare(options).expect("a fleet");
+    let mut fleet = Fleet::prepare(options).expect("the fleet is prepared");
     for server in 0..4 {
-        // The others know one address of n1, and it leads to the first.
+        // The others know one address of n1, that of server 0.
         fleet.configured_peers[server] =
             (0..3).filter(|o| *o != server && fleet.servers[*o].name != fleet.servers[server].name).collect();
-        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
+        fleet.servers[server]
+            .write_operator_config(&fleet.operator_config(server))
+            .expect("the operator config is written");
     }
     for server in 0..3 {
-        fleet.servers[server].start().expect("a process");
+        fleet.servers[server].start().expect("the server starts");
     }
     (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     fleet
@@ -53,10 +59,10 @@
 
 #[test]
 fn servers_started_together_without_a_seed_find_each_other() {
-    // What they say first is lost: nobody is up yet for anybody.
-    let mut fleet = Fleet::prepare(fleet_options(5)).expect("a fleet");
+    // All messages are lost at first, as if no server had started yet for any other.
+    let mut fleet = Fleet::prepare(fleet_options(5)).expect("the fleet is prepared");
     fleet.set_all_faults(Faults { cut: true, ..Faults::default() });
-    (0..5).for_each(|server| fleet.servers[server].start().expect("a process"));
+    (0..5).for_each(|server| fleet.servers[server].start().expect("the server starts"));
     (0..5).for_each(|server| fleet.servers[server].wait_until_healthy().unwrap_or_panic());
     sleep_ms(500);
     fleet.heal();
@@ -71,22 +77,24 @@
 #[test]
 fn both_ends_of_a_one_way_cut_know_that_they_do_not_reach_each_other() {
     let mut fleet = start_converged_fleet(5);
-    // The first still hears the second; the second hears nothing of it.
+    // Server 0 still hears server 1; server 1 hears nothing from server 0.
     fleet.change_faults(0, 1, |faults| faults.cut = true);
     fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
     fleet.wait_for_partition_status(1, "majority").unwrap_or_panic();
     fleet
-        .wait_until("both to say so", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0))
+        .wait_until("both servers to report that they do not reach each other", |fleet| {
+            !reaches(fleet, 0, 1) && !reaches(fleet, 1, 0)
+        })
         .unwrap_or_panic();
     sleep_ms(2_000);
-    // Others reach both, so nobody holds either for failed.
+    // Other servers reach both, so neither is considered failed.
     assert_eq!(
         (count_state_changes(&mut fleet, 0, 1, "failed"), count_state_changes(&mut fleet, 1, 0, "failed")),
         (0, 0)
     );
     assert!(
         member_view(&fleet, 0, 1)["heard_ms"].as_u64() < Some(450),
-        "the first hears the second all the while"
+        "server 0 must hear server 1 throughout"
     );
     assert_eq!(fleet.partition_status(2), "whole");
     fleet.heal();
@@ -105,7 +113,9 @@
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet
-        .wait_until("one view", |fleet| (1..5).all(|server| fleet.member_state(0, server) == "present"))
+        .wait_until("server 0 to see all others as present", |fleet| {
+            (1..5).all(|server| fleet.member_state(0, server) == "present")
+        })
         .unwrap_or_panic();
     assert_invariants(fleet);
 }
@@ -120,7 +130,11 @@
     sleep_ms(2_500);
     assert_eq!(fleet.partition_status(2), "whole");
     for (server, peer) in [(0, 3), (1, 4), (3, 0), (4, 1)] {
-        assert_eq!(count_state_changes(&mut fleet, server, peer, "failed"), 0, "the bridge answers for it");
+        assert_eq!(
+            count_state_changes(&mut fleet, server, peer, "failed"),
+            0,
+            "indirect probes over the bridge must keep it from being failed"
+        );
     }
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
@@ -133,11 +147,11 @@
     fleet.set_all_faults(Faults { drop: 0.3, ..Faults::default() });
     sleep_ms(3_000);
     let is_alive = |state: String| state == "present" || state == "suspected";
-    // Held for failed for a moment at worst: who hears of it comes back.
+    // A server may be considered failed for a moment; it refutes that as soon as it hears of it.
     let all_alive = |fleet: &Fleet| {
         (0..5).all(|server| (0..5).filter(|o| *o != server).all(|o| is_alive(fleet.member_state(server, o))))
     };
-    fleet.wait_until("all to be there", all_alive).unwrap_or_panic();
+    fleet.wait_until("all servers to be present or suspected", all_alive).unwrap_or_panic();
     fleet.heal();
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
@@ -150,10 +164,13 @@
     sleep_ms(2_500);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     for server in 0..3 {
-        let view = fleet.view(server).expect("a view");
+        let view = fleet.view(server).expect("the fleet view");
         let (accepted, replayed) =
             (view["counts"]["heard"][0].as_u64(), rejected_messages(&fleet, server, "Replayed"));
-        assert!(replayed > 20 && accepted > Some(20), "{accepted:?} believed, {replayed} not");
+        assert!(
+            replayed > 20 && accepted > Some(20),
+            "{accepted:?} messages accepted, {replayed} rejected as replayed"
+        );
     }
     assert_invariants(fleet);
 }
@@ -163,7 +180,7 @@
     let fleet = start_converged_fleet(3);
     fleet.set_all_faults(Faults { damage: 0.1, ..Faults::default() });
     fleet
-        .wait_until("damage", |fleet| {
+        .wait_until("damaged messages to be rejected", |fleet| {
             (0..3).all(|server| {
                 rejected_messages(fleet, server, "Damaged") + rejected_messages(fleet, server, "Foreign") > 3
             })
@@ -185,7 +202,7 @@
     fleet.servers[2].set_stopped(false);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     fleet.wait_for_member_state(0, 2, "present").unwrap_or_panic();
-    // Its timers had all run out; nobody is failed by that.
+    // All its timers expired during the stall; that must not make any peer failed.
     assert_eq!(
         count_state_changes(&mut fleet, 2, 0, "failed") + count_state_changes(&mut fleet, 2, 1, "failed"),
         0
@@ -203,12 +220,12 @@
     fleet.servers[2].set_stopped(true);
     fleet.wait_for_member_state(0, 2, "suspected").unwrap_or_panic();
     fleet.servers[0].set_stopped(true);
-    // Nothing waits for it on wake that would tell it better before it looks at its timers.
+    // Cut off, server 0 finds no message on waking that refutes the suspicion before it checks its timers.
     fleet.change_faults(1, 0, |faults| faults.cut = true);
     fleet.change_faults(2, 0, |faults| faults.cut = true);
     sleep_ms(300);
     fleet.servers[2].set_stopped(false);
-    // By now the time to refute is over, but for the one that stood still it has not passed.
+    // The suspicion timeout has passed by now, but not for server 0, which was stalled.
     sleep_ms(3_500);
     fleet.servers[0].set_stopped(false);
     sleep_ms(200);
@@ -243,9 +260,9 @@
     let mut fleet = start_converged_fleet(3);
     let before = member_view(&fleet, 0, 1)["boot"].as_u64();
     fleet.servers[1].kill();
-    fleet.servers[1].start().expect("a process");
+    fleet.servers[1].start().expect("the server starts");
     fleet
-        .wait_until("the new process", |fleet| {
+        .wait_until("server 0 to reach the new process", |fleet| {
             member_view(fleet, 0, 1)["boot"].as_u64() > before && reaches(fleet, 0, 1)
         })
         .unwrap_or_panic();
@@ -257,15 +274,17 @@
 #[test]
 fn a_second_process_with_a_name_at_another_address_is_fenced() {
     let mut fleet = start_fleet_with_duplicate_name();
-    fleet.servers[3].start().expect("a process");
+    fleet.servers[3].start().expect("the server starts");
     fleet
-        .wait_until("it to be told", |fleet| fleet.view(3).is_ok_and(|view| view["silenced"] == true))
+        .wait_until("the second process to be fenced", |fleet| {
+            fleet.view(3).is_ok_and(|view| view["silenced"] == true)
+        })
         .unwrap_or_panic();
     (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
-    // Silent, it uses nothing of the part that belongs to its name, but it serves.
+    // While fenced it uses nothing of the quota share that belongs to its name, but it serves.
     sleep_ms(1_500);
-    assert_eq!(fleet.view(3).expect("a view")["allowances"][0][1]["used"], 0);
-    assert_eq!(fleet.view(0).expect("a view")["silenced"], false);
+    assert_eq!(fleet.view(3).expect("the fleet view")["allowances"][0][1]["used"], 0);
+    assert_eq!(fleet.view(0).expect("the fleet view")["silenced"], false);
     fleet.servers[3].wait_until_healthy().unwrap_or_panic();
     assert_invariants(fleet);
 }
@@ -276,10 +295,10 @@
     for server in [1, 2] {
         fleet.relay(server, 0).redirect(fleet.servers[3].fleet_address);
     }
-    fleet.servers[3].start().expect("a process");
+    fleet.servers[3].start().expect("the server starts");
     (1..4).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
     fleet
-        .wait_until("the earlier to be told", |fleet| {
+        .wait_until("the earlier process to be fenced", |fleet| {
             fleet.view(0).is_ok_and(|view| view["silenced"] == true)
         })
         .unwrap_or_panic();
@@ -297,9 +316,9 @@
         fleet.traffic.as_ref().map_or(0, |t| t.count(0, umberloom_fault_harness::traffic::Outcome::Served))
     };
     let before = served(&fleet);
-    fleet.wait_until("more to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
+    fleet.wait_until("20 more requests to be served", |fleet| served(fleet) > before + 20).unwrap_or_panic();
     for server in 1..4 {
-        fleet.servers[server].start().expect("a process");
+        fleet.servers[server].start().expect("the server starts");
     }
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
@@ -330,9 +349,9 @@
     fleet.set_all_faults(Faults { no_datagrams: true, ..Faults::default() });
     sleep_ms(3_000);
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
-    // Who starts meanwhile comes in by streams alone.
+    // A server that starts meanwhile joins over streams alone.
     fleet.servers[3].kill();
-    fleet.servers[3].start().expect("a process");
+    fleet.servers[3].start().expect("the server starts");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_eq!(count_state_changes(&mut fleet, 0, 1, "failed"), 0);
     assert_invariants(fleet);
@@ -343,14 +362,17 @@
     let fleet = start_converged_fleet(3);
     fleet.change_faults(0, 1, |faults| faults.stall = true);
     fleet.change_faults(2, 1, |faults| faults.stall = true);
-    // Every member asks for loans and writes by stream; what waits for the one that never reads is lost.
+    // Every member requests leases and writes to its streams; what is queued for the peer that never reads is
+    // lost.
     sleep_ms(2_500);
     (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
-    // Without datagrams towards it, only it is off.
+    // Without datagrams towards it as well, only that peer is unreachable.
     fleet.change_faults(0, 1, |faults| faults.no_datagrams = true);
     fleet.change_faults(2, 1, |faults| faults.no_datagrams = true);
     fleet
-        .wait_until("the two to know", |fleet| !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1))
+        .wait_until("both others to stop reaching the peer", |fleet| {
+            !reaches(fleet, 0, 1) && !reaches(fleet, 2, 1)
+        })
         .unwrap_or_panic();
     assert!(reaches(&fleet, 0, 2) && reaches(&fleet, 2, 0));
     fleet.heal();
@@ -370,19 +392,19 @@
     let end = Instant::now() + Duration::from_millis(1_500);
     while Instant::now() < end {
         fleet.relay(1, 0).replay(&recorded);
-        assert!(!reaches(&fleet, 0, 1), "a dead process is held to be there");
+        assert!(!reaches(&fleet, 0, 1), "replayed messages made a killed process count as reached");
     }
     assert_eq!(fleet.member_state(0, 1), "failed");
     assert!(rejected_messages(&fleet, 0, "Replayed") > before);
-    // A process that has started since is not the one that they were for.
+    // The messages were meant for the earlier process of server 0; its new process must reject them.
     fleet.servers[0].kill();
-    fleet.servers[0].start().expect("a process");
+    fleet.servers[0].start().expect("the server starts");
     fleet.wait_for_partition_status(0, "majority").unwrap_or_panic();
     fleet.relay(1, 0).replay(&recorded);
     sleep_ms(300);
     assert!(!reaches(&fleet, 0, 1));
     assert!(rejected_messages(&fleet, 0, "Unproven") + rejected_messages(&fleet, 0, "NotForUs") > 0);
-    fleet.servers[1].start().expect("a process");
+    fleet.servers[1].start().expect("the server starts");
     fleet.wait_for_partition_status_everywhere("whole").unwrap_or_panic();
     assert_invariants(fleet);
 }
@@ -392,12 +414,12 @@
     let mut fleet = start_converged_fleet(4);
     fleet.servers[3].terminate();
     fleet.wait_for_member_state(0, 3, "leaving").unwrap_or_panic();
-    let status = fleet.servers[3].wait_for_exit().expect("it ends");
+    let status = fleet.servers[3].wait_for_exit().expect("the server exits");
     assert!(status.success(), "{status}");
     fleet.wait_for_member_state(0, 3, "left").unwrap_or_panic();
     fleet.wait_for_member_state(1, 3, "left").unwrap_or_panic();
     (0..3).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
-    // Killed, one is missed.
+    // A killed server, in contrast, is considered failed and counts as missing.
     fleet.servers[2].kill();
     fleet.wait_for_member_state(0, 2, "failed").unwrap_or_panic();
     fleet.wait_for_partition_status(0, "minority").unwrap_or_panic();
@@ -406,15 +428,19 @@
 
 #[test]
 fn a_changed_roster_is_applied_completely_or_not_at_all() {
-    let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
+    let mut fleet = Fleet::prepare(fleet_options(3)).expect("the fleet is prepared");
     for server in 0..3 {
         fleet.configured_peers[server].retain(|other| *other != 2);
-        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
-        fleet.servers[server].start().expect("a process");
+        fleet.servers[server]
+            .write_operator_config(&fleet.operator_config(server))
+            .expect("the operator config is written");
+        fleet.servers[server].start().expect("the server starts");
     }
     (0..2).for_each(|server| fleet.wait_for_partition_status(server, "whole").unwrap_or_panic());
-    // The third is a guest of the two, as no file names it.
-    fleet.wait_until("a guest", |fleet| member_view(fleet, 0, 2)["named"] == false).unwrap_or_panic();
+    // Server 2 is a guest of the two others, because no operator configuration names it.
+    fleet
+        .wait_until("server 2 to be a guest", |fleet| member_view(fleet, 0, 2)["named"] == false)
+        .unwrap_or_panic();
     for server in 0..2 {
         let valid_config = fleet.operator_config(server);
         for (found, replacement) in
@@ -422,13 +448,13 @@
         {
             fleet.servers[server]
                 .write_operator_config(&valid_config.replace(found, replacement))
-                .expect("written");
+                .expect("the operator config is written");
             fleet.servers[server].signal("HUP");
             sleep_ms(200);
         }
-        fleet.servers[server].write_operator_config(&valid_config).expect("written");
+        fleet.servers[server].write_operator_config(&valid_config).expect("the operator config is written");
         fleet
-            .wait_until("both to be refused", |fleet| {
+            .wait_until("both invalid rosters to be rejected", |fleet| {
                 fleet.servers[server].log().matches("configuration reload rejected").count() == 2
             })
             .unwrap_or_panic();
@@ -448,28 +474,31 @@
 
 #[test]
 fn lasting_view_divergence_is_logged_with_its_rows() {
-    let mut fleet = Fleet::prepare(fleet_options(3)).expect("a fleet");
-    // The second was never told of the third.
+    let mut fleet = Fleet::prepare(fleet_options(3)).expect("the fleet is prepared");
+    // Server 1 is not configured with server 2 as a peer.
     fleet.configured_peers[1].retain(|other| *other != 2);
     for server in 0..3 {
-        fleet.servers[server].write_operator_config(&fleet.operator_config(server)).expect("written");
-        fleet.servers[server].start().expect("a process");
+        fleet.servers[server]
+            .write_operator_config(&fleet.operator_config(server))
+            .expect("the operator config is written");
+        fleet.servers[server].start().expect("the server starts");
     }
     fleet
-        .wait_until("a disagreement", |fleet| {
+        .wait_until("the views to diverge", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"].to_string().contains("n3: there"))
         })
         .unwrap_or_panic();
-    let evidence = fleet.servers[0].fleet_command(&["explain", "n2"]).expect("evidence").to_string();
+    let evidence =
+        fleet.servers[0].fleet_command(&["explain", "n2"]).expect("server 0 explains n2").to_string();
     assert!(evidence.contains("its view differs") && evidence.contains("not in its roster"), "{evidence}");
     assert!(fleet.servers[0]
         .fleet_command(&["explain", "n9"])
-        .expect_err("unknown")
+        .expect_err("n9 is unknown")
         .contains("it knows: n2, n3"));
     fleet.configured_peers[1].push(2);
     fleet.reload(1);
     fleet
-        .wait_until("agreement", |fleet| {
+        .wait_until("the views to converge", |fleet| {
             fleet.view(0).is_ok_and(|view| view["disagreements"] == serde_json::json!([]))
         })
         .unwrap_or_panic();
