--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -52,7 +52,7 @@
         ("peer \"n3\"", "peer \"n2\"", "f:9:5: a second peer \"n2\""),
         ("address=\"127.0.0.1:7403\"", "", "f:9:5: found a peer without an address"),
         ("address=\"127.0.0.1:7403\"", "address=\"127.0.0.1:7403\" port=1", "found port, expected one of"),
-        ("probe-ms=250", "probe-ms=5", "f:4:1: probe of 5 ms, at least 20"),
+        ("probe-ms=250", "probe-ms=5", "f:4:1: probe-ms is 5, expected at least 20"),
         ("probe-ms=250", "tick-ms=5", "f:10:12: found tick-ms, expected one of"),
         ("loan-ms=1500", "loan-ms=90000", "f:11:11: found loan-ms=90000"),
         ("loan-ms=1500", "loan-ms=100", "f:2:49: \"billing\": a loan lasts for a quarter of a call"),
