--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -27,16 +27,16 @@
     /// Where this server's replica outlives its process; without it nothing does.
     pub folder: Option<PathBuf>,
     /// Bytes that the replica takes there at most; the file may be about twice as large between two compactions.
-    pub most: u64,
+    pub max_bytes: u64,
     /// Time between two scrubs of all that is on disk, in microseconds.
-    pub scrub: u64,
+    pub scrub_interval: u64,
 }
 
 /// Where a replica is stored, and how.
 struct Storage {
     folder: Option<PathBuf>,
-    most: u64,
-    scrub: u64,
+    max_bytes: u64,
+    scrub_interval: u64,
 }
 
 /// Reads the node. `name`, `zone` and the names of the `others` are the fleet's.
@@ -44,7 +44,7 @@
     let defaults = Config { zone: zone.into(), ..Config::new(name, others) };
     // Three voters of fewer members would be a mistake that nobody made.
     let default_voters = if others.len() < 2 { 1 } else { 3 };
-    let Storage { folder, most, scrub } = storage(reader, node.children());
+    let Storage { folder, max_bytes, scrub_interval } = storage(reader, node.children());
     let mut properties = reader.properties(node);
     let replace_after_s = defaults.replace_after / SECOND;
     let catch_up_kb = defaults.catch_up_bytes_per_second >> 10;
@@ -59,7 +59,7 @@
     for reason in config.validate() {
         reader.report_node(node, reason.to_string());
     }
-    Record { config, folder, most, scrub }
+    Record { config, folder, max_bytes, scrub_interval }
 }
 
 fn storage(reader: &mut Reader, children: Option<&KdlDocument>) -> Storage {
@@ -67,16 +67,20 @@
         reader.allow_only(children, &["folder"]);
     }
     let Some(node) = reader.single(children, "folder") else {
-        return Storage { folder: None, most: DEFAULT_MOST_MB << 20, scrub: DEFAULT_SCRUB_S * SECOND };
+        return Storage {
+            folder: None,
+            max_bytes: DEFAULT_MOST_MB << 20,
+            scrub_interval: DEFAULT_SCRUB_S * SECOND,
+        };
     };
     let folder = reader.string(node, "a path").filter(|path| !path.is_empty()).map(PathBuf::from);
     reader.expect_no_children(node);
     let mut properties = reader.properties(node).with_arguments();
-    let most = properties.integer("most-mb", DEFAULT_MOST_MB, 1..=4_096) << 20;
-    let scrub = properties.integer("scrub-s", DEFAULT_SCRUB_S, 1..=DAY_S) * SECOND;
+    let max_bytes = properties.integer("most-mb", DEFAULT_MOST_MB, 1..=4_096) << 20;
+    let scrub_interval = properties.integer("scrub-s", DEFAULT_SCRUB_S, 1..=DAY_S) * SECOND;
     properties.finish();
     if folder.is_none() {
         reader.report_node(node, "found a folder without a path, expected folder \"PATH\"");
     }
-    Storage { folder, most, scrub }
+    Storage { folder, max_bytes, scrub_interval }
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -83,7 +83,7 @@
         ),
         (500_000, 9_000_000, 102_400)
     );
-    assert_eq!((record.most, record.scrub, record.config.peers.len()), (4 << 20, 7_000_000, 2));
+    assert_eq!((record.max_bytes, record.scrub_interval, record.config.peers.len()), (4 << 20, 7_000_000, 2));
     assert_eq!(record.folder, Some("r".into()));
     let cases = [
         ("voters=3", "voters=2", "found 2 voters, expected 3 or 5"),
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -78,7 +78,7 @@
             quarantine_on_open: false,
             snapshot_after: None,
             next_reachability_update: now,
-            next_scrub: now + settings.scrub,
+            next_scrub: now + settings.scrub_interval,
             seed,
             requests: RequestQueue::default(),
             settings,
@@ -146,7 +146,7 @@
             replica.handle_timeout(now);
         }
         if now >= self.next_scrub {
-            self.next_scrub = now + self.settings.scrub;
+            self.next_scrub = now + self.settings.scrub_interval;
             if let Some(writer) = &self.writer {
                 // A thread that is busy is asked again next time.
                 let _ = writer.scrub();
--- a/crates/server/src/peers/fleet/replication/disk.rs
+++ b/crates/server/src/peers/fleet/replication/disk.rs
@@ -41,7 +41,7 @@
         let Some(folder) = self.settings.folder.clone() else {
             return self.start_replica(now, None);
         };
-        let config = StoreConfig { max_bytes: self.settings.most, ..StoreConfig::new(folder) };
+        let config = StoreConfig { max_bytes: self.settings.max_bytes, ..StoreConfig::new(folder) };
         let quarantine = std::mem::take(&mut self.quarantine_on_open);
         let events = self.disk_event_sender.clone();
         let report = move |event| {
