--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -37,17 +37,17 @@
 impl Offsets {
     /// The byte of the node that a mistake is about; 0 if there is none.
     fn find(&self, location: ConfigLocation) -> usize {
-        let plan = |p: usize| self.plans.get(p);
-        let stage = |p: usize, s: usize| plan(p).and_then(|plan| plan.stages.get(s));
+        let plan_at = |plan: usize| self.plans.get(plan);
+        let stage_at = |plan: usize, stage: usize| plan_at(plan)?.stages.get(stage);
         let offset = match location {
             ConfigLocation::FallbackCache => Some(self.kept),
-            ConfigLocation::Dependency { dependency: d } => {
-                self.dependencies.get(d).or(self.dependencies.last()).copied()
+            ConfigLocation::Dependency { dependency } => {
+                self.dependencies.get(dependency).or(self.dependencies.last()).copied()
             }
-            ConfigLocation::Plan { plan: p } => plan(p).map(|plan| plan.node),
-            ConfigLocation::Stage { plan: p, stage: s } => stage(p, s).map(|stage| stage.node),
-            ConfigLocation::Call { plan: p, stage: s, call: c } => {
-                stage(p, s).and_then(|stage| stage.calls.get(c).copied())
+            ConfigLocation::Plan { plan } => plan_at(plan).map(|plan| plan.node),
+            ConfigLocation::Stage { plan, stage } => stage_at(plan, stage).map(|stage| stage.node),
+            ConfigLocation::Call { plan, stage, call } => {
+                stage_at(plan, stage).and_then(|stage| stage.calls.get(call).copied())
             }
         };
         offset.unwrap_or(0)
--- a/crates/operator-config/src/dependencies/dependency.rs
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -9,22 +9,22 @@
 };
 
 use super::MAX_NAMES;
-use crate::reader::{show, Reader};
+use crate::reader::{format_value, Reader};
 use crate::{Ajp, Service, PLATFORM};
 
 /// The path of the platform's records service.
 const RECORDS_PATH: &str = "/records/op";
 /// The longest path, in bytes.
-const MAX_PATH: usize = 1_024;
+const MAX_PATH_BYTES: usize = 1_024;
 /// The longest time for which a cached result may be used, in milliseconds: a day.
 const MAX_CACHE_AGE_MS: u64 = 86_400_000;
 /// The smallest and the default size of an AJP packet, in bytes.
-const MIN_AJP_PACKET: u64 = 8_192;
+const MIN_AJP_PACKET_BYTES: u64 = 8_192;
 /// The largest size of an AJP packet, in bytes.
-const MAX_AJP_PACKET: u64 = 65_535;
+const MAX_AJP_PACKET_BYTES: u64 = 65_535;
 
 /// The nodes that may stand within.
-const CHILDREN: [&str; 14] = [
+const CHILD_NODES: [&str; 14] = [
     "platform",
     "endpoints",
     "path",
@@ -47,7 +47,7 @@
     reader.expect_no_properties(node);
     let children = node.children();
     if let Some(children) = children {
-        reader.allow_only(children, &CHILDREN);
+        reader.allow_only(children, &CHILD_NODES);
     }
     let mut dependency = DependencyConfig::new(&name, &[]);
     let (endpoints, path) = endpoints_and_path(reader, node, children);
@@ -79,9 +79,9 @@
     let path = reader.single(children, "path");
     let addresses = endpoints.map_or_else(Vec::new, |node| addresses(reader, node));
     let path_text = path.and_then(|node| path_text(reader, node));
-    let own_target = endpoints.or(path).or(reader.single(children, "transport"));
+    let explicit_target = endpoints.or(path).or(reader.single(children, "transport"));
     match platform {
-        Some(platform) if own_target.is_some() => {
+        Some(platform) if explicit_target.is_some() => {
             let reason =
                 "found \"platform\" with endpoints, a path or a transport, expected one or the other";
             reader.report_node(platform, reason);
@@ -106,7 +106,7 @@
             Some(address) if addresses.len() < MAX_NAMES => addresses.push(address),
             Some(_) => reader.report(offset, format!("found more than {MAX_NAMES} endpoints")),
             None => {
-                let found = show(entry.value());
+                let found = format_value(entry.value());
                 let reason =
                     format!("found {found}, expected an address and port such as \"127.0.0.1:9001\"");
                 reader.report(offset, reason);
@@ -121,7 +121,7 @@
     reader.expect_no_properties(node);
     if let Some(path) = &path {
         let visible = path.bytes().all(|b| b.is_ascii_graphic());
-        if !path.starts_with('/') || !visible || path.len() > MAX_PATH {
+        if !path.starts_with('/') || !visible || path.len() > MAX_PATH_BYTES {
             reader.report_node(node, format!("found the path {path:?}, expected \"/…\" without spaces"));
         }
     }
@@ -137,7 +137,9 @@
         properties.finish();
         return None;
     }
-    let packet = properties.integer("packet", MIN_AJP_PACKET, MIN_AJP_PACKET..=MAX_AJP_PACKET) as usize;
+    let packet =
+        properties.integer("packet", MIN_AJP_PACKET_BYTES, MIN_AJP_PACKET_BYTES..=MAX_AJP_PACKET_BYTES)
+            as usize;
     let secret = properties.string("secret");
     properties.finish();
     if name != "ajp" {
@@ -200,10 +202,10 @@
 fn bounds(reader: &mut Reader, node: &KdlNode, defaults: LimitBounds) -> LimitBounds {
     reader.expect_no_children(node);
     let mut properties = reader.properties(node);
-    let mut calls = |name, default: usize| properties.integer(name, default as u64, 1..=65_536) as usize;
-    let min = calls("least", defaults.min);
-    let max = calls("most", defaults.max);
-    let initial = calls("start", defaults.initial.clamp(min, max.max(min)));
+    let mut limit = |name, default: usize| properties.integer(name, default as u64, 1..=65_536) as usize;
+    let min = limit("least", defaults.min);
+    let max = limit("most", defaults.max);
+    let initial = limit("start", defaults.initial.clamp(min, max.max(min)));
     properties.finish();
     LimitBounds { initial, min, max }
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -12,9 +12,10 @@
 use crate::record::Record;
 
 /// Stands for an address that is missing or invalid, which is reported.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+const PLACEHOLDER_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 /// The server's name in messages where the platform's configuration is not known.
-const UNKNOWN_NAME: &str = "this server, whose name the configuration has";
+const UNKNOWN_SERVER_NAME: &str = "this server, whose name the configuration has";
 
 /// A fleet, as one server's file describes it.
 #[derive(Clone, Debug, PartialEq)]
@@ -76,8 +77,9 @@
 
     /// What two servers must have in common to assume the same quota shares. It is hashed and compared between servers.
     pub fn basis(&self) -> String {
-        let one = |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
-        self.shared.iter().map(one).collect()
+        let line =
+            |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
+        self.shared.iter().map(line).collect()
     }
 }
 
@@ -105,7 +107,7 @@
     let membership = Config {
         fleet: fleet_name,
         secret: secret.unwrap_or_default(),
-        name: server_name.unwrap_or(UNKNOWN_NAME).into(),
+        name: server_name.unwrap_or(UNKNOWN_SERVER_NAME).into(),
         zone: zone.unwrap_or_default().as_str().into(),
         peers: peers.peers,
         timing,
@@ -119,7 +121,7 @@
         crate::record::read(reader, node, (&membership.name, &membership.zone, &others))
     });
     let fleet = Fleet {
-        listen: listen.unwrap_or(NO_ADDRESS),
+        listen: listen.unwrap_or(PLACEHOLDER_ADDRESS),
         membership,
         addresses: peers.addresses,
         leases,
@@ -177,10 +179,10 @@
     }
 
     fn check_addresses(&self, reader: &mut Reader, listen: Option<SocketAddr>) {
-        for (n, address) in self.addresses.iter().enumerate() {
-            if Some(*address) == listen || self.addresses[..n].contains(address) {
+        for (index, address) in self.addresses.iter().enumerate() {
+            if Some(*address) == listen || self.addresses[..index].contains(address) {
                 let reason = format!("found {address} a second time, expected one address for each server");
-                reader.report(self.offsets[n], reason);
+                reader.report(self.offsets[index], reason);
             }
         }
     }
@@ -201,7 +203,7 @@
         }
     };
     let peer = Peer { name: name.as_str().into(), zone: zone.unwrap_or_default().as_str().into() };
-    (peer, address.unwrap_or(NO_ADDRESS))
+    (peer, address.unwrap_or(PLACEHOLDER_ADDRESS))
 }
 
 fn timing(reader: &mut Reader, node: &KdlNode) -> Timing {
@@ -239,8 +241,8 @@
 fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
     for (name, calls) in &fleet.shared {
         for reason in fleet.quota_config(*calls).validate() {
-            let place = survives_node(document, name).unwrap_or(node);
-            reader.report_node(place, format!("{name:?}: {reason}"));
+            let reported_node = survives_node(document, name).unwrap_or(node);
+            reader.report_node(reported_node, format!("{name:?}: {reason}"));
         }
     }
 }
@@ -250,8 +252,8 @@
     let mut shared = Vec::new();
     for name in dependencies.dependencies.iter().map(|dependency| &dependency.name) {
         let is_shared = survives_node(document, name).is_some_and(|node| node.entry("servers").is_none());
-        let first = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
-        let capacity = first.and_then(|dependency| dependency.capacity);
+        let dependency = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
+        let capacity = dependency.and_then(|dependency| dependency.capacity);
         if let Some(capacity) = capacity.filter(|_| is_shared) {
             shared.push((name.clone(), capacity.calls as u32));
         }
@@ -261,8 +263,8 @@
 
 /// The node `survives` of a dependency.
 fn survives_node<'d>(document: &'d KdlDocument, dependency: &str) -> Option<&'d KdlNode> {
-    let named = |n: &&KdlNode| {
+    let has_name = |n: &&KdlNode| {
         n.name().value() == "dependency" && n.get(0).and_then(|v| v.as_string()) == Some(dependency)
     };
-    document.nodes().iter().find(named)?.children()?.get("survives")
+    document.nodes().iter().find(has_name)?.children()?.get("survives")
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -102,14 +102,14 @@
 /// Reads the file at `path`, and checks it against what is known of the platform's configuration.
 pub fn load(path: &Path, context: ServerContext) -> Result<Operator, ConfigError> {
     let file = path.display().to_string();
-    let whole_file = |reason: String| {
+    let file_error = |reason: String| {
         let mistake = Mistake { position: Position::START, reason, key: String::new() };
         ConfigError { file: file.clone(), mistakes: vec![mistake] }
     };
-    let unreadable = |e: std::io::Error| whole_file(format!("can't be read: {e}"));
+    let unreadable = |e: std::io::Error| file_error(format!("can't be read: {e}"));
     let length = std::fs::metadata(path).map_err(unreadable)?.len();
     if length > MAX_FILE_LENGTH {
-        return Err(whole_file(format!("found {length} bytes, expected {MAX_FILE_LENGTH} at most")));
+        return Err(file_error(format!("found {length} bytes, expected {MAX_FILE_LENGTH} at most")));
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     parse_in_context(&file, &text, context)
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -70,8 +70,8 @@
     pub fn single<'d>(&mut self, document: Option<&'d KdlDocument>, name: &str) -> Option<&'d KdlNode> {
         let mut nodes = document?.nodes().iter().filter(|n| n.name().value() == name);
         let first = nodes.next();
-        for further in nodes {
-            self.report_node(further, format!("found a second {name:?}, expected one at most"));
+        for duplicate in nodes {
+            self.report_node(duplicate, format!("found a second {name:?}, expected one at most"));
         }
         first
     }
@@ -93,7 +93,7 @@
                 KdlValue::String(text) => {
                     self.report_entry(entry, format!("found {text:?}, expected {max} texts at most"));
                 }
-                other => self.report_entry(entry, format!("found {}, expected a text", show(other))),
+                other => self.report_entry(entry, format!("found {}, expected a text", format_value(other))),
             }
         }
         strings
@@ -124,7 +124,7 @@
 
     /// Starts to take the properties of a node.
     pub fn properties<'r, 'd>(&'r mut self, node: &'d KdlNode) -> Properties<'r, 'a, 'd> {
-        Properties { reader: self, node, known: Vec::new(), has_arguments: false }
+        Properties { reader: self, node, taken_names: Vec::new(), has_arguments: false }
     }
 }
 
@@ -132,7 +132,7 @@
 pub struct Properties<'r, 'a, 'd> {
     reader: &'r mut Reader<'a>,
     node: &'d KdlNode,
-    known: Vec<&'static str>,
+    taken_names: Vec<&'static str>,
     has_arguments: bool,
 }
 
@@ -144,12 +144,12 @@
     }
 
     fn entry(&mut self, name: &'static str) -> Option<&'d KdlEntry> {
-        self.known.push(name);
-        let named = |e: &&KdlEntry| e.name().is_some_and(|n| n.value() == name);
-        let mut entries = self.node.entries().iter().filter(named);
+        self.taken_names.push(name);
+        let has_name = |e: &&KdlEntry| e.name().is_some_and(|n| n.value() == name);
+        let mut entries = self.node.entries().iter().filter(has_name);
         let first = entries.next();
-        for further in entries {
-            self.reader.report_entry(further, format!("found a second {name}, expected one at most"));
+        for duplicate in entries {
+            self.reader.report_entry(duplicate, format!("found a second {name}, expected one at most"));
         }
         first
     }
@@ -161,7 +161,7 @@
             KdlValue::Integer(value) => *value as f64,
             KdlValue::Float(value) if value.is_finite() => *value,
             other => {
-                let reason = format!("found {name}={}, expected a number", show(other));
+                let reason = format!("found {name}={}, expected a number", format_value(other));
                 self.reader.report_entry(entry, reason);
                 default
             }
@@ -176,7 +176,7 @@
             _ => None,
         };
         value.filter(|value| range.contains(value)).unwrap_or_else(|| {
-            let (found, min, max) = (show(entry.value()), range.start(), range.end());
+            let (found, min, max) = (format_value(entry.value()), range.start(), range.end());
             let reason = format!("found {name}={found}, expected a whole number from {min} to {max}");
             self.reader.report_entry(entry, reason);
             default
@@ -194,7 +194,7 @@
         match entry.value() {
             KdlValue::String(text) => Some(text.clone()),
             other => {
-                let reason = format!("found {name}={}, expected a text", show(other));
+                let reason = format!("found {name}={}, expected a text", format_value(other));
                 self.reader.report_entry(entry, reason);
                 None
             }
@@ -216,14 +216,17 @@
         for entry in self.node.entries() {
             let Some(name) = entry.name().map(KdlIdentifier::value) else {
                 if !self.has_arguments {
-                    let reason = format!("found {}, expected NAME=VALUE", show(entry.value()));
+                    let reason = format!("found {}, expected NAME=VALUE", format_value(entry.value()));
                     self.reader.report_entry(entry, reason);
                 }
                 continue;
             };
-            if !self.known.contains(&name) {
-                let expected =
-                    if self.known.is_empty() { "none".to_owned() } else { alternatives(&self.known) };
+            if !self.taken_names.contains(&name) {
+                let expected = if self.taken_names.is_empty() {
+                    "none".to_owned()
+                } else {
+                    alternatives(&self.taken_names)
+                };
                 self.reader.report_entry(entry, format!("found {name}, expected {expected}"));
             }
         }
@@ -235,11 +238,11 @@
     let mut names = Vec::new();
     let mut level = Some(document);
     while let Some(document) = level {
-        let around = |node: &&KdlNode| {
+        let contains_offset = |node: &&KdlNode| {
             let start = node.span().offset();
             (start..start + node.span().len()).contains(&offset)
         };
-        let Some(node) = document.nodes().iter().find(around) else { break };
+        let Some(node) = document.nodes().iter().find(contains_offset) else { break };
         names.push(node.name().value());
         let property = node.entries().iter().find(|entry| entry.span().offset() == offset);
         names.extend(property.and_then(KdlEntry::name).map(KdlIdentifier::value));
@@ -253,13 +256,13 @@
     let quoted: Vec<String> = names.iter().map(|n| format!("{n:?}")).collect();
     match quoted.split_last() {
         Some((last, [])) => last.clone(),
-        Some((last, rest)) => format!("one of {} or {last}", rest.join(", ")),
+        Some((last, others)) => format!("one of {} or {last}", others.join(", ")),
         None => "nothing".to_owned(),
     }
 }
 
 /// A value as it stands in a file.
-pub fn show(value: &KdlValue) -> String {
+pub fn format_value(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("{text:?}"),
         KdlValue::Integer(number) => number.to_string(),
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn mistakes_in_a_fleet_are_reported_at_their_places() {
+fn mistakes_in_a_fleet_are_reported_with_their_positions() {
     let cases = [
         ("listen \"127.0.0.1:7400\"", "", "f:4:1: found a fleet without \"listen\""),
         ("127.0.0.1:7400", "localhost:1", "f:5:5: found \"localhost:1\", expected an address and port"),
@@ -61,16 +61,16 @@
         ("fleet \"desks\"", "fleet", "f:4:1: found \"fleet\" without a name"),
         ("zone \"west\"\n", "zone \"west\"; zone \"east\"\n", "found a second \"zone\""),
     ];
-    for (part, replacement, expected) in cases {
-        let text = FLEET.replacen(part, replacement, 1);
-        assert_ne!(text, FLEET, "{part}");
+    for (original, replacement, expected) in cases {
+        let text = FLEET.replacen(original, replacement, 1);
+        assert_ne!(text, FLEET, "{original}");
         let found = mistakes(&text);
         assert!(found.iter().any(|f| f.contains(expected)), "{text}\n{found:#?}\nexpected {expected}");
     }
 }
 
 #[test]
-fn mistakes_in_a_record_are_reported_at_their_places() {
+fn mistakes_in_a_record_are_reported_with_their_positions() {
     let node = "  record voters=3 election-ms=500 replace-after-s=9 catch-up-kb=100 {\n    folder \"r\" most-mb=4 scrub-s=7\n  }\n}";
     let text = format!("{}{node}", FLEET.trim_end().trim_end_matches('}'));
     let operator = parse("f", &text, None).unwrap_or_else(|e| panic!("{e}"));
@@ -98,22 +98,22 @@
         ("folder \"r\"", "disk \"r\"", "found \"disk\", expected"),
         ("folder \"r\"", "folder 7", "found 7, expected a text"),
     ];
-    for (part, replacement, expected) in cases {
-        let found = mistakes(&text.replacen(part, replacement, 1));
-        let as_expected = |mistake: &String| mistake.contains(expected) && mistake.starts_with("f:1");
-        assert!(found.iter().any(as_expected), "{replacement}: {found:#?}\nexpected {expected}");
+    for (original, replacement, expected) in cases {
+        let found = mistakes(&text.replacen(original, replacement, 1));
+        let is_expected = |mistake: &String| mistake.contains(expected) && mistake.starts_with("f:1");
+        assert!(found.iter().any(is_expected), "{replacement}: {found:#?}\nexpected {expected}");
     }
 }
 
 const VALID: &str = "dependency \"a\" { endpoints \"127.0.0.1:1\"; }\n";
 
 #[test]
-fn example_file_is_valid_and_read_as_written() {
+fn example_file_is_valid_and_its_values_are_read() {
     let text = include_str!("../../../deploy/operator.kdl");
     let classes = ["book-room".to_owned(), "desk-search".to_owned()];
     let operator = parse("operator.kdl", text, Some(&classes)).unwrap_or_else(|e| panic!("{e}"));
     let [records, billing, equipment, notes] = &operator.dependencies.dependencies[..] else {
-        panic!("four")
+        panic!("expected four dependencies")
     };
     assert_eq!(
         (records.endpoints.as_slice(), operator.services[0].path.as_str()),
@@ -142,7 +142,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, one a line")]
-fn mistakes_in_dependencies_and_plans_are_reported_at_their_places() {
+fn mistakes_in_dependencies_and_plans_are_reported_with_their_positions() {
     let cases = [
         ("dependencies \"a\"\n", "f:1:1: found \"dependencies\", expected one of"),
         ("kept entries=-1\n", "f:1:6: found entries=-1, expected a whole number from 0 to 1048576"),
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -135,8 +135,8 @@
     default: &str,
     known: &[(&str, T)],
 ) -> Result<T, SettingsError> {
-    let word = text_or(object, field, default)?;
-    if let Some((_, value)) = known.iter().find(|(name, _)| *name == word) {
+    let text = text_or(object, field, default)?;
+    if let Some((_, value)) = known.iter().find(|(name, _)| *name == text) {
         return Ok(*value);
     }
     let names: Vec<&str> = known.iter().map(|(name, _)| *name).collect();
--- a/crates/settings/src/locate.rs
+++ b/crates/settings/src/locate.rs
@@ -1,25 +1,25 @@
 //! The line of a JSON text on which a field stands, so that an error about the field can name it.
 
-/// One part of a path: a key of an object, or an index of a list.
+/// One segment of a path: a key of an object, or an index of a list.
 #[derive(Debug, PartialEq)]
-enum PathPart<'a> {
+enum PathSegment<'a> {
     Key(&'a str),
     Index(usize),
 }
 
 /// Splits a path as errors name it: `classes[1].write`, `family_info.key_kb`.
-fn parse_path(path: &str) -> Option<Vec<PathPart<'_>>> {
-    let mut parts = Vec::new();
-    for part in path.split('.') {
-        let (key, indexes) = part.split_once('[').unwrap_or((part, ""));
+fn parse_path(path: &str) -> Option<Vec<PathSegment<'_>>> {
+    let mut segments = Vec::new();
+    for segment in path.split('.') {
+        let (key, indexes) = segment.split_once('[').unwrap_or((segment, ""));
         if !key.is_empty() {
-            parts.push(PathPart::Key(key));
+            segments.push(PathSegment::Key(key));
         }
         for index in indexes.split('[').filter(|index| !index.is_empty()) {
-            parts.push(PathPart::Index(index.strip_suffix(']')?.parse().ok()?));
+            segments.push(PathSegment::Index(index.strip_suffix(']')?.parse().ok()?));
         }
     }
-    (!parts.is_empty()).then_some(parts)
+    (!segments.is_empty()).then_some(segments)
 }
 
 /// An object or list that is open at the scanner's position.
@@ -43,8 +43,8 @@
     let mut scanner = Scanner { text, position: 0, line: 1, frames: Vec::new() };
     while let Some(&byte) = text.as_bytes().get(scanner.position) {
         if byte == b'"' {
-            let word = scanner.read_string()?;
-            if scanner.enter_key(word) && scanner.path().ends_with(&wanted) {
+            let string = scanner.read_string()?;
+            if scanner.enter_key(string) && scanner.path().ends_with(&wanted) {
                 return Some(scanner.line);
             }
         } else {
@@ -72,10 +72,10 @@
         self.text.get(start..self.position.min(bytes.len()))
     }
 
-    /// Whether the string is a key, which is then the last part of the path.
-    fn enter_key(&mut self, word: &'a str) -> bool {
+    /// Whether the string is a key, which is then the last segment of the path.
+    fn enter_key(&mut self, string: &'a str) -> bool {
         let Some(Frame::Object { key, expects_key: true }) = self.frames.last_mut() else { return false };
-        *key = Some(word);
+        *key = Some(string);
         true
     }
 
@@ -99,12 +99,12 @@
         }
     }
 
-    fn path(&self) -> Vec<PathPart<'a>> {
-        let part = |frame: &Frame<'a>| match frame {
-            Frame::Object { key, .. } => key.map(PathPart::Key),
-            Frame::List { index } => Some(PathPart::Index(*index)),
+    fn path(&self) -> Vec<PathSegment<'a>> {
+        let segment = |frame: &Frame<'a>| match frame {
+            Frame::Object { key, .. } => key.map(PathSegment::Key),
+            Frame::List { index } => Some(PathSegment::Index(*index)),
         };
-        self.frames.iter().filter_map(part).collect()
+        self.frames.iter().filter_map(segment).collect()
     }
 }
 
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -8,16 +8,16 @@
 };
 use crate::SettingsError;
 
-const IDEMPOTENCY_WORDS: [(&str, Idempotency); 3] = [
+const IDEMPOTENCY_VALUES: [(&str, Idempotency); 3] = [
     ("read_like", Idempotency::Idempotent),
     ("idempotency_key", Idempotency::WithKey),
     ("non_idempotent", Idempotency::NotIdempotent),
 ];
-const DOWNSTREAM_WORDS: [(&str, Downstream); 3] =
+const DOWNSTREAM_VALUES: [(&str, Downstream); 3] =
     [("silent", Downstream::None), ("common", Downstream::Shared), ("next_hop", Downstream::NextTier)];
-const PREEMPTION_WORDS: [(&str, Preemption); 3] =
+const PREEMPTION_VALUES: [(&str, Preemption); 3] =
     [("silent", Preemption::Never), ("drop", Preemption::Abort), ("pause", Preemption::Pause)];
-const LOAD_HINT_WORDS: [(&str, LoadHintKind); 4] = [
+const LOAD_HINT_VALUES: [(&str, LoadHintKind); 4] = [
     ("silent", LoadHintKind::None),
     ("min_rank", LoadHintKind::MinRank),
     ("tokens", LoadHintKind::Tokens),
@@ -48,12 +48,12 @@
         tier: integer_or(options, "tier", 0)? as u32,
         servers: integer(options, "servers")? as u32,
         callers: integer_or(info, "callers", 0)? as u32,
-        downstream: one_of(info, "downstream", "silent", &DOWNSTREAM_WORDS)?,
+        downstream: one_of(info, "downstream", "silent", &DOWNSTREAM_VALUES)?,
         call_quota: number_or(info, "dep_share", 0.0)?,
         call_window: integer_or(info, "calls_over_us", 0)?,
         abandoned_call_lifetime: integer_or(info, "linger_us", 0)?,
-        preemption: one_of(info, "preemption", "silent", &PREEMPTION_WORDS)?,
-        load_hint: one_of(info, "say", "silent", &LOAD_HINT_WORDS)?,
+        preemption: one_of(info, "preemption", "silent", &PREEMPTION_VALUES)?,
+        load_hint: one_of(info, "say", "silent", &LOAD_HINT_VALUES)?,
         shared_read_ttl: integer_or(info, "fresh_us", 0)?,
         retry_after_max: if passes_retry_after { integer_or(limits, "max_retry_after_us", 0)? } else { 0 },
         connection_cost: number_or(prices, "handshake", 0.0)?,
@@ -73,7 +73,7 @@
     let degraded_weight_shares = list(info, "class_skip_worth")?;
     let mut classes = Vec::new();
     for (index, class) in objects(options, "classes")?.into_iter().enumerate() {
-        let idempotency = one_of(class, "effect", "read_like", &IDEMPOTENCY_WORDS)?;
+        let idempotency = one_of(class, "effect", "read_like", &IDEMPOTENCY_VALUES)?;
         let idempotency_window = integer_or(class, "repeat_window_us", 0)?;
         // Only `effect` tells whether requests may be repeated. An idempotent write is `read_like` too, so `write`
         // is checked for its type and nothing else: a customer's class may have it.
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -5,7 +5,7 @@
 use crate::fields::{flag, object, optional, text_or, Object};
 use crate::SettingsError;
 
-const LOAD_REPORT_WORDS: [&str; 4] = ["", "silent", "pull", "piggyback"];
+const LOAD_REPORT_VALUES: [&str; 4] = ["", "silent", "pull", "piggyback"];
 
 /// How requests come at this deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,12 +26,12 @@
         let info = object(options, "family_info")?;
         let passes_deadline = optional(info, "passes_deadline", "true or false", Value::as_bool)?;
         let empty = Object::new();
-        let part = |name| optional(options, name, "an object", Value::as_object);
-        let load_report = text_or(part("load_report")?.unwrap_or(&empty), "how", "")?;
-        if !LOAD_REPORT_WORDS.contains(&load_report) {
+        let section = |name| optional(options, name, "an object", Value::as_object);
+        let load_report = text_or(section("load_report")?.unwrap_or(&empty), "how", "")?;
+        if !LOAD_REPORT_VALUES.contains(&load_report) {
             return Err(SettingsError::unexpected("load_report.how", "silent or pull or piggyback"));
         }
-        let marks_retry = flag(part("client_habits")?.unwrap_or(&empty), "marks_retry")?;
+        let marks_retry = flag(section("client_habits")?.unwrap_or(&empty), "marks_retry")?;
         Ok(Shape { passes_deadline: passes_deadline.unwrap_or(true), marks_retry })
     }
 }
--- a/crates/settings/src/shape/tests.rs
+++ b/crates/settings/src/shape/tests.rs
@@ -19,24 +19,27 @@
 /// reported were taken for one choice.
 #[test]
 fn the_fields_are_independent() {
-    for (passes, marks, how) in [(true, false), (true, true), (false, false), (false, true)]
+    for (passes_deadline, marks_retry, how) in [(true, false), (true, true), (false, false), (false, true)]
         .into_iter()
-        .flat_map(|(passes, marks)| ["", "silent", "pull", "piggyback"].map(|how| (passes, marks, how)))
+        .flat_map(|(passes_deadline, marks_retry)| {
+            ["", "silent", "pull", "piggyback"].map(|how| (passes_deadline, marks_retry, how))
+        })
     {
-        let options = json!({"family_info": {"passes_deadline": passes}, "client_habits": {"marks_retry": marks},
+        let options = json!({"family_info": {"passes_deadline": passes_deadline},
+                             "client_habits": {"marks_retry": marks_retry},
                              "load_report": {"how": how}});
-        assert_eq!(read(&options), Ok(Shape { passes_deadline: passes, marks_retry: marks }), "{how}");
+        assert_eq!(read(&options), Ok(Shape { passes_deadline, marks_retry }), "{how}");
     }
 }
 
 #[test]
 fn errors_name_the_field() {
-    let wrong = [
+    let cases = [
         (json!({"family_info": {}, "load_report": {"how": "often"}}), "`load_report.how`"),
         (json!({"family_info": {"passes_deadline": 1}}), "`passes_deadline`"),
         (json!({"family_info": {}, "client_habits": {"marks_retry": "no"}}), "`marks_retry`"),
     ];
-    for (options, key) in wrong {
+    for (options, key) in cases {
         let error = read(&options).expect_err("an invalid value");
         assert!(error.to_string().contains(key), "{options}: {error}");
     }
--- a/crates/sim-adapter/src/tests.rs
+++ b/crates/sim-adapter/src/tests.rs
@@ -28,7 +28,7 @@
     let batch = Decoder::default().decode(&line).expect("a valid line");
     match batch.inputs.into_iter().nth(1) {
         Some(Input { instance: 3, kind: InputKind::Event(event) }) => event,
-        _ => panic!("one event of instance 3"),
+        _ => panic!("expected an event of instance 3"),
     }
 }
 
@@ -44,7 +44,7 @@
     let line = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
     let batch = Decoder::default().decode(&line).expect("a valid line");
     let Some(Input { instance: 3, kind: InputKind::Start(settings) }) = batch.inputs.first() else {
-        panic!("a start of instance 3")
+        panic!("expected a start of instance 3")
     };
     assert_eq!(
         (batch.now, settings.seed, settings.cores, settings.tier, settings.servers, settings.callers),
@@ -81,21 +81,24 @@
 }
 
 #[test]
-fn arrivals_are_decoded_with_all_fields_and_with_few() {
+fn arrivals_are_decoded_with_and_without_optional_fields() {
     let full = r#"{"op":"ingress","who":3,"txn":"rq_b","author":17,"grace_us":240000,"footprint":24.5,
         "queued_for_us":1850,"billing":2,"subject":45,"forerunner":"rq_a","precedence":0.625,"tier_class":1,
         "cost_us":12000,"retry":true}"#;
-    let Event::Arrived(a) = event(&full.replace('\n', "")) else { panic!("an arrival") };
+    let Event::Arrived(arrival) = event(&full.replace('\n', "")) else { panic!("expected an arrival") };
     assert_eq!(
-        (&*a.id, a.caller, a.caller_timeout, a.queued_kb, a.read_delay),
+        (&*arrival.id, arrival.caller, arrival.caller_timeout, arrival.queued_kb, arrival.read_delay),
         ("rq_b", 17, Some(240_000), 24.5, 1850)
     );
-    assert_eq!((a.tenant, a.rank, a.class, a.cost, a.is_retry), (2, 0.625, 1, Some(12_000), true));
-    assert_eq!(a.duplicate_of.as_deref(), Some("rq_a"));
-    let bare = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"forerunner":0,"grace_us":0}"#;
-    let Event::Arrived(a) = event(bare) else { panic!("an arrival") };
     assert_eq!(
-        (a.caller_timeout, a.duplicate_of, a.cost, a.is_retry, a.tenant),
+        (arrival.tenant, arrival.rank, arrival.class, arrival.cost, arrival.is_retry),
+        (2, 0.625, 1, Some(12_000), true)
+    );
+    assert_eq!(arrival.duplicate_of.as_deref(), Some("rq_a"));
+    let minimal = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"forerunner":0,"grace_us":0}"#;
+    let Event::Arrived(arrival) = event(minimal) else { panic!("expected an arrival") };
+    assert_eq!(
+        (arrival.caller_timeout, arrival.duplicate_of, arrival.cost, arrival.is_retry, arrival.tenant),
         (None, None, None, false, 0)
     );
 }
@@ -137,11 +140,12 @@
 
 #[test]
 fn gauges_are_decoded_in_the_order_of_their_names() {
-    let Event::Timer(g) = event(r#"{"op":"bell","who":3,"nonce":"n","feedback":[120,0.62,0.41,9,3]}"#) else {
-        panic!("a timer")
+    let Event::Timer(gauges) = event(r#"{"op":"bell","who":3,"nonce":"n","feedback":[120,0.62,0.41,9,3]}"#)
+    else {
+        panic!("expected a timer")
     };
     assert_eq!(
-        (g.connections, g.cpu, g.memory, g.core_demand),
+        (gauges.connections, gauges.cpu, gauges.memory, gauges.core_demand),
         (Some(120.0), Some(0.62), Some(0.41), Some(3.0))
     );
 }
@@ -177,25 +181,25 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let (end, out) = exchange(&[r#"{"sim_time_us":8412250,"news":[]}"#.into()]);
-    assert_eq!((end, out.as_str()), (Ok(()), "{\"do\":[]}\n"));
+    let (result, output) = exchange(&[r#"{"sim_time_us":8412250,"news":[]}"#.into()]);
+    assert_eq!((result, output.as_str()), (Ok(()), "{\"do\":[]}\n"));
 }
 
 #[test]
 fn a_request_is_admitted() {
     let first = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
     let request = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"footprint":9,"grace_us":900000}"#;
-    let (end, out) = exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#)]);
-    assert_eq!(end, Ok(()));
+    let (result, output) = exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#)]);
+    assert_eq!(result, Ok(()));
     assert!(
-        out.lines().nth(1).expect("two replies").contains(r#"{"op":"admit","who":3,"txn":"x"}"#),
-        "{out}"
+        output.lines().nth(1).expect("two replies").contains(r#"{"op":"admit","who":3,"txn":"x"}"#),
+        "{output}"
     );
 }
 
 #[test]
 fn errors_name_the_line_and_the_field() {
-    let bad = [
+    let cases = [
         ("nonsense", "not JSON"),
         ("[]", "expected an object"),
         (r#"{"news":[]}"#, "field `sim_time_us`: expected a whole number"),
@@ -209,11 +213,11 @@
         (r#"{"sim_time_us":1,"news":[{"op":"hail","who":3}]}"#, "field `op`"),
         (r#"{"sim_time_us":1,"news":[{"op":"left","who":3,"txn":"a"}]}"#, "instance 3 was never started"),
     ];
-    for (line, wanted) in bad {
-        let (end, out) = exchange(&[r#"{"sim_time_us":1,"news":[]}"#.into(), line.into()]);
-        let why = end.expect_err(line);
-        assert!(why.starts_with("line 2: ") && why.contains(wanted), "{line}: {why}");
-        assert_eq!(out, "{\"do\":[]}\n", "only replies are written");
+    for (line, expected) in cases {
+        let (result, output) = exchange(&[r#"{"sim_time_us":1,"news":[]}"#.into(), line.into()]);
+        let message = result.expect_err(line);
+        assert!(message.starts_with("line 2: ") && message.contains(expected), "{line}: {message}");
+        assert_eq!(output, "{\"do\":[]}\n", "only replies are written");
     }
 }
 
@@ -221,19 +225,22 @@
 fn invalid_settings_crash_the_instance_with_the_reason() {
     let line =
         format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3).replace("\"n_cores\":6", "\"n_cores\":0"));
-    let (end, out) = exchange(&[line]);
-    assert_eq!(end, Ok(()));
-    assert!(out.contains(r#"{"op":"crash","who":3,"text":"settings make no sense: a server needs"#), "{out}");
+    let (result, output) = exchange(&[line]);
+    assert_eq!(result, Ok(()));
+    assert!(
+        output.contains(r#"{"op":"crash","who":3,"text":"settings make no sense: a server needs"#),
+        "{output}"
+    );
 }
 
 #[test]
 fn a_restarted_instance_has_no_requests() {
     let first = format!(r#"{{"sim_time_us":9,"news":[{}]}}"#, start(3));
     let request = r#"{"op":"ingress","who":3,"txn":"x","tier_class":0,"footprint":9,"grace_us":900000}"#;
-    let again = format!(r#"{{"sim_time_us":20,"news":[{{"op":"crash_now","who":3}},{}]}}"#, start(3));
-    let late = r#"{"sim_time_us":999999,"news":[{"op":"bell","who":3,"nonce":"wake","feedback":[]}]}"#;
-    let (end, out) =
-        exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#), again, late.into()]);
-    assert_eq!(end, Ok(()));
-    assert!(!out.lines().last().expect("replies").contains("\"x\""), "{out}");
+    let restart = format!(r#"{{"sim_time_us":20,"news":[{{"op":"crash_now","who":3}},{}]}}"#, start(3));
+    let timer = r#"{"sim_time_us":999999,"news":[{"op":"bell","who":3,"nonce":"wake","feedback":[]}]}"#;
+    let (result, output) =
+        exchange(&[first, format!(r#"{{"sim_time_us":10,"news":[{request}]}}"#), restart, timer.into()]);
+    assert_eq!(result, Ok(()));
+    assert!(!output.lines().last().expect("replies").contains("\"x\""), "{output}");
 }
