--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -1,4 +1,4 @@
-//! The nodes `kept`, `dependency` and `plan`.
+//! Reads the nodes `kept`, `dependency` and `plan`.
 
 mod dependency;
 mod plan;
@@ -10,18 +10,18 @@
 use crate::Service;
 use plan::StageOffsets;
 
-/// How many endpoints one dependency, or calls one node of a plan, may name.
+/// The maximum number of endpoints of a dependency, and of calls in one node of a plan.
 const MAX_NAMES: usize = 64;
 
-/// What the nodes say.
+/// The content of the nodes.
 pub struct Dependencies {
     /// Dependencies and plans.
     pub config: Config,
-    /// How each dependency is reached, in the same order.
+    /// How each dependency is reached, in the order of the dependencies.
     pub services: Vec<Service>,
 }
 
-/// Where nodes stand, so that mistakes in what they say together have a place too.
+/// The byte offsets of nodes, which give positions to mistakes found by validating the whole configuration.
 #[derive(Default)]
 struct Offsets {
     kept: usize,
@@ -29,13 +29,14 @@
     plans: Vec<PlanOffsets>,
 }
 
+/// The byte offsets of a plan and its stages.
 struct PlanOffsets {
     node: usize,
     stages: Vec<StageOffsets>,
 }
 
 impl Offsets {
-    /// The byte of the node that a mistake is about; 0 if there is none.
+    /// Returns the byte offset of the node that a mistake concerns; 0 if there is no such node.
     fn find(&self, location: ConfigLocation) -> usize {
         let plan_at = |plan: usize| self.plans.get(plan);
         let stage_at = |plan: usize, stage: usize| plan_at(plan)?.stages.get(stage);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Reads the nodes. `classes` are the names that plans may be for, where they are known.
+/// Reads the nodes. `classes` are the names of the classes that plans may be for, if they are known.
 pub fn read(reader: &mut Reader, document: &KdlDocument, classes: Option<&[String]>) -> Dependencies {
     let mut offsets = Offsets::default();
     let mut config = Config::default();
--- a/crates/operator-config/src/dependencies/dependency.rs
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -1,4 +1,4 @@
-//! The node `dependency`: how a service is reached and how its failures are handled.
+//! Reads the node `dependency`: how a service is reached and how its failures are handled.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 
 /// The path of the platform's records service.
 const RECORDS_PATH: &str = "/records/op";
-/// The longest path, in bytes.
+/// The maximum length of a path, in bytes.
 const MAX_PATH_BYTES: usize = 1_024;
-/// The longest time for which a cached result may be used, in milliseconds: a day.
+/// The maximum age at which a cached result may be used, in milliseconds: one day.
 const MAX_CACHE_AGE_MS: u64 = 86_400_000;
-/// The smallest and the default size of an AJP packet, in bytes.
+/// The smallest allowed and the default value of the maximum AJP packet size, in bytes.
 const MIN_AJP_PACKET_BYTES: u64 = 8_192;
-/// The largest size of an AJP packet, in bytes.
+/// The largest allowed value of the maximum AJP packet size, in bytes.
 const MAX_AJP_PACKET_BYTES: u64 = 65_535;
 
-/// The nodes that may stand within.
+/// The names of the allowed child nodes.
 const CHILD_NODES: [&str; 14] = [
     "platform",
     "endpoints",
@@ -68,7 +68,7 @@
     (dependency, Service { name, path, endpoints, ajp })
 }
 
-/// Endpoints and path. The platform's records service has both of its own.
+/// Reads endpoints and path. For the platform's records service neither may be stated: both are given.
 fn endpoints_and_path(
     reader: &mut Reader,
     node: &KdlNode,
@@ -128,7 +128,7 @@
     path
 }
 
-/// `http`, which is the default, or `ajp`.
+/// Reads the transport: `ajp`, or `http`, which is the default and gives `None`.
 fn transport(reader: &mut Reader, node: &KdlNode) -> Option<Ajp> {
     let name = reader.string(node, "a transport")?;
     reader.expect_no_children(node);
@@ -148,7 +148,7 @@
     Some(Ajp { secret, packet })
 }
 
-/// Repeated and hedged attempts.
+/// Reads the settings of retries and hedged requests.
 fn attempts(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut DependencyConfig) {
     if let Some(node) = reader.single(children, "safe-to-repeat") {
         dependency.idempotent = true;
@@ -182,7 +182,7 @@
     retry
 }
 
-/// Limits on concurrent calls.
+/// Reads the limits on concurrent calls.
 fn limits(reader: &mut Reader, children: Option<&KdlDocument>, dependency: &mut DependencyConfig) {
     if let Some(node) = reader.single(children, "limit") {
         dependency.concurrency_limit = bounds(reader, node, dependency.concurrency_limit);
--- a/crates/operator-config/src/dependencies/plan.rs
+++ b/crates/operator-config/src/dependencies/plan.rs
@@ -1,4 +1,4 @@
-//! The node `plan`: the calls that requests of a class make, in stages.
+//! Reads the node `plan`: the calls that requests of a class make, in stages.
 
 use kdl::KdlNode;
 use umberloom::interface::Micros;
@@ -7,18 +7,18 @@
 use super::MAX_NAMES;
 use crate::reader::{alternatives, Reader};
 
-/// The most time that a stage gets, unless set: a minute.
+/// The default maximum duration of a stage: one minute.
 const DEFAULT_MAX_STAGE_TIME: Micros = 60_000_000;
 
-/// Where a stage and each of its calls stand.
+/// The byte offsets of a stage and its calls.
 pub struct StageOffsets {
-    /// The node of the stage.
+    /// The offset of the node of the stage.
     pub node: usize,
-    /// The node of each call, in their order.
+    /// The offset of the node of each call, in the order of the calls.
     pub calls: Vec<usize>,
 }
 
-/// Reads the node. `classes` are the names that it may be for, where they are known.
+/// Reads the node. `classes` are the names of the classes that it may be for, if they are known.
 pub fn read(
     reader: &mut Reader,
     node: &KdlNode,
@@ -44,7 +44,7 @@
     (PlanConfig { class, stages }, offsets)
 }
 
-/// A stage, and where each of its calls stands.
+/// Reads a stage; also returns the byte offset of the node of each call.
 fn stage(reader: &mut Reader, node: &KdlNode) -> (StageConfig, Vec<usize>) {
     reader.strings(node, 0);
     let mut properties = reader.properties(node);
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,15 +1,15 @@
-//! Mistakes in the operator's file, with their places.
+//! Mistakes in the operator's file, with their positions.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// A place in a text.
+/// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
@@ -17,7 +17,8 @@
     /// The start of a text.
     pub const START: Position = Position { line: 1, column: 1 };
 
-    /// The place of a byte of `text`; that of its end for a byte behind it.
+    /// The position of the character that contains the byte at `offset`. An offset beyond the end of `text`
+    /// gives the position of the end.
     pub fn of_offset(text: &str, offset: usize) -> Position {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
@@ -37,25 +38,25 @@
     }
 }
 
-/// One mistake. Mistakes are ordered by their places.
+/// One mistake. Mistakes are ordered by their positions.
 #[derive(Clone, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 #[error("{position}: {reason}")]
 pub struct Mistake {
-    /// Where it is.
+    /// The position of the mistake.
     pub position: Position,
     /// What was found and what was expected.
     pub reason: String,
-    /// The node or property that it is about, with the nodes around it, such as `dependency.retry.most`; empty if it is
-    /// about the file as a whole.
+    /// The path of the node or property that the mistake concerns, such as `dependency.retry.most`; empty if
+    /// it concerns the file as a whole.
     pub key: String,
 }
 
-/// Why the operator's file can't be used: all mistakes in it, in their order in the file.
+/// The error for an operator's file that can't be used: all mistakes in it, in the order of the file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Name of the file.
+    /// The name of the file.
     pub file: String,
-    /// The mistakes; never none.
+    /// The mistakes; never empty.
     pub mistakes: Vec<Mistake>,
 }
 
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The node `fleet`: which servers belong together, how they reach each other, and what they share.
+//! Reads the node `fleet`: its members, how they reach each other, and the quotas that they share.
 
 use std::net::SocketAddr;
 
@@ -11,41 +11,43 @@
 use crate::reader::Reader;
 use crate::record::Record;
 
-/// Stands for an address that is missing or invalid, which is reported.
+/// Replaces a missing or invalid address, which is reported as a mistake.
 const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
-/// The server's name in messages where the platform's configuration is not known.
+/// Replaces the server's name in messages if the platform's configuration is not known.
 const UNKNOWN_SERVER_NAME: &str = "this server, whose name the configuration has";
 
-/// A fleet, as one server's file describes it.
+/// The settings of a fleet in one server's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where this server listens for the others, by datagram and by stream.
+    /// The address at which this server receives datagrams and connections of the other servers.
     pub listen: SocketAddr,
-    /// Its members and the times of the membership protocol. This server's name comes from the platform's configuration.
+    /// The members and the times of the membership protocol. This server's name comes from the platform's
+    /// configuration.
     pub membership: Config,
-    /// The address of each peer, in the same order.
+    /// The address of each peer, in the order of the peers in `membership`.
     pub addresses: Vec<SocketAddr>,
     /// The times of quota leases.
     pub leases: LeaseTimes,
-    /// Dependencies whose `survives` all servers share, and how many concurrent calls each survives.
+    /// The dependencies whose `survives` quota all servers share, and how many concurrent calls each of them
+    /// survives.
     pub shared: Vec<(String, u32)>,
     /// The replicated store, if the servers have one.
     pub record: Option<Record>,
-    /// Where the node stands in its file.
+    /// The position of the node in its file.
     pub position: Position,
 }
 
-/// Times of quota leases, in microseconds; see [`quota::Config`].
+/// The times of quota leases, in microseconds; see [`quota::Config`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease_duration: u64,
-    /// The longest time that a call to a shared dependency may state.
+    /// The maximum duration that a call to a shared dependency may state.
     pub max_call_duration: u64,
-    /// How long a call may be on its way.
+    /// The maximum time from sending a call until the dependency starts to count its stated time.
     pub max_delivery_delay: u64,
-    /// How far the rate of a clock may be off, as a share.
+    /// The maximum deviation of a clock's rate, as a share of the rate.
     pub clock_drift: f64,
 }
 
@@ -58,7 +60,8 @@
 }
 
 impl Fleet {
-    /// The distributed quota of a shared dependency that survives `calls` concurrent calls.
+    /// Returns the configuration of the distributed quota of a shared dependency that survives `calls`
+    /// concurrent calls.
     pub fn quota_config(&self, calls: u32) -> quota::Config {
         let LeaseTimes { lease_duration, max_call_duration, max_delivery_delay, clock_drift } = self.leases;
         let own_name = self.membership.name.clone();
@@ -75,7 +78,8 @@
         }
     }
 
-    /// What two servers must have in common to assume the same quota shares. It is hashed and compared between servers.
+    /// Describes the settings that must be equal on two servers for them to compute the same quota shares.
+    /// Servers compare digests of this text.
     pub fn basis(&self) -> String {
         let line =
             |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
@@ -83,7 +87,8 @@
     }
 }
 
-/// Reads the node, if there is one. `server_name` is this server's, where the platform's configuration is known.
+/// Reads the node, if there is one. `server_name` is this server's name, if the platform's configuration is
+/// known.
 pub fn read(
     reader: &mut Reader,
     document: &KdlDocument,
@@ -156,12 +161,12 @@
     address
 }
 
-/// All nodes `peer`, in their order.
+/// The content of all nodes `peer`, in the order of the file.
 #[derive(Default)]
 struct Peers {
     peers: Vec<Peer>,
     addresses: Vec<SocketAddr>,
-    /// Where each stands.
+    /// The byte offset of each node.
     offsets: Vec<usize>,
 }
 
@@ -237,7 +242,8 @@
     leases
 }
 
-/// Mistakes in the quotas of shared dependencies. Those in the roster are reported already, at their own places.
+/// Reports mistakes in the quotas of shared dependencies. Mistakes in the roster have been reported already,
+/// at the nodes that they concern.
 fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
     for (name, calls) in &fleet.shared {
         for reason in fleet.quota_config(*calls).validate() {
@@ -247,7 +253,8 @@
     }
 }
 
-/// Dependencies that state what they survive, and not by how many servers that is to be divided: all servers share it.
+/// Returns the dependencies whose node `survives` does not state the number of `servers` to divide the quota
+/// by: all servers share the quota of such a dependency.
 fn shared_quotas(document: &KdlDocument, dependencies: &DependencyConfig) -> Vec<(String, u32)> {
     let mut shared = Vec::new();
     for name in dependencies.dependencies.iter().map(|dependency| &dependency.name) {
@@ -261,7 +268,7 @@
     shared
 }
 
-/// The node `survives` of a dependency.
+/// Returns the node `survives` of a dependency.
 fn survives_node<'d>(document: &'d KdlDocument, dependency: &str) -> Option<&'d KdlNode> {
     let has_name = |n: &&KdlNode| {
         n.name().value() == "dependency" && n.get(0).and_then(|v| v.as_string()) == Some(dependency)
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,12 +1,13 @@
-//! Reads the operator's own file: what an installation wants beyond what the platform's configuration says.
+//! Reads the operator's file, which holds the settings of an installation that the platform's configuration
+//! does not have.
 //!
-//! It is a [KDL 2](https://kdl.dev) document. [`parse`] reads all of it and reports all mistakes at once, each with line,
-//! column, what was found and what was expected. `docs/operating/dependencies.md` names every field with its unit and
-//! range.
+//! The file is a [KDL 2](https://kdl.dev) document. [`parse`] reads all of it and reports all mistakes at
+//! once, each with line, column, what was found and what was expected. `docs/operating/dependencies.md` lists
+//! every field with its unit and range.
 //!
 //! - `dependencies` reads the nodes `kept`, `dependency` and `plan`;
-//! - [`fleet`] reads the node `fleet`, and [`record`] the replicated store within it;
-//! - `reader` takes values out of nodes and collects mistakes, which [`error`] describes.
+//! - [`fleet`] reads the node `fleet`, and [`record`] its child node `record` for the replicated store;
+//! - `reader` reads values of nodes and collects mistakes, whose types are in [`error`].
 //!
 //! ```
 //! let text = r#"
@@ -43,63 +44,64 @@
 
 use reader::Reader;
 
-/// The longest file that is read, in bytes.
+/// The maximum size of the file, in bytes.
 const MAX_FILE_LENGTH: u64 = 1 << 20;
 
-/// All that the file says.
+/// The content of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// Dependencies and plans, in the form of the package that decides about calls. Endpoints are addresses, or
-    /// [`PLATFORM`].
+    /// Dependencies and plans, as the configuration of the package that decides about calls. An endpoint is
+    /// an address or [`PLATFORM`].
     pub dependencies: Config,
-    /// How each dependency is reached, in the same order.
+    /// How each dependency is reached, in the order of the dependencies.
     pub services: Vec<Service>,
-    /// The fleet that this server belongs to, if it knows one.
+    /// The fleet that this server belongs to, if one is configured.
     pub fleet: Option<Fleet>,
 }
 
-/// The endpoint that stands for the records service of the platform's configuration.
+/// The endpoint that represents the records service of the platform's configuration.
 pub const PLATFORM: &str = "platform";
 
-/// How a dependency is reached.
+/// How a dependency is reached. Servers compare digests of the debug form of this type, so the names of its
+/// fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the dependency.
     pub name: String,
     /// The path that calls are sent to.
     pub path: String,
-    /// Its endpoints; none where it is the platform's records service.
+    /// The addresses of its endpoints; empty for the platform's records service.
     pub endpoints: Vec<SocketAddr>,
-    /// How it is called over AJP; `None` is HTTP.
+    /// Settings of AJP; `None` if the dependency is called over HTTP.
     pub ajp: Option<Ajp>,
 }
 
-/// AJP 1.3 to a dependency.
+/// Settings for calls to a dependency over AJP 1.3.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ajp {
-    /// The secret that it demands.
+    /// The secret that the dependency requires.
     pub secret: Option<String>,
-    /// The size of a packet, in bytes.
+    /// The maximum size of a packet, in bytes.
     pub packet: usize,
 }
 
 impl Service {
-    /// Whether it is the platform's records service.
+    /// Whether this is the platform's records service.
     pub fn is_platform(&self) -> bool {
         self.endpoints.is_empty()
     }
 }
 
-/// What is known of the platform's configuration, which the file must fit.
+/// Values of the platform's configuration that the file is checked against, as far as they are known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerContext<'a> {
-    /// The classes that plans may be for.
+    /// The names of the classes that plans may be for.
     pub class_names: Option<&'a [String]>,
     /// This server's name.
     pub server_name: Option<&'a str>,
 }
 
-/// Reads the file at `path`, and checks it against what is known of the platform's configuration.
+/// Reads the file at `path`, and checks it against the known values of the platform's configuration.
 pub fn load(path: &Path, context: ServerContext) -> Result<Operator, ConfigError> {
     let file = path.display().to_string();
     let file_error = |reason: String| {
@@ -115,12 +117,12 @@
     parse_in_context(&file, &text, context)
 }
 
-/// Reads a text; `file` is its name in errors.
+/// Reads the text of a file; `file` is its name in errors.
 pub fn parse(file: &str, text: &str, class_names: Option<&[String]>) -> Result<Operator, ConfigError> {
     parse_in_context(file, text, ServerContext { class_names, server_name: None })
 }
 
-/// Reads a text, and checks it against what is known of the platform's configuration.
+/// Reads the text of a file, and checks it against the known values of the platform's configuration.
 pub fn parse_in_context(file: &str, text: &str, context: ServerContext) -> Result<Operator, ConfigError> {
     let error = |mistakes| ConfigError { file: file.to_owned(), mistakes };
     let mut reader = Reader::new(text);
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads KDL nodes. Every value is taken by its name and type; what nobody takes is a mistake.
+//! Reads KDL nodes. Every value is read by its name and type; a value that is not read is reported as a
+//! mistake.
 
 use std::ops::RangeInclusive;
 
@@ -7,42 +8,44 @@
 
 use crate::error::{Mistake, Position};
 
-/// The longest time that a property in milliseconds may state.
+/// The maximum value of a property that is a time in milliseconds.
 const MAX_MILLIS: u64 = 60_000;
 
-/// Reads one file, and collects the mistakes in it.
+/// Reads the nodes of one file, and collects the mistakes in it.
 pub struct Reader<'a> {
     text: &'a str,
-    /// The byte that each mistake is about, and what is wrong there.
+    /// The byte offset and the reason of each mistake.
     mistakes: Vec<(usize, String)>,
 }
 
 impl<'a> Reader<'a> {
-    /// Starts to read this text.
+    /// Creates a reader of this text without mistakes.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, mistakes: Vec::new() }
     }
 
-    /// Notes a mistake at this byte of the text.
+    /// Records a mistake at this byte offset of the text.
     pub fn report(&mut self, offset: usize, reason: impl Into<String>) {
         self.mistakes.push((offset, reason.into()));
     }
 
-    /// Notes a mistake in this node.
+    /// Records a mistake at the start of this node.
     pub fn report_node(&mut self, node: &KdlNode, reason: impl Into<String>) {
         self.report(node.span().offset(), reason);
     }
 
+    /// Records a mistake at this argument or property.
     fn report_entry(&mut self, entry: &KdlEntry, reason: impl Into<String>) {
         self.report(entry.span().offset(), reason);
     }
 
-    /// Line and column of this byte.
+    /// The line and column of this byte offset.
     pub fn position(&self, offset: usize) -> Position {
         Position::of_offset(self.text, offset)
     }
 
-    /// All mistakes, each once, in the order of the file. `document` is what the text was parsed to, if it was.
+    /// Returns all mistakes without duplicates, in the order of the file. `document` is the parsed text, or
+    /// `None` after a syntax error.
     pub fn into_mistakes(self, document: Option<&KdlDocument>) -> Vec<Mistake> {
         let text = self.text;
         let mistake = |(offset, reason): (usize, String)| {
@@ -56,7 +59,7 @@
         mistakes
     }
 
-    /// Notes each node whose name is none of these.
+    /// Reports each node whose name is not one of these.
     pub fn allow_only(&mut self, document: &KdlDocument, names: &[&str]) {
         for node in document.nodes() {
             let name = node.name().value();
@@ -66,7 +69,7 @@
         }
     }
 
-    /// The one node of this name, if it is there; notes further ones.
+    /// Returns the node of this name, if there is one; reports further nodes of the same name.
     pub fn single<'d>(&mut self, document: Option<&'d KdlDocument>, name: &str) -> Option<&'d KdlNode> {
         let mut nodes = document?.nodes().iter().filter(|n| n.name().value() == name);
         let first = nodes.next();
@@ -76,7 +79,7 @@
         first
     }
 
-    /// Notes children where there are to be none.
+    /// Reports a node that has children.
     pub fn expect_no_children(&mut self, node: &KdlNode) {
         if node.children().is_some_and(|children| !children.nodes().is_empty()) {
             let name = node.name().value();
@@ -84,7 +87,8 @@
         }
     }
 
-    /// The arguments of a node, which must be strings, `max` at most.
+    /// Returns the arguments of a node; reports arguments that are not strings and strings beyond the first
+    /// `max`.
     pub fn strings(&mut self, node: &KdlNode, max: usize) -> Vec<String> {
         let mut strings = Vec::new();
         for entry in node.entries().iter().filter(|e| e.name().is_none()) {
@@ -99,7 +103,8 @@
         strings
     }
 
-    /// The one string that a node must have as its argument; `expected` says what it is.
+    /// Returns the string argument of a node, which must have exactly one. `expected` describes it in the
+    /// error.
     pub fn string(&mut self, node: &KdlNode, expected: &str) -> Option<String> {
         let string = self.strings(node, 1).pop();
         if string.is_none() {
@@ -109,7 +114,7 @@
         string
     }
 
-    /// The one string that a node must have, besides which it has nothing.
+    /// Returns the string argument of a node, which must have nothing else: neither properties nor children.
     pub fn only_string(&mut self, node: &KdlNode, expected: &str) -> Option<String> {
         let string = self.string(node, expected);
         self.expect_no_children(node);
@@ -117,32 +122,35 @@
         string
     }
 
-    /// Notes all properties of a node whose arguments were taken.
+    /// Reports all properties of a node. Its arguments were read already.
     pub fn expect_no_properties(&mut self, node: &KdlNode) {
         self.properties(node).with_arguments().finish();
     }
 
-    /// Starts to take the properties of a node.
+    /// Returns a reader of the properties of a node.
     pub fn properties<'r, 'd>(&'r mut self, node: &'d KdlNode) -> Properties<'r, 'a, 'd> {
         Properties { reader: self, node, taken_names: Vec::new(), has_arguments: false }
     }
 }
 
-/// The properties of one node. What was not taken by [`Properties::finish`] is a mistake.
+/// Reads the properties of one node. [`Properties::finish`] reports those that were not read.
 pub struct Properties<'r, 'a, 'd> {
     reader: &'r mut Reader<'a>,
     node: &'d KdlNode,
+    /// The names of the properties that were read, whether or not they are present.
     taken_names: Vec<&'static str>,
+    /// Whether the arguments of the node were read already, so that they are not reported.
     has_arguments: bool,
 }
 
 impl<'d> Properties<'_, '_, 'd> {
-    /// The node has arguments too, which were taken already.
+    /// States that the arguments of the node were read already.
     pub fn with_arguments(mut self) -> Self {
         self.has_arguments = true;
         self
     }
 
+    /// Returns the property of this name, if it is present; reports further ones of the same name.
     fn entry(&mut self, name: &'static str) -> Option<&'d KdlEntry> {
         self.taken_names.push(name);
         let has_name = |e: &&KdlEntry| e.name().is_some_and(|n| n.value() == name);
@@ -154,7 +162,7 @@
         first
     }
 
-    /// A number.
+    /// Reads a finite number. Returns `default` if the property is absent or invalid.
     pub fn number(&mut self, name: &'static str, default: f64) -> f64 {
         let Some(entry) = self.entry(name) else { return default };
         match entry.value() {
@@ -168,7 +176,7 @@
         }
     }
 
-    /// A whole number in this range.
+    /// Reads an integer in this range. Returns `default` if the property is absent or invalid.
     pub fn integer(&mut self, name: &'static str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let Some(entry) = self.entry(name) else { return default };
         let value = match entry.value() {
@@ -183,12 +191,12 @@
         })
     }
 
-    /// A time in milliseconds, up to a minute. Given in microseconds, as `default` is.
+    /// Reads a time in milliseconds of at most [`MAX_MILLIS`]. The result and `default` are in microseconds.
     pub fn millis(&mut self, name: &'static str, default: Micros) -> Micros {
         self.integer(name, default / 1_000, 0..=MAX_MILLIS) * 1_000
     }
 
-    /// A string, if it is there.
+    /// Reads a string. Returns `None` if the property is absent or invalid.
     pub fn string(&mut self, name: &'static str) -> Option<String> {
         let entry = self.entry(name)?;
         match entry.value() {
@@ -201,7 +209,7 @@
         }
     }
 
-    /// A number that must be there.
+    /// Reads a number that must be present.
     pub fn required_number(&mut self, name: &'static str) -> f64 {
         if self.node.entries().iter().all(|e| e.name().is_none_or(|n| n.value() != name)) {
             let node_name = self.node.name().value();
@@ -211,7 +219,8 @@
         self.number(name, 1.0)
     }
 
-    /// Notes all properties that were not taken.
+    /// Reports all properties that were not read, and all arguments unless [`Properties::with_arguments`] was
+    /// called.
     pub fn finish(self) {
         for entry in self.node.entries() {
             let Some(name) = entry.name().map(KdlIdentifier::value) else {
@@ -233,7 +242,8 @@
     }
 }
 
-/// The names of the nodes around a byte, outermost first, and of the property there, with dots between them.
+/// Returns the names of the nodes that contain a byte offset, outermost first, and of the property that
+/// starts there, joined by dots.
 fn key_at(document: &KdlDocument, offset: usize) -> String {
     let mut names = Vec::new();
     let mut level = Some(document);
@@ -251,7 +261,7 @@
     names.join(".")
 }
 
-/// The names among which a sentence offers a choice.
+/// Formats names as a list of alternatives for an error message.
 pub fn alternatives(names: &[&str]) -> String {
     let quoted: Vec<String> = names.iter().map(|n| format!("{n:?}")).collect();
     match quoted.split_last() {
@@ -261,7 +271,7 @@
     }
 }
 
-/// A value as it stands in a file.
+/// Formats a value as a KDL file contains it.
 pub fn format_value(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("{text:?}"),
--- a/crates/operator-config/src/record.rs
+++ b/crates/operator-config/src/record.rs
@@ -1,4 +1,4 @@
-//! The node `record` within a fleet: the replicated store of its servers.
+//! Reads the node `record` of a fleet: the settings of the servers' replicated store.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -8,41 +8,42 @@
 
 use crate::reader::Reader;
 
-/// A second, in microseconds.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// A day, in seconds.
 const SECONDS_PER_DAY: u64 = 86_400;
-/// Bytes that a replica takes on disk at most, in MiB, unless set.
+/// The default maximum size of a replica on disk, in MiB.
 const DEFAULT_MAX_MB: u64 = 256;
-/// Time between two scrubs, in seconds, unless set.
+/// The default time between two scrubs, in seconds.
 const DEFAULT_SCRUB_S: u64 = 600;
-/// The range of `voters`.
+/// The valid range of the property `voters`.
 const VOTERS_RANGE: RangeInclusive<u64> = 1..=5;
 
-/// The replicated store, as one server's file describes it.
+/// The settings of the replicated store in one server's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Who votes, and its times. Names come from the fleet.
+    /// The voters and times of the store. The names of the servers come from the fleet.
     pub config: Config,
-    /// Where this server's replica outlives its process; without it nothing does.
+    /// The folder of this server's replica; with `None` the replica is lost when the process ends.
     pub folder: Option<PathBuf>,
-    /// Bytes that the replica takes there at most; the file may be about twice as large between two compactions.
+    /// The maximum size of the replica in the folder, in bytes. The file may be about twice as large between
+    /// two compactions.
     pub max_bytes: u64,
-    /// Time between two scrubs of all that is on disk, in microseconds.
+    /// The time between two scrubs of all data on disk, in microseconds.
     pub scrub_interval: u64,
 }
 
-/// Where a replica is stored, and how.
+/// The settings of the node `folder`; the fields are those of [`Record`].
 struct Storage {
     folder: Option<PathBuf>,
     max_bytes: u64,
     scrub_interval: u64,
 }
 
-/// Reads the node. `name`, `zone` and the names of the `others` are the fleet's.
+/// Reads the node. The fleet's configuration provides the server's `name` and `zone` and the names of the
+/// `others`.
 pub fn read(reader: &mut Reader, node: &KdlNode, (name, zone, others): (&str, &str, &[&str])) -> Record {
     let defaults = Config { zone: zone.into(), ..Config::new(name, others) };
-    // Three voters of fewer members would be a mistake that nobody made.
+    // With fewer than three members the usual default of three voters would be reported as a mistake,
+    // although the file does not state it.
     let default_voters = if others.len() < 2 { 1 } else { 3 };
     let Storage { folder, max_bytes, scrub_interval } = storage(reader, node.children());
     let mut properties = reader.properties(node);
@@ -63,6 +64,7 @@
     Record { config, folder, max_bytes, scrub_interval }
 }
 
+/// Reads the node `folder`, or returns the defaults without one.
 fn storage(reader: &mut Reader, children: Option<&KdlDocument>) -> Storage {
     if let Some(children) = children {
         reader.allow_only(children, &["folder"]);
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// A fleet of three, with a quota that they share and one that is divided in equal parts.
+/// A fleet of three servers, with a quota that they share and a quota that is divided into equal parts.
 const FLEET: &str = r#"
 dependency "billing" { endpoints "127.0.0.1:1"; survives calls=40; }
 dependency "notes" { endpoints "127.0.0.1:2"; survives calls=40 servers=4; }
@@ -37,7 +37,7 @@
         (fleet.quota_config(40).own_share(), operator.dependencies.dependencies[1].concurrency_ceiling()),
         (14, 10)
     );
-    // The server's own name among its peers is known only with the configuration.
+    // A peer with the server's own name can be detected only if the platform's configuration is known.
     let own_name = ServerContext { class_names: None, server_name: Some("n2") };
     let error = parse_in_context("f", FLEET, own_name).expect_err("its own name").to_string();
     assert!(error.contains("f:8:5: the peer \"n2\" is this server itself"), "{error}");
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,23 +1,23 @@
-//! What can be wrong with a settings object.
+//! Errors in a settings object.
 
 use thiserror::Error;
 
-/// A field of the settings object, or of another JSON object read by [`fields`](crate::fields), can't be used. The
-/// text names the field between backticks.
+/// An invalid field of the settings object, or of another JSON object read by [`fields`](crate::fields). The
+/// message names the field between backticks.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A required field is absent, or a value has the wrong type or is not one of the known words.
+    /// A required field is absent, or a value has the wrong type or is not one of the known values.
     #[error("field `{field}`: expected {expected}")]
     UnexpectedValue {
-        /// The key, or a path such as `load_report.how`.
+        /// The key of the field, or a path such as `load_report.how`.
         field: String,
-        /// What was expected.
+        /// Description of the expected value.
         expected: String,
     },
-    /// A class with idempotency keys says for how long they count.
+    /// A class with idempotency keys does not state for how long a key is retained.
     #[error("field `classes[{class}].repeat_window_us`: a keyed class needs a window above 0")]
     MissingIdempotencyWindow {
-        /// Index of the class.
+        /// Index of the class in `classes`.
         class: usize,
     },
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,6 +1,6 @@
 //! Typed access to the fields of a JSON object, with errors that name the field.
 //!
-//! A field whose value is null counts as absent.
+//! A field whose value is null is treated as absent.
 
 use serde_json::{Map, Value};
 
@@ -11,15 +11,15 @@
 
 const UNSIGNED_INTEGER: &str = "a whole number of 0 or more";
 
-/// A field's value, if it is present and not null.
+/// Returns a field's value, if it is present and not null.
 pub fn get<'a>(object: &'a Object, field: &str) -> Option<&'a Value> {
     object.get(field).filter(|value| !value.is_null())
 }
 
-/// An optional field, converted by `convert`; `expected` describes its type in the error.
+/// Reads an optional field and converts it with `convert`; `expected` describes its type in the error.
 ///
 /// # Errors
-/// The field is present and `convert` gives `None`.
+/// The field is present and `convert` returns `None`.
 pub fn optional<'a, T>(
     object: &'a Object,
     field: &str,
@@ -31,10 +31,10 @@
     Ok(Some(converted))
 }
 
-/// A required field, converted by `convert`; `expected` describes its type in the error.
+/// Reads a required field and converts it with `convert`; `expected` describes its type in the error.
 ///
 /// # Errors
-/// The field is absent, or `convert` gives `None`.
+/// The field is absent, or `convert` returns `None`.
 pub fn required<'a, T>(
     object: &'a Object,
     field: &str,
@@ -44,7 +44,7 @@
     optional(object, field, expected, convert)?.ok_or_else(|| SettingsError::unexpected(field, expected))
 }
 
-/// A required unsigned integer.
+/// Reads a required unsigned integer.
 ///
 /// # Errors
 /// The field is absent or has another type.
@@ -52,7 +52,7 @@
     required(object, field, UNSIGNED_INTEGER, Value::as_u64)
 }
 
-/// An optional unsigned integer.
+/// Reads an optional unsigned integer.
 ///
 /// # Errors
 /// The field has another type.
@@ -60,7 +60,7 @@
     Ok(optional(object, field, UNSIGNED_INTEGER, Value::as_u64)?.unwrap_or(default))
 }
 
-/// A required number.
+/// Reads a required number.
 ///
 /// # Errors
 /// The field is absent or has another type.
@@ -68,7 +68,7 @@
     required(object, field, "a number", Value::as_f64)
 }
 
-/// An optional number.
+/// Reads an optional number.
 ///
 /// # Errors
 /// The field has another type.
@@ -76,7 +76,7 @@
     Ok(optional(object, field, "a number", Value::as_f64)?.unwrap_or(default))
 }
 
-/// An optional boolean; false by default.
+/// Reads an optional boolean; false by default.
 ///
 /// # Errors
 /// The field has another type.
@@ -84,7 +84,7 @@
     Ok(optional(object, field, "true or false", Value::as_bool)?.unwrap_or(false))
 }
 
-/// A required string.
+/// Reads a required string.
 ///
 /// # Errors
 /// The field is absent or has another type.
@@ -92,7 +92,7 @@
     required(object, field, "a text", Value::as_str)
 }
 
-/// An optional string.
+/// Reads an optional string.
 ///
 /// # Errors
 /// The field has another type.
@@ -100,7 +100,7 @@
     Ok(optional(object, field, "a text", Value::as_str)?.unwrap_or(default))
 }
 
-/// A required object.
+/// Reads a required object.
 ///
 /// # Errors
 /// The field is absent or has another type.
@@ -108,7 +108,7 @@
     required(object, field, "an object", Value::as_object)
 }
 
-/// An optional array; empty by default.
+/// Reads an optional array; empty by default.
 ///
 /// # Errors
 /// The field has another type.
@@ -116,7 +116,7 @@
     Ok(optional(object, field, "an array", Value::as_array)?.map_or(&[], Vec::as_slice))
 }
 
-/// An optional array of objects; empty by default.
+/// Reads an optional array of objects; empty by default.
 ///
 /// # Errors
 /// The field or one of its elements has another type.
@@ -125,10 +125,11 @@
     objects.ok_or_else(|| SettingsError::unexpected(field, "an array of objects"))
 }
 
-/// A string that is one of the `known` words, translated; an absent one counts as `default`.
+/// Reads a string that must be one of the `known` names, and returns the value paired with that name. An
+/// absent field is read as `default`.
 ///
 /// # Errors
-/// The field has another type, or its word is not known.
+/// The field has another type, or its value is not one of the known names.
 pub fn one_of<T: Copy>(
     object: &Object,
     field: &str,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,11 @@
-//! Reads the settings object that a server is given at its start, for the simulator's adapter and the real server
-//! alike. The words of that object are translated into the terms of the code here and nowhere else.
+//! Reads the JSON settings object that a server receives at startup, for both the simulator's adapter and the
+//! real server. The fields and values of that object are converted into the types of the code only here.
 //!
 //! - [`settings`]: the admission controller's settings;
-//! - [`shape`], [`class_names`], [`tenant_names`], [`GaugeNames`]: what only a host needs;
+//! - [`shape`], [`class_names`], [`tenant_names`], [`GaugeNames`]: settings that only the host of an
+//!   admission controller needs;
 //! - [`fields`]: typed access to fields of JSON objects, with a [`SettingsError`] that names the field;
-//! - [`locate`]: the line on which a field stands, for errors.
+//! - [`locate`]: finds the line of a field, for error messages.
 //!
 //! ```
 //! use umberloom_settings::{fields::Object, settings, SettingsError};
--- a/crates/settings/src/locate.rs
+++ b/crates/settings/src/locate.rs
@@ -1,13 +1,13 @@
-//! The line of a JSON text on which a field stands, so that an error about the field can name it.
+//! Finds the line of a field in a JSON text, so that an error about the field can name it.
 
-/// One segment of a path: a key of an object, or an index of a list.
+/// A segment of a path: a key of an object, or an index of a list.
 #[derive(Debug, PartialEq)]
 enum PathSegment<'a> {
     Key(&'a str),
     Index(usize),
 }
 
-/// Splits a path as errors name it: `classes[1].write`, `family_info.key_kb`.
+/// Splits a path in the form that error messages use: `classes[1].write`, `family_info.key_kb`.
 fn parse_path(path: &str) -> Option<Vec<PathSegment<'_>>> {
     let mut segments = Vec::new();
     for segment in path.split('.') {
@@ -22,13 +22,13 @@
     (!segments.is_empty()).then_some(segments)
 }
 
-/// An object or list that is open at the scanner's position.
+/// An object or list that contains the scanner's position.
 enum Frame<'a> {
     Object { key: Option<&'a str>, expects_key: bool },
     List { index: usize },
 }
 
-/// Walks through a JSON text and keeps the path to its position.
+/// Scans a JSON text and tracks the path to the current position.
 struct Scanner<'a> {
     text: &'a str,
     position: usize,
@@ -36,8 +36,8 @@
     frames: Vec<Frame<'a>>,
 }
 
-/// The line, from 1, of the first field whose path ends with `path`; `None` where there is none, or `path` is not a
-/// path.
+/// Returns the line, counted from 1, of the first field whose path ends with `path`. Returns `None` if there
+/// is no such field or `path` is malformed.
 pub fn line_of(text: &str, path: &str) -> Option<usize> {
     let wanted = parse_path(path)?;
     let mut scanner = Scanner { text, position: 0, line: 1, frames: Vec::new() };
@@ -55,13 +55,14 @@
     None
 }
 
-/// The first text between backticks in an error message, where messages name the field that they are about.
+/// Returns the first text between backticks in an error message. Messages name the field they concern there.
 pub fn quoted_field(message: &str) -> Option<&str> {
     message.split('`').nth(1)
 }
 
 impl<'a> Scanner<'a> {
-    /// Moves to the closing quote of the string that begins here, and returns its text with escapes as they are.
+    /// Moves to the closing quote of the string that starts at the current position, and returns its text
+    /// without decoding escapes.
     fn read_string(&mut self) -> Option<&'a str> {
         let bytes = self.text.as_bytes();
         let start = self.position + 1;
@@ -72,13 +73,14 @@
         self.text.get(start..self.position.min(bytes.len()))
     }
 
-    /// Whether the string is a key, which is then the last segment of the path.
+    /// Makes the string the last segment of the path if it is a key; returns whether it is one.
     fn enter_key(&mut self, string: &'a str) -> bool {
         let Some(Frame::Object { key, expects_key: true }) = self.frames.last_mut() else { return false };
         *key = Some(string);
         true
     }
 
+    /// Updates the line and the path for a byte outside strings.
     fn read_punctuation(&mut self, byte: u8) {
         match byte {
             b'\n' => self.line += 1,
@@ -99,6 +101,7 @@
         }
     }
 
+    /// Returns the path to the current position.
     fn path(&self) -> Vec<PathSegment<'a>> {
         let segment = |frame: &Frame<'a>| match frame {
             Frame::Object { key, .. } => key.map(PathSegment::Key),
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,11 +1,11 @@
-//! Names in the settings object that a host needs and the admission controller does not.
+//! Names in the settings object that only the host of an admission controller needs.
 
 use umberloom::interface::Gauges;
 
 use crate::fields::{list, object, objects, text, Object};
 use crate::SettingsError;
 
-/// The names of the classes, in their order.
+/// Returns the names of the classes, in the order of the settings.
 ///
 /// # Errors
 /// A class has no name.
@@ -13,7 +13,7 @@
     names(options, "classes")
 }
 
-/// The names of the tenants, in their order.
+/// Returns the names of the tenants, in the order of the settings.
 ///
 /// # Errors
 /// A tenant has no name.
@@ -25,7 +25,7 @@
     objects(options, field)?.into_iter().map(|entry| text(entry, "name").map(String::from)).collect()
 }
 
-/// The names of a server's gauges, in the order in which their values come.
+/// The names of a server's gauges, in the order in which their values are reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GaugeNames(Vec<String>);
 
@@ -42,7 +42,8 @@
         Ok(GaugeNames(names))
     }
 
-    /// The readings for these values; gauges with other names are ignored.
+    /// Returns the gauges with these values, which are in the order of the names. Values under other names
+    /// are ignored.
     pub fn gauges(&self, values: impl IntoIterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in self.0.iter().zip(values) {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! Translates the settings object into the admission controller's settings.
+//! Converts the settings object into the admission controller's settings.
 
 use serde_json::Value;
 use umberloom::interface::{Class, Downstream, Idempotency, LoadHintKind, Preemption, Settings, Tenant};
@@ -24,10 +24,11 @@
     ("bias", LoadHintKind::Weight),
 ];
 
-/// The settings in the settings object `options`, for a server with this seed.
+/// Reads the admission controller's settings from the settings object `options`, for a server with this seed.
 ///
 /// # Errors
-/// The first field that is absent or has a wrong value. Ranges of values are checked by [`Settings::validate`].
+/// Reports the first field that is absent or has a wrong value. [`Settings::validate`] checks the ranges of
+/// values.
 pub fn settings(options: &Object, seed: u64) -> Result<Settings, SettingsError> {
     let info = object(options, "family_info")?;
     let guarantees = object(options, "guarantees")?;
@@ -75,8 +76,8 @@
     for (index, class) in objects(options, "classes")?.into_iter().enumerate() {
         let idempotency = one_of(class, "effect", "read_like", &IDEMPOTENCY_VALUES)?;
         let idempotency_window = integer_or(class, "repeat_window_us", 0)?;
-        // Only `effect` tells whether requests may be repeated. An idempotent write is `read_like` too, so `write`
-        // is checked for its type and nothing else: a customer's class may have it.
+        // Only `effect` states whether requests may be repeated: idempotent writes are `read_like` as well.
+        // Settings of customers may contain `write`, so its type is checked, but its value is not used.
         flag(class, "write")?;
         if idempotency == Idempotency::WithKey && idempotency_window == 0 {
             return Err(SettingsError::MissingIdempotencyWindow { class: index });
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,4 +1,4 @@
-//! How requests come at a deployment, which a host needs to know and the admission controller does not.
+//! What requests of a deployment state about themselves. Only the host of an admission controller needs it.
 
 use serde_json::Value;
 
@@ -7,21 +7,21 @@
 
 const LOAD_REPORT_VALUES: [&str; 4] = ["", "silent", "pull", "piggyback"];
 
-/// How requests come at this deployment.
+/// What requests of this deployment state about themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Each request states how long its caller waits.
+    /// Each request states the timeout of its caller.
     pub passes_deadline: bool,
-    /// Retries are marked as such.
+    /// A request states whether it is a retry.
     pub marks_retry: bool,
 }
 
 impl Shape {
-    /// Reads the shape from the settings object. Its fields are independent of each other: whether timeouts are
-    /// stated, whether running work can be preempted and how load is reported come in any combination.
+    /// Reads the shape from the settings object. Whether timeouts are stated, whether running work can be
+    /// preempted and how load is reported are independent settings: any combination is valid.
     ///
     /// # Errors
-    /// A field has the wrong type, or a word that is not known.
+    /// A field has the wrong type or an unknown value.
     pub fn read(options: &Object) -> Result<Shape, SettingsError> {
         let info = object(options, "family_info")?;
         let passes_deadline = optional(info, "passes_deadline", "true or false", Value::as_bool)?;
--- a/crates/settings/src/shape/tests.rs
+++ b/crates/settings/src/shape/tests.rs
@@ -15,8 +15,8 @@
     );
 }
 
-/// Guards against a server that does not start at another deployment: whether timeouts are stated and how load is
-/// reported were taken for one choice.
+/// Guards against a server that does not start with the settings of another deployment, because whether
+/// timeouts are stated and how load is reported were treated as a single setting.
 #[test]
 fn the_fields_are_independent() {
     for (passes_deadline, marks_retry, how) in [(true, false), (true, true), (false, false), (false, true)]
--- a/crates/sim-adapter/src/decode.rs
+++ b/crates/sim-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a line of the simulator's larch-ca68 protocol into events and settings.
+//! Decodes lines of the simulator's larch-ca68 protocol into events and settings.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,31 +22,32 @@
     Field(#[from] SettingsError),
 }
 
-/// One line of input.
+/// The content of one line of input.
 pub struct Batch {
-    /// The simulator's time.
+    /// The simulator's time, in microseconds.
     pub now: Micros,
-    /// In the order in which they happened.
+    /// The inputs, in the order in which they occurred.
     pub inputs: Vec<Input>,
 }
 
-/// What happened to one instance.
+/// An input for one instance.
 pub struct Input {
     pub instance: u64,
     pub kind: InputKind,
 }
 
-/// What can happen to an instance.
+/// The kinds of input for an instance.
 pub enum InputKind {
-    /// It starts with these settings.
+    /// The instance starts with these settings.
     Start(Settings),
-    /// Its process has died.
+    /// The process of the instance has crashed.
     Stop,
     /// An event for its admission controller.
     Event(Event),
 }
 
-/// Decodes lines. It keeps the names of each instance's gauges, whose values come in the order of the names.
+/// Decodes lines. It stores the gauge names of each instance, because timer events list only the values, in
+/// the order of the names.
 #[derive(Default)]
 pub struct Decoder {
     gauge_names: BTreeMap<u64, GaugeNames>,
@@ -103,7 +104,7 @@
     Ok(Arc::from(text(item, "txn")?))
 }
 
-/// The request that an arrival duplicates; the field is absent or 0 where there is none.
+/// Reads the id of the request that an arrival duplicates. The field is absent or 0 for other arrivals.
 fn duplicate_of(item: &Object) -> Result<Option<RequestId>, SettingsError> {
     match get(item, "forerunner") {
         None => Ok(None),
--- a/crates/sim-adapter/src/encode.rs
+++ b/crates/sim-adapter/src/encode.rs
@@ -1,14 +1,16 @@
-//! Encodes actions as a reply of the simulator's larch-ca68 protocol.
+//! Encodes actions as replies of the simulator's larch-ca68 protocol.
 
 use serde::Serialize;
 use umberloom::interface::{Action, Micros};
 
-/// The name of every timer: an admission controller has only one.
+/// The name of the timer in the protocol. An admission controller has only one timer.
 const TIMER_NAME: &str = "wake";
+/// The start of a reply.
 const REPLY_START: &[u8] = b"{\"do\":[";
+/// The end of a reply.
 const REPLY_END: &[u8] = b"]}\n";
 
-/// An action on the wire.
+/// An action as the protocol encodes it.
 #[derive(Serialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
 enum WireAction<'a> {
@@ -30,6 +32,7 @@
 }
 
 impl<'a> WireAction<'a> {
+    /// Converts an action of an instance.
     fn new(instance: u64, action: &'a Action) -> WireAction<'a> {
         let who = instance;
         match action {
@@ -53,24 +56,24 @@
     }
 }
 
-/// The reply to one batch.
+/// Builds the reply to one batch.
 #[derive(Default)]
 pub struct Reply {
     text: Vec<u8>,
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u64, action: &Action) {
         self.write(&WireAction::new(instance, action));
     }
 
-    /// Adds that an instance can't start, with the reason.
+    /// Appends a crash action: the instance can't start for this reason.
     pub fn push_crash(&mut self, instance: u64, reason: &str) {
         self.write(&WireAction::Crash { who: instance, text: reason });
     }
 
-    /// The finished line; the next action begins a new one.
+    /// Returns the finished line. The next action starts a new one.
     pub fn finish(&mut self) -> Vec<u8> {
         let mut line = std::mem::take(&mut self.text);
         if line.is_empty() {
@@ -82,7 +85,8 @@
 
     fn write(&mut self, action: &WireAction) {
         self.text.extend_from_slice(if self.text.is_empty() { REPLY_START } else { b"," });
-        // Serializing plain fields into memory can't fail; if it did, the simulator would reject the cut line.
+        // Serializing plain fields into memory can't fail. If it did, the simulator would reject the
+        // truncated line.
         let _ = serde_json::to_writer(&mut self.text, action);
     }
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The admission controllers of all instances that the simulator runs in this process.
+//! Runs the admission controllers of all simulated instances in this process.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -10,16 +10,17 @@
 use crate::decode::{Batch, DecodeError, Decoder, InputKind};
 use crate::encode::Reply;
 
-/// Why the adapter ended before its input.
+/// An error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 #[error("line {line}: {cause}")]
 pub struct ServeError {
-    /// From 1.
+    /// The line of the input, counted from 1.
     pub line: usize,
+    /// The error on this line.
     pub cause: LineError,
 }
 
-/// What is wrong with one line.
+/// An error on one line of input.
 #[derive(Debug, Error)]
 pub enum LineError {
     #[error(transparent)]
@@ -30,13 +31,13 @@
     UnknownInstance { instance: u64 },
 }
 
-/// The instances, which share nothing.
+/// The admission controllers by instance number. They share no state.
 #[derive(Default)]
 struct Host {
     controllers: BTreeMap<u64, AdmissionController>,
 }
 
-/// Answers each line of `input` with a line on `output`, until the input ends.
+/// Writes a line to `output` for each line of `input`, until the input ends.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = Host::default();
     let mut decoder = Decoder::default();
@@ -49,6 +50,7 @@
 }
 
 impl Host {
+    /// Decodes a line, applies it, and returns the reply with its line break.
     fn reply(&mut self, line: &str, decoder: &mut Decoder) -> Result<Vec<u8>, LineError> {
         let batch = decoder.decode(line)?;
         let mut reply = Reply::default();
@@ -56,7 +58,8 @@
         Ok(reply.finish())
     }
 
-    /// Steps each instance that has inputs once, with all of its events.
+    /// Starts and stops instances, then steps each instance that was started or has events once, with all of
+    /// its events.
     fn step(&mut self, batch: Batch, reply: &mut Reply) -> Result<(), LineError> {
         let now = batch.now;
         let mut events: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs umberloom's admission controllers for the simulator: one line of JSON with events on standard input, one line
-//! with actions on standard output.
+//! Runs umberloom's admission controllers for the simulator. Each line of JSON with events on standard input
+//! is answered by one line with actions on standard output.
 
 mod decode;
 mod encode;
--- a/crates/sim-adapter/src/tests.rs
+++ b/crates/sim-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! The codec on each message, and the adapter as a program.
+//! Tests of decoding and encoding each message, and of whole exchanges with the adapter.
 
 use umberloom::interface::*;
 
@@ -22,7 +22,7 @@
     format!(r#"{{"op":"power_on","who":{who},"init_seed":5,"options":{options}}}"#)
 }
 
-/// The event in one item of `news`, for an instance that was started before.
+/// Decodes one item of `news` as an event of instance 3, which is started before it.
 fn event(news: &str) -> Event {
     let line = format!(r#"{{"sim_time_us":9,"news":[{},{news}]}}"#, start(3));
     let batch = Decoder::default().decode(&line).expect("a valid line");
@@ -32,7 +32,7 @@
     }
 }
 
-/// Serves these lines; the result as text, and the replies.
+/// Serves these lines; returns the result, with an error as text, and the replies.
 fn exchange(lines: &[String]) -> (Result<(), String>, String) {
     let mut output = Vec::new();
     let result = serve(lines.join("\n").as_bytes(), &mut output);
