--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -129,7 +129,7 @@
 
     /// Returns a reader of the properties of a node.
     pub fn properties<'r, 'd>(&'r mut self, node: &'d KdlNode) -> Properties<'r, 'a, 'd> {
-        Properties { reader: self, node, taken_names: Vec::new(), has_arguments: false }
+        Properties { reader: self, node, read_names: Vec::new(), has_arguments: false }
     }
 }
 
@@ -138,7 +138,7 @@
     reader: &'r mut Reader<'a>,
     node: &'d KdlNode,
     /// The names of the properties that were read, whether or not they are present.
-    taken_names: Vec<&'static str>,
+    read_names: Vec<&'static str>,
     /// Whether the arguments of the node were read already, so that they are not reported.
     has_arguments: bool,
 }
@@ -152,7 +152,7 @@
 
     /// Returns the property of this name, if it is present; reports further ones of the same name.
     fn entry(&mut self, name: &'static str) -> Option<&'d KdlEntry> {
-        self.taken_names.push(name);
+        self.read_names.push(name);
         let has_name = |e: &&KdlEntry| e.name().is_some_and(|n| n.value() == name);
         let mut entries = self.node.entries().iter().filter(has_name);
         let first = entries.next();
@@ -230,11 +230,11 @@
                 }
                 continue;
             };
-            if !self.taken_names.contains(&name) {
-                let expected = if self.taken_names.is_empty() {
+            if !self.read_names.contains(&name) {
+                let expected = if self.read_names.is_empty() {
                     "none".to_owned()
                 } else {
-                    alternatives(&self.taken_names)
+                    alternatives(&self.read_names)
                 };
                 self.reader.report_entry(entry, format!("found {name}, expected {expected}"));
             }
--- a/crates/settings/src/shape/tests.rs
+++ b/crates/settings/src/shape/tests.rs
@@ -18,7 +18,7 @@
 /// Guards against a server that does not start with the settings of another deployment, because whether
 /// timeouts are stated and how load is reported were treated as a single setting.
 #[test]
-fn the_fields_are_independent() {
+fn timeouts_retry_marks_and_load_reports_are_independent() {
     for (passes_deadline, marks_retry, how) in [(true, false), (true, true), (false, false), (false, true)]
         .into_iter()
         .flat_map(|(passes_deadline, marks_retry)| {
