--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -147,7 +147,7 @@
 
 fn report_syntax_errors(reader: &mut Reader, errors: &KdlError) {
     for diagnostic in &errors.diagnostics {
-        let message = diagnostic.message.as_deref().unwrap_or("found what is no KDL");
+        let message = diagnostic.message.as_deref().unwrap_or("found invalid KDL");
         let help = diagnostic.help.as_ref().map_or_else(String::new, |help| format!(" ({help})"));
         reader.report(diagnostic.span.offset(), format!("{message}{help}"));
     }
--- a/crates/sim-adapter/src/decode.rs
+++ b/crates/sim-adapter/src/decode.rs
@@ -88,7 +88,7 @@
             "left" => Event::Cancelled(request_id(item)?),
             "notice" => Event::Drain { time_left: integer(item, "grace_us")?, notified_ago: 0 },
             "bell" => Event::Timer(self.gauges(item, instance)?),
-            _ => return Err(SettingsError::unexpected("op", "an event of the wire")),
+            _ => return Err(SettingsError::unexpected("op", "the name of an event")),
         };
         Ok(InputKind::Event(event))
     }
