--- a/crates/operator-config/src/dependencies.rs
+++ b/crates/operator-config/src/dependencies.rs
@@ -1,4 +1,4 @@
-//! The nodes `kept`, `dependency` and `plan`.
+//! Reads the nodes `kept`, `dependency` and `plan`.
 
 mod dependency;
 mod plan;
@@ -10,18 +10,18 @@
 use crate::Service;
 use plan::StageOffsets;
 
-/// How many endpoints one dependency, or calls one node of a plan, may name.
+/// The maximum number of endpoints of a dependency, and of calls in one node of a plan.
 const MAX_NAMES: usize = 64;
 
-/// What the nodes say.
+/// The content of the nodes.
 pub struct Dependencies {
     /// Dependencies and plans.
     pub config: Config,
-    /// How each dependency is reached, in the same order.
+    /// How each dependency is reached, in the order of the dependencies.
     pub services: Vec<Service>,
 }
 
-/// Where nodes stand, so that mistakes in what they say together have a place too.
+/// The byte offsets of nodes, which give positions to mistakes found by validating the whole configuration.
 #[derive(Default)]
 struct Offsets {
     kept: usize,
@@ -29,32 +29,33 @@
     plans: Vec<PlanOffsets>,
 }
 
+/// The byte offsets of a plan and its stages.
 struct PlanOffsets {
     node: usize,
     stages: Vec<StageOffsets>,
 }
 
 impl Offsets {
-    /// The byte of the node that a mistake is about; 0 if there is none.
+    /// Returns the byte offset of the node that a mistake concerns; 0 if there is no such node.
     fn find(&self, location: ConfigLocation) -> usize {
-        let plan = |p: usize| self.plans.get(p);
-        let stage = |p: usize, s: usize| plan(p).and_then(|plan| plan.stages.get(s));
+        let plan_at = |plan: usize| self.plans.get(plan);
+        let stage_at = |plan: usize, stage: usize| plan_at(plan)?.stages.get(stage);
         let offset = match location {
             ConfigLocation::FallbackCache => Some(self.kept),
-            ConfigLocation::Dependency { dependency: d } => {
-                self.dependencies.get(d).or(self.dependencies.last()).copied()
+            ConfigLocation::Dependency { dependency } => {
+                self.dependencies.get(dependency).or(self.dependencies.last()).copied()
             }
-            ConfigLocation::Plan { plan: p } => plan(p).map(|plan| plan.node),
-            ConfigLocation::Stage { plan: p, stage: s } => stage(p, s).map(|stage| stage.node),
-            ConfigLocation::Call { plan: p, stage: s, call: c } => {
-                stage(p, s).and_then(|stage| stage.calls.get(c).copied())
+            ConfigLocation::Plan { plan } => plan_at(plan).map(|plan| plan.node),
+            ConfigLocation::Stage { plan, stage } => stage_at(plan, stage).map(|stage| stage.node),
+            ConfigLocation::Call { plan, stage, call } => {
+                stage_at(plan, stage).and_then(|stage| stage.calls.get(call).copied())
             }
         };
         offset.unwrap_or(0)
     }
 }
 
-/// Reads the nodes. `classes` are the names that plans may be for, where they are known.
+/// Reads the nodes. `classes` are the names of the classes that plans may be for, if they are known.
 pub fn read(reader: &mut Reader, document: &KdlDocument, classes: Option<&[String]>) -> Dependencies {
     let mut offsets = Offsets::default();
     let mut config = Config::default();
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The node `fleet`: which servers belong together, how they reach each other, and what they share.
+//! Reads the node `fleet`: its members, how they reach each other, and the quotas that they share.
 
 use std::net::SocketAddr;
 
@@ -11,40 +11,43 @@
 use crate::reader::Reader;
 use crate::record::Record;
 
-/// Stands for an address that is missing or invalid, which is reported.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
-/// The server's name in messages where the platform's configuration is not known.
-const UNKNOWN_NAME: &str = "this server, whose name the configuration has";
+/// Replaces a missing or invalid address, which is reported as a mistake.
+const PLACEHOLDER_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// Replaces the server's name in messages if the platform's configuration is not known.
+const UNKNOWN_SERVER_NAME: &str = "this server, whose name the configuration has";
 
-/// A fleet, as one server's file describes it.
+/// The settings of a fleet in one server's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where this server listens for the others, by datagram and by stream.
+    /// The address at which this server receives datagrams and connections of the other servers.
     pub listen: SocketAddr,
-    /// Its members and the times of the membership protocol. This server's name comes from the platform's configuration.
+    /// The members and the times of the membership protocol. This server's name comes from the platform's
+    /// configuration.
     pub membership: Config,
-    /// The address of each peer, in the same order.
+    /// The address of each peer, in the order of the peers in `membership`.
     pub addresses: Vec<SocketAddr>,
     /// The times of quota leases.
     pub leases: LeaseTimes,
-    /// Dependencies whose `survives` all servers share, and how many concurrent calls each survives.
+    /// The dependencies whose `survives` quota all servers share, and how many concurrent calls each of them
+    /// survives.
     pub shared: Vec<(String, u32)>,
     /// The replicated store, if the servers have one.
     pub record: Option<Record>,
-    /// Where the node stands in its file.
+    /// The position of the node in its file.
     pub position: Position,
 }
 
-/// Times of quota leases, in microseconds; see [`quota::Config`].
+/// The times of quota leases, in microseconds; see [`quota::Config`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease_duration: u64,
-    /// The longest time that a call to a shared dependency may state.
+    /// The maximum duration that a call to a shared dependency may state.
     pub max_call_duration: u64,
-    /// How long a call may be on its way.
+    /// The maximum time from sending a call until the dependency starts to count its stated time.
     pub max_delivery_delay: u64,
-    /// How far the rate of a clock may be off, as a share.
+    /// The maximum deviation of a clock's rate, as a share of the rate.
     pub clock_drift: f64,
 }
 
@@ -57,7 +60,8 @@
 }
 
 impl Fleet {
-    /// The distributed quota of a shared dependency that survives `calls` concurrent calls.
+    /// Returns the configuration of the distributed quota of a shared dependency that survives `calls`
+    /// concurrent calls.
     pub fn quota_config(&self, calls: u32) -> quota::Config {
         let LeaseTimes { lease_duration, max_call_duration, max_delivery_delay, clock_drift } = self.leases;
         let own_name = self.membership.name.clone();
@@ -74,14 +78,17 @@
         }
     }
 
-    /// What two servers must have in common to assume the same quota shares. It is hashed and compared between servers.
+    /// Describes the settings that must be equal on two servers for them to compute the same quota shares.
+    /// Servers compare digests of this text.
     pub fn basis(&self) -> String {
-        let one = |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
-        self.shared.iter().map(one).collect()
+        let line =
+            |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
+        self.shared.iter().map(line).collect()
     }
 }
 
-/// Reads the node, if there is one. `server_name` is this server's, where the platform's configuration is known.
+/// Reads the node, if there is one. `server_name` is this server's name, if the platform's configuration is
+/// known.
 pub fn read(
     reader: &mut Reader,
     document: &KdlDocument,
@@ -105,7 +112,7 @@
     let membership = Config {
         fleet: fleet_name,
         secret: secret.unwrap_or_default(),
-        name: server_name.unwrap_or(UNKNOWN_NAME).into(),
+        name: server_name.unwrap_or(UNKNOWN_SERVER_NAME).into(),
         zone: zone.unwrap_or_default().as_str().into(),
         peers: peers.peers,
         timing,
@@ -119,7 +126,7 @@
         crate::record::read(reader, node, (&membership.name, &membership.zone, &others))
     });
     let fleet = Fleet {
-        listen: listen.unwrap_or(NO_ADDRESS),
+        listen: listen.unwrap_or(PLACEHOLDER_ADDRESS),
         membership,
         addresses: peers.addresses,
         leases,
@@ -154,12 +161,12 @@
     address
 }
 
-/// All nodes `peer`, in their order.
+/// The content of all nodes `peer`, in the order of the file.
 #[derive(Default)]
 struct Peers {
     peers: Vec<Peer>,
     addresses: Vec<SocketAddr>,
-    /// Where each stands.
+    /// The byte offset of each node.
     offsets: Vec<usize>,
 }
 
@@ -177,10 +184,10 @@
     }
 
     fn check_addresses(&self, reader: &mut Reader, listen: Option<SocketAddr>) {
-        for (n, address) in self.addresses.iter().enumerate() {
-            if Some(*address) == listen || self.addresses[..n].contains(address) {
+        for (index, address) in self.addresses.iter().enumerate() {
+            if Some(*address) == listen || self.addresses[..index].contains(address) {
                 let reason = format!("found {address} a second time, expected one address for each server");
-                reader.report(self.offsets[n], reason);
+                reader.report(self.offsets[index], reason);
             }
         }
     }
@@ -201,7 +208,7 @@
         }
     };
     let peer = Peer { name: name.as_str().into(), zone: zone.unwrap_or_default().as_str().into() };
-    (peer, address.unwrap_or(NO_ADDRESS))
+    (peer, address.unwrap_or(PLACEHOLDER_ADDRESS))
 }
 
 fn timing(reader: &mut Reader, node: &KdlNode) -> Timing {
@@ -235,23 +242,25 @@
     leases
 }
 
-/// Mistakes in the quotas of shared dependencies. Those in the roster are reported already, at their own places.
+/// Reports mistakes in the quotas of shared dependencies. Mistakes in the roster have been reported already,
+/// at the nodes that they concern.
 fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
     for (name, calls) in &fleet.shared {
         for reason in fleet.quota_config(*calls).validate() {
-            let place = survives_node(document, name).unwrap_or(node);
-            reader.report_node(place, format!("{name:?}: {reason}"));
+            let reported_node = survives_node(document, name).unwrap_or(node);
+            reader.report_node(reported_node, format!("{name:?}: {reason}"));
         }
     }
 }
 
-/// Dependencies that state what they survive, and not by how many servers that is to be divided: all servers share it.
+/// Returns the dependencies whose node `survives` does not state the number of `servers` to divide the quota
+/// by: all servers share the quota of such a dependency.
 fn shared_quotas(document: &KdlDocument, dependencies: &DependencyConfig) -> Vec<(String, u32)> {
     let mut shared = Vec::new();
     for name in dependencies.dependencies.iter().map(|dependency| &dependency.name) {
         let is_shared = survives_node(document, name).is_some_and(|node| node.entry("servers").is_none());
-        let first = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
-        let capacity = first.and_then(|dependency| dependency.capacity);
+        let dependency = dependencies.dependencies.iter().find(|dependency| dependency.name == *name);
+        let capacity = dependency.and_then(|dependency| dependency.capacity);
         if let Some(capacity) = capacity.filter(|_| is_shared) {
             shared.push((name.clone(), capacity.calls as u32));
         }
@@ -259,10 +268,10 @@
     shared
 }
 
-/// The node `survives` of a dependency.
+/// Returns the node `survives` of a dependency.
 fn survives_node<'d>(document: &'d KdlDocument, dependency: &str) -> Option<&'d KdlNode> {
-    let named = |n: &&KdlNode| {
+    let has_name = |n: &&KdlNode| {
         n.name().value() == "dependency" && n.get(0).and_then(|v| v.as_string()) == Some(dependency)
     };
-    document.nodes().iter().find(named)?.children()?.get("survives")
+    document.nodes().iter().find(has_name)?.children()?.get("survives")
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// A fleet of three, with a quota that they share and one that is divided in equal parts.
+/// A fleet of three servers, with a quota that they share and a quota that is divided into equal parts.
 const FLEET: &str = r#"
 dependency "billing" { endpoints "127.0.0.1:1"; survives calls=40; }
 dependency "notes" { endpoints "127.0.0.1:2"; survives calls=40 servers=4; }
@@ -37,14 +37,14 @@
         (fleet.quota_config(40).own_share(), operator.dependencies.dependencies[1].concurrency_ceiling()),
         (14, 10)
     );
-    // The server's own name among its peers is known only with the configuration.
+    // A peer with the server's own name can be detected only if the platform's configuration is known.
     let own_name = ServerContext { class_names: None, server_name: Some("n2") };
     let error = parse_in_context("f", FLEET, own_name).expect_err("its own name").to_string();
     assert!(error.contains("f:8:5: the peer \"n2\" is this server itself"), "{error}");
 }
 
 #[test]
-fn mistakes_in_a_fleet_are_reported_at_their_places() {
+fn mistakes_in_a_fleet_are_reported_with_their_positions() {
     let cases = [
         ("listen \"127.0.0.1:7400\"", "", "f:4:1: found a fleet without \"listen\""),
         ("127.0.0.1:7400", "localhost:1", "f:5:5: found \"localhost:1\", expected an address and port"),
@@ -52,7 +52,7 @@
         ("peer \"n3\"", "peer \"n2\"", "f:9:5: a second peer \"n2\""),
         ("address=\"127.0.0.1:7403\"", "", "f:9:5: found a peer without an address"),
         ("address=\"127.0.0.1:7403\"", "address=\"127.0.0.1:7403\" port=1", "found port, expected one of"),
-        ("probe-ms=250", "probe-ms=5", "f:4:1: probe of 5 ms, at least 20"),
+        ("probe-ms=250", "probe-ms=5", "f:4:1: probe-ms is 5, expected at least 20"),
         ("probe-ms=250", "tick-ms=5", "f:10:12: found tick-ms, expected one of"),
         ("loan-ms=1500", "loan-ms=90000", "f:11:11: found loan-ms=90000"),
         ("loan-ms=1500", "loan-ms=100", "f:2:49: \"billing\": a loan lasts for a quarter of a call"),
@@ -61,16 +61,16 @@
         ("fleet \"desks\"", "fleet", "f:4:1: found \"fleet\" without a name"),
         ("zone \"west\"\n", "zone \"west\"; zone \"east\"\n", "found a second \"zone\""),
     ];
-    for (part, replacement, expected) in cases {
-        let text = FLEET.replacen(part, replacement, 1);
-        assert_ne!(text, FLEET, "{part}");
+    for (original, replacement, expected) in cases {
+        let text = FLEET.replacen(original, replacement, 1);
+        assert_ne!(text, FLEET, "{original}");
         let found = mistakes(&text);
         assert!(found.iter().any(|f| f.contains(expected)), "{text}\n{found:#?}\nexpected {expected}");
     }
 }
 
 #[test]
-fn mistakes_in_a_record_are_reported_at_their_places() {
+fn mistakes_in_a_record_are_reported_with_their_positions() {
     let node = "  record voters=3 election-ms=500 replace-after-s=9 catch-up-kb=100 {\n    folder \"r\" most-mb=4 scrub-s=7\n  }\n}";
     let text = format!("{}{node}", FLEET.trim_end().trim_end_matches('}'));
     let operator = parse("f", &text, None).unwrap_or_else(|e| panic!("{e}"));
@@ -83,7 +83,7 @@
         ),
         (500_000, 9_000_000, 102_400)
     );
-    assert_eq!((record.most, record.scrub, record.config.peers.len()), (4 << 20, 7_000_000, 2));
+    assert_eq!((record.max_bytes, record.scrub_interval, record.config.peers.len()), (4 << 20, 7_000_000, 2));
     assert_eq!(record.folder, Some("r".into()));
     let cases = [
         ("voters=3", "voters=2", "found 2 voters, expected 3 or 5"),
@@ -98,22 +98,22 @@
         ("folder \"r\"", "disk \"r\"", "found \"disk\", expected"),
         ("folder \"r\"", "folder 7", "found 7, expected a text"),
     ];
-    for (part, replacement, expected) in cases {
-        let found = mistakes(&text.replacen(part, replacement, 1));
-        let as_expected = |mistake: &String| mistake.contains(expected) && mistake.starts_with("f:1");
-        assert!(found.iter().any(as_expected), "{replacement}: {found:#?}\nexpected {expected}");
+    for (original, replacement, expected) in cases {
+        let found = mistakes(&text.replacen(original, replacement, 1));
+        let is_expected = |mistake: &String| mistake.contains(expected) && mistake.starts_with("f:1");
+        assert!(found.iter().any(is_expected), "{replacement}: {found:#?}\nexpected {expected}");
     }
 }
 
 const VALID: &str = "dependency \"a\" { endpoints \"127.0.0.1:1\"; }\n";
 
 #[test]
-fn example_file_is_valid_and_read_as_written() {
+fn example_file_is_valid_and_its_values_are_read() {
     let text = include_str!("../../../deploy/operator.kdl");
     let classes = ["book-room".to_owned(), "desk-search".to_owned()];
     let operator = parse("operator.kdl", text, Some(&classes)).unwrap_or_else(|e| panic!("{e}"));
     let [records, billing, equipment, notes] = &operator.dependencies.dependencies[..] else {
-        panic!("four")
+        panic!("expected four dependencies")
     };
     assert_eq!(
         (records.endpoints.as_slice(), operator.services[0].path.as_str()),
@@ -142,7 +142,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, one a line")]
-fn mistakes_in_dependencies_and_plans_are_reported_at_their_places() {
+fn mistakes_in_dependencies_and_plans_are_reported_with_their_positions() {
     let cases = [
         ("dependencies \"a\"\n", "f:1:1: found \"dependencies\", expected one of"),
         ("kept entries=-1\n", "f:1:6: found entries=-1, expected a whole number from 0 to 1048576"),
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -83,7 +83,7 @@
             quarantine_on_open: false,
             snapshot_after: None,
             next_reachability_update: now,
-            next_scrub: now + settings.scrub,
+            next_scrub: now + settings.scrub_interval,
             seed,
             requests: RequestQueue::default(),
             settings,
@@ -151,7 +151,7 @@
             replica.handle_timeout(now);
         }
         if now >= self.next_scrub {
-            self.next_scrub = now + self.settings.scrub;
+            self.next_scrub = now + self.settings.scrub_interval;
             if let Some(writer) = &self.writer {
                 // If the disk thread is busy, the scrub is requested again after the next interval.
                 let _ = writer.scrub();
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,37 +1,37 @@
-//! How requests come at a deployment, which a host needs to know and the admission controller does not.
+//! What requests of a deployment state about themselves. Only the host of an admission controller needs it.
 
 use serde_json::Value;
 
 use crate::fields::{flag, object, optional, text_or, Object};
 use crate::SettingsError;
 
-const LOAD_REPORT_WORDS: [&str; 4] = ["", "silent", "pull", "piggyback"];
+const LOAD_REPORT_VALUES: [&str; 4] = ["", "silent", "pull", "piggyback"];
 
-/// How requests come at this deployment.
+/// What requests of this deployment state about themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Each request states how long its caller waits.
+    /// Each request states the timeout of its caller.
     pub passes_deadline: bool,
-    /// Retries are marked as such.
+    /// A request states whether it is a retry.
     pub marks_retry: bool,
 }
 
 impl Shape {
-    /// Reads the shape from the settings object. Its fields are independent of each other: whether timeouts are
-    /// stated, whether running work can be preempted and how load is reported come in any combination.
+    /// Reads the shape from the settings object. Whether timeouts are stated, whether running work can be
+    /// preempted and how load is reported are independent settings: any combination is valid.
     ///
     /// # Errors
-    /// A field has the wrong type, or a word that is not known.
+    /// A field has the wrong type or an unknown value.
     pub fn read(options: &Object) -> Result<Shape, SettingsError> {
         let info = object(options, "family_info")?;
         let passes_deadline = optional(info, "passes_deadline", "true or false", Value::as_bool)?;
         let empty = Object::new();
-        let part = |name| optional(options, name, "an object", Value::as_object);
-        let load_report = text_or(part("load_report")?.unwrap_or(&empty), "how", "")?;
-        if !LOAD_REPORT_WORDS.contains(&load_report) {
+        let section = |name| optional(options, name, "an object", Value::as_object);
+        let load_report = text_or(section("load_report")?.unwrap_or(&empty), "how", "")?;
+        if !LOAD_REPORT_VALUES.contains(&load_report) {
             return Err(SettingsError::unexpected("load_report.how", "silent or pull or piggyback"));
         }
-        let marks_retry = flag(part("client_habits")?.unwrap_or(&empty), "marks_retry")?;
+        let marks_retry = flag(section("client_habits")?.unwrap_or(&empty), "marks_retry")?;
         Ok(Shape { passes_deadline: passes_deadline.unwrap_or(true), marks_retry })
     }
 }
