--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -15,9 +15,7 @@
         expected: String,
     },
     /// A class with idempotency keys does not state for how long a key is retained.
-    #[error(
-        "field `classes[{class}].repeat_window_us`: a class with idempotency keys needs a window above 0"
-    )]
+    #[error("field `classes[{class}].repeat_window_us`: a keyed class needs a window above 0")]
     MissingIdempotencyWindow {
         /// Index of the class in `classes`.
         class: usize,
