--- a/crates/loadtest/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -11,8 +11,8 @@
 use umberloom_protocol_fakes::dependency::Behaviour;
 
 use crate::caller::Callers;
+use crate::demo_environment::DemoEnvironment;
 use crate::report;
-use crate::site::Site;
 
 /// What the demo is told.
 #[derive(Clone, Debug)]
@@ -28,10 +28,10 @@
 /// One part of the morning: what happens, and what it does to the site.
 struct Phase {
     name: &'static str,
-    change: fn(&Site),
+    change: fn(&DemoEnvironment),
 }
 
-fn slow() -> Behaviour {
+fn slow_behaviour() -> Behaviour {
     Behaviour::Answer { body: b"slow".to_vec(), median_ms: 400.0, sigma: 0.5 }
 }
 
@@ -40,23 +40,23 @@
         Phase { name: "ramp, all well", change: |_| {} },
         Phase {
             name: "equipment hangs",
-            change: |s| s.equipment.iter().for_each(|d| d.set_behaviour(Behaviour::Hang)),
+            change: |e| e.equipment.iter().for_each(|d| d.set_behaviour(Behaviour::Hang)),
         },
-        Phase { name: "notes down", change: |s| s.notes.set_behaviour(Behaviour::Down) },
+        Phase { name: "notes down", change: |e| e.notes.set_behaviour(Behaviour::Down) },
         Phase {
             name: "one billing endpoint fails fast",
-            change: |s| s.billing[0].set_behaviour(Behaviour::failing()),
+            change: |e| e.billing[0].set_behaviour(Behaviour::failing()),
         },
         Phase {
             name: "equipment slow, notes fail",
-            change: |s| {
-                s.equipment.iter().for_each(|d| d.set_behaviour(slow()));
-                s.notes.set_behaviour(Behaviour::failing());
+            change: |e| {
+                e.equipment.iter().for_each(|d| d.set_behaviour(slow_behaviour()));
+                e.notes.set_behaviour(Behaviour::failing());
             },
         },
         Phase {
             name: "billing down",
-            change: |s| s.billing.iter().for_each(|d| d.set_behaviour(Behaviour::Down)),
+            change: |e| e.billing.iter().for_each(|d| d.set_behaviour(Behaviour::Down)),
         },
         Phase { name: "all come back", change: |_| {} },
         Phase { name: "all well", change: |_| {} },
@@ -64,9 +64,9 @@
 }
 
 /// The program that stands beside this one.
-pub fn beside() -> Result<PathBuf, String> {
-    let me = std::env::current_exe().map_err(|e| format!("its own place: {e}"))?;
-    let server = me.with_file_name("umberloom");
+pub fn default_server_path() -> Result<PathBuf, String> {
+    let executable = std::env::current_exe().map_err(|e| format!("its own place: {e}"))?;
+    let server = executable.with_file_name("umberloom");
     match server.exists() {
         true => Ok(server),
         false => Err(format!(
@@ -77,50 +77,50 @@
 }
 
 /// Plays it and prints the table.
-pub fn play(options: &Options) -> Result<(), String> {
-    let server = options.server.clone().map_or_else(beside, Ok)?;
+pub fn run(options: &Options) -> Result<(), String> {
+    let server = options.server.clone().map_or_else(default_server_path, Ok)?;
     if !(options.rate > 0.0 && options.rate <= 2_000.0 && (1..=600).contains(&options.seconds)) {
         return Err("--rate is over 0 up to 2000 a second, --seconds from 1 to 600".to_owned());
     }
-    let site = Site::start(&server, options.plain, options.log.as_deref())?;
+    let environment = DemoEnvironment::start(&server, options.plain, options.log.as_deref())?;
     let phases = phases();
-    let each = Duration::from_secs(options.seconds) / phases.len() as u32;
-    let mut callers = Callers::start(site.listen, site.farm.completion_notifier())?;
+    let phase_duration = Duration::from_secs(options.seconds) / phases.len() as u32;
+    let mut callers = Callers::start(environment.listen, environment.farm.completion_notifier())?;
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let bar = ProgressBar::new(options.seconds * 1_000);
     let style =
         ProgressStyle::with_template("{bar:30} {msg}").unwrap_or_else(|_| ProgressStyle::default_bar());
     bar.set_style(style);
     let mut counts = Vec::new();
-    let mut at = Duration::ZERO;
-    for (number, phase) in phases.iter().enumerate() {
+    let mut send_time = Duration::ZERO;
+    for (index, phase) in phases.iter().enumerate() {
         bar.set_message(phase.name);
         if !options.plain {
-            (phase.change)(&site);
+            (phase.change)(&environment);
         }
-        let end = each * (number as u32 + 1);
-        while at < end {
-            thread::sleep(at.saturating_sub(callers.elapsed()));
-            callers.send(number, at, usize::from(random.random_bool(0.3)))?;
-            bar.set_position(at.as_millis() as u64);
+        let phase_end = phase_duration * (index as u32 + 1);
+        while send_time < phase_end {
+            thread::sleep(send_time.saturating_sub(callers.elapsed()));
+            callers.send(index, send_time, usize::from(random.random_bool(0.3)))?;
+            bar.set_position(send_time.as_millis() as u64);
             // Over the first phase the rate climbs from a fifth to the whole.
-            let share = (at.as_secs_f64() / each.as_secs_f64()).min(1.0) * 0.8 + 0.2;
-            let gap = Exp::new(options.rate * share).map_or(1.0, |d| d.sample(&mut random));
-            at += Duration::from_secs_f64(gap);
+            let rate_share = (send_time.as_secs_f64() / phase_duration.as_secs_f64()).min(1.0) * 0.8 + 0.2;
+            let interval = Exp::new(options.rate * rate_share).map_or(1.0, |d| d.sample(&mut random));
+            send_time += Duration::from_secs_f64(interval);
         }
-        counts.push(site.take_counts());
-        site.mend();
+        counts.push(environment.take_counts());
+        environment.restore_dependencies();
     }
     bar.finish_and_clear();
-    let (behind, cpu) = (callers.behind, site.cpu());
-    let sent = callers.finish();
-    let names: Vec<&str> = phases.iter().map(|p| p.name).collect();
-    println!("{}", report::table(&names, &counts, &sent));
-    println!("{}", report::summary(&sent, behind));
-    if let Some(cpu) = cpu {
+    let (max_send_delay, cpu_time) = (callers.max_send_delay, environment.main_thread_cpu_time());
+    let requests = callers.finish();
+    let phase_names: Vec<&str> = phases.iter().map(|p| p.name).collect();
+    println!("{}", report::table(&phase_names, &counts, &requests));
+    println!("{}", report::summary(&requests, max_send_delay));
+    if let Some(cpu_time) = cpu_time {
         println!(
             "The server had {:.1} us of a core for each request.",
-            cpu.as_secs_f64() * 1e6 / sent.len().max(1) as f64
+            cpu_time.as_secs_f64() * 1e6 / requests.len().max(1) as f64
         );
     }
     Ok(())
--- a/crates/loadtest/src/site.rs
+++ b/crates/loadtest/src/demo_environment.rs
@@ -11,14 +11,14 @@
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
 /// What the records service and each dependency answers with.
-const REPLY: &[u8] = b"{\"well\":true}";
+const RESPONSE_BODY: &[u8] = b"{\"well\":true}";
 /// Cores of the farm.
-pub const CORES: usize = 4;
+pub const FARM_CORES: usize = 4;
 /// How long requests of each class may take, in milliseconds.
-pub const BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 400), ("book-room", 600)];
+pub const CLASS_BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 400), ("book-room", 600)];
 
 /// Everything around one server.
-pub struct Site {
+pub struct DemoEnvironment {
     pub listen: SocketAddr,
     pub records: Dependency,
     pub billing: [Dependency; 2],
@@ -30,14 +30,15 @@
     folder: PathBuf,
 }
 
-impl Site {
+impl DemoEnvironment {
     /// Starts all of it and waits until the server says that it is well.
-    pub fn start(server: &Path, plain: bool, log: Option<&Path>) -> Result<Site, String> {
-        let quick = || Dependency::start(Behaviour::quick(REPLY));
-        let (records, notes) = (quick(), quick());
-        let (billing, equipment) = ([quick(), quick()], [quick(), quick()]);
+    pub fn start(server: &Path, plain: bool, log: Option<&Path>) -> Result<DemoEnvironment, String> {
+        let healthy_dependency = || Dependency::start(Behaviour::quick(RESPONSE_BODY));
+        let (records, notes) = (healthy_dependency(), healthy_dependency());
+        let (billing, equipment) =
+            ([healthy_dependency(), healthy_dependency()], [healthy_dependency(), healthy_dependency()]);
         let work = Work {
-            cores: CORES,
+            cores: FARM_CORES,
             median_ms: 8.0,
             sigma: 0.4,
             without_calls: vec![],
@@ -47,10 +48,10 @@
         let listen = free_address()?;
         let folder = std::env::temp_dir().join(format!("umberloom-loadtest-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let config = config(listen, &farm, &announce, &records);
-        let operator = operator(&billing, &equipment, &notes);
-        write(&folder.join("config.json"), &config)?;
-        write(&folder.join("operator.kdl"), &operator)?;
+        let server_config = server_config(listen, &farm, &announce, &records);
+        let operator_config = operator_config(&billing, &equipment, &notes);
+        write(&folder.join("config.json"), &server_config)?;
+        write(&folder.join("operator.kdl"), &operator_config)?;
         let mut command = Command::new(server);
         command.arg("serve").arg("--config").arg(folder.join("config.json"));
         if !plain {
@@ -64,7 +65,7 @@
         };
         let child = command.stdin(Stdio::null()).stderr(stderr).spawn();
         let child = child.map_err(|e| format!("{}: {e}", server.display()))?;
-        let mut site = Site {
+        let mut environment = DemoEnvironment {
             listen,
             records,
             billing,
@@ -75,13 +76,13 @@
             server: child,
             folder,
         };
-        site.wait_until_well()?;
-        Ok(site)
+        environment.wait_until_healthy()?;
+        Ok(environment)
     }
 
-    fn wait_until_well(&mut self) -> Result<(), String> {
-        let end = Instant::now() + Duration::from_secs(10);
-        while Instant::now() < end {
+    fn wait_until_healthy(&mut self) -> Result<(), String> {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.server.try_wait() {
                 return Err(format!(
                     "the server ended at its start: {status}; --log FILE keeps what it says"
@@ -110,24 +111,24 @@
     /// Calls and the requests that they were for, since the last look.
     pub fn take_counts(&self) -> (u64, u64) {
         let all = self.dependencies().into_iter().flat_map(|(_, all)| all).chain([&self.records]);
-        all.map(Dependency::take_counts).fold((0, 0), |(a, b), (c, d)| (a + c, b + d))
+        all.map(Dependency::take_counts).fold((0, 0), |(calls, requests), (c, r)| (calls + c, requests + r))
     }
 
     /// Time that the server's first thread has had a core, where the system counts that.
-    pub fn cpu(&self) -> Option<Duration> {
+    pub fn main_thread_cpu_time(&self) -> Option<Duration> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.server.id())).ok()?;
         text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
     }
 
     /// Everything is well.
-    pub fn mend(&self) {
+    pub fn restore_dependencies(&self) {
         for dependency in self.dependencies().into_iter().flat_map(|(_, all)| all) {
-            dependency.set_behaviour(Behaviour::quick(REPLY));
+            dependency.set_behaviour(Behaviour::quick(RESPONSE_BODY));
         }
     }
 }
 
-impl Drop for Site {
+impl Drop for DemoEnvironment {
     fn drop(&mut self) {
         let _ = self.server.kill();
         let _ = self.server.wait();
@@ -144,12 +145,12 @@
     listener.map_err(|e| format!("no port on loopback: {e}"))
 }
 
-fn config(listen: SocketAddr, farm: &Farm, announce: &Announce, records: &Dependency) -> String {
-    let class = |name: &str, budget: u64, worth: f64| {
-        json!({"name": name, "aim_us": budget * 1_000, "hard_limit_us": budget * 1_000, "credit": worth,
+fn server_config(listen: SocketAddr, farm: &Farm, announce: &Announce, records: &Dependency) -> String {
+    let class = |name: &str, budget_ms: u64, credit: f64| {
+        json!({"name": name, "aim_us": budget_ms * 1_000, "hard_limit_us": budget_ms * 1_000, "credit": credit,
                "late_worth": 0.0, "effect": "read_like", "repeat_window_us": 5_000_000})
     };
-    let [(search, search_ms), (book, book_ms)] = BUDGETS_MS;
+    let [(search, search_ms), (book, book_ms)] = CLASS_BUDGETS_MS;
     json!({
         "name": "n3", "listen": listen, "agent": farm.address, "announce": announce.address,
         "records": records.address, "seed": "8c1f30d27a5be964", "stop_ms": 3_200,
@@ -161,7 +162,7 @@
                 "class_skip_worth": [0.0, 0.0], "dep_share": 40.0, "downstream": "common", "fresh_start": false,
                 "fresh_us": 0, "idle_us": 30_000_000, "key_kb": 170.0, "linger_us": 200_000,
                 "mem_limit_kb": 110_652.0, "meters": ["core_use", "on_cores", "heap_share", "links"],
-                "n_cores": CORES, "preemption": "drop", "run_factor": 16.0, "say": "silent"},
+                "n_cores": FARM_CORES, "preemption": "drop", "run_factor": 16.0, "say": "silent"},
             "guarantees": {"cold_from": 0.2, "cold_us": 17_000_000, "drain_grace_us": 2_500_000,
                 "fall_multiple": 16.0, "fall_us": 1_500_000, "grace_to_answer_us": 60_000},
             "limits": {"max_retry_after_us": 1_000_000, "retry_after": true},
@@ -172,7 +173,7 @@
     .to_string()
 }
 
-fn operator(billing: &[Dependency], equipment: &[Dependency], notes: &Dependency) -> String {
+fn operator_config(billing: &[Dependency], equipment: &[Dependency], notes: &Dependency) -> String {
     let addresses = |all: &[Dependency]| {
         let quoted: Vec<String> = all.iter().map(|d| format!("\"{}\"", d.address)).collect();
         quoted.join(" ")
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -22,20 +22,20 @@
         "failed",
         "p99 of the time",
     ]);
-    for slow in ["nothing", "first", "second", "third", "first, and only wanted"] {
-        for way in [Way::None, Way::Equal, Way::Shared] {
-            let mut all = Vec::new();
+    for slow_stage in ["nothing", "first", "second", "third", "first, and only wanted"] {
+        for sharing in [TimeSharing::Unlimited, TimeSharing::Equal, TimeSharing::Shared] {
+            let mut results = Vec::new();
             for seed in 1..=seeds {
-                all.push(one_budget(slow, way, seed)?);
+                results.push(run_budget_experiment(slow_stage, sharing, seed)?);
             }
-            let cell = |which: fn(&[f64; 4]) -> f64| spread(all.iter().map(which).collect());
+            let cell = |metric: fn(&[f64; 4]) -> f64| median_and_range(results.iter().map(metric).collect());
             table.add_row([
-                slow.to_owned(),
-                way.name().to_owned(),
-                cell(|f| f[0]),
-                cell(|f| f[1]),
-                cell(|f| f[2]),
-                cell(|f| f[3]),
+                slow_stage.to_owned(),
+                sharing.label().to_owned(),
+                cell(|result| result[0]),
+                cell(|result| result[1]),
+                cell(|result| result[2]),
+                cell(|result| result[3]),
             ]);
         }
     }
@@ -44,47 +44,51 @@
 }
 
 #[derive(Clone, Copy)]
-enum Way {
+enum TimeSharing {
     /// Each stage may take all that is left.
-    None,
+    Unlimited,
     /// Each stage has a third of the whole, and what it leaves is lost.
     Equal,
     /// As the package does it.
     Shared,
 }
 
-impl Way {
-    fn name(self) -> &'static str {
+impl TimeSharing {
+    fn label(self) -> &'static str {
         match self {
-            Way::None => "none",
-            Way::Equal => "equal split",
-            Way::Shared => "shared, unspent time passes on",
+            TimeSharing::Unlimited => "none",
+            TimeSharing::Equal => "equal split",
+            TimeSharing::Shared => "shared, unspent time passes on",
         }
     }
 }
 
 /// Time that a request has for its calls.
-const TIME: Micros = 300 * MS;
+const REQUEST_TIME: Micros = 300 * MS;
 
 /// Three stages: the first two needed, the last wanted, or the first wanted and the others needed. Calls take 60 ms in the middle, which is often over an equal
 /// share less than twice; the slow one takes six times that for half of the calls.
-fn one_budget(what: &'static str, way: Way, seed: u64) -> Result<[f64; 4], String> {
-    let front = what == "first, and only wanted";
-    let slow = if front { "first" } else { what };
+fn run_budget_experiment(
+    experiment: &'static str,
+    sharing: TimeSharing,
+    seed: u64,
+) -> Result<[f64; 4], String> {
+    let first_optional = experiment == "first, and only wanted";
+    let slow_stage = if first_optional { "first" } else { experiment };
     let names = ["first", "second", "third"];
-    let stage = |(place, name): (usize, &&str)| {
-        let (share, most) = match way {
-            Way::None => (1e6_f64.powi(2 - place as i32), TIME),
-            Way::Equal => (1.0, TIME / 3),
-            Way::Shared => (1.0, TIME),
+    let stage = |(index, name): (usize, &&str)| {
+        let (weight, max_time) = match sharing {
+            TimeSharing::Unlimited => (1e6_f64.powi(2 - index as i32), REQUEST_TIME),
+            TimeSharing::Equal => (1.0, REQUEST_TIME / 3),
+            TimeSharing::Shared => (1.0, REQUEST_TIME),
         };
         StageConfig {
-            weight: share,
+            weight,
             min_time: 0,
-            max_time: most,
+            max_time,
             calls: vec![CallConfig {
                 dependency: (*name).to_owned(),
-                required: if front { place > 0 } else { place < 2 },
+                required: if first_optional { index > 0 } else { index < 2 },
             }],
         }
     };
@@ -105,37 +109,38 @@
         plans: vec![PlanConfig { class: "c".to_owned(), stages }],
         ..Config::default()
     };
-    let usual = LogNormal::new(60_000_f64.ln(), 0.4).map_err(|e| e.to_string())?;
+    let call_time = LogNormal::new(60_000_f64.ln(), 0.4).map_err(|error| error.to_string())?;
     let script = Box::new(move |_: Micros, name: &str, random: &mut rand_chacha::ChaCha8Rng| {
-        let took = usual.sample(random);
-        let lags = name == slow && random.random_bool(0.5);
-        ((if lags { took * 6.0 } else { took }) as Micros, Outcome::Ok)
+        let duration = call_time.sample(random);
+        let is_slow = name == slow_stage && random.random_bool(0.5);
+        ((if is_slow { duration * 6.0 } else { duration }) as Micros, Outcome::Ok)
     });
-    let mut world = Emulation::new(config, seed, script)?;
+    let mut emulation = Emulation::new(config, seed, script)?;
     for n in 0..2_000 {
-        world.run_until(n * 10 * MS);
-        world.ask("c", TIME);
+        emulation.run_until(n * 10 * MS);
+        emulation.start_plan("c", REQUEST_TIME);
     }
-    world.run_until(world.now + 2 * TIME);
-    let share = |which: &dyn Fn(&crate::emulate::Ended) -> bool| {
-        100.0 * world.ended.iter().filter(|e| which(e)).count() as f64 / world.ended.len().max(1) as f64
+    emulation.run_until(emulation.now + 2 * REQUEST_TIME);
+    let percentage = |condition: &dyn Fn(&crate::emulate::FinishedPlan) -> bool| {
+        100.0 * emulation.finished.iter().filter(|plan| condition(plan)).count() as f64
+            / emulation.finished.len().max(1) as f64
     };
-    let mut times: Vec<Micros> = world.ended.iter().map(|e| e.took).collect();
-    times.sort_unstable();
-    let p99 = times.get(times.len() * 99 / 100).copied().unwrap_or(0) as f64 / TIME as f64;
+    let mut durations: Vec<Micros> = emulation.finished.iter().map(|plan| plan.duration).collect();
+    durations.sort_unstable();
+    let p99 = durations.get(durations.len() * 99 / 100).copied().unwrap_or(0) as f64 / REQUEST_TIME as f64;
     Ok([
-        share(&|e| e.whole),
-        share(&|e| e.outcome == Outcome::Ok && !e.whole),
-        share(&|e| e.outcome != Outcome::Ok),
+        percentage(&|plan| plan.complete),
+        percentage(&|plan| plan.outcome == Outcome::Ok && !plan.complete),
+        percentage(&|plan| plan.outcome != Outcome::Ok),
         100.0 * p99,
     ])
 }
 
 /// The middle one, with least and most.
-fn spread(mut all: Vec<f64>) -> String {
-    all.sort_by(f64::total_cmp);
-    match (all.first(), all.get(all.len() / 2), all.last()) {
-        (Some(least), Some(middle), Some(most)) => format!("{middle:.1} % ({least:.1} to {most:.1})"),
+fn median_and_range(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
+    match (values.first(), values.get(values.len() / 2), values.last()) {
+        (Some(min), Some(median), Some(max)) => format!("{median:.1} % ({min:.1} to {max:.1})"),
         _ => String::new(),
     }
 }
@@ -151,54 +156,61 @@
         "served again after",
     ]);
     let unbounded = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
-    let ways = [
+    let variants = [
         ("two, without a budget", unbounded, "none", None),
         ("out of a budget", RetryPolicy::default(), "none", None),
         ("two, without a budget", unbounded, "yes", Some(BreakerConfig::default())),
         ("out of a budget", RetryPolicy::default(), "yes", Some(BreakerConfig::default())),
     ];
-    for (retries, retry, name, breaker) in ways {
-        let mut all = Vec::new();
+    for (retry_label, retry, breaker_label, breaker) in variants {
+        let mut results = Vec::new();
         for seed in 1..=seeds {
-            all.push(one_outage(retry, breaker, seed)?);
+            results.push(run_outage_experiment(retry, breaker, seed)?);
         }
-        let middle = |which: fn(&Outage) -> f64| {
-            let mut found: Vec<f64> = all.iter().map(which).collect();
-            found.sort_by(f64::total_cmp);
-            let (least, most) = (found.first().copied(), found.last().copied());
-            (found.get(found.len() / 2).copied().unwrap_or(0.0), least.unwrap_or(0.0), most.unwrap_or(0.0))
+        let median_range = |metric: fn(&OutageResult) -> f64| {
+            let mut values: Vec<f64> = results.iter().map(metric).collect();
+            values.sort_by(f64::total_cmp);
+            let (min, max) = (values.first().copied(), values.last().copied());
+            (values.get(values.len() / 2).copied().unwrap_or(0.0), min.unwrap_or(0.0), max.unwrap_or(0.0))
         };
-        let text = |(middle, least, most): (f64, f64, f64), digits: usize| {
-            format!("{middle:.digits$} ({least:.digits$} to {most:.digits$})")
+        let format_range = |(median, min, max): (f64, f64, f64), digits: usize| {
+            format!("{median:.digits$} ({min:.digits$} to {max:.digits$})")
+        };
+        let recovery = median_range(|result| result.recovery_s);
+        let recovery = if recovery.1 < 0.0 {
+            "not within 20 s in all".to_owned()
+        } else {
+            format!("{} s", format_range(recovery, 1))
         };
-        let back = middle(|o| o.back);
-        let back =
-            if back.1 < 0.0 { "not within 20 s in all".to_owned() } else { format!("{} s", text(back, 1)) };
         table.add_row([
-            retries.to_owned(),
-            name.to_owned(),
-            text(middle(|o| o.attempts), 2),
-            text(middle(|o| o.calls), 0),
-            back,
+            retry_label.to_owned(),
+            breaker_label.to_owned(),
+            format_range(median_range(|result| result.attempts_per_first), 2),
+            format_range(median_range(|result| result.calls_per_second), 0),
+            recovery,
         ]);
     }
     println!("{table}");
     Ok(())
 }
 
-struct Outage {
-    attempts: f64,
-    calls: f64,
+struct OutageResult {
+    attempts_per_first: f64,
+    calls_per_second: f64,
     /// Seconds until nineteen of twenty were served; negative: not within 20 s.
-    back: f64,
+    recovery_s: f64,
 }
 
-const DOWN: (Micros, Micros) = (5_000 * MS, 35_000 * MS);
-const END: Micros = 55_000 * MS;
+const OUTAGE: (Micros, Micros) = (5_000 * MS, 35_000 * MS);
+const EXPERIMENT_END: Micros = 55_000 * MS;
 
 /// 200 requests a second, Poisson. The dependency does 300 calls a second; from the end of the outage on it answers
 /// only as long as it was sent no more than that in the last second, as one that is brought up under a crowd.
-fn one_outage(retry: RetryPolicy, breaker: Option<BreakerConfig>, seed: u64) -> Result<Outage, String> {
+fn run_outage_experiment(
+    retry: RetryPolicy,
+    breaker: Option<BreakerConfig>,
+    seed: u64,
+) -> Result<OutageResult, String> {
     let limit = LimitBounds { initial: 32, min: 4, max: 128 };
     let dependency = DependencyConfig {
         idempotent: true,
@@ -218,37 +230,41 @@
         while last_second.front().is_some_and(|&at| at + 1_000 * MS < now) {
             last_second.pop_front();
         }
-        let down = now >= DOWN.0 && now < DOWN.1;
-        let crowded = now >= DOWN.1 && last_second.len() > 300;
-        let took = random.random_range(15 * MS..25 * MS);
-        (took, if down || crowded { Outcome::Error } else { Outcome::Ok })
+        let down = now >= OUTAGE.0 && now < OUTAGE.1;
+        let overloaded = now >= OUTAGE.1 && last_second.len() > 300;
+        let duration = random.random_range(15 * MS..25 * MS);
+        (duration, if down || overloaded { Outcome::Error } else { Outcome::Ok })
     });
-    let mut world = Emulation::new(config, seed, script)?;
-    let mut arrivals = rand::SeedableRng::seed_from_u64(seed);
-    let arrivals: &mut rand_chacha::ChaCha8Rng = &mut arrivals;
-    let gaps = Exp::new(200.0).map_err(|e| e.to_string())?;
-    let (mut before, mut after) = (world.counts(), world.counts());
-    while world.now < END {
-        if world.now < DOWN.0 {
-            before = world.counts();
-        } else if world.now < DOWN.1 {
-            after = world.counts();
+    let mut emulation = Emulation::new(config, seed, script)?;
+    let mut arrival_random = rand::SeedableRng::seed_from_u64(seed);
+    let arrival_random: &mut rand_chacha::ChaCha8Rng = &mut arrival_random;
+    let intervals = Exp::new(200.0).map_err(|error| error.to_string())?;
+    let (mut before, mut after) = (emulation.counts(), emulation.counts());
+    while emulation.now < EXPERIMENT_END {
+        if emulation.now < OUTAGE.0 {
+            before = emulation.counts();
+        } else if emulation.now < OUTAGE.1 {
+            after = emulation.counts();
         }
-        world.ask("c", 300 * MS);
-        let gap: f64 = gaps.sample(arrivals);
-        world.run_until(world.now + (gap * 1e6) as Micros);
+        emulation.start_plan("c", 300 * MS);
+        let interval: f64 = intervals.sample(arrival_random);
+        emulation.run_until(emulation.now + (interval * 1e6) as Micros);
     }
-    let firsts = (after.first_attempts - before.first_attempts) as f64;
-    let more = (after.retries + after.hedged_requests - before.retries - before.hedged_requests) as f64;
-    let served = |from: Micros| {
-        let here = world.ended.iter().filter(|e| (from..from + 500 * MS).contains(&e.asked));
-        let (count, good) = here.fold((0, 0), |(n, g), e| (n + 1, g + u32::from(e.outcome == Outcome::Ok)));
-        count > 0 && good * 20 >= count * 19
+    let first_attempts = (after.first_attempts - before.first_attempts) as f64;
+    let further_attempts =
+        (after.retries + after.hedged_requests - before.retries - before.hedged_requests) as f64;
+    let is_served = |from: Micros| {
+        let window =
+            emulation.finished.iter().filter(|plan| (from..from + 500 * MS).contains(&plan.started_at));
+        let (count, served) = window.fold((0, 0), |(count, served), plan| {
+            (count + 1, served + u32::from(plan.outcome == Outcome::Ok))
+        });
+        count > 0 && served * 20 >= count * 19
     };
-    let back = (0..195).map(|n| n * 100 * MS).find(|&after| served(DOWN.1 + after));
-    Ok(Outage {
-        attempts: 1.0 + more / firsts.max(1.0),
-        calls: (firsts + more) / ((DOWN.1 - DOWN.0) as f64 / 1e6),
-        back: back.map_or(-1.0, |after| after as f64 / 1e6),
+    let recovery = (0..195).map(|n| n * 100 * MS).find(|&delay| is_served(OUTAGE.1 + delay));
+    Ok(OutageResult {
+        attempts_per_first: 1.0 + further_attempts / first_attempts.max(1.0),
+        calls_per_second: (first_attempts + further_attempts) / ((OUTAGE.1 - OUTAGE.0) as f64 / 1e6),
+        recovery_s: recovery.map_or(-1.0, |delay| delay as f64 / 1e6),
     })
 }
--- a/crates/loadtest/src/fleet_chart.rs
+++ b/crates/loadtest/src/fleet_chart.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// Milliseconds from the start.
-    pub at: u64,
+    pub at_ms: u64,
     /// The initial of its partition status; `-` while it is down, `z` while it is stopped.
-    pub standing: char,
+    pub status: char,
     /// Members that it takes to be present.
-    pub there: usize,
+    pub present_members: usize,
     /// Its own share of the quota, in concurrent calls.
-    pub part: u64,
+    pub quota_share: u64,
     /// Calls that it may make by leases of others.
     pub borrowed: u64,
 }
 
-fn colour(standing: char) -> RGBColor {
-    match standing {
+fn colour(status: char) -> RGBColor {
+    match status {
         'W' => RGBColor(60, 140, 80),
         'M' => RGBColor(150, 190, 90),
         'm' => RGBColor(230, 170, 60),
@@ -38,12 +38,12 @@
 pub fn draw(
     path: &Path,
     options: &Options,
-    lines: &[Vec<Sample>],
-    spans: &[CallInterval],
+    timelines: &[Vec<Sample>],
+    calls: &[CallInterval],
     start: Instant,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let end = lines.iter().flatten().map(|s| s.at).max().unwrap_or(1) as f64 / 1_000.0 + 0.5;
-    let rows = lines.len();
+    let end = timelines.iter().flatten().map(|s| s.at_ms).max().unwrap_or(1) as f64 / 1_000.0 + 0.5;
+    let rows = timelines.len();
     let area = SVGBackend::new(path, (1_000, 260 + 22 * rows as u32)).into_drawing_area();
     area.fill(&WHITE)?;
     let (upper, lower) = area.split_vertically(40 + 22 * rows as u32);
@@ -55,7 +55,7 @@
         .margin(6)
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..end, 0.0..rows as f64)?;
-    let name = |y: &f64| {
+    let server_name = |y: &f64| {
         let n = rows as f64 - 0.5 - y;
         options.names.get(n.round() as usize).filter(|_| n.fract().abs() < 0.01).cloned().unwrap_or_default()
     };
@@ -64,17 +64,18 @@
         .disable_mesh()
         .disable_x_axis()
         .y_labels(2 * rows + 1)
-        .y_label_formatter(&name)
+        .y_label_formatter(&server_name)
         .draw()?;
-    for (n, line) in lines.iter().enumerate() {
+    for (n, timeline) in timelines.iter().enumerate() {
         let top = (rows - n) as f64;
-        let ends = line.iter().skip(1).map(|s| s.at as f64 / 1_000.0).chain([end]);
-        let boxes = line.iter().zip(ends).map(|(s, to)| {
-            Rectangle::new([(s.at as f64 / 1_000.0, top - 0.1), (to, top - 0.9)], colour(s.standing).filled())
+        let end_times = timeline.iter().skip(1).map(|s| s.at_ms as f64 / 1_000.0).chain([end]);
+        let boxes = timeline.iter().zip(end_times).map(|(s, to)| {
+            let from = s.at_ms as f64 / 1_000.0;
+            Rectangle::new([(from, top - 0.1), (to, top - 0.9)], colour(s.status).filled())
         });
         chart.draw_series(boxes)?;
     }
-    let most = f64::from(options.capacity) * 1.15;
+    let y_max = f64::from(options.capacity) * 1.15;
     let mut chart = ChartBuilder::on(&lower)
         .caption(
             format!("calls in use at the shared dependency, which survives {}", options.capacity),
@@ -83,21 +84,21 @@
         .margin(6)
         .x_label_area_size(28)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..end, 0.0..most)?;
+        .build_cartesian_2d(0.0..end, 0.0..y_max)?;
     chart.configure_mesh().x_desc("seconds").draw()?;
-    let since = |at: Instant| at.saturating_duration_since(start).as_secs_f64();
-    let mut ends: Vec<(f64, i64)> =
-        spans.iter().flat_map(|span| [(since(span.started_at), 1), (since(span.end()), -1)]).collect();
-    ends.sort_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
-    let (mut now, mut points) = (0, Vec::new());
-    for (at, change) in ends {
-        points.push((at, now as f64));
-        now += change;
-        points.push((at, now as f64));
+    let seconds = |at: Instant| at.saturating_duration_since(start).as_secs_f64();
+    let mut changes: Vec<(f64, i64)> =
+        calls.iter().flat_map(|call| [(seconds(call.started_at), 1), (seconds(call.end()), -1)]).collect();
+    changes.sort_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
+    let (mut in_use, mut points) = (0, Vec::new());
+    for (at, change) in changes {
+        points.push((at, in_use as f64));
+        in_use += change;
+        points.push((at, in_use as f64));
     }
     chart.draw_series(LineSeries::new(points, &BLUE))?;
-    let whole = f64::from(options.capacity);
-    chart.draw_series(LineSeries::new([(0.0, whole), (end, whole)], &RED))?;
+    let capacity = f64::from(options.capacity);
+    chart.draw_series(LineSeries::new([(0.0, capacity), (end, capacity)], &RED))?;
     area.present()?;
     Ok(())
 }
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -5,27 +5,27 @@
 
 use umberloom_fault_harness::traffic::{Outcome, Traffic};
 use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
-use umberloom_fault_harness::{Fleet, Options as Rig};
+use umberloom_fault_harness::{Fleet, Options as FleetOptions};
 use umberloom_membership::Config;
 
-use crate::record_measures;
+use crate::store_measures;
 use crate::tables::{percentile, table};
 
 /// What is measured.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub server: Option<PathBuf>,
-    pub what: What,
+    pub measurement: Measurement,
 }
 
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum Measurement {
     /// From a kill to all knowing, of real processes: numbers of servers, and kills each.
     Detection(Vec<usize>, usize),
     /// The same on virtual time, with false suspicions by loss, bytes, and the time until views agree after a cut.
     Virtual(Vec<usize>, u64),
     /// What sharing by loans is worth under uneven need: seconds.
-    Loans(u64),
+    Leases(u64),
     /// Processor time of a request with the fleet on and off, in pairs: pairs, seconds each.
     Cost(u64, u64),
     /// Processor time and bytes of members that only know each other: numbers of servers, seconds.
@@ -43,25 +43,30 @@
 }
 
 pub fn measure(options: &Options) -> Result<(), String> {
-    let server = || options.server.clone().map_or_else(crate::demo::beside, Ok);
-    match &options.what {
-        What::Detection(counts, kills) => detection(&server()?, counts, *kills),
-        What::Virtual(counts, seeds) => virtual_time(counts, *seeds),
-        What::Loans(seconds) => loans(&server()?, *seconds),
-        What::Cost(pairs, seconds) => cost(&server()?, *pairs, *seconds),
-        What::Idle(counts, seconds) => idle(&server()?, counts, *seconds),
-        What::Commits(seconds, clients) => record_measures::commits(&server()?, *seconds, *clients),
-        What::Leaders(times) => record_measures::leaders(&server()?, *times),
-        What::CatchUp(documents) => record_measures::catch_up(&server()?, *documents),
-        What::Store => record_measures::store(),
-        What::Starved(servers, shares, seconds) => starved(&server()?, *servers, shares, *seconds),
+    let server = || options.server.clone().map_or_else(crate::demo::default_server_path, Ok);
+    match &options.measurement {
+        Measurement::Detection(counts, kills) => detection(&server()?, counts, *kills),
+        Measurement::Virtual(counts, seeds) => virtual_time(counts, *seeds),
+        Measurement::Leases(seconds) => leases(&server()?, *seconds),
+        Measurement::Cost(pairs, seconds) => cost(&server()?, *pairs, *seconds),
+        Measurement::Idle(counts, seconds) => idle(&server()?, counts, *seconds),
+        Measurement::Commits(seconds, clients) => store_measures::commits(&server()?, *seconds, *clients),
+        Measurement::Leaders(times) => store_measures::leaders(&server()?, *times),
+        Measurement::CatchUp(documents) => store_measures::catch_up(&server()?, *documents),
+        Measurement::Store => store_measures::store(),
+        Measurement::Starved(servers, shares, seconds) => starved(&server()?, *servers, shares, *seconds),
     }
 }
 
 /// The last of the servers runs for so many percent of each two seconds, and is stopped for the rest.
-fn starved(server: &std::path::Path, servers: usize, shares: &[usize], seconds: u64) -> Result<(), String> {
-    const TURN_MS: u64 = 2_000;
-    let mut out = table(&[
+fn starved(
+    server: &std::path::Path,
+    servers: usize,
+    core_percentages: &[usize],
+    seconds: u64,
+) -> Result<(), String> {
+    const CYCLE_MS: u64 = 2_000;
+    let mut results = table(&[
         "servers",
         "core of the last, %",
         "suspicions of it an hour, by each other",
@@ -70,54 +75,58 @@
         "others held for failed by others",
         "its standing at the end",
     ]);
-    for &share in shares {
-        let mut fleet = Fleet::start(usual(server, servers))?;
+    for &core_percentage in core_percentages {
+        let mut fleet = Fleet::start(default_timing_options(server, servers))?;
         fleet.wait_for_partition_status_everywhere("whole")?;
-        let (last, from) = (servers - 1, umberloom_fault_harness::history::now_us());
-        let runs = Duration::from_millis(TURN_MS * share.min(100) as u64 / 100);
+        let (last, started_at) = (servers - 1, umberloom_fault_harness::history::now_us());
+        let running_time = Duration::from_millis(CYCLE_MS * core_percentage.min(100) as u64 / 100);
         let end = std::time::Instant::now() + Duration::from_secs(seconds);
         while std::time::Instant::now() < end {
             fleet.servers[last].set_stopped(true);
-            std::thread::sleep(Duration::from_millis(TURN_MS) - runs);
+            std::thread::sleep(Duration::from_millis(CYCLE_MS) - running_time);
             fleet.servers[last].set_stopped(false);
-            std::thread::sleep(runs);
+            std::thread::sleep(running_time);
         }
-        let stands = fleet.partition_status(last);
+        let final_status = fleet.partition_status(last);
         fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
         let name = fleet.servers[last].name.clone();
-        let count = |by: &str, of_last: bool, to: &str| {
-            let said = fleet.history.log_lines(by, "member state changed");
-            let fits = |e: &&umberloom_fault_harness::history::Event| {
-                e.at_us >= from && (e.details["name"] == name.as_str()) == of_last && e.details["to"] == to
+        let count = |observer: &str, about_last: bool, new_state: &str| {
+            let log_lines = fleet.history.log_lines(observer, "member state changed");
+            let matches = |e: &&umberloom_fault_harness::history::Event| {
+                e.at_us >= started_at
+                    && (e.details["name"] == name.as_str()) == about_last
+                    && e.details["to"] == new_state
             };
-            said.iter().filter(fits).count()
+            log_lines.iter().filter(matches).count()
         };
         let others = || fleet.servers[..last].iter().map(|s| s.name.as_str());
-        let hourly = |n: usize, by: usize| format!("{:.0}", n as f64 * 3_600.0 / seconds as f64 / by as f64);
-        out.add_row([
+        let hourly = |n: usize, observer: usize| {
+            format!("{:.0}", n as f64 * 3_600.0 / seconds as f64 / observer as f64)
+        };
+        results.add_row([
             servers.to_string(),
-            share.to_string(),
-            hourly(others().map(|by| count(by, true, "suspected")).sum(), last),
-            hourly(others().map(|by| count(by, true, "failed")).sum(), last),
+            core_percentage.to_string(),
+            hourly(others().map(|observer| count(observer, true, "suspected")).sum(), last),
+            hourly(others().map(|observer| count(observer, true, "failed")).sum(), last),
             hourly(count(&name, false, "failed"), 1),
-            others().map(|by| count(by, false, "failed")).sum::<usize>().to_string(),
-            stands,
+            others().map(|observer| count(observer, false, "failed")).sum::<usize>().to_string(),
+            final_status,
         ]);
     }
-    println!("{out}");
+    println!("{results}");
     Ok(())
 }
 
 /// The rig's servers with the product's own times.
-fn usual(server: &std::path::Path, servers: usize) -> Rig {
-    let mut rig = Rig::new(server, servers);
-    rig.timing = "timing".to_owned();
-    rig.capacity = 8 * servers as u32;
-    rig
+fn default_timing_options(server: &std::path::Path, servers: usize) -> FleetOptions {
+    let mut fleet_options = FleetOptions::new(server, servers);
+    fleet_options.timing = "timing".to_owned();
+    fleet_options.capacity = 8 * servers as u32;
+    fleet_options
 }
 
-fn detection(server: &std::path::Path, counts: &[usize], kills: usize) -> Result<(), String> {
-    let mut out = table(&[
+fn detection(server: &std::path::Path, server_counts: &[usize], kills: usize) -> Result<(), String> {
+    let mut results = table(&[
         "servers",
         "kills",
         "until one knows, p50 ms",
@@ -125,48 +134,48 @@
         "p99 ms",
         "most ms",
     ]);
-    for &count in counts {
-        let mut fleet = Fleet::start(usual(server, count))?;
+    for &count in server_counts {
+        let mut fleet = Fleet::start(default_timing_options(server, count))?;
         fleet.wait_for_partition_status_everywhere("whole")?;
-        let (mut first, mut last) = (Vec::new(), Vec::new());
+        let (mut first_detections_ms, mut last_detections_ms) = (Vec::new(), Vec::new());
         for kill in 0..kills {
-            let n = kill % count;
-            let at = umberloom_fault_harness::history::now_us();
-            fleet.servers[n].kill();
-            let others: Vec<usize> = (0..count).filter(|other| *other != n).collect();
+            let killed = kill % count;
+            let killed_at = umberloom_fault_harness::history::now_us();
+            fleet.servers[killed].kill();
+            let others: Vec<usize> = (0..count).filter(|other| *other != killed).collect();
             for other in &others {
-                fleet.wait_for_member_state(*other, n, "failed")?;
+                fleet.wait_for_member_state(*other, killed, "failed")?;
             }
             fleet.servers.iter_mut().for_each(umberloom_fault_harness::server::Server::read_log);
-            let name = fleet.servers[n].name.clone();
-            let knew = others.iter().filter_map(|other| {
-                let said = fleet.history.log_lines(&fleet.servers[*other].name, "member state changed");
-                let fits = |e: &&umberloom_fault_harness::history::Event| {
-                    e.at_us >= at && e.details["name"] == name.as_str() && e.details["to"] == "failed"
+            let name = fleet.servers[killed].name.clone();
+            let detections_ms = others.iter().filter_map(|other| {
+                let log_lines = fleet.history.log_lines(&fleet.servers[*other].name, "member state changed");
+                let matches = |e: &&umberloom_fault_harness::history::Event| {
+                    e.at_us >= killed_at && e.details["name"] == name.as_str() && e.details["to"] == "failed"
                 };
-                said.iter().find(fits).map(|e| (e.at_us - at) / 1_000)
+                log_lines.iter().find(matches).map(|e| (e.at_us - killed_at) / 1_000)
             });
-            let knew: Vec<u64> = knew.collect();
-            first.extend(knew.iter().min());
-            last.extend(knew.iter().max());
-            fleet.servers[n].start().map_err(|e| e.to_string())?;
+            let detections_ms: Vec<u64> = detections_ms.collect();
+            first_detections_ms.extend(detections_ms.iter().min());
+            last_detections_ms.extend(detections_ms.iter().max());
+            fleet.servers[killed].start().map_err(|e| e.to_string())?;
             fleet.wait_for_partition_status_everywhere("whole")?;
         }
-        let most = last.iter().max().map_or("-".to_owned(), u64::to_string);
-        out.add_row([
+        let max = last_detections_ms.iter().max().map_or("-".to_owned(), u64::to_string);
+        results.add_row([
             count.to_string(),
             kills.to_string(),
-            percentile(&mut first, 0.5),
-            percentile(&mut last, 0.5),
-            percentile(&mut last, 0.99),
-            most,
+            percentile(&mut first_detections_ms, 0.5),
+            percentile(&mut last_detections_ms, 0.5),
+            percentile(&mut last_detections_ms, 0.99),
+            max,
         ]);
     }
-    println!("{out}");
+    println!("{results}");
     Ok(())
 }
 
-fn as_it_is(_: &mut Config) {}
+fn default_config(_: &mut Config) {}
 
 /// Microseconds of virtual time.
 const SECOND: u64 = 1_000_000;
@@ -184,7 +193,7 @@
 
 /// Kills and restarts one member, then cuts the fleet in halves for ten seconds.
 fn kill_and_partition(count: usize, seed: u64) -> Result<KillAndPartition, String> {
-    let mut fleet = VirtualFleet::new(count, seed, as_it_is);
+    let mut fleet = VirtualFleet::new(count, seed, default_config);
     fleet.run_until(30 * SECOND)?;
     let (bytes_before, messages_before) = (fleet.bytes, fleet.messages);
     fleet.run_until(40 * SECOND)?;
@@ -237,21 +246,21 @@
 
 /// One row of the table of losses: suspicions and failures of a fleet whose network loses this share of messages.
 fn loss_row(count: usize, loss: f64) -> Result<[String; 5], String> {
-    let mut fleet = VirtualFleet::new(count, 99, as_it_is);
+    let mut fleet = VirtualFleet::new(count, 99, default_config);
     fleet.run_until(30 * SECOND)?;
     fleet.network = Network { loss, ..Network::default() };
-    let from = fleet.now;
-    fleet.run_until(from + 60 * SECOND)?;
+    let started_at = fleet.now;
+    fleet.run_until(started_at + 60 * SECOND)?;
     let hours = 60.0 / 3_600.0 * count as f64;
     // Each is told by everyone who hears of it: an accusation is counted once for each who holds it.
-    let (suspected, failed) = fleet.suspicion_counts(from);
-    let each = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
+    let (suspected, failed) = fleet.suspicion_counts(started_at);
+    let per_member_hour = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
     Ok([
         count.to_string(),
         format!("{:.0}", loss * 100.0),
         format!("{hours:.1}"),
-        each(suspected),
-        each(failed),
+        per_member_hour(suspected),
+        per_member_hour(failed),
     ])
 }
 
@@ -277,101 +286,108 @@
     Ok(())
 }
 
-fn loans(server: &std::path::Path, seconds: u64) -> Result<(), String> {
-    let mut out =
+fn leases(server: &std::path::Path, seconds: u64) -> Result<(), String> {
+    let mut results =
         table(&["shared by", "served at the busy one", "not served", "calls at once, most", "survives"]);
-    for (name, cut) in [("loans", false), ("a number in the file", true)] {
-        let mut rig = Rig::new(server, 4);
-        (rig.capacity, rig.service_time_ms, rig.fixed_quota_shares) = (16, 60.0, cut);
-        let mut fleet = if cut { Fleet::start(rig)? } else { Fleet::start_converged(rig)? };
+    for (name, fixed_shares) in [("loans", false), ("a number in the file", true)] {
+        let mut fleet_options = FleetOptions::new(server, 4);
+        (fleet_options.capacity, fleet_options.service_time_ms, fleet_options.fixed_quota_shares) =
+            (16, 60.0, fixed_shares);
+        let mut fleet =
+            if fixed_shares { Fleet::start(fleet_options)? } else { Fleet::start_converged(fleet_options)? };
         fleet.start_traffic(24, Duration::from_secs(5));
         fleet.traffic.iter().for_each(|traffic| traffic.set_gap(0, Duration::from_millis(1)));
         std::thread::sleep(Duration::from_secs(seconds));
-        let asked = fleet.traffic.take().map(Traffic::finish).unwrap_or_default();
-        let busy = |served: bool| {
-            asked.iter().filter(|a| a.server == 0 && (a.outcome == Outcome::Served) == served).count()
+        let requests = fleet.traffic.take().map(Traffic::finish).unwrap_or_default();
+        let busy_server_count = |served: bool| {
+            requests.iter().filter(|a| a.server == 0 && (a.outcome == Outcome::Served) == served).count()
         };
-        out.add_row([
+        results.add_row([
             name.to_owned(),
-            busy(true).to_string(),
-            busy(false).to_string(),
+            busy_server_count(true).to_string(),
+            busy_server_count(false).to_string(),
             fleet.peak_concurrency().to_string(),
             fleet.options.capacity.to_string(),
         ]);
     }
-    println!("{out}");
+    println!("{results}");
     Ok(())
 }
 
 fn cost(server: &std::path::Path, pairs: u64, seconds: u64) -> Result<(), String> {
-    let mut out = table(&["pair", "off, µs a request", "on, µs a request", "on beside off, %"]);
-    let mut all = Vec::new();
+    let mut results = table(&["pair", "off, µs a request", "on, µs a request", "on beside off, %"]);
+    let mut overheads_percent = Vec::new();
     for pair in 0..pairs {
-        let one = |on: bool| -> Result<f64, String> {
-            let mut rig = usual(server, 3);
-            rig.fleet_enabled = on;
-            let mut fleet = if on { Fleet::start_converged(rig)? } else { Fleet::start(rig)? };
+        let cpu_us_per_request = |with_fleet: bool| -> Result<f64, String> {
+            let mut fleet_options = default_timing_options(server, 3);
+            fleet_options.fleet_enabled = with_fleet;
+            let mut fleet = if with_fleet {
+                Fleet::start_converged(fleet_options)?
+            } else {
+                Fleet::start(fleet_options)?
+            };
             fleet.start_traffic(6, Duration::from_millis(4));
             std::thread::sleep(Duration::from_secs(2));
-            let cpu = |fleet: &Fleet| -> u64 {
+            let cpu_time_us = |fleet: &Fleet| -> u64 {
                 fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_time_us).sum()
             };
-            let asked = |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |traffic| traffic.outcomes().len());
-            let before = (cpu(&fleet), asked(&fleet));
+            let request_count =
+                |fleet: &Fleet| fleet.traffic.as_ref().map_or(0, |traffic| traffic.outcomes().len());
+            let before = (cpu_time_us(&fleet), request_count(&fleet));
             std::thread::sleep(Duration::from_secs(seconds));
-            Ok((cpu(&fleet) - before.0) as f64 / (asked(&fleet) - before.1).max(1) as f64)
+            Ok((cpu_time_us(&fleet) - before.0) as f64 / (request_count(&fleet) - before.1).max(1) as f64)
         };
         // Which one comes first changes, so that a machine that slows down favours neither.
-        let (off, on) = if pair % 2 == 0 {
-            let off = one(false)?;
-            (off, one(true)?)
+        let (without_fleet, with_fleet) = if pair % 2 == 0 {
+            let without_fleet = cpu_us_per_request(false)?;
+            (without_fleet, cpu_us_per_request(true)?)
         } else {
-            let on = one(true)?;
-            (one(false)?, on)
+            let with_fleet = cpu_us_per_request(true)?;
+            (cpu_us_per_request(false)?, with_fleet)
         };
-        all.push((on / off - 1.0) * 100.0);
-        out.add_row([
+        overheads_percent.push((with_fleet / without_fleet - 1.0) * 100.0);
+        results.add_row([
             pair.to_string(),
-            format!("{off:.1}"),
-            format!("{on:.1}"),
-            format!("{:+.1}", (on / off - 1.0) * 100.0),
+            format!("{without_fleet:.1}"),
+            format!("{with_fleet:.1}"),
+            format!("{:+.1}", (with_fleet / without_fleet - 1.0) * 100.0),
         ]);
     }
-    println!("{out}");
-    let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
+    println!("{results}");
+    let mean = overheads_percent.iter().sum::<f64>() / overheads_percent.len().max(1) as f64;
     println!("mean {mean:+.1} %");
     Ok(())
 }
 
-fn idle(server: &std::path::Path, counts: &[usize], seconds: u64) -> Result<(), String> {
-    let mut out = table(&["servers", "fleet", "% of a core a member", "KB/s a member sent"]);
-    for &count in counts {
-        for on in [false, true] {
-            let mut rig = usual(server, count);
-            rig.fleet_enabled = on;
-            let fleet = Fleet::start(rig)?;
-            if on {
+fn idle(server: &std::path::Path, server_counts: &[usize], seconds: u64) -> Result<(), String> {
+    let mut results = table(&["servers", "fleet", "% of a core a member", "KB/s a member sent"]);
+    for &count in server_counts {
+        for fleet_enabled in [false, true] {
+            let mut fleet_options = default_timing_options(server, count);
+            fleet_options.fleet_enabled = fleet_enabled;
+            let fleet = Fleet::start(fleet_options)?;
+            if fleet_enabled {
                 fleet.wait_for_partition_status_everywhere("whole")?;
             }
             std::thread::sleep(Duration::from_secs(3));
-            let cpu = |fleet: &Fleet| -> u64 {
+            let cpu_time_us = |fleet: &Fleet| -> u64 {
                 fleet.servers.iter().filter_map(umberloom_fault_harness::server::Server::cpu_time_us).sum()
             };
-            let sent = |fleet: &Fleet| -> u64 {
+            let bytes_sent = |fleet: &Fleet| -> u64 {
                 let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b);
                 pairs.map(|(a, b)| fleet.direction(a, b).carried().1).sum()
             };
-            let before = (cpu(&fleet), sent(&fleet));
+            let before = (cpu_time_us(&fleet), bytes_sent(&fleet));
             std::thread::sleep(Duration::from_secs(seconds));
-            let each = (seconds as f64) * count as f64;
-            out.add_row([
+            let member_seconds = (seconds as f64) * count as f64;
+            results.add_row([
                 count.to_string(),
-                if on { "on" } else { "off" }.to_owned(),
-                format!("{:.2}", (cpu(&fleet) - before.0) as f64 / each / 10_000.0),
-                format!("{:.1}", (sent(&fleet) - before.1) as f64 / each / 1_000.0),
+                if fleet_enabled { "on" } else { "off" }.to_owned(),
+                format!("{:.2}", (cpu_time_us(&fleet) - before.0) as f64 / member_seconds / 10_000.0),
+                format!("{:.1}", (bytes_sent(&fleet) - before.1) as f64 / member_seconds / 1_000.0),
             ]);
         }
     }
-    println!("{out}");
+    println!("{results}");
     Ok(())
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -2,14 +2,14 @@
 
 mod caller;
 mod demo;
+mod demo_environment;
 mod emulate;
 mod experiments;
 mod fleet;
 mod fleet_chart;
 mod fleet_measures;
-mod record_measures;
 mod report;
-mod site;
+mod store_measures;
 mod tables;
 
 use std::path::PathBuf;
@@ -67,7 +67,7 @@
         .descr("Plays umberloom against stand-ins on loopback")
 }
 
-fn server() -> impl Parser<Option<PathBuf>> {
+fn server_option() -> impl Parser<Option<PathBuf>> {
     let server = long("server").help("The program that serves; unless given, the one beside this");
     server.argument::<PathBuf>("FILE").optional()
 }
@@ -76,7 +76,7 @@
     let number = |name: &'static str, help: &'static str| long(name).help(help).argument::<u64>("N");
     let file =
         |name: &'static str, help: &'static str| long(name).help(help).argument::<PathBuf>("FILE").optional();
-    let server = server();
+    let server = server_option();
     let servers = number("servers", "From 2 to 24").map(|n| n as usize).fallback(5).display_fallback();
     let seconds = number("seconds", "How long it plays").fallback(20).display_fallback();
     let seed = number("seed", "For all that is drawn").fallback(1).display_fallback();
@@ -96,56 +96,52 @@
 }
 
 fn measure_command() -> impl Parser<Command> {
-    use fleet_measures::What;
-    let counts = |unless_set: &[usize]| {
-        let help = "Numbers of servers, with commas between";
+    use fleet_measures::Measurement;
+    let numbers = |name: &'static str, help: &'static str, default: &[usize]| {
         let parse = |text: String| text.split(',').map(str::parse::<usize>).collect::<Result<Vec<_>, _>>();
-        long("servers").help(help).argument::<String>("N,N").parse(parse).fallback(unless_set.to_vec())
+        long(name).help(help).argument::<String>("N,N").parse(parse).fallback(default.to_vec())
     };
-    let number = |name: &'static str, help: &'static str, unless_set: u64| {
-        long(name).help(help).argument::<u64>("N").fallback(unless_set)
+    let server_counts =
+        |default: &[usize]| numbers("servers", "Numbers of servers, with commas between", default);
+    let number = |name: &'static str, help: &'static str, default: u64| {
+        long(name).help(help).argument::<u64>("N").fallback(default)
     };
-    let (servers, kills) = (counts(&[3, 8]), number("kills", "How many each", 10).map(|n| n as usize));
-    let detection =
-        construct!(What::Detection(servers, kills)).to_options().descr("From a kill to all knowing");
-    let detection = detection.command("detection");
-    let (servers, seeds) = (counts(&[24, 200]), number("seeds", "How many", 3));
-    let virtual_time =
-        construct!(What::Virtual(servers, seeds)).to_options().descr("Members on virtual time");
-    let virtual_time = virtual_time.command("virtual");
+    let (servers, kills) = (server_counts(&[3, 8]), number("kills", "How many each", 10).map(|n| n as usize));
+    let detection = construct!(Measurement::Detection(servers, kills)).to_options();
+    let detection = detection.descr("From a kill to all knowing").command("detection");
+    let (servers, seeds) = (server_counts(&[24, 200]), number("seeds", "How many", 3));
+    let virtual_time = construct!(Measurement::Virtual(servers, seeds)).to_options();
+    let virtual_time = virtual_time.descr("Members on virtual time").command("virtual");
     let seconds = number("seconds", "How long each", 10);
-    let loans =
-        seconds.map(What::Loans).to_options().descr("Uneven need, with loans and without").command("loans");
-    let (servers, seconds) = (counts(&[3, 8]), number("seconds", "How long each", 10));
-    let idle = construct!(What::Idle(servers, seconds)).to_options().descr("What knowing each other costs");
-    let idle = idle.command("idle");
-    let share = long("core").help("Percent of its core that the last one has").argument::<String>("N,N");
-    let parse = |text: String| text.split(',').map(str::parse::<usize>).collect::<Result<Vec<_>, _>>();
-    let share = share.parse(parse).fallback(vec![100, 50, 20, 5]);
+    let leases = seconds.map(Measurement::Leases).to_options();
+    let leases = leases.descr("Uneven need, with loans and without").command("loans");
+    let (servers, seconds) = (server_counts(&[3, 8]), number("seconds", "How long each", 10));
+    let idle = construct!(Measurement::Idle(servers, seconds)).to_options();
+    let idle = idle.descr("What knowing each other costs").command("idle");
+    let core_percentages = numbers("core", "Percent of its core that the last one has", &[100, 50, 20, 5]);
     let servers = number("servers", "How many", 5).map(|n| n.clamp(2, 24) as usize);
     let seconds = number("seconds", "How long each", 60);
-    let starved = construct!(What::Starved(servers, share, seconds)).to_options();
+    let starved = construct!(Measurement::Starved(servers, core_percentages, seconds)).to_options();
     let starved = starved.descr("Accusations while one member is starved of its core").command("starved");
     let (seconds, clients) =
         (number("seconds", "How long each", 5), number("clients", "How many at once", 8));
     let clients = clients.map(|n| n.clamp(1, 64) as usize);
-    let commits = construct!(What::Commits(seconds, clients)).to_options().descr("Writes to the record");
-    let commits = commits.command("commits");
+    let commits = construct!(Measurement::Commits(seconds, clients)).to_options();
+    let commits = commits.descr("Writes to the record").command("commits");
     let times = number("times", "How often each", 5).map(|n| n as usize);
-    let leaders =
-        times.map(What::Leaders).to_options().descr("From a leader's end to another").command("leaders");
+    let leaders = times.map(Measurement::Leaders).to_options();
+    let leaders = leaders.descr("From a leader's end to another").command("leaders");
     let documents = number("documents", "Of 1 MB each", 20).map(|n| n.min(31) as usize);
-    let catch_up = documents.map(What::CatchUp).to_options().descr("One that returns from nothing");
-    let catch_up = catch_up.command("catch-up");
-    let store = bpaf::pure(What::Store).to_options().descr("The store by itself").command("store");
+    let catch_up = documents.map(Measurement::CatchUp).to_options();
+    let catch_up = catch_up.descr("One that returns from nothing").command("catch-up");
+    let store = bpaf::pure(Measurement::Store).to_options().descr("The store by itself").command("store");
     let (pairs, seconds) = (number("pairs", "How many", 5), number("seconds", "How long each", 6));
-    let cost =
-        construct!(What::Cost(pairs, seconds)).to_options().descr("Processor time of a request, on and off");
-    let cost = cost.command("cost");
-    let what =
-        construct!([detection, virtual_time, loans, idle, starved, cost, commits, leaders, catch_up, store]);
-    let server = server();
-    construct!(fleet_measures::Options { server, what })
+    let cost = construct!(Measurement::Cost(pairs, seconds)).to_options();
+    let cost = cost.descr("Processor time of a request, on and off").command("cost");
+    let measurement =
+        construct!([detection, virtual_time, leases, idle, starved, cost, commits, leaders, catch_up, store]);
+    let server = server_option();
+    construct!(fleet_measures::Options { server, measurement })
         .map(Command::Measure)
         .to_options()
         .descr("Measurements of a fleet, as docs/measurements has them")
@@ -153,17 +149,17 @@
 }
 
 fn main() -> ExitCode {
-    let done = match command_line().run() {
-        Command::Demo(options) => demo::play(&options),
+    let result = match command_line().run() {
+        Command::Demo(options) => demo::run(&options),
         Command::Budgets(seeds) => experiments::budgets(seeds),
-        Command::Fleet(options) => fleet::play(&options),
+        Command::Fleet(options) => fleet::run(&options),
         Command::Measure(options) => fleet_measures::measure(&options),
         Command::Outage(seeds) => experiments::outage(seeds),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("umberloom-loadtest: {why}");
+        Err(error) => {
+            eprintln!("umberloom-loadtest: {error}");
             ExitCode::FAILURE
         }
     }
