--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -1,4 +1,5 @@
-//! Balancers that send at the times that were drawn, whatever the server does, and note how each request ended.
+//! Balancers that send requests at scheduled times, however slow the server is (open-loop load), and record
+//! the outcome of each.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -14,64 +15,69 @@
 
 use crate::demo_environment::CLASS_BUDGETS_MS;
 
-/// Connections; each carries up to 32 requests at once.
+/// The number of connections to the server.
 const CONNECTIONS: usize = 16;
+/// The number of requests that may be open on one connection.
 const MAX_OPEN_PER_CONNECTION: usize = 32;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// Served, with every part fresh.
+    /// Served, and every part of the response is fresh.
     Complete,
-    /// Served, with some part missing or not fresh.
+    /// Served, but a part of the response is missing or not fresh.
     Partial,
-    /// Turned away.
+    /// Rejected by the server.
     Rejected,
-    /// Failed.
+    /// Answered with any other status.
     Failed,
-    /// No answer by the end of the demo.
+    /// Not answered by the end of the demo.
     Unanswered,
 }
 
 /// One request that was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentRequest {
-    /// The phase in which it was sent.
+    /// The index of the phase in which it was sent.
     pub phase: usize,
-    /// When it was to be sent, from the start. Time lost before that is the server's, not left out.
+    /// When it was due to be sent, since the start. Latency counts from here, so that a delayed send is not
+    /// left out of the figures.
     pub scheduled_at: Duration,
-    /// How long it may take.
+    /// The time within which it must be answered.
     pub budget: Duration,
-    /// Its class, by its place in [`BUDGETS_MS`].
+    /// The index of its class in [`CLASS_BUDGETS_MS`].
     pub class: usize,
-    /// It was sent a second time: the first crossed a close.
+    /// Whether it was sent a second time, because the first connection closed before the answer.
     pub resent: bool,
-    /// When it was answered, from the start.
+    /// When it was answered, since the start.
     pub answered_at: Option<Duration>,
-    /// How.
+    /// How it ended.
     pub outcome: RequestOutcome,
 }
 
-/// What is open on a connection: numbers of requests in the list of all.
+/// The requests that are open on a connection: slot to index in [`Callers::requests`].
 type Open = Arc<Mutex<BTreeMap<u16, usize>>>;
 
+/// A connection to the server, whose answers a thread of its own reads.
 struct Connection {
     stream: TcpStream,
     open: Open,
+    /// Set by the reading thread once the connection has ended.
     closed: Arc<AtomicBool>,
+    /// The slot of the last request that was sent.
     last_slot: u16,
 }
 
-/// All balancers.
+/// All connections of the balancers, and the requests that were sent on them.
 pub struct Callers {
     start: Instant,
     connections: Vec<Connection>,
     requests: Arc<Mutex<Vec<SentRequest>>>,
-    /// Requests whose connection ended before their answer.
+    /// Indices of the requests whose connection ended before their answer.
     interrupted: Arc<Mutex<Vec<usize>>>,
     listen: SocketAddr,
     completion_notifier: CompletionNotifier,
-    /// The most that sending ever lagged behind.
+    /// The longest delay between the time a request was due and the time it was sent.
     pub max_send_delay: Duration,
 }
 
@@ -80,7 +86,7 @@
 }
 
 impl Callers {
-    /// Connects to the server.
+    /// Opens all connections to the server.
     pub fn start(listen: SocketAddr, completion_notifier: CompletionNotifier) -> Result<Callers, String> {
         let (requests, interrupted) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
         let mut callers = Callers {
@@ -99,11 +105,11 @@
         Ok(callers)
     }
 
-    /// A connection, and a thread that reads its answers.
+    /// Opens a connection and starts the thread that reads its answers.
     fn connect(&self) -> Result<Connection, String> {
         let mut balancer = Balancer::connect(self.listen);
         let _ = balancer.stream.set_read_timeout(None);
-        let stream = balancer.stream.try_clone().map_err(|e| format!("a connection: {e}"))?;
+        let stream = balancer.stream.try_clone().map_err(|e| format!("cannot clone a connection: {e}"))?;
         let (open, closed) = (Open::default(), Arc::new(AtomicBool::new(false)));
         let (thread_open, thread_closed, completion_notifier) =
             (open.clone(), closed.clone(), self.completion_notifier.clone());
@@ -128,7 +134,8 @@
         self.start.elapsed()
     }
 
-    /// Sends a request that was drawn for this time, and again those that crossed a close.
+    /// Sends the request that was due at this time, and resends those whose connection closed before the
+    /// answer.
     pub fn send(&mut self, phase: usize, scheduled_at: Duration, class: usize) -> Result<(), String> {
         self.max_send_delay = self.max_send_delay.max(self.elapsed().saturating_sub(scheduled_at));
         let budget = Duration::from_millis(CLASS_BUDGETS_MS[class].1);
@@ -148,7 +155,7 @@
         self.write(number)?;
         let interrupted = std::mem::take(&mut *lock(&self.interrupted));
         for number in interrupted {
-            // Once: what is lost a second time stays unanswered.
+            // A request is resent once; if that is lost as well, it stays unanswered.
             if !std::mem::replace(&mut lock(&self.requests)[number].resent, true) {
                 self.write(number)?;
             }
@@ -156,6 +163,7 @@
         Ok(())
     }
 
+    /// Writes a request to the connection with the fewest open requests, after replacing closed connections.
     fn write(&mut self, number: usize) -> Result<(), String> {
         let sent = lock(&self.requests)[number];
         for index in 0..self.connections.len() {
@@ -167,7 +175,8 @@
         let Some(connection) =
             connection.filter(|connection| lock(&connection.open).len() < MAX_OPEN_PER_CONNECTION)
         else {
-            // More is open than a server may be sent: that counts against it.
+            // Every connection has its maximum of open requests. The request stays unanswered, which counts
+            // against the server.
             return Ok(());
         };
         let (class, budget_ms) = CLASS_BUDGETS_MS[sent.class];
@@ -190,7 +199,7 @@
         Ok(())
     }
 
-    /// All that was sent, once the last has had its time.
+    /// Waits until the last request had time to be answered, and returns all requests.
     pub fn finish(self) -> Vec<SentRequest> {
         thread::sleep(Duration::from_millis(900));
         let requests = lock(&self.requests).clone();
@@ -198,11 +207,12 @@
     }
 }
 
-/// The name of a try.
+/// The name of one attempt to send a request.
 fn attempt_name(number: usize, resent: bool) -> String {
     format!("{:08x}{number:08x}", u32::from(resent))
 }
 
+/// The outcome for an answer, by its HTTP status, the status of the link protocol and the body.
 fn classify(status: u16, protocol_status: u8, body: &[u8]) -> RequestOutcome {
     match (status, protocol_status) {
         (200, _) if AggregateResponse::decode(body).is_ok_and(|response| !response.is_complete()) => {
--- a/crates/loadtest/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -1,4 +1,4 @@
-//! A morning ramp on which dependencies fail in turn.
+//! The demo: the load of a morning ramps up, and dependencies fail in turn.
 
 use std::path::PathBuf;
 use std::thread;
@@ -14,18 +14,22 @@
 use crate::demo_environment::DemoEnvironment;
 use crate::report;
 
-/// What the demo is told.
+/// The options of the demo.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub server: Option<PathBuf>,
+    /// How long the whole demo runs.
     pub seconds: u64,
+    /// Requests per second after the ramp.
     pub rate: f64,
     pub seed: u64,
+    /// Run without an operator's file, so that runs call the records service only. No dependency fails then.
     pub plain: bool,
+    /// Where to write the server's log.
     pub log: Option<PathBuf>,
 }
 
-/// One part of the morning: what happens, and what it does to the site.
+/// A phase of the demo, with the change that it makes to the environment when it starts.
 struct Phase {
     name: &'static str,
     change: fn(&DemoEnvironment),
@@ -37,7 +41,7 @@
 
 fn phases() -> Vec<Phase> {
     vec![
-        Phase { name: "ramp, all well", change: |_| {} },
+        Phase { name: "ramp, all healthy", change: |_| {} },
         Phase {
             name: "equipment hangs",
             change: |e| e.equipment.iter().for_each(|d| d.set_behaviour(Behaviour::Hang)),
@@ -58,14 +62,14 @@
             name: "billing down",
             change: |e| e.billing.iter().for_each(|d| d.set_behaviour(Behaviour::Down)),
         },
-        Phase { name: "all come back", change: |_| {} },
-        Phase { name: "all well", change: |_| {} },
+        Phase { name: "all recover", change: |_| {} },
+        Phase { name: "all healthy", change: |_| {} },
     ]
 }
 
-/// The program that stands beside this one.
+/// The server program in the folder of this program.
 pub fn default_server_path() -> Result<PathBuf, String> {
-    let executable = std::env::current_exe().map_err(|e| format!("its own place: {e}"))?;
+    let executable = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
     let server = executable.with_file_name("umberloom");
     match server.exists() {
         true => Ok(server),
@@ -76,11 +80,13 @@
     }
 }
 
-/// Plays it and prints the table.
+/// Runs the demo and prints its results.
 pub fn run(options: &Options) -> Result<(), String> {
     let server = options.server.clone().map_or_else(default_server_path, Ok)?;
     if !(options.rate > 0.0 && options.rate <= 2_000.0 && (1..=600).contains(&options.seconds)) {
-        return Err("--rate is over 0 up to 2000 a second, --seconds from 1 to 600".to_owned());
+        return Err(
+            "--rate must be over 0 and at most 2000 requests per second, --seconds from 1 to 600".to_owned()
+        );
     }
     let environment = DemoEnvironment::start(&server, options.plain, options.log.as_deref())?;
     let phases = phases();
@@ -103,7 +109,7 @@
             thread::sleep(send_time.saturating_sub(callers.elapsed()));
             callers.send(index, send_time, usize::from(random.random_bool(0.3)))?;
             bar.set_position(send_time.as_millis() as u64);
-            // Over the first phase the rate climbs from a fifth to the whole.
+            // During the first phase the rate climbs from a fifth of `--rate` to all of it.
             let rate_share = (send_time.as_secs_f64() / phase_duration.as_secs_f64()).min(1.0) * 0.8 + 0.2;
             let interval = Exp::new(options.rate * rate_share).map_or(1.0, |d| d.sample(&mut random));
             send_time += Duration::from_secs_f64(interval);
@@ -119,7 +125,7 @@
     println!("{}", report::summary(&requests, max_send_delay));
     if let Some(cpu_time) = cpu_time {
         println!(
-            "The server had {:.1} us of a core for each request.",
+            "The server's main thread used {:.1} us of processor time per request.",
             cpu_time.as_secs_f64() * 1e6 / requests.len().max(1) as f64
         );
     }
--- a/crates/loadtest/src/demo_environment.rs
+++ b/crates/loadtest/src/demo_environment.rs
@@ -1,4 +1,4 @@
-//! A server process, everything it talks to, and the files that tell it so.
+//! A server process, stand-ins for everything it talks to, and its configuration files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,14 +10,14 @@
 use umberloom_protocol_fakes::farm::{Farm, Work};
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
-/// What the records service and each dependency answers with.
+/// The body of each answer of a healthy records service or dependency.
 const RESPONSE_BODY: &[u8] = b"{\"well\":true}";
-/// Cores of the farm.
+/// The number of cores of the render farm.
 pub const FARM_CORES: usize = 4;
-/// How long requests of each class may take, in milliseconds.
+/// The classes, with the time in milliseconds that requests of each may take.
 pub const CLASS_BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 400), ("book-room", 600)];
 
-/// Everything around one server.
+/// A server process and everything it talks to. Dropping it kills the process and removes its files.
 pub struct DemoEnvironment {
     pub listen: SocketAddr,
     pub records: Dependency,
@@ -31,7 +31,8 @@
 }
 
 impl DemoEnvironment {
-    /// Starts all of it and waits until the server says that it is well.
+    /// Starts everything and waits until the server passes a health check. With `plain` the server has no
+    /// operator's file; its log goes to `log`, if given.
     pub fn start(server: &Path, plain: bool, log: Option<&Path>) -> Result<DemoEnvironment, String> {
         let healthy_dependency = || Dependency::start(Behaviour::quick(RESPONSE_BODY));
         let (records, notes) = (healthy_dependency(), healthy_dependency());
@@ -85,7 +86,7 @@
         while Instant::now() < deadline {
             if let Ok(Some(status)) = self.server.try_wait() {
                 return Err(format!(
-                    "the server ended at its start: {status}; --log FILE keeps what it says"
+                    "the server exited during its start: {status}; --log FILE keeps its log"
                 ));
             }
             if std::net::TcpStream::connect(self.listen).is_ok() {
@@ -96,10 +97,10 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err("the server did not come up within 10 s".to_owned())
+        Err("the server did not become healthy within 10 s".to_owned())
     }
 
-    /// All dependencies but the records service, by name.
+    /// All dependencies except the records service, by name.
     pub fn dependencies(&self) -> [(&'static str, &[Dependency]); 3] {
         [
             ("billing", &self.billing),
@@ -108,19 +109,20 @@
         ]
     }
 
-    /// Calls and the requests that they were for, since the last look.
+    /// Returns how many calls all dependencies received and how many requests they were for, and resets the
+    /// counts.
     pub fn take_counts(&self) -> (u64, u64) {
         let all = self.dependencies().into_iter().flat_map(|(_, all)| all).chain([&self.records]);
         all.map(Dependency::take_counts).fold((0, 0), |(calls, requests), (c, r)| (calls + c, requests + r))
     }
 
-    /// Time that the server's first thread has had a core, where the system counts that.
+    /// The processor time of the server's main thread, where the system counts it.
     pub fn main_thread_cpu_time(&self) -> Option<Duration> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.server.id())).ok()?;
         text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
     }
 
-    /// Everything is well.
+    /// Makes every dependency healthy again, except the records service, which never fails.
     pub fn restore_dependencies(&self) {
         for dependency in self.dependencies().into_iter().flat_map(|(_, all)| all) {
             dependency.set_behaviour(Behaviour::quick(RESPONSE_BODY));
@@ -142,7 +144,7 @@
 
 fn free_address() -> Result<SocketAddr, String> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-    listener.map_err(|e| format!("no port on loopback: {e}"))
+    listener.map_err(|e| format!("cannot bind a port on loopback: {e}"))
 }
 
 fn server_config(listen: SocketAddr, farm: &Farm, announce: &Announce, records: &Dependency) -> String {
--- a/crates/loadtest/src/emulate.rs
+++ b/crates/loadtest/src/emulate.rs
@@ -1,4 +1,5 @@
-//! The decisions about dependencies on a clock of their own: scripted calls, no sockets, minutes in a moment.
+//! Runs the dependency engine on virtual time: calls end as a model says, without sockets, and minutes of
+//! load take moments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,28 +9,34 @@
 use umberloom_dependencies::config::Config;
 use umberloom_dependencies::{Action, AttemptId, CallCounts, Engine, PlanId, PlanRequest};
 
+/// One millisecond, in microseconds.
 pub const MS: Micros = 1_000;
 
-/// How a call to this dependency ends that starts now, and after how long.
+/// Returns the duration in microseconds and the outcome of a call that starts now (first argument) to the
+/// named dependency.
 pub type CallModel = Box<dyn FnMut(Micros, &str, &mut ChaCha8Rng) -> (Micros, Outcome)>;
 
-/// What became of one plan.
+/// A call plan that has finished, with its times in virtual microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedPlan {
     pub started_at: Micros,
     pub duration: Micros,
     pub outcome: Outcome,
+    /// Whether the aggregated response has every part.
     pub complete: bool,
 }
 
-/// A host on a clock of its own.
+/// A host of the dependency engine on virtual time.
 pub struct Emulation {
     engine: Engine,
     call_model: CallModel,
     random: ChaCha8Rng,
     pub now: Micros,
+    /// The attempts that will end, by the time of their end.
     attempt_ends: BTreeSet<(Micros, AttemptId)>,
+    /// The outcome of each attempt that will end; a cancelled attempt has none.
     outcomes: BTreeMap<AttemptId, Outcome>,
+    /// When each running plan started.
     plan_starts: BTreeMap<PlanId, Micros>,
     pub finished: Vec<FinishedPlan>,
     last_plan: PlanId,
@@ -51,11 +58,12 @@
         })
     }
 
-    /// A run asks, with so much time in all.
+    /// Starts a plan of this class whose calls have `time_limit` in all.
     pub fn start_plan(&mut self, class: &str, time_limit: Micros) {
         self.last_plan += 1;
         let call_deadline = self.now + time_limit;
-        // Nothing is set aside for the run: that is the same for all variants.
+        // The request deadline is 1000 s later, so no time is reserved for the run itself. That is the same
+        // in all variants.
         let request_deadline = call_deadline + 1_000_000 * MS;
         let request = PlanRequest {
             plan: self.last_plan,
@@ -72,6 +80,7 @@
         self.apply(actions);
     }
 
+    /// Handles timeouts and ends of attempts in the order of their times, up to and including `end`.
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let timer = self.engine.next_timeout().filter(|&at| at <= end);
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -1,4 +1,4 @@
-//! What single decisions about dependencies are worth, each beside doing without it.
+//! Experiments that show the effect of single mechanisms: each runs with the mechanism and without it.
 
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
@@ -11,18 +11,19 @@
 
 use crate::emulate::{Emulation, MS};
 
-/// Plays one experiment for each seed from 1 on, and prints the middle one of each figure with least and most.
+/// Compares ways of sharing a request's time among the stages of its plan. Runs the experiment once per seed,
+/// starting with seed 1, and prints the median, minimum and maximum of each metric.
 pub fn budgets(seeds: u64) -> Result<(), String> {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
-        "what is slow",
-        "how time is shared",
+        "slow stage",
+        "time sharing",
         "whole",
         "partial",
         "failed",
-        "p99 of the time",
+        "p99 of the time limit",
     ]);
-    for slow_stage in ["nothing", "first", "second", "third", "first, and only wanted"] {
+    for slow_stage in ["nothing", "first", "second", "third", "first, optional"] {
         for sharing in [TimeSharing::Unlimited, TimeSharing::Equal, TimeSharing::Shared] {
             let mut results = Vec::new();
             for seed in 1..=seeds {
@@ -43,13 +44,15 @@
     Ok(())
 }
 
+/// How the stages of a plan share the time of a request.
 #[derive(Clone, Copy)]
 enum TimeSharing {
-    /// Each stage may take all that is left.
+    /// Each stage may use all the time that is left.
     Unlimited,
-    /// Each stage has a third of the whole, and what it leaves is lost.
+    /// Each stage may use a third of the time; what it does not use is lost.
     Equal,
-    /// As the package does it.
+    /// Stages have equal weights, and unspent time passes on to the next stages, as the dependency engine
+    /// does it.
     Shared,
 }
 
@@ -63,21 +66,27 @@
     }
 }
 
-/// Time that a request has for its calls.
+/// The time that a request has for its calls.
 const REQUEST_TIME: Micros = 300 * MS;
 
-/// Three stages: the first two needed, the last wanted, or the first wanted and the others needed. Calls take 60 ms in the middle, which is often over an equal
-/// share less than twice; the slow one takes six times that for half of the calls.
+/// Runs plans of three stages with one call each and returns the percentages of complete, partial and failed
+/// plans, and the 99th percentile of their duration as a percentage of the time limit.
+///
+/// The calls of the first two stages are required and that of the last is optional; in the variant "first,
+/// optional" the first is optional and the others are required. Calls take 60 ms at the median, which often
+/// exceeds an equal share of the time, but less than twice. Half of the calls to the slow dependency take six
+/// times as long.
 fn run_budget_experiment(
     experiment: &'static str,
     sharing: TimeSharing,
     seed: u64,
 ) -> Result<[f64; 4], String> {
-    let first_optional = experiment == "first, and only wanted";
+    let first_optional = experiment == "first, optional";
     let slow_stage = if first_optional { "first" } else { experiment };
     let names = ["first", "second", "third"];
     let stage = |(index, name): (usize, &&str)| {
         let (weight, max_time) = match sharing {
+            // With these weights the share of each stage is nearly all the time that is left.
             TimeSharing::Unlimited => (1e6_f64.powi(2 - index as i32), REQUEST_TIME),
             TimeSharing::Equal => (1.0, REQUEST_TIME / 3),
             TimeSharing::Shared => (1.0, REQUEST_TIME),
@@ -95,7 +104,8 @@
     let stages = names.iter().enumerate().map(stage).collect();
     let limit = LimitBounds { initial: 64, min: 64, max: 64 };
     let retry = RetryPolicy { max_retries: 0, ..RetryPolicy::default() };
-    // Limits and breakers would answer the slow one as well: here only time is shared.
+    // Concurrency limits are fixed and there is no breaker, because both would also react to the slow
+    // dependency. Only the sharing of time may differ.
     let breaker = None;
     let dependency = |name: &&str| DependencyConfig {
         retry,
@@ -136,7 +146,7 @@
     ])
 }
 
-/// The middle one, with least and most.
+/// Formats the median of percentages with their minimum and maximum.
 fn median_and_range(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     match (values.first(), values.get(values.len() / 2), values.last()) {
@@ -145,22 +155,23 @@
     }
 }
 
-/// A dependency that is down for 30 s under full load, and cannot come back while it gets more than it can do.
+/// Compares retry budgets and breakers in an outage: a dependency is down for 30 s under full load, and can't
+/// recover while it gets more calls than it can handle.
 pub fn outage(seeds: u64) -> Result<(), String> {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
-        "repeated attempts",
+        "retries",
         "breaker",
-        "attempts a first, down",
-        "calls a second, down",
-        "served again after",
+        "attempts per first attempt, outage",
+        "calls/s, outage",
+        "recovered after",
     ]);
     let unbounded = RetryPolicy { budget_ratio: 1.0, budget_burst: 1_000.0, ..RetryPolicy::default() };
     let variants = [
-        ("two, without a budget", unbounded, "none", None),
-        ("out of a budget", RetryPolicy::default(), "none", None),
-        ("two, without a budget", unbounded, "yes", Some(BreakerConfig::default())),
-        ("out of a budget", RetryPolicy::default(), "yes", Some(BreakerConfig::default())),
+        ("two, no budget", unbounded, "none", None),
+        ("retry budget", RetryPolicy::default(), "none", None),
+        ("two, no budget", unbounded, "yes", Some(BreakerConfig::default())),
+        ("retry budget", RetryPolicy::default(), "yes", Some(BreakerConfig::default())),
     ];
     for (retry_label, retry, breaker_label, breaker) in variants {
         let mut results = Vec::new();
@@ -178,7 +189,7 @@
         };
         let recovery = median_range(|result| result.recovery_s);
         let recovery = if recovery.1 < 0.0 {
-            "not within 20 s in all".to_owned()
+            "not within 20 s in at least one run".to_owned()
         } else {
             format!("{} s", format_range(recovery, 1))
         };
@@ -194,18 +205,25 @@
     Ok(())
 }
 
+/// The result of one run of the outage experiment.
 struct OutageResult {
+    /// Attempts, retries and hedged requests included, for each first attempt during the outage.
     attempts_per_first: f64,
+    /// Attempts per second during the outage.
     calls_per_second: f64,
-    /// Seconds until nineteen of twenty were served; negative: not within 20 s.
+    /// Seconds from the end of the outage until 95 % of the requests of half a second are served; negative if
+    /// that doesn't happen within 20 s.
     recovery_s: f64,
 }
 
+/// Start and end of the outage.
 const OUTAGE: (Micros, Micros) = (5_000 * MS, 35_000 * MS);
+/// When the last request of the outage experiment is sent.
 const EXPERIMENT_END: Micros = 55_000 * MS;
 
-/// 200 requests a second, Poisson. The dependency does 300 calls a second; from the end of the outage on it answers
-/// only as long as it was sent no more than that in the last second, as one that is brought up under a crowd.
+/// Sends 200 requests/s with Poisson arrivals to a dependency that handles 300 calls/s. After the outage the
+/// dependency fails every call for which it received more than that in the last second, like a service that
+/// is restarted under overload.
 fn run_outage_experiment(
     retry: RetryPolicy,
     breaker: Option<BreakerConfig>,
--- a/crates/loadtest/src/fleet.rs
+++ b/crates/loadtest/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes under faults, and its time line.
+//! Runs a fleet of real processes under injected faults, and prints its timeline.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,26 +11,30 @@
 
 use crate::fleet_chart::{self, Sample};
 
-/// What the play is told.
+/// The options of a fleet run.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub server: Option<PathBuf>,
+    /// The number of servers.
     pub servers: usize,
     pub seconds: u64,
     pub seed: u64,
-    /// Kinds of faults, with commas between.
+    /// Kinds of faults, separated by commas, or "all" or "none".
     pub faults: String,
-    /// A script in place of drawn faults.
+    /// A file with a script of faults, in place of randomly drawn ones.
     pub script: Option<PathBuf>,
+    /// Where to write the timeline as SVG.
     pub chart: Option<PathBuf>,
+    /// Where to write the history, one JSON object per line.
     pub history: Option<PathBuf>,
 }
 
-/// Time between two looks.
+/// The time between two samples of every server.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Callers at each server; one after the other has the need.
+/// Callers at each server. One server at a time is busy: its callers pause for 1 ms between requests, those
+/// of the others for 400 ms.
 const CALLERS_PER_SERVER: usize = 12;
-/// The need moves on after so many looks.
+/// The number of samples after which the next server becomes the busy one.
 const SAMPLES_PER_BUSY_SERVER: usize = 8;
 
 fn parse_fault_kinds(text: &str) -> Result<Vec<&str>, String> {
@@ -41,13 +45,14 @@
     };
     match all.iter().find(|kind| !FAULT_KINDS.contains(kind)) {
         Some(kind) => Err(format!(
-            "found the kind {kind:?}, expected some of {}, \"all\" or \"none\"",
+            "found the fault kind {kind:?}, expected some of {}, \"all\" or \"none\"",
             FAULT_KINDS.join(",")
         )),
         None => Ok(all),
     }
 }
 
+/// Reads the script from its file, or draws faults of the given kinds.
 fn load_script(options: &Options) -> Result<Script, String> {
     if let Some(path) = &options.script {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -60,6 +65,7 @@
     })
 }
 
+/// What server `n` reports of itself now, as a sample for the time `at` since the start.
 fn take_sample(fleet: &Fleet, n: usize, at: Duration) -> Sample {
     let unavailable =
         Sample { at_ms: at.as_millis() as u64, status: '-', present_members: 0, quota_share: 0, borrowed: 0 };
@@ -89,11 +95,11 @@
     }
 }
 
-/// Plays it, prints the time line and the verdict; a breach is an error.
+/// Runs the fleet and prints the timeline and the verdict. Violated invariants are returned as an error.
 pub fn run(options: &Options) -> Result<(), String> {
     let server = options.server.clone().map_or_else(crate::demo::default_server_path, Ok)?;
     if !(2..=24).contains(&options.servers) || !(5..=600).contains(&options.seconds) {
-        return Err("--servers is from 2 to 24, --seconds from 5 to 600".to_owned());
+        return Err("--servers must be from 2 to 24, --seconds from 5 to 600".to_owned());
     }
     let script = load_script(options)?;
     let mut fleet_options = FleetOptions::new(&server, options.servers);
@@ -132,10 +138,10 @@
     }
     match violations.is_empty() {
         true => {
-            println!("verdict: nothing that must always hold was broken");
+            println!("verdict: no invariant was violated");
             Ok(())
         }
-        false => Err(format!("broken:\n{}", violations.join("\n"))),
+        false => Err(format!("invariants violated:\n{}", violations.join("\n"))),
     }
 }
 
@@ -179,12 +185,12 @@
     }
     println!("{table}");
     println!(
-        "one letter each {} ms: W whole, M majority, m minority, a alone, ? unsure, z stopped, - not running",
+        "one letter per {} ms: W whole, M majority, m minority, a alone, ? unsure, z stopped, - not running",
         SAMPLE_INTERVAL.as_millis()
     );
     let (peak, _) = peak_concurrency(calls);
     println!(
-        "{} calls to the shared dependency, {peak} at once at most, it survives {}",
+        "{} calls to the shared dependency, at most {peak} at once; it survives {}",
         calls.len(),
         fleet.options.capacity
     );
--- a/crates/loadtest/src/fleet_chart.rs
+++ b/crates/loadtest/src/fleet_chart.rs
@@ -1,4 +1,5 @@
-//! The time line of a fleet as a picture: how each server stood, and what was in use of what they share.
+//! Draws the timeline of a fleet: the partition status of each server, and the calls in use at the dependency
+//! that they share.
 
 use std::path::Path;
 use std::time::Instant;
@@ -7,18 +8,19 @@
 use umberloom_fault_harness::Options;
 use umberloom_protocol_fakes::dependency::CallInterval;
 
-/// What one server reported of itself at one moment.
+/// What a server reported of itself at one time.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Milliseconds from the start.
+    /// Milliseconds since the start.
     pub at_ms: u64,
-    /// The initial of its partition status; `-` while it is down, `z` while it is stopped.
+    /// The letter of its partition status: `W` whole, `M` majority, `m` minority, `a` alone, `?` unsure. `z`
+    /// while the process is stopped, `-` while it isn't running or gives no answer.
     pub status: char,
-    /// Members that it takes to be present.
+    /// Members that it regards as present, suspected or leaving.
     pub present_members: usize,
     /// Its own share of the quota, in concurrent calls.
     pub quota_share: u64,
-    /// Calls that it may make by leases of others.
+    /// Concurrent calls that it may make through leases from others.
     pub borrowed: u64,
 }
 
@@ -34,7 +36,8 @@
     }
 }
 
-/// Writes it as SVG.
+/// Writes the timeline to `path` as SVG. `calls` are those to the shared dependency; `start` is the start of
+/// the run.
 pub fn draw(
     path: &Path,
     options: &Options,
@@ -49,7 +52,7 @@
     let (upper, lower) = area.split_vertically(40 + 22 * rows as u32);
     let mut chart = ChartBuilder::on(&upper)
         .caption(
-            "standing: whole green, majority light, minority amber, alone red, stopped blue, unsure grey",
+            "status: whole green, majority light green, minority amber, alone red, stopped blue, unsure grey",
             ("sans-serif", 13),
         )
         .margin(6)
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -1,4 +1,5 @@
-//! Measurements of a fleet: real processes over the rig's relays, and members on virtual time.
+//! Measurements of a fleet: of real processes over the relays of the fault harness, and of members on virtual
+//! time.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,34 +12,39 @@
 use crate::store_measures;
 use crate::tables::{percentile, table};
 
-/// What is measured.
+/// The options of a measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub server: Option<PathBuf>,
     pub measurement: Measurement,
 }
 
+/// A measurement and its parameters.
 #[derive(Clone, Debug)]
 pub enum Measurement {
-    /// From a kill to all knowing, of real processes: numbers of servers, and kills each.
+    /// The time from a kill until the other servers know of it, with real processes: fleet sizes, kills per
+    /// size.
     Detection(Vec<usize>, usize),
-    /// The same on virtual time, with false suspicions by loss, bytes, and the time until views agree after a cut.
+    /// The same on virtual time, with traffic, the time until views agree after a partition, and false
+    /// suspicions by message loss: fleet sizes, seeds per size.
     Virtual(Vec<usize>, u64),
-    /// What sharing by loans is worth under uneven need: seconds.
+    /// The effect of leases of quota under uneven load: seconds.
     Leases(u64),
-    /// Processor time of a request with the fleet on and off, in pairs: pairs, seconds each.
+    /// Processor time per request with the fleet on and off, measured in pairs: pairs, seconds per
+    /// measurement.
     Cost(u64, u64),
-    /// Processor time and bytes of members that only know each other: numbers of servers, seconds.
+    /// Processor time and traffic of a fleet without requests: fleet sizes, seconds.
     Idle(Vec<usize>, u64),
-    /// Accusations while one member has its core for a part of the time only: servers, percent, seconds.
+    /// Suspicions while one server runs for only a part of the time: servers, percentages of the time,
+    /// seconds.
     Starved(usize, Vec<usize>, u64),
-    /// Writes to the record: seconds, clients.
+    /// Writes to the replicated store: seconds, clients.
     Commits(u64, usize),
-    /// From a leader's end to another: times.
+    /// The time from the loss of a leader until the next one is elected: repetitions.
     Leaders(usize),
-    /// One that returns from nothing: documents of 1 MB.
+    /// The catch-up of a server that lost its disk: documents of 1 MB in the store.
     CatchUp(usize),
-    /// The store by itself.
+    /// The store without replication.
     Store,
 }
 
@@ -58,7 +64,8 @@
     }
 }
 
-/// The last of the servers runs for so many percent of each two seconds, and is stopped for the rest.
+/// Counts suspicions and failures while the last server runs for a percentage of every two seconds and is
+/// stopped for the rest.
 fn starved(
     server: &std::path::Path,
     servers: usize,
@@ -68,12 +75,12 @@
     const CYCLE_MS: u64 = 2_000;
     let mut results = table(&[
         "servers",
-        "core of the last, %",
-        "suspicions of it an hour, by each other",
-        "it held for failed an hour, by each",
-        "others held for failed by it an hour",
-        "others held for failed by others",
-        "its standing at the end",
+        "core time of the last, %",
+        "suspicions of the last per hour, by each other",
+        "the last marked failed per hour, by each other",
+        "others marked failed per hour, by the last",
+        "others marked failed by others",
+        "partition status of the last at the end",
     ]);
     for &core_percentage in core_percentages {
         let mut fleet = Fleet::start(default_timing_options(server, servers))?;
@@ -117,7 +124,7 @@
     Ok(())
 }
 
-/// The rig's servers with the product's own times.
+/// A fleet of the fault harness with the default times of the product, instead of the short times for tests.
 fn default_timing_options(server: &std::path::Path, servers: usize) -> FleetOptions {
     let mut fleet_options = FleetOptions::new(server, servers);
     fleet_options.timing = "timing".to_owned();
@@ -129,10 +136,10 @@
     let mut results = table(&[
         "servers",
         "kills",
-        "until one knows, p50 ms",
-        "until all know, p50 ms",
+        "detected by the first, p50 ms",
+        "detected by all, p50 ms",
         "p99 ms",
-        "most ms",
+        "max ms",
     ]);
     for &count in server_counts {
         let mut fleet = Fleet::start(default_timing_options(server, count))?;
@@ -175,23 +182,24 @@
     Ok(())
 }
 
+/// Leaves the configuration of a virtual fleet unchanged.
 fn default_config(_: &mut Config) {}
 
-/// Microseconds of virtual time.
+/// One second of virtual time, in microseconds.
 const SECOND: u64 = 1_000_000;
 
-/// What one seed of a virtual fleet showed.
+/// The result of a virtual fleet with one seed.
 struct KillAndPartition {
-    /// When each member knew of a kill, in milliseconds after it.
+    /// The time from a kill until each other member knew of it, in milliseconds.
     detection_ms: Vec<u64>,
-    /// How long after a partition all views agreed again, in milliseconds.
+    /// The time from the end of a partition until all views agreed again, in milliseconds.
     agreement_ms: u64,
-    /// Traffic of one member without faults.
+    /// Traffic per member without faults.
     bytes_per_s: f64,
     messages_per_s: f64,
 }
 
-/// Kills and restarts one member, then cuts the fleet in halves for ten seconds.
+/// Kills and restarts one member, then partitions the fleet into halves for ten seconds.
 fn kill_and_partition(count: usize, seed: u64) -> Result<KillAndPartition, String> {
     let mut fleet = VirtualFleet::new(count, seed, default_config);
     fleet.run_until(30 * SECOND)?;
@@ -206,7 +214,11 @@
     fleet.run_until(killed_at + 30 * SECOND)?;
     let times = fleet.failure_detection_times(1, killed_at);
     if times.len() < count - 1 {
-        return Err(format!("seed {seed}: {} of {} know of the kill after 30 s", times.len(), count - 1));
+        return Err(format!(
+            "seed {seed}: {} of {} members know of the kill after 30 s",
+            times.len(),
+            count - 1
+        ));
     }
     let detection_ms = times.iter().map(|time| (time - killed_at) / 1_000).collect();
 
@@ -221,11 +233,11 @@
     fleet.run_until(fleet.now + 10 * SECOND)?;
     fleet.cut_links.clear();
     let agreed = fleet.run_until_views_agree(60 * SECOND)?;
-    let agreed = agreed.ok_or_else(|| format!("seed {seed}: views differ a minute after the cut"))?;
+    let agreed = agreed.ok_or_else(|| format!("seed {seed}: views differ a minute after the partition"))?;
     Ok(KillAndPartition { detection_ms, agreement_ms: agreed / 1_000, bytes_per_s, messages_per_s })
 }
 
-/// One row of the table of kills and partitions: all seeds of a fleet of this size.
+/// A row of the table of kills and partitions: the results of all seeds for one fleet size.
 fn kill_row(count: usize, seeds: u64) -> Result<[String; 8], String> {
     let runs = (0..seeds).map(|seed| kill_and_partition(count, seed)).collect::<Result<Vec<_>, _>>()?;
     let mut detection: Vec<u64> = runs.iter().flat_map(|run| run.detection_ms.iter().copied()).collect();
@@ -244,7 +256,8 @@
     ])
 }
 
-/// One row of the table of losses: suspicions and failures of a fleet whose network loses this share of messages.
+/// A row of the table of losses: suspicions and failures in a fleet whose network loses this share of
+/// messages.
 fn loss_row(count: usize, loss: f64) -> Result<[String; 5], String> {
     let mut fleet = VirtualFleet::new(count, 99, default_config);
     fleet.run_until(30 * SECOND)?;
@@ -252,7 +265,7 @@
     let started_at = fleet.now;
     fleet.run_until(started_at + 60 * SECOND)?;
     let hours = 60.0 / 3_600.0 * count as f64;
-    // Each is told by everyone who hears of it: an accusation is counted once for each who holds it.
+    // Every member that learns of a suspicion reports it, so each is counted once for every other member.
     let (suspected, failed) = fleet.suspicion_counts(started_at);
     let per_member_hour = |n: usize| format!("{:.2}", n as f64 / (count - 1) as f64 / hours);
     Ok([
@@ -268,14 +281,15 @@
     let mut kills = table(&[
         "members",
         "seeds",
-        "all know of a kill, p50 ms",
+        "kill known to a member, p50 ms",
         "p99 ms",
-        "views agree after a cut of 10 s in halves, p50 ms",
-        "most ms",
-        "bytes/s a member",
-        "messages/s a member",
+        "views agree after a 10 s partition in halves, p50 ms",
+        "max ms",
+        "bytes/s per member",
+        "messages/s per member",
     ]);
-    let mut losses = table(&["members", "loss %", "member hours", "suspicions an hour", "failures an hour"]);
+    let mut losses =
+        table(&["members", "loss %", "member hours", "suspicions per hour", "failures per hour"]);
     for &count in counts {
         kills.add_row(kill_row(count, seeds)?);
         for loss in [0.0, 0.05, 0.2, 0.3] {
@@ -288,8 +302,8 @@
 
 fn leases(server: &std::path::Path, seconds: u64) -> Result<(), String> {
     let mut results =
-        table(&["shared by", "served at the busy one", "not served", "calls at once, most", "survives"]);
-    for (name, fixed_shares) in [("loans", false), ("a number in the file", true)] {
+        table(&["shared by", "served at the busy server", "not served", "calls at once, max", "survives"]);
+    for (name, fixed_shares) in [("loans", false), ("a fixed share in the file", true)] {
         let mut fleet_options = FleetOptions::new(server, 4);
         (fleet_options.capacity, fleet_options.service_time_ms, fleet_options.fixed_quota_shares) =
             (16, 60.0, fixed_shares);
@@ -315,7 +329,7 @@
 }
 
 fn cost(server: &std::path::Path, pairs: u64, seconds: u64) -> Result<(), String> {
-    let mut results = table(&["pair", "off, µs a request", "on, µs a request", "on beside off, %"]);
+    let mut results = table(&["pair", "off, µs per request", "on, µs per request", "on relative to off, %"]);
     let mut overheads_percent = Vec::new();
     for pair in 0..pairs {
         let cpu_us_per_request = |with_fleet: bool| -> Result<f64, String> {
@@ -337,7 +351,7 @@
             std::thread::sleep(Duration::from_secs(seconds));
             Ok((cpu_time_us(&fleet) - before.0) as f64 / (request_count(&fleet) - before.1).max(1) as f64)
         };
-        // Which one comes first changes, so that a machine that slows down favours neither.
+        // The order alternates, so that a machine that slows down over time favours neither.
         let (without_fleet, with_fleet) = if pair % 2 == 0 {
             let without_fleet = cpu_us_per_request(false)?;
             (without_fleet, cpu_us_per_request(true)?)
@@ -360,7 +374,7 @@
 }
 
 fn idle(server: &std::path::Path, server_counts: &[usize], seconds: u64) -> Result<(), String> {
-    let mut results = table(&["servers", "fleet", "% of a core a member", "KB/s a member sent"]);
+    let mut results = table(&["servers", "fleet", "% of a core per member", "KB/s sent per member"]);
     for &count in server_counts {
         for fleet_enabled in [false, true] {
             let mut fleet_options = default_timing_options(server, count);
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays umberloom against stand-ins on loopback and prints what came of it.
+//! Runs umberloom against stand-ins on loopback and prints the results.
 
 mod caller;
 mod demo;
@@ -28,47 +28,49 @@
 
 fn command_line() -> OptionParser<Command> {
     let server = long("server")
-        .help("The program that serves; unless given, the one beside this")
+        .help("The server program; by default the one in the folder of this program")
         .argument::<PathBuf>("FILE")
         .optional();
     let seconds = long("seconds")
-        .help("How long the demo plays, in seconds")
+        .help("How long the demo runs, in seconds")
         .argument::<u64>("N")
         .fallback(20)
         .display_fallback();
     let rate = long("rate")
-        .help("Requests a second at the end of the ramp")
+        .help("Requests per second at the end of the ramp")
         .argument::<f64>("N")
         .fallback(150.0)
         .display_fallback();
-    let seed = long("seed").help("For all that is drawn").argument::<u64>("N").fallback(1).display_fallback();
-    let plain = long("plain").help("No operator's file: runs call the records service only").switch();
-    let log = long("log").help("Keep the server's log here").argument::<PathBuf>("FILE").optional();
+    let seed =
+        long("seed").help("Seed of all random draws").argument::<u64>("N").fallback(1).display_fallback();
+    let plain =
+        long("plain").help("Run without an operator's file: runs call the records service only").switch();
+    let log = long("log").help("Write the server's log to this file").argument::<PathBuf>("FILE").optional();
     let demo = construct!(demo::Options { server, seconds, rate, seed, plain, log })
         .map(Command::Demo)
         .to_options()
-        .descr("A morning ramp on which dependencies fail in turn")
+        .descr("A morning ramp of load during which dependencies fail in turn")
         .command("demo");
     let seeds =
-        || long("seeds").help("How many times, with seeds from 1 on").argument::<u64>("N").fallback(5);
+        || long("seeds").help("Number of runs, with seeds from 1 on").argument::<u64>("N").fallback(5);
     let budgets = seeds()
         .map(Command::Budgets)
         .to_options()
-        .descr("What sharing the time among stages is worth, emulated")
+        .descr("The effect of sharing the time among stages, emulated")
         .command("budgets");
     let outage = seeds()
         .map(Command::Outage)
         .to_options()
-        .descr("What the budget of repeated attempts is worth in an outage, emulated")
+        .descr("The effect of the retry budget in an outage, emulated")
         .command("outage");
     let (fleet, measure) = (fleet_command(), measure_command());
     construct!([demo, budgets, outage, fleet, measure])
         .to_options()
-        .descr("Plays umberloom against stand-ins on loopback")
+        .descr("Runs umberloom against stand-ins on loopback")
 }
 
 fn server_option() -> impl Parser<Option<PathBuf>> {
-    let server = long("server").help("The program that serves; unless given, the one beside this");
+    let server = long("server").help("The server program; by default the one in the folder of this program");
     server.argument::<PathBuf>("FILE").optional()
 }
 
@@ -77,21 +79,25 @@
     let file =
         |name: &'static str, help: &'static str| long(name).help(help).argument::<PathBuf>("FILE").optional();
     let server = server_option();
-    let servers = number("servers", "From 2 to 24").map(|n| n as usize).fallback(5).display_fallback();
-    let seconds = number("seconds", "How long it plays").fallback(20).display_fallback();
-    let seed = number("seed", "For all that is drawn").fallback(1).display_fallback();
+    let servers = number("servers", "Number of servers, from 2 to 24")
+        .map(|n| n as usize)
+        .fallback(5)
+        .display_fallback();
+    let seconds = number("seconds", "How long the run lasts, in seconds").fallback(20).display_fallback();
+    let seed = number("seed", "Seed of all random draws").fallback(1).display_fallback();
     let faults = long("faults")
-        .help("Kinds, with commas between: cut, part, weather, kill, pause, term, shared; or all, or none")
+        .help("Kinds, separated by commas: cut, part, weather, kill, pause, term, shared; or all, or none")
         .argument::<String>("KINDS")
         .fallback("all".to_owned())
         .display_fallback();
-    let script = file("script", "Faults as lines, as a play prints them, in place of drawn ones");
-    let chart = file("chart", "Draw the time line here, as SVG");
-    let history = file("history", "Write down here all that happened, one JSON object a line");
+    let script =
+        file("script", "File with a fault per line, as a run prints them, in place of random faults");
+    let chart = file("chart", "Write the timeline to this file, as SVG");
+    let history = file("history", "Write all events to this file, one JSON object per line");
     construct!(fleet::Options { server, servers, seconds, seed, faults, script, chart, history })
         .map(Command::Fleet)
         .to_options()
-        .descr("Several servers under faults between them: time line and verdict")
+        .descr("Several servers under faults: timeline and verdict")
         .command("fleet")
 }
 
@@ -101,50 +107,60 @@
         let parse = |text: String| text.split(',').map(str::parse::<usize>).collect::<Result<Vec<_>, _>>();
         long(name).help(help).argument::<String>("N,N").parse(parse).fallback(default.to_vec())
     };
-    let server_counts =
-        |default: &[usize]| numbers("servers", "Numbers of servers, with commas between", default);
+    let server_counts = |default: &[usize]| numbers("servers", "Fleet sizes, separated by commas", default);
     let number = |name: &'static str, help: &'static str, default: u64| {
         long(name).help(help).argument::<u64>("N").fallback(default)
     };
-    let (servers, kills) = (server_counts(&[3, 8]), number("kills", "How many each", 10).map(|n| n as usize));
+    let (servers, kills) =
+        (server_counts(&[3, 8]), number("kills", "Kills per fleet size", 10).map(|n| n as usize));
     let detection = construct!(Measurement::Detection(servers, kills)).to_options();
-    let detection = detection.descr("From a kill to all knowing").command("detection");
-    let (servers, seeds) = (server_counts(&[24, 200]), number("seeds", "How many", 3));
+    let detection = detection.descr("Time from a kill until the others know of it").command("detection");
+    let (servers, seeds) = (server_counts(&[24, 200]), number("seeds", "Number of seeds", 3));
     let virtual_time = construct!(Measurement::Virtual(servers, seeds)).to_options();
     let virtual_time = virtual_time.descr("Members on virtual time").command("virtual");
-    let seconds = number("seconds", "How long each", 10);
+    let seconds = number("seconds", "Seconds per measurement", 10);
     let leases = seconds.map(Measurement::Leases).to_options();
-    let leases = leases.descr("Uneven need, with loans and without").command("loans");
-    let (servers, seconds) = (server_counts(&[3, 8]), number("seconds", "How long each", 10));
+    let leases = leases.descr("Uneven load, with leases of quota and without").command("loans");
+    let (servers, seconds) = (server_counts(&[3, 8]), number("seconds", "Seconds per measurement", 10));
     let idle = construct!(Measurement::Idle(servers, seconds)).to_options();
-    let idle = idle.descr("What knowing each other costs").command("idle");
-    let core_percentages = numbers("core", "Percent of its core that the last one has", &[100, 50, 20, 5]);
-    let servers = number("servers", "How many", 5).map(|n| n.clamp(2, 24) as usize);
-    let seconds = number("seconds", "How long each", 60);
+    let idle = idle.descr("Processor time and traffic of a fleet without requests").command("idle");
+    let core_percentages = numbers(
+        "core",
+        "Percentages of the time that the last server runs, separated by commas",
+        &[100, 50, 20, 5],
+    );
+    let servers = number("servers", "Number of servers, from 2 to 24", 5).map(|n| n.clamp(2, 24) as usize);
+    let seconds = number("seconds", "Seconds per measurement", 60);
     let starved = construct!(Measurement::Starved(servers, core_percentages, seconds)).to_options();
-    let starved = starved.descr("Accusations while one member is starved of its core").command("starved");
-    let (seconds, clients) =
-        (number("seconds", "How long each", 5), number("clients", "How many at once", 8));
+    let starved =
+        starved.descr("Suspicions while one server is starved of processor time").command("starved");
+    let (seconds, clients) = (
+        number("seconds", "Seconds per measurement", 5),
+        number("clients", "Number of concurrent clients, from 1 to 64", 8),
+    );
     let clients = clients.map(|n| n.clamp(1, 64) as usize);
     let commits = construct!(Measurement::Commits(seconds, clients)).to_options();
-    let commits = commits.descr("Writes to the record").command("commits");
-    let times = number("times", "How often each", 5).map(|n| n as usize);
+    let commits = commits.descr("Writes to the replicated store").command("commits");
+    let times = number("times", "Repetitions of each", 5).map(|n| n as usize);
     let leaders = times.map(Measurement::Leaders).to_options();
-    let leaders = leaders.descr("From a leader's end to another").command("leaders");
-    let documents = number("documents", "Of 1 MB each", 20).map(|n| n.min(31) as usize);
+    let leaders = leaders.descr("Time from the loss of a leader until the next one").command("leaders");
+    let documents =
+        number("documents", "Documents of 1 MB in the store, at most 31", 20).map(|n| n.min(31) as usize);
     let catch_up = documents.map(Measurement::CatchUp).to_options();
-    let catch_up = catch_up.descr("One that returns from nothing").command("catch-up");
-    let store = bpaf::pure(Measurement::Store).to_options().descr("The store by itself").command("store");
-    let (pairs, seconds) = (number("pairs", "How many", 5), number("seconds", "How long each", 6));
+    let catch_up = catch_up.descr("Catch-up of a server that lost its disk").command("catch-up");
+    let store =
+        bpaf::pure(Measurement::Store).to_options().descr("The store without replication").command("store");
+    let (pairs, seconds) =
+        (number("pairs", "Number of pairs", 5), number("seconds", "Seconds per measurement", 6));
     let cost = construct!(Measurement::Cost(pairs, seconds)).to_options();
-    let cost = cost.descr("Processor time of a request, on and off").command("cost");
+    let cost = cost.descr("Processor time per request, with the fleet on and off").command("cost");
     let measurement =
         construct!([detection, virtual_time, leases, idle, starved, cost, commits, leaders, catch_up, store]);
     let server = server_option();
     construct!(fleet_measures::Options { server, measurement })
         .map(Command::Measure)
         .to_options()
-        .descr("Measurements of a fleet, as docs/measurements has them")
+        .descr("Measurements of a fleet, as in docs/measurements")
         .command("measure")
 }
 
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of it, as a table.
+//! The results of the demo, as a table and a summary.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 use crate::caller::{RequestOutcome, SentRequest};
 
-/// One line a phase.
+/// Builds a table with one row per phase. `call_counts` has the calls to dependencies in each phase and the
+/// number of requests that they were for.
 pub fn table(phase_names: &[&str], call_counts: &[(u64, u64)], sent: &[SentRequest]) -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
@@ -23,7 +24,7 @@
         "p99 ms",
         "p99 of budget",
         "late",
-        "calls a first",
+        "calls per request",
     ]);
     for (phase, name) in phase_names.iter().enumerate() {
         let in_phase: Vec<&SentRequest> = sent.iter().filter(|s| s.phase == phase).collect();
@@ -56,12 +57,12 @@
     table
 }
 
-/// The whole of it in a sentence or two.
+/// Summarizes all phases in a sentence or two.
 pub fn summary(sent: &[SentRequest], max_send_delay: Duration) -> String {
     let late = sent.iter().filter(|s| is_late(s)).count();
     let unanswered = sent.iter().filter(|s| s.outcome == RequestOutcome::Unanswered).count();
     let mut text = format!(
-        "{} requests: {unanswered} unanswered, {late} answered past their due time and 60 ms of grace.",
+        "{} requests: {unanswered} unanswered, {late} answered past their budget and 60 ms of grace.",
         sent.len()
     );
     if max_send_delay > Duration::from_millis(20) {
@@ -73,7 +74,7 @@
     text
 }
 
-/// How long a served request took, from the time it was drawn for.
+/// The latency of a served request in microseconds, from the time it was due to be sent.
 fn served_duration_us(sent: &SentRequest) -> Option<u64> {
     let answered_at = sent
         .answered_at
@@ -81,20 +82,20 @@
     Some(answered_at.saturating_sub(sent.scheduled_at).as_micros() as u64)
 }
 
-/// In thousandths.
+/// A duration in microseconds as thousandths of the request's budget.
 fn budget_permille(sent: &SentRequest, duration: u64) -> u64 {
     duration * 1_000 / sent.budget.as_micros().max(1) as u64
 }
 
-/// Whatever the answer was, it came later than the rule allows.
+/// Whether the answer, whatever its outcome, came later than the budget and the grace allow.
 fn is_late(sent: &SentRequest) -> bool {
     const GRACE: Duration = Duration::from_millis(60);
     sent.answered_at.is_some_and(|answered_at| answered_at > sent.scheduled_at + sent.budget + GRACE)
 }
 
 fn histogram_of(durations: impl Iterator<Item = u64>) -> Histogram<u64> {
-    // Bounds that are in order are never refused.
-    let mut histogram = Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
+    // Creation only fails for bounds that are out of order.
+    let mut histogram = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
     durations.for_each(|duration| histogram.saturating_record(duration.max(1)));
     histogram
 }
--- a/crates/loadtest/src/store_measures.rs
+++ b/crates/loadtest/src/store_measures.rs
@@ -1,4 +1,4 @@
-//! Measurements of the record that servers keep together, and of the store beneath it.
+//! Measurements of the replicated store, and of the local store that it is built on.
 
 use std::path::Path;
 use std::process::Command;
@@ -11,7 +11,8 @@
 
 use crate::tables::{percentile, table};
 
-/// So many servers with a record of the product's own times.
+/// Starts a fleet with a replicated store and the default times of the product, and waits until it is
+/// replicated.
 fn start_replicated_fleet(server: &Path, servers: usize, voters: usize, disk: bool) -> Result<Fleet, String> {
     let mut fleet_options = FleetOptions::new(server, servers);
     fleet_options.timing = "timing".to_owned();
@@ -22,7 +23,7 @@
     Ok(fleet)
 }
 
-/// Writes by several clients at once, each a process of the product's own command.
+/// Measures writes by several clients at once. Each write is a process of the product's own command.
 pub fn commits(server: &Path, seconds: u64, clients: usize) -> Result<(), String> {
     let header = [
         "voters",
@@ -39,6 +40,7 @@
         let leader = fleet.leader().ok_or("nobody leads")?;
         let target =
             (fleet.servers[leader].operator_config_path(), fleet.servers[leader].fleet_address.to_string());
+        // Runs the command once and returns how long it took, in tenths of a millisecond, if it succeeded.
         let run_command = |arguments: &[&str]| {
             let mut command = Command::new(server);
             command
@@ -85,10 +87,11 @@
     Ok(())
 }
 
-/// From a leader's end, pause or cut to another that says that it leads.
+/// Measures the time from the kill, pause, isolation or termination of a leader until another server reports
+/// that it leads.
 pub fn leaders(server: &Path, times: usize) -> Result<(), String> {
-    let mut output = table(&["servers", "what", "times", "until another leads, p50 ms", "most ms"]);
-    for failure in ["killed", "stopped", "cut off", "told to end"] {
+    let mut output = table(&["servers", "what", "times", "until another leads, p50 ms", "max ms"]);
+    for failure in ["killed", "stopped", "cut off", "terminated"] {
         let mut election_times_ms = Vec::new();
         let mut fleet = start_replicated_fleet(server, 5, 5, false)?;
         for _ in 0..times {
@@ -137,10 +140,11 @@
     Ok(())
 }
 
-/// One that returns from nothing, with and without traffic, and what that does to the others' requests.
+/// Measures the catch-up of a voter that lost its disk, at several transfer rates, and its effect on the
+/// latency of requests at the other servers.
 pub fn catch_up(server: &Path, documents: usize) -> Result<(), String> {
     let mut output =
-        table(&["snapshot, MB", "took ms", "MB/s", "requests, p99 ms before", "p99 ms meanwhile"]);
+        table(&["snapshot, MB", "took ms", "MB/s", "requests, p99 ms before", "p99 ms during it"]);
     for rate_kb in [2_048, 8_192, 65_536] {
         let mut fleet_options = FleetOptions::new(server, 3);
         fleet_options.timing = "timing".to_owned();
@@ -153,7 +157,9 @@
         for n in 0..documents {
             fleet.store_command(0, &["put", &format!("large{n}"), &large.display().to_string()])?;
         }
-        let returning = (0..3).find(|n| fleet.store_status_field(*n, "role") == "Voter").ok_or("no voter")?;
+        let returning = (0..3)
+            .find(|n| fleet.store_status_field(*n, "role") == "Voter")
+            .ok_or("no server has the role Voter")?;
         fleet.start_traffic(4, Duration::from_millis(5));
         std::thread::sleep(Duration::from_secs(3));
         fleet.servers[returning].kill();
@@ -166,7 +172,7 @@
         let log_lines = fleet.history.log_lines(&fleet.servers[returning].name, "replica caught up");
         let line =
             log_lines.iter().filter(|e| e.at_us >= started_at).max_by_key(|e| e.details["bytes"].as_u64());
-        let line = line.ok_or("it did not catch up by a snapshot")?;
+        let line = line.ok_or("the server did not catch up by a snapshot")?;
         let (bytes, took_ms) =
             (line.details["bytes"].as_u64().unwrap_or(0), line.details["took_ms"].as_u64().unwrap_or(1));
         let requests =
@@ -192,11 +198,11 @@
     Ok(())
 }
 
-/// The store by itself: commits, what they write, and how long opening takes.
+/// Measures the local store: the rate of commits, the bytes that they write, and how long opening takes.
 pub fn store() -> Result<(), String> {
     let folder = std::env::temp_dir().join(format!("umberloom-measure-{}", std::process::id()));
     let mut output =
-        table(&["bytes a commit", "commits/s, synced", "p99 ms", "bytes written a byte", "syncs a commit"]);
+        table(&["bytes/commit", "commits/s, synced", "p99 ms", "bytes written/byte", "syncs/commit"]);
     for bytes in [100usize, 1_000, 16_000] {
         let config = StoreConfig::new(folder.join(bytes.to_string()));
         let mut store = Store::open(&RealDisk, &config).map_err(|e| e.to_string())?;
@@ -209,7 +215,7 @@
             commit_times_us.push(start.elapsed().as_micros() as u64);
         }
         let rate = count as f64 / started_at.elapsed().as_secs_f64();
-        // What reaches the medium is counted on a simulated one, which takes the same operations.
+        // The bytes that reach the disk are counted on a simulated disk, which gets the same operations.
         let disk = FaultInjectingDisk::new(1);
         let mut simulated = Store::open(&disk, &StoreConfig::new("store")).map_err(|e| e.to_string())?;
         let before = (disk.bytes_written(), disk.syncs());
@@ -229,7 +235,7 @@
     }
     println!("{output}\n");
     let mut output =
-        table(&["rows of 1 kB", "file, MB", "opening after a clean end, ms", "after a kill, ms"]);
+        table(&["rows of 1 kB", "file, MB", "opening after clean close, ms", "after a kill, ms"]);
     for rows in [1_000u64, 10_000, 50_000] {
         let config = StoreConfig::new(folder.join(format!("rows-{rows}")));
         let mut store = Store::open(&RealDisk, &config).map_err(|e| e.to_string())?;
@@ -239,7 +245,7 @@
             store.commit(&batch).map_err(|e| e.to_string())?;
         }
         let file = config.file();
-        // As a kill leaves it: no clean end was written.
+        // The file as a kill leaves it, without the mark of a clean close.
         let killed = std::fs::read(&file).map_err(|e| e.to_string())?;
         drop(store);
         let open = || -> Result<String, String> {
--- a/crates/loadtest/src/tables.rs
+++ b/crates/loadtest/src/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of measurements, as the pages in `docs/measurements` have them.
+//! Markdown tables of measurements, in the form that the pages in `docs/measurements` use.
 
 use comfy_table::{presets, Table};
 
@@ -10,7 +10,8 @@
     table
 }
 
-/// The value under which this share of the samples lies (nearest rank), or `-` without samples. Sorts the samples.
+/// Returns the percentile for this share of the samples (0 to 1, nearest rank), or `-` without samples. Sorts
+/// the samples.
 pub fn percentile(samples: &mut [u64], share: f64) -> String {
     samples.sort_unstable();
     let rank = (samples.len() as f64 * share).ceil() as usize;
