--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -56,12 +56,12 @@
 }
 
 /// The requests that are open on a connection: slot to index in [`Callers::requests`].
-type Open = Arc<Mutex<BTreeMap<u16, usize>>>;
+type OpenRequests = Arc<Mutex<BTreeMap<u16, usize>>>;
 
 /// A connection to the server, whose answers a thread of its own reads.
 struct Connection {
     stream: TcpStream,
-    open: Open,
+    open: OpenRequests,
     /// Set by the reading thread once the connection has ended.
     closed: Arc<AtomicBool>,
     /// The slot of the last request that was sent.
@@ -110,17 +110,17 @@
         let mut balancer = Balancer::connect(self.listen);
         let _ = balancer.stream.set_read_timeout(None);
         let stream = balancer.stream.try_clone().map_err(|e| format!("cannot clone a connection: {e}"))?;
-        let (open, closed) = (Open::default(), Arc::new(AtomicBool::new(false)));
+        let (open, closed) = (OpenRequests::default(), Arc::new(AtomicBool::new(false)));
         let (thread_open, thread_closed, completion_notifier) =
             (open.clone(), closed.clone(), self.completion_notifier.clone());
         let (start, requests, interrupted) = (self.start, self.requests.clone(), self.interrupted.clone());
         thread::spawn(move || {
             while let Some(answer) = balancer.try_answer() {
-                let Some(number) = lock(&thread_open).remove(&answer.slot) else { continue };
+                let Some(request_index) = lock(&thread_open).remove(&answer.slot) else { continue };
                 let outcome = classify(answer.status, answer.protocol_status, &answer.body);
-                let sent: &mut SentRequest = &mut lock(&requests)[number];
+                let sent: &mut SentRequest = &mut lock(&requests)[request_index];
                 (sent.answered_at, sent.outcome) = (Some(start.elapsed()), outcome);
-                completion_notifier.notify(&attempt_name(number, sent.resent));
+                completion_notifier.notify(&attempt_name(request_index, sent.resent));
             }
             let mut remaining = lock(&thread_open);
             thread_closed.store(true, Ordering::SeqCst);
@@ -139,7 +139,7 @@
     pub fn send(&mut self, phase: usize, scheduled_at: Duration, class: usize) -> Result<(), String> {
         self.max_send_delay = self.max_send_delay.max(self.elapsed().saturating_sub(scheduled_at));
         let budget = Duration::from_millis(CLASS_BUDGETS_MS[class].1);
-        let number = {
+        let request_index = {
             let mut requests = lock(&self.requests);
             requests.push(SentRequest {
                 phase,
@@ -152,23 +152,23 @@
             });
             requests.len() - 1
         };
-        self.write(number)?;
+        self.write(request_index)?;
         let interrupted = std::mem::take(&mut *lock(&self.interrupted));
-        for number in interrupted {
+        for request_index in interrupted {
             // A request is resent once; if that is lost as well, it stays unanswered.
-            if !std::mem::replace(&mut lock(&self.requests)[number].resent, true) {
-                self.write(number)?;
+            if !std::mem::replace(&mut lock(&self.requests)[request_index].resent, true) {
+                self.write(request_index)?;
             }
         }
         Ok(())
     }
 
     /// Writes a request to the connection with the fewest open requests, after replacing closed connections.
-    fn write(&mut self, number: usize) -> Result<(), String> {
-        let sent = lock(&self.requests)[number];
-        for index in 0..self.connections.len() {
-            if self.connections[index].closed.load(Ordering::SeqCst) {
-                self.connections[index] = self.connect()?;
+    fn write(&mut self, request_index: usize) -> Result<(), String> {
+        let sent = lock(&self.requests)[request_index];
+        for connection_index in 0..self.connections.len() {
+            if self.connections[connection_index].closed.load(Ordering::SeqCst) {
+                self.connections[connection_index] = self.connect()?;
             }
         }
         let connection = self.connections.iter_mut().min_by_key(|connection| lock(&connection.open).len());
@@ -182,19 +182,19 @@
         let (class, budget_ms) = CLASS_BUDGETS_MS[sent.class];
         let mut open = lock(&connection.open);
         if connection.closed.load(Ordering::SeqCst) {
-            lock(&self.interrupted).push(number);
+            lock(&self.interrupted).push(request_index);
             return Ok(());
         }
         connection.last_slot = connection.last_slot % 1_000 + 1;
         while open.contains_key(&connection.last_slot) {
             connection.last_slot = connection.last_slot % 1_000 + 1;
         }
-        open.insert(connection.last_slot, number);
-        let request = Request::new(connection.last_slot, &attempt_name(number, sent.resent))
+        open.insert(connection.last_slot, request_index);
+        let request = Request::new(connection.last_slot, &attempt_name(request_index, sent.resent))
             .with("SCRIPT_NAME", &format!("/svc/{class}"))
             .with("HTTP_BUDGET_MS", &budget_ms.to_string())
             .with("HTTP_PRIORITY_RANK", if sent.class == 0 { "0.2500" } else { "0.7500" })
-            .with("HTTP_RESOURCE_KEY", &format!("{:016x}", number % 50));
+            .with("HTTP_RESOURCE_KEY", &format!("{:016x}", request_index % 50));
         let _ = connection.stream.write_all(&request.bytes());
         Ok(())
     }
@@ -208,8 +208,8 @@
 }
 
 /// The name of one attempt to send a request.
-fn attempt_name(number: usize, resent: bool) -> String {
-    format!("{:08x}{number:08x}", u32::from(resent))
+fn attempt_name(request_index: usize, resent: bool) -> String {
+    format!("{:08x}{request_index:08x}", u32::from(resent))
 }
 
 /// The outcome for an answer, by its HTTP status, the status of the link protocol and the body.
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -76,13 +76,9 @@
 /// optional" the first is optional and the others are required. Calls take 60 ms at the median, which often
 /// exceeds an equal share of the time, but less than twice. Half of the calls to the slow dependency take six
 /// times as long.
-fn run_budget_experiment(
-    experiment: &'static str,
-    sharing: TimeSharing,
-    seed: u64,
-) -> Result<[f64; 4], String> {
-    let first_optional = experiment == "first, optional";
-    let slow_stage = if first_optional { "first" } else { experiment };
+fn run_budget_experiment(variant: &'static str, sharing: TimeSharing, seed: u64) -> Result<[f64; 4], String> {
+    let first_optional = variant == "first, optional";
+    let slow_stage = if first_optional { "first" } else { variant };
     let names = ["first", "second", "third"];
     let stage = |(index, name): (usize, &&str)| {
         let (weight, max_time) = match sharing {
@@ -120,12 +116,12 @@
         ..Config::default()
     };
     let call_time = LogNormal::new(60_000_f64.ln(), 0.4).map_err(|error| error.to_string())?;
-    let script = Box::new(move |_: Micros, name: &str, random: &mut rand_chacha::ChaCha8Rng| {
+    let call_model = Box::new(move |_: Micros, name: &str, random: &mut rand_chacha::ChaCha8Rng| {
         let duration = call_time.sample(random);
         let is_slow = name == slow_stage && random.random_bool(0.5);
         ((if is_slow { duration * 6.0 } else { duration }) as Micros, Outcome::Ok)
     });
-    let mut emulation = Emulation::new(config, seed, script)?;
+    let mut emulation = Emulation::new(config, seed, call_model)?;
     for n in 0..2_000 {
         emulation.run_until(n * 10 * MS);
         emulation.start_plan("c", REQUEST_TIME);
@@ -243,7 +239,7 @@
     let plans = vec![PlanConfig { class: "c".to_owned(), stages }];
     let config = Config { dependencies: vec![dependency], plans, ..Config::default() };
     let mut last_second = std::collections::VecDeque::new();
-    let script = Box::new(move |now: Micros, _: &str, random: &mut rand_chacha::ChaCha8Rng| {
+    let call_model = Box::new(move |now: Micros, _: &str, random: &mut rand_chacha::ChaCha8Rng| {
         last_second.push_back(now);
         while last_second.front().is_some_and(|&at| at + 1_000 * MS < now) {
             last_second.pop_front();
@@ -253,24 +249,25 @@
         let duration = random.random_range(15 * MS..25 * MS);
         (duration, if down || overloaded { Outcome::Error } else { Outcome::Ok })
     });
-    let mut emulation = Emulation::new(config, seed, script)?;
+    let mut emulation = Emulation::new(config, seed, call_model)?;
     let mut arrival_random = rand::SeedableRng::seed_from_u64(seed);
     let arrival_random: &mut rand_chacha::ChaCha8Rng = &mut arrival_random;
     let intervals = Exp::new(200.0).map_err(|error| error.to_string())?;
-    let (mut before, mut after) = (emulation.counts(), emulation.counts());
+    let (mut counts_before, mut counts_after) = (emulation.counts(), emulation.counts());
     while emulation.now < EXPERIMENT_END {
         if emulation.now < OUTAGE.0 {
-            before = emulation.counts();
+            counts_before = emulation.counts();
         } else if emulation.now < OUTAGE.1 {
-            after = emulation.counts();
+            counts_after = emulation.counts();
         }
         emulation.start_plan("c", 300 * MS);
         let interval: f64 = intervals.sample(arrival_random);
         emulation.run_until(emulation.now + (interval * 1e6) as Micros);
     }
-    let first_attempts = (after.first_attempts - before.first_attempts) as f64;
-    let further_attempts =
-        (after.retries + after.hedged_requests - before.retries - before.hedged_requests) as f64;
+    let first_attempts = (counts_after.first_attempts - counts_before.first_attempts) as f64;
+    let further_attempts = (counts_after.retries + counts_after.hedged_requests
+        - counts_before.retries
+        - counts_before.hedged_requests) as f64;
     let is_served = |from: Micros| {
         let window =
             emulation.finished.iter().filter(|plan| (from..from + 500 * MS).contains(&plan.started_at));
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -51,16 +51,18 @@
 pub fn measure(options: &Options) -> Result<(), String> {
     let server = || options.server.clone().map_or_else(crate::demo::default_server_path, Ok);
     match &options.measurement {
-        Measurement::Detection(counts, kills) => detection(&server()?, counts, *kills),
-        Measurement::Virtual(counts, seeds) => virtual_time(counts, *seeds),
+        Measurement::Detection(sizes, kills) => detection(&server()?, sizes, *kills),
+        Measurement::Virtual(sizes, seeds) => virtual_time(sizes, *seeds),
         Measurement::Leases(seconds) => leases(&server()?, *seconds),
         Measurement::Cost(pairs, seconds) => cost(&server()?, *pairs, *seconds),
-        Measurement::Idle(counts, seconds) => idle(&server()?, counts, *seconds),
+        Measurement::Idle(sizes, seconds) => idle(&server()?, sizes, *seconds),
         Measurement::Commits(seconds, clients) => store_measures::commits(&server()?, *seconds, *clients),
         Measurement::Leaders(times) => store_measures::leaders(&server()?, *times),
         Measurement::CatchUp(documents) => store_measures::catch_up(&server()?, *documents),
         Measurement::Store => store_measures::store(),
-        Measurement::Starved(servers, shares, seconds) => starved(&server()?, *servers, shares, *seconds),
+        Measurement::Starved(servers, percentages, seconds) => {
+            starved(&server()?, *servers, percentages, *seconds)
+        }
     }
 }
 
@@ -107,8 +109,8 @@
             log_lines.iter().filter(matches).count()
         };
         let others = || fleet.servers[..last].iter().map(|s| s.name.as_str());
-        let hourly = |n: usize, observer: usize| {
-            format!("{:.0}", n as f64 * 3_600.0 / seconds as f64 / observer as f64)
+        let hourly = |n: usize, observers: usize| {
+            format!("{:.0}", n as f64 * 3_600.0 / seconds as f64 / observers as f64)
         };
         results.add_row([
             servers.to_string(),
