--- a/crates/loadtest/src/demo_environment.rs
+++ b/crates/loadtest/src/demo_environment.rs
@@ -147,6 +147,7 @@
     listener.map_err(|e| format!("cannot bind a port on loopback: {e}"))
 }
 
+/// The configuration of the server, as JSON.
 fn server_config(listen: SocketAddr, farm: &Farm, announce: &Announce, records: &Dependency) -> String {
     let class = |name: &str, budget_ms: u64, credit: f64| {
         json!({"name": name, "aim_us": budget_ms * 1_000, "hard_limit_us": budget_ms * 1_000, "credit": credit,
@@ -175,6 +176,7 @@
     .to_string()
 }
 
+/// The operator's file, with the dependencies and the call plans.
 fn operator_config(billing: &[Dependency], equipment: &[Dependency], notes: &Dependency) -> String {
     let addresses = |all: &[Dependency]| {
         let quoted: Vec<String> = all.iter().map(|d| format!("\"{}\"", d.address)).collect();
--- a/crates/loadtest/src/emulate.rs
+++ b/crates/loadtest/src/emulate.rs
@@ -22,7 +22,7 @@
     pub started_at: Micros,
     pub duration: Micros,
     pub outcome: Outcome,
-    /// Whether the aggregated response has every part.
+    /// Whether there is an aggregated response in which every part is fresh.
     pub complete: bool,
 }
 
--- a/crates/loadtest/src/experiments.rs
+++ b/crates/loadtest/src/experiments.rs
@@ -73,9 +73,9 @@
 /// plans, and the 99th percentile of their duration as a percentage of the time limit.
 ///
 /// The calls of the first two stages are required and that of the last is optional; in the variant "first,
-/// optional" the first is optional and the others are required. Calls take 60 ms at the median, which often
-/// exceeds an equal share of the time, but less than twice. Half of the calls to the slow dependency take six
-/// times as long.
+/// optional" the first is optional and the others are required. Calls take 60 ms at the median; they often
+/// exceed an equal share of the time, but rarely twice that share. Half of the calls to the slow dependency
+/// take six times as long.
 fn run_budget_experiment(variant: &'static str, sharing: TimeSharing, seed: u64) -> Result<[f64; 4], String> {
     let first_optional = variant == "first, optional";
     let slow_stage = if first_optional { "first" } else { variant };
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -48,6 +48,7 @@
     Store,
 }
 
+/// Runs the measurement and prints its tables.
 pub fn measure(options: &Options) -> Result<(), String> {
     let server = || options.server.clone().map_or_else(crate::demo::default_server_path, Ok);
     match &options.measurement {
@@ -134,6 +135,7 @@
     fleet_options
 }
 
+/// Kills one server after another and measures how long the others take to mark it as failed.
 fn detection(server: &std::path::Path, server_counts: &[usize], kills: usize) -> Result<(), String> {
     let mut results = table(&[
         "servers",
@@ -279,6 +281,7 @@
     ])
 }
 
+/// Prints both tables of fleets on virtual time: kills and partitions, and message loss.
 fn virtual_time(counts: &[usize], seeds: u64) -> Result<(), String> {
     let mut kills = table(&[
         "members",
@@ -302,6 +305,7 @@
     Ok(())
 }
 
+/// Loads one of four servers more than the others, with leases of quota and with fixed shares.
 fn leases(server: &std::path::Path, seconds: u64) -> Result<(), String> {
     let mut results =
         table(&["shared by", "served at the busy server", "not served", "calls at once, max", "survives"]);
@@ -330,6 +334,7 @@
     Ok(())
 }
 
+/// Compares the processor time per request with the fleet on and off.
 fn cost(server: &std::path::Path, pairs: u64, seconds: u64) -> Result<(), String> {
     let mut results = table(&["pair", "off, µs per request", "on, µs per request", "on relative to off, %"]);
     let mut overheads_percent = Vec::new();
@@ -375,6 +380,7 @@
     Ok(())
 }
 
+/// Measures the processor time and the traffic of each member while there are no requests.
 fn idle(server: &std::path::Path, server_counts: &[usize], seconds: u64) -> Result<(), String> {
     let mut results = table(&["servers", "fleet", "% of a core per member", "KB/s sent per member"]);
     for &count in server_counts {
--- a/crates/loadtest/src/store_measures.rs
+++ b/crates/loadtest/src/store_measures.rs
@@ -144,7 +144,7 @@
 /// latency of requests at the other servers.
 pub fn catch_up(server: &Path, documents: usize) -> Result<(), String> {
     let mut output =
-        table(&["snapshot, MB", "took ms", "MB/s", "requests, p99 ms before", "p99 ms during it"]);
+        table(&["snapshot, MB", "took ms", "MB/s", "request p99 ms before", "request p99 ms during"]);
     for rate_kb in [2_048, 8_192, 65_536] {
         let mut fleet_options = FleetOptions::new(server, 3);
         fleet_options.timing = "timing".to_owned();
