--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -20,7 +20,7 @@
 const MIN_INTERVAL: Micros = 20 * MS;
 /// The longest delay of a [`Timing`] setting.
 const MAX_DELAY: Micros = 3_600_000 * MS;
-/// The heartbeat interval is at least this long for each peer.
+/// The heartbeat interval is at least this time multiplied by the number of peers.
 const HEARTBEAT_INTERVAL_PER_PEER: Micros = 15 * MS;
 /// Evidence is valid for this many heartbeat intervals, so that all heartbeats but one may be lost.
 const HEARTBEATS_PER_EVIDENCE_TIMEOUT: Micros = 3;
@@ -46,7 +46,7 @@
     /// [`Config::heartbeat_interval`].
     pub heartbeat_interval: Micros,
     /// How long a better partition status must last before it is adopted. The delay doubles with each
-    /// downgrade within [`Timing::stable_after`] of the previous change, up to eight times this value.
+    /// downgrade, up to eight times this value, and is reset after [`Timing::stable_after`].
     pub upgrade_delay: Micros,
     /// The least time between two changes of the partition status. Changes to and from unsure are exempt.
     pub min_status_duration: Micros,
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -10,8 +10,8 @@
 use crate::partition::PartitionStatus;
 use crate::wire::RejectReason;
 
-/// The most items in one queue of the [`Outbox`]. When it is full the oldest item is dropped, as a network
-/// may lose it.
+/// The most items in one queue of the [`Outbox`]. When it is full the oldest item is dropped, like a message
+/// that the network loses.
 pub(crate) const MAX_QUEUED: usize = 16_384;
 
 /// The path on which a message arrived and can be answered. The number is assigned by the host.
--- a/crates/membership/src/membership/fencing.rs
+++ b/crates/membership/src/membership/fencing.rs
@@ -11,7 +11,8 @@
 use crate::wire::{Body, Header, Message};
 use crate::Micros;
 
-/// How often a fenced server begins handshakes to find out whether the other process still holds its name.
+/// The time between two rounds of handshakes by which a fenced server finds out whether the other process
+/// still holds its name.
 const FENCED_RETRY_INTERVAL: Micros = 5_000_000;
 /// A process that has not been heard for this long no longer holds its name. A process with an earlier start
 /// may then use the name, as after a restart with a clock that was set back.
@@ -82,8 +83,8 @@
 }
 
 impl Membership {
-    /// Whether the sender of a hello has for [`UNPROVEN_CLAIM_TIMEOUT`] claimed a name that another live process
-    /// holds.
+    /// Whether the sender of a hello has for [`UNPROVEN_CLAIM_TIMEOUT`] claimed a name that another live
+    /// process holds.
     pub(super) fn is_unproven_claim_expired(&mut self, now: Micros, name: &MemberName, boot_id: u64) -> bool {
         let Some(session) = self.sessions.get(name) else { return false };
         let other_process = session.boot_id != 0 && session.boot_id != boot_id;
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -106,7 +106,7 @@
     }
 
     /// Handles a hello. `their_nonce` is returned to the sender; `fresh_nonce` is the nonce that the sender
-    /// has to return.
+    /// has to return, unless it has been given one already.
     fn handle_hello(
         &mut self,
         now: Micros,
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -178,7 +178,8 @@
         self.departure = Departure::Departed;
     }
 
-    /// Sends a message on a channel to a member that has completed the handshake. The message may be lost.
+    /// Sends a message on a channel to a member that has completed the handshake. The message may be lost;
+    /// sealed, it must not be longer than [`crate::wire::MAX_MESSAGE_LEN`].
     pub fn send(&mut self, now: Micros, to: &MemberName, channel: u8, payload: Vec<u8>) {
         if self.has_proven(to) {
             self.send_body(now, to, Body::Channel { channel, payload }, Delivery::DatagramAndStream);
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -133,8 +133,8 @@
     fn needs_stream(&self, now: Micros, session: &Session) -> bool {
         let timeout = self.config.evidence_timeout();
         let is_past_startup = now >= self.clock.started_at + timeout;
-        // After half of the evidence timeout, messages sent over a stream still arrive before the evidence
-        // expires.
+        // Streams are used once half of the evidence timeout has passed, so that messages sent over them
+        // arrive before the evidence expires.
         let datagrams_arrive = session.last_heard_by_datagram.is_some_and(|at| now <= at + timeout / 2);
         is_past_startup && !datagrams_arrive
     }
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -18,7 +18,8 @@
 /// How much of the fleet this server reaches, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PartitionStatus {
-    /// This process has just started or was stalled: members count only once they have been heard again.
+    /// This process has just started, was stalled or is fenced: members count only once they have been heard
+    /// again.
     Unsure,
     /// No other member is reachable.
     Alone,
@@ -88,20 +89,20 @@
     since: Micros,
 }
 
-/// The greatest number of quickly reverted upgrades that is counted. Each doubles the delay of the next
-/// upgrade.
+/// The greatest number of downgrades that is counted. Each doubles the delay of the next upgrade.
 const MAX_FLAPS: u32 = 3;
 
-/// The partition status over time. A downgrade is adopted once [`Timing::min_status_duration`] has passed
-/// since the last change. An upgrade is adopted once it has lasted for [`Timing::upgrade_delay`]; this delay
-/// doubles with each downgrade that comes before the status was stable for [`Timing::stable_after`].
+/// The partition status over time. Except for changes to and from unsure, two changes are at least
+/// [`Timing::min_status_duration`] apart. Within that limit a downgrade is adopted at once, and an upgrade
+/// once it has lasted for [`Timing::upgrade_delay`]; this delay doubles with each downgrade, until the status
+/// has not changed for [`Timing::stable_after`].
 #[derive(Clone, Debug)]
 pub struct PartitionTracker {
     timing: Timing,
     status: PartitionStatus,
     since: Micros,
     candidate: Candidate,
-    /// Upgrades that were reverted too soon, up to [`MAX_FLAPS`].
+    /// Downgrades since the status was last unchanged for [`Timing::stable_after`], up to [`MAX_FLAPS`].
     flaps: u32,
     /// The status stays unsure until this time unless every member is reachable.
     unsure_until: Micros,
--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -127,7 +127,7 @@
     }
 
     /// Handles a hello. Returns the nonce to answer with, or `None` if a later process has completed the
-    /// handshake.
+    /// handshake. `fresh_nonce` is used unless the process has already been given a nonce.
     pub fn handle_hello(&mut self, boot_id: u64, fresh_nonce: u64) -> Option<u64> {
         if boot_id < self.boot_id {
             return None;
--- a/crates/membership/src/session/tests.rs
+++ b/crates/membership/src/session/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(session.check_message(1, 5, 1, 1), Disposition::Accept);
     assert_eq!(session.check_message(1, 5, 1, 1), Disposition::Reject(RejectReason::Replayed));
     assert_eq!(session.check_message(1, 5, 9, 2), Disposition::Challenge(RejectReason::NotForUs));
-    // A replayed answer to an old hello.
+    // A replayed answer to an earlier hello proves nothing.
     assert!(!session.handle_welcome(5, nonce));
     // A later process must answer before the earlier one is superseded.
     assert_eq!(session.check_message(1, 6, 1, 1), Disposition::Challenge(RejectReason::Unproven));
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -197,8 +197,8 @@
 
     /// Handles a received gossip message.
     pub fn handle_gossip(&mut self, now: Micros, bytes: &[u8]) -> SwimOutput {
-        // Undecodable gossip is ignored like other unknown input: it was sealed with the fleet's key, so it comes
-        // from a member.
+        // Undecodable gossip is ignored like other unknown input: it was sealed with the fleet's key, so it
+        // comes from a member.
         self.step(now, |foca, mut recorder| drop(foca.handle_data(bytes, &mut recorder)))
     }
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -16,8 +16,8 @@
 
 /// The version of the message format that this program writes and understands.
 pub const FORMAT_VERSION: u8 = 1;
-/// The longest datagram in bytes: below the smallest path MTU in common use, with headers and seal (RFC 8085,
-/// 3.2).
+/// The longest datagram in bytes, including the seal. With the IP and UDP headers it stays below the smallest
+/// path MTU in common use (RFC 8085, 3.2).
 pub const MAX_DATAGRAM_LEN: usize = 1_400;
 /// The longest message over a stream, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 64 * 1_024;
@@ -25,8 +25,11 @@
 /// the seal.
 pub const MAX_GOSSIP_LEN: usize = 1_100;
 
+/// The length of the fleet's tag in the seal, in bytes.
 const TAG_LEN: usize = 4;
+/// The length of the keyed digest in the seal, in bytes.
 const MAC_LEN: usize = 16;
+/// The length of the seal in bytes: format version, tag and digest.
 const SEAL_LEN: usize = 1 + TAG_LEN + MAC_LEN;
 
 /// The key of one fleet, which authenticates its messages.
@@ -54,7 +57,8 @@
     Form,
     /// The message is longer than allowed.
     TooLong,
-    /// The message has been received before, or is older than the replay window.
+    /// The message has been received before, is older than the replay window, or has this server's own name
+    /// as its sender.
     Replayed,
     /// The sender has been replaced by a later process with the same name.
     Superseded,
@@ -62,7 +66,7 @@
     NotForUs,
     /// The sender has not completed a handshake yet.
     Unproven,
-    /// The sender is not in the roster, and there is no room for another guest.
+    /// The sender is not in the roster, and there is no room for another guest or its name is too long.
     NoRoom,
 }
 
@@ -214,7 +218,7 @@
         let mut sealed = vec![FORMAT_VERSION];
         sealed.extend_from_slice(&self.tag);
         sealed.extend_from_slice(&[0; MAC_LEN]);
-        // Encoding fails only for types that serde cannot describe; no message has one.
+        // Encoding fails only for types that `postcard` does not support; no message has one.
         let mut sealed = postcard::to_extend(message, sealed).unwrap_or_default();
         let digest = self.digest(sealed.get(SEAL_LEN..).unwrap_or_default());
         if let Some(mac) = sealed.get_mut(1 + TAG_LEN..SEAL_LEN) {
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -7,6 +7,7 @@
 use umberloom_fault_harness::virtual_fleet::{Network, VirtualFleet};
 use umberloom_membership::{Config, Event, MemberState, PartitionStatus};
 
+/// One second in microseconds.
 const SECOND: u64 = 1_000_000;
 
 /// Sets short intervals, so that a run has many protocol rounds.
@@ -21,7 +22,7 @@
 fn default_intervals(_: &mut Config) {}
 
 /// Runs until all views agree and every member's partition status is whole; fails if that takes longer than
-/// `span`.
+/// `span` microseconds.
 fn run_until_whole(fleet: &mut VirtualFleet, span: u64) -> Result<(), String> {
     let end = fleet.now + span;
     while fleet.now < end {
--- a/crates/replicated-store/src/divergence.rs
+++ b/crates/replicated-store/src/divergence.rs
@@ -8,7 +8,7 @@
 /// Result of comparing this replica with the other voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No voter differs, or too few have been compared for a decision.
+    /// No voter differs, or too few have been compared, or not at the same entry, for a decision.
     NoDivergence,
     /// This replica is wrong: these replicas agree with each other, differ from this one, and are a majority
     /// of the voters.
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -1,13 +1,14 @@
 //! Log entries: an envelope that every program version can decode, around a payload whose format may be newer
 //! than this program.
 //!
-//! An entry of a kind or format version that this program does not know stays in the log, is counted and is
-//! replicated; it is never applied and never dropped, so that an older program in the fleet neither blocks
-//! the log nor loses data.
+//! An entry of a kind or format version that this program does not know is replicated and counted but not
+//! applied, so that an older program in the fleet does not block the log. It stays in the log until a
+//! snapshot replaces the entries up to it.
 
 use serde::{Deserialize, Serialize};
 
-/// Upper bound of one entry's payload in bytes; longer documents are written in parts.
+/// Upper bound of one entry's payload in bytes. [`Entry::document`] keeps to it by writing documents longer
+/// than [`PART_BYTES`] in parts; other entries are not checked against it.
 pub const MAX_ENTRY_BYTES: usize = 32 << 10;
 /// Length of one document part in bytes, and of the longest document that is written in a single entry.
 pub const PART_BYTES: usize = MAX_ENTRY_BYTES / 2;
@@ -16,8 +17,8 @@
 /// Upper bound of a document's name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Id of an entry, drawn at random by its author; an entry that is proposed twice under one id is applied
-/// once.
+/// Id of an entry, drawn at random by its author. An entry that is proposed twice under one id is applied
+/// once, as long as its outcome is remembered ([`crate::State::outcome`]).
 pub type EntryId = u128;
 /// The first 16 bytes of a BLAKE3 hash.
 pub type Digest = [u8; 16];
--- a/crates/replicated-store/src/lib.rs
+++ b/crates/replicated-store/src/lib.rs
@@ -1,13 +1,15 @@
 //! A replicated store: named documents that the servers of a fleet keep together.
 //!
-//! Raft replicates a log of [`entry`]s (the `raft` crate: pre-vote, check-quorum, learners, joint membership
-//! changes), and every replica applies it to its [`State`]. Some members are voters, the others are learners.
+//! Raft replicates a log of entries ([`entry`]), and every replica applies it to its [`State`]. Some members
+//! are voters, the others are learners. The `raft` crate is used with pre-vote, check-quorum and joint
+//! membership changes.
+//!
 //! The modules around the Raft library:
 //!
 //! - [`log`]: the library's storage in memory, and the write batches that make it durable;
 //! - [`message`]: messages between members. If two members do not reach each other, one other member relays,
-//!   so that a server that reaches a quorum within two hops can lead or follow (`docs/design/record.md` has
-//!   the measured reason);
+//!   so that a server that reaches a quorum within two hops can lead or follow (the measurements behind this
+//!   are in `docs/design/record.md`);
 //! - [`rollback`]: a replica whose disk was rolled back does not vote under its old id;
 //! - [`divergence`]: detects by rolling digests that replicas differ, and decides which of them are wrong or
 //!   that this cannot be decided;
@@ -22,9 +24,9 @@
 //!
 //! Guarantees: replicas have the same state at the same index unless one is damaged, which is detected; an
 //! entry that was reported as applied is durable at a majority of the voters; an entry proposed twice is
-//! applied once. While a majority of the voters reach each other within two hops and can write to their
-//! disks, a leader is elected within four and a half election timeouts (two until a replica requests votes,
-//! and as much again if votes split).
+//! applied once, as long as its outcome is remembered ([`State::outcome`]). While a majority of the voters
+//! reach each other within two hops and can write to their disks, a leader is elected within four and a half
+//! election timeouts (two until a replica requests votes, and as much again if votes split).
 //!
 //! Example of a store on a single server, without a disk:
 //!
--- a/crates/replicated-store/src/log.rs
+++ b/crates/replicated-store/src/log.rs
@@ -115,6 +115,7 @@
     metadata
 }
 
+/// Removes the rows of all received snapshot chunks. Their keys have 20 bytes, so all are below the end key.
 fn remove_incoming_chunks(batch: WriteBatch) -> WriteBatch {
     batch.remove_range(INCOMING_CHUNKS, &[0], &[255; 21])
 }
--- a/crates/replicated-store/src/message.rs
+++ b/crates/replicated-store/src/message.rs
@@ -10,7 +10,8 @@
 use crate::rollback::DurableProgress;
 use crate::transfer::SnapshotChunk;
 
-/// A message to another member. The membership layer encrypts it and handles sessions and replay protection.
+/// A message to another member. The membership layer authenticates it and handles sessions and replay
+/// protection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// The sender's status, sent at each status interval.
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -30,8 +30,8 @@
 }
 
 impl Replica {
-    /// Time between two status messages to each peer. As with the membership's heartbeats, the interval grows
-    /// with the number of members.
+    /// Time between two status messages to each peer: a quarter of the election timeout, and at least 10 ms
+    /// per peer. As with the membership's heartbeats, the interval grows with the number of members.
     pub(super) fn status_interval(&self) -> Micros {
         (self.config.election_timeout / 4).max(10_000 * self.config.peers.len() as Micros)
     }
--- a/crates/replicated-store/src/replica/mod.rs
+++ b/crates/replicated-store/src/replica/mod.rs
@@ -50,8 +50,8 @@
 const MAX_TICKS_PER_TIMEOUT: usize = 2;
 /// A replica that lacks at most this number of entries has caught up.
 const CAUGHT_UP_LAG: u64 = 64;
-/// Upper bound of the bytes of entries in one Raft message: with its frame the message stays below the limit
-/// of the fleet's streams.
+/// Upper bound of the bytes of entries in one Raft message with more than one entry: with its frame the
+/// message stays below the limit of the fleet's streams.
 const MAX_MESSAGE_BYTES: u64 = 16 << 10;
 /// Upper bound of the reads that wait at the same time.
 const MAX_PENDING_READS: usize = 1_024;
--- a/crates/replicated-store/src/replica/snapshots.rs
+++ b/crates/replicated-store/src/replica/snapshots.rs
@@ -19,7 +19,7 @@
 /// Bytes of entries since the last snapshot after which a new one is made.
 const COMPACT_AFTER_BYTES: u64 = 8 << 20;
 
-/// The snapshot transfer to this replica and what surrounds it.
+/// The state of requesting, fetching and installing snapshots.
 pub(super) struct Snapshots {
     /// The transfer in progress, with the leader's message that offered the snapshot.
     pub(super) transfer: Option<(SnapshotTransfer, Message)>,
@@ -52,9 +52,9 @@
 }
 
 impl Replica {
-    /// Handles that received data did not fit on the disk: requests a snapshot that ends after the entry at
-    /// `index`, which may be smaller. Its chunks are not stored as they arrive, since they would not fit
-    /// beside the stored data.
+    /// Called when received data did not fit on the disk: requests a snapshot that ends after the entry at
+    /// `index`, as a later snapshot may be smaller. Its chunks are not stored as they arrive, since they
+    /// would not fit beside the stored data.
     pub fn request_snapshot_after(&mut self, index: u64) {
         self.snapshots.request_pending = true;
         self.snapshots.stores_chunks = false;
--- a/crates/replicated-store/src/replica/status.rs
+++ b/crates/replicated-store/src/replica/status.rs
@@ -44,7 +44,7 @@
     pub replicas: Vec<ReplicaView>,
     /// During a snapshot transfer: the number of received chunks, and the total number of chunks.
     pub catching_up: Option<(u32, u32)>,
-    /// Number of entries of newer programs, which stay in the log and are not applied.
+    /// Number of entries of newer programs, which are not applied.
     #[serde(rename = "unknown")]
     pub unsupported_entries: u64,
     /// Whether writes are rejected because replicas differ and no majority agrees.
--- a/crates/replicated-store/src/rollback.rs
+++ b/crates/replicated-store/src/rollback.rs
@@ -109,8 +109,7 @@
     }
 
     /// Decides whether the replica may take part in Raft. `other_voters` are all voters but this replica.
-    /// Enough of them to form a majority together with it must have answered, so that at least one member of
-    /// every majority that it was part of has.
+    /// Enough of them to form a majority together with it must have answered.
     pub fn verdict(&self, other_voters: &[MemberName]) -> Verdict {
         let mut remembered = self.answers.values().flatten();
         if let Some(progress) = remembered.find(|progress| !progress.can_precede(&self.own_progress)) {
--- a/crates/replicated-store/src/state.rs
+++ b/crates/replicated-store/src/state.rs
@@ -65,7 +65,7 @@
     /// The entry cannot be applied, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// A newer program wrote the entry: it stays in the log and is not applied.
+    /// A newer program wrote the entry: it is not applied.
     #[serde(rename = "Kept")]
     Unsupported,
 }
@@ -127,8 +127,9 @@
     unfinished_documents: VecDeque<(Digest, BTreeMap<u16, Vec<u8>>)>,
     recent_outcomes: VecDeque<(EntryId, Outcome)>,
     history: VecDeque<HistoryLine>,
-    /// Number of entries of newer programs, which stay in the log and are not applied.
+    /// Number of entries of newer programs, which are not applied.
     pub unsupported_entries: u64,
+    /// The rolling digests after the last entries, by index; not part of the encoded state.
     #[serde(skip)]
     recent_digests: VecDeque<(u64, Digest)>,
 }
--- a/crates/replicated-store/src/transfer.rs
+++ b/crates/replicated-store/src/transfer.rs
@@ -47,13 +47,13 @@
     bytes_per_second: u64,
     next_request_at: Micros,
     started_at: Micros,
-    /// Time of the latest request that was answered with its chunk.
+    /// Time of the latest request that was answered with its chunk in time; at first `started_at`.
     last_progress_at: Micros,
 }
 
 impl SnapshotTransfer {
-    /// Starts a transfer, with the chunks that arrived before a restart. `None` if the snapshot is empty or
-    /// too large.
+    /// Starts a transfer, with the chunks that arrived before a restart. Chunks are requested at a rate of
+    /// `bytes_per_second`, but at least one chunk per second. `None` if the snapshot is empty or too large.
     pub fn new(
         now: Micros,
         manifest: Manifest,
@@ -93,7 +93,7 @@
         self.started_at
     }
 
-    /// Whether no chunk has arrived for longer than the stall timeout.
+    /// Whether no request made within the stall timeout was answered with its chunk in time.
     pub fn is_stalled(&self, now: Micros) -> bool {
         now >= self.last_progress_at + STALL_TIMEOUT
     }
--- a/crates/store/src/backend.rs
+++ b/crates/store/src/backend.rs
@@ -65,7 +65,7 @@
 }
 
 impl PageRange {
-    /// The range in the first page of `remaining` bytes from this offset.
+    /// The part of the `remaining` bytes from `offset` on that lies in their first page.
     fn first(offset: u64, remaining: usize) -> PageRange {
         let start = (offset % PAGE_BYTES) as usize;
         PageRange { page: offset / PAGE_BYTES, start, len: remaining.min(PAGE_BYTES as usize - start) }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -16,7 +16,8 @@
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
-    /// Fills `out` with the bytes at this offset; an error if the file ends before `out` is full.
+    /// Fills `out` with the bytes at this offset. Fails with `UnexpectedEof` if the file ends before `out` is
+    /// full.
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()>;
     /// Truncates the file, or extends it with zeros.
     fn set_len(&self, len: u64) -> io::Result<()>;
--- a/crates/store/src/fault_disk.rs
+++ b/crates/store/src/fault_disk.rs
@@ -101,10 +101,10 @@
     fn cut_power(&mut self, random: &mut ChaCha8Rng) {
         let mut surviving: Vec<FileChange> =
             self.unsynced.drain(..).flat_map(FileChange::into_sectors).collect();
-        // Two writes to the same offset may reach the disk in reverse order, so that the earlier one
-        // overwrites the later one.
         let surviving_share = random.random_range(0.0..=1.0);
         surviving.retain(|_| random.random_bool(surviving_share));
+        // Two writes to the same offset may reach the disk in reverse order, so that the earlier one
+        // overwrites the later one.
         if random.random_bool(0.5) {
             for index in (1..surviving.len()).rev() {
                 surviving.swap(index, random.random_range(0..=index));
@@ -133,7 +133,8 @@
 }
 
 impl DiskState {
-    /// Counts an operation and injects the faults configured for it.
+    /// Counts an operation and injects the faults configured for it. `writes` says whether
+    /// [`Faults::fail_writes`] applies to it.
     fn begin_operation(&mut self, writes: bool) -> io::Result<()> {
         self.operations += 1;
         if self.power_off || self.faults.power_cut_at.is_some_and(|at| self.operations >= at) {
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -89,8 +89,9 @@
         Writer::spawn(queue_capacity, move |jobs| run(store, &jobs, notify))
     }
 
-    /// Starts the thread, which opens the store itself, as that may take long. An existing file is
-    /// quarantined first if it is damaged, or in any case with `quarantine_existing`.
+    /// Starts the thread, which opens the store itself, as that may take long, and reads all rows of
+    /// `spaces`. An existing file is quarantined first if it is damaged, or in any case with
+    /// `quarantine_existing`.
     pub fn open(
         disk: impl Disk + Send + 'static,
         config: Config,
@@ -117,7 +118,8 @@
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    /// Queues a batch for commit. `Err` returns the batch if the queue is full or the thread has ended.
+    /// Queues a batch for commit; `number` must be higher than that of the batch before it. `Err` returns the
+    /// batch if the queue is full or the thread has ended.
     pub fn commit(&self, number: u64, batch: WriteBatch) -> Result<(), WriteBatch> {
         self.enqueue(Job::Commit { number, batch }).map_err(|job| match job {
             Job::Commit { batch, .. } => batch,
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -24,7 +24,7 @@
         [&commit.to_le_bytes()[..], &vec![row as u8; 40 + (row * commit * 97 % 3_000) as usize]].concat()
     };
     let batch = (0..6).fold(WriteBatch::new(), |batch, row| batch.put(1, &[row as u8], &value(row)));
-    // A log that grows at its end and is truncated at its start.
+    // Space 2 holds a log that grows at its end and is truncated at its start.
     let batch = batch.put(2, &commit.to_be_bytes(), &commit.to_le_bytes());
     batch.remove_range(2, &0u64.to_be_bytes(), &commit.saturating_sub(3).to_be_bytes())
 }
@@ -91,7 +91,8 @@
         disk.set_faults(Faults::default());
         let store = Store::open(&disk, &config()).unwrap_or_else(|e| panic!("{name} at {at}: {e}"));
         let found = read_state(&store).unwrap_or_else(|error| panic!("{name} at {at}: {error}"));
-        // The last acknowledged commit, or the one after it, which was written but not acknowledged.
+        // The store has the state of the last acknowledged commit, or of the one after it, which was written
+        // but not acknowledged.
         assert!(
             (acknowledged..=acknowledged + 1).contains(&found),
             "{name} at {at}: {acknowledged} acknowledged, {found} found"
