--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -23,7 +23,7 @@
 /// The heartbeat interval is at least this time multiplied by the number of peers.
 const HEARTBEAT_INTERVAL_PER_PEER: Micros = 15 * MS;
 /// Evidence is valid for this many heartbeat intervals, so that all heartbeats but one may be lost.
-const HEARTBEATS_PER_EVIDENCE_TIMEOUT: Micros = 3;
+const HEARTBEATS_PER_EVIDENCE_TIMEOUT: u64 = 3;
 
 /// Another server that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -151,7 +151,7 @@
         let output = self.swim.announce_to(now, name, boot_id);
         self.apply_swim_output(now, output);
         let heartbeat = Body::Heartbeat(Some(self.build_info.clone()));
-        self.send_body(now, name, heartbeat, Delivery::Gossip);
+        self.send_body(now, name, heartbeat, Delivery::PreferDatagram);
     }
 
     fn handle_session_message(&mut self, now: Micros, message: Message, path: ReturnPath, size: usize) {
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -153,7 +153,7 @@
     /// Sets the program and configuration that this server runs and notifies all members.
     pub fn set_build_info(&mut self, now: Micros, build_info: BuildInfo) {
         self.build_info = BuildInfo { zone: self.config.zone.to_string(), ..build_info };
-        self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::Gossip);
+        self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::PreferDatagram);
     }
 
     /// Sets the load of this server in percent, limited to 100.
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// By datagram, and over a stream as well if datagrams do not get through.
-    Gossip,
+    PreferDatagram,
     /// Over a stream, and by datagram as well if the message fits: either path may be cut, and the receiver
     /// accepts only one copy.
     DatagramAndStream,
@@ -40,7 +40,7 @@
             // first.
             let Some(session) = self.sessions.get(&message.to) else { continue };
             if session.boot_id == message.boot_id {
-                self.send_body(now, &message.to, Body::Gossip(message.bytes), Delivery::Gossip);
+                self.send_body(now, &message.to, Body::Gossip(message.bytes), Delivery::PreferDatagram);
             } else {
                 self.start_handshake(now, &message.to);
             }
@@ -67,7 +67,7 @@
         let fresh_nonce = self.random.next_u64();
         let Some(session) = self.sessions.get_mut(name) else { return };
         if let Some(nonce) = session.start_handshake(now, fresh_nonce) {
-            self.send_body(now, name, Body::Hello { nonce }, Delivery::Gossip);
+            self.send_body(now, name, Body::Hello { nonce }, Delivery::PreferDatagram);
         }
     }
 
@@ -75,18 +75,18 @@
     pub(super) fn send_body(&mut self, now: Micros, to: &MemberName, body: Body, delivery: Delivery) {
         // A fenced server may begin and complete a handshake. The process that holds its name may be gone,
         // and without a completed handshake the server would stay fenced for ever.
-        let is_challenge = matches!(body, Body::Hello { .. } | Body::Ready { .. });
-        let blocked_by_fencing = self.fencing.is_fenced() && !is_challenge;
+        let is_hello_or_ready = matches!(body, Body::Hello { .. } | Body::Ready { .. });
+        let blocked_by_fencing = self.fencing.is_fenced() && !is_hello_or_ready;
         if self.departure == Departure::Departed || blocked_by_fencing {
             return;
         }
         let Some(session) = self.sessions.get(to) else { return };
-        let is_handshake = is_challenge || matches!(body, Body::Welcome { .. });
+        let is_handshake = is_hello_or_ready || matches!(body, Body::Welcome { .. });
         if session.boot_id == 0 && !is_handshake {
             return self.start_handshake(now, to);
         }
         let sender_status = (!is_handshake).then(|| self.sender_status(now, session));
-        let by_stream = delivery != Delivery::Gossip || self.needs_stream(now, session);
+        let by_stream = delivery != Delivery::PreferDatagram || self.needs_stream(now, session);
         let guest_path = self.guest_path(session);
         let header = Header {
             sender: self.config.name.clone(),
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -11,7 +11,7 @@
 pub(super) const TICK_INTERVAL: Micros = 50_000;
 /// The time between two runs grows by [`TICK_INTERVAL`] for each group of this many sessions, as each run
 /// visits all of them.
-const MEMBERS_PER_TICK: usize = 64;
+const SESSIONS_PER_ADDED_INTERVAL: usize = 64;
 /// A guest that has not been heard for this long is forgotten.
 const GUEST_TIMEOUT: Micros = 60_000_000;
 /// One in this many heartbeats carries the build info.
@@ -50,7 +50,8 @@
             self.clock.next_tick = now + TICK_INTERVAL;
             self.send_heartbeats(now);
             self.reannounce(now);
-            self.clock.next_tick += TICK_INTERVAL * (self.sessions.len() / MEMBERS_PER_TICK) as Micros;
+            self.clock.next_tick +=
+                TICK_INTERVAL * (self.sessions.len() / SESSIONS_PER_ADDED_INTERVAL) as Micros;
             self.refresh_members(now);
             self.report_rejections(now);
         }
@@ -102,7 +103,7 @@
             self.heartbeats_sent += 1;
             let with_build_info = self.heartbeats_sent.is_multiple_of(HEARTBEATS_PER_BUILD_INFO);
             let build_info = with_build_info.then(|| self.build_info.clone());
-            self.send_body(now, &process.name, Body::Heartbeat(build_info), Delivery::Gossip);
+            self.send_body(now, &process.name, Body::Heartbeat(build_info), Delivery::PreferDatagram);
         }
     }
 
--- a/crates/membership/tests/virtual_fleets.rs
+++ b/crates/membership/tests/virtual_fleets.rs
@@ -110,7 +110,9 @@
             fleet.run_until(fleet.now + span).map_err(TestCaseError::fail)?;
         }
         for n in 0..4 {
-            let changes = fleet.events.iter().filter(|(_, who, line)| *who == n && matches!(line, Event::PartitionStatusChanged { .. }));
+            let changes = fleet.events.iter().filter(|(_, member, event)| {
+                *member == n && matches!(event, Event::PartitionStatusChanged { .. })
+            });
             let times: Vec<u64> = changes.map(|(at, ..)| *at).collect();
             // Clocks run up to one percent fast or slow.
             prop_assert!(times.windows(2).skip(1).all(|pair| pair[1] - pair[0] >= 490_000), "{times:?}");
@@ -158,7 +160,8 @@
     fleet.run_until(fleet.now + 8 * SECOND).expect("invariants hold");
     fleet.start_with_boot_id(0, 1_600_000_000_000_000);
     run_until_whole(&mut fleet, 40 * SECOND).expect("whole again");
-    let unfenced = fleet.events.iter().any(|(_, n, line)| *n == 0 && matches!(line, Event::Unfenced { .. }));
+    let unfenced =
+        fleet.events.iter().any(|(_, member, event)| *member == 0 && matches!(event, Event::Unfenced { .. }));
     assert!(unfenced, "it continues with a later boot id");
     let all_others_report_state = |state: MemberState| {
         fleet
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -100,9 +100,10 @@
     Removed,
 }
 
-const NOTE: u16 = 1;
-const PART: u16 = 2;
-const DOCUMENT: u16 = 3;
+// The values of `Envelope::kind` that this program knows. They are part of the stored format.
+const NOTE_KIND: u16 = 1;
+const PART_KIND: u16 = 2;
+const DOCUMENT_KIND: u16 = 3;
 /// The format version in which this program writes each kind of entry.
 const FORMAT_VERSION: u16 = 1;
 
@@ -110,9 +111,9 @@
     /// Puts the entry into an envelope. `written_at_ms` is Unix time in milliseconds.
     pub fn to_envelope(&self, id: EntryId, author: &str, written_at_ms: u64) -> Envelope {
         let (kind, payload) = match self {
-            Entry::Note(text) => (NOTE, postcard::to_allocvec(text)),
-            Entry::Part(part) => (PART, postcard::to_allocvec(part)),
-            Entry::Document(update) => (DOCUMENT, postcard::to_allocvec(update)),
+            Entry::Note(text) => (NOTE_KIND, postcard::to_allocvec(text)),
+            Entry::Part(part) => (PART_KIND, postcard::to_allocvec(part)),
+            Entry::Document(update) => (DOCUMENT_KIND, postcard::to_allocvec(update)),
         };
         Envelope {
             id,
@@ -149,9 +150,9 @@
     pub fn decode(&self) -> Option<Entry> {
         let payload = &self.payload;
         match (self.kind, self.format_version) {
-            (NOTE, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Note),
-            (PART, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Part),
-            (DOCUMENT, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Document),
+            (NOTE_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Note),
+            (PART_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Part),
+            (DOCUMENT_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Document),
             _ => None,
         }
     }
@@ -170,9 +171,9 @@
     /// replica: the texts must not change.
     pub fn kind_name(&self) -> &'static str {
         match (self.kind, self.format_version) {
-            (NOTE, FORMAT_VERSION) => "note",
-            (PART, FORMAT_VERSION) => "part of a document",
-            (DOCUMENT, FORMAT_VERSION) => "document",
+            (NOTE_KIND, FORMAT_VERSION) => "note",
+            (PART_KIND, FORMAT_VERSION) => "part of a document",
+            (DOCUMENT_KIND, FORMAT_VERSION) => "document",
             _ => "of a newer program",
         }
     }
--- a/crates/replicated-store/src/replica/membership.rs
+++ b/crates/replicated-store/src/replica/membership.rs
@@ -20,7 +20,7 @@
 /// Upper bound of the reachable members in a status message.
 const MAX_REPORTED_REACHABLE: usize = 64;
 /// Number of election timeouts without a leader after which no election is expected to succeed.
-const LEADERLESS_ELECTIONS: Micros = 5;
+const LEADERLESS_ELECTION_TIMEOUTS: u64 = 5;
 
 /// A request of a replica to be admitted to the store.
 pub(super) struct JoinRequest {
@@ -167,7 +167,7 @@
         };
         let election_timeout = self.config.election_timeout;
         let is_leaderless = self.leader.name.is_none()
-            && now >= self.leader.heard_at + LEADERLESS_ELECTIONS * election_timeout;
+            && now >= self.leader.heard_at + LEADERLESS_ELECTION_TIMEOUTS * election_timeout;
         let frozen = self.comparison.frozen;
         let has_adopted = |peer: &Peer| frozen && peer.status.adopted_from == own_store;
         let Some(peer) =
@@ -224,7 +224,7 @@
         if self.leader.name.is_some() && self.rollback_check.is_none() {
             return reject("the record has a leader and continues: nothing is to be decided");
         }
-        if now < self.leaderless_since + LEADERLESS_ELECTIONS * self.config.election_timeout {
+        if now < self.leaderless_since + LEADERLESS_ELECTION_TIMEOUTS * self.config.election_timeout {
             return reject("a leader may still be elected: try again in a few seconds");
         }
         Ok(())
--- a/crates/replicated-store/src/rollback.rs
+++ b/crates/replicated-store/src/rollback.rs
@@ -36,11 +36,12 @@
 }
 
 impl DurableProgress {
-    /// Whether a replica with the progress `self` can have `now` later. Starts and terms never decrease. The
-    /// index decreases only if a later leader has replaced entries, and then the term is a later one.
-    pub fn can_precede(&self, now: &DurableProgress) -> bool {
-        let index_can_precede = self.last_index <= now.last_index || self.term < now.term;
-        self.starts <= now.starts && self.term <= now.term && index_can_precede
+    /// Whether a replica with the progress `self` can have `later` afterwards. Starts and terms never
+    /// decrease. The index decreases only if a later leader has replaced entries, and then the term is a
+    /// later one.
+    pub fn can_precede(&self, later: &DurableProgress) -> bool {
+        let index_can_precede = self.last_index <= later.last_index || self.term < later.term;
+        self.starts <= later.starts && self.term <= later.term && index_can_precede
     }
 
     /// The later of both terms with its index, and the higher number of starts.
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -15,7 +15,7 @@
 use crate::store::{Config, Row, Store};
 
 /// Maximum number of batches in one commit.
-const MAX_GROUP_COMMIT: usize = 256;
+const MAX_BATCHES_PER_COMMIT: usize = 256;
 
 /// A job for the thread.
 enum Job {
@@ -222,11 +222,11 @@
 }
 
 impl GroupCommit {
-    /// Takes waiting batches from the queue, up to the first job of another kind or [`MAX_GROUP_COMMIT`]
-    /// batches.
+    /// Takes waiting batches from the queue, up to the first job of another kind or
+    /// [`MAX_BATCHES_PER_COMMIT`] batches.
     fn collect(number: u64, batch: WriteBatch, jobs: &Receiver<Job>) -> GroupCommit {
         let mut group = GroupCommit { batch, last_number: number, next_job: None };
-        for _ in 1..MAX_GROUP_COMMIT {
+        for _ in 1..MAX_BATCHES_PER_COMMIT {
             match jobs.try_recv() {
                 Ok(Job::Commit { number, batch }) => {
                     group.last_number = number;
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -229,9 +229,9 @@
     store.commit(&WriteBatch::new().remove(1, b"a")).expect("removing is always possible");
     store.commit(&WriteBatch::new().put(1, b"b", &[7; 3_000])).expect("within the limit again");
 
-    let file = FaultInjectingDisk::new(1);
-    file.open(Path::new("store"), true).expect("a file");
-    let error = Store::open(&file, &config()).expect_err("not a directory");
+    let disk_with_file = FaultInjectingDisk::new(1);
+    disk_with_file.open(Path::new("store"), true).expect("a file");
+    let error = Store::open(&disk_with_file, &config()).expect_err("not a directory");
     assert_eq!(error.to_string(), "store: expected a folder");
 
     let read_only = FaultInjectingDisk::new(1);
