--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -153,7 +153,7 @@
     /// Sets the program and configuration that this server runs and notifies all members.
     pub fn set_build_info(&mut self, now: Micros, build_info: BuildInfo) {
         self.build_info = BuildInfo { zone: self.config.zone.to_string(), ..build_info };
-        self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::Gossip);
+        self.broadcast(now, &Body::Heartbeat(Some(self.build_info.clone())), Delivery::PreferDatagram);
     }
 
     /// Sets the load of this server in percent, limited to 100.
@@ -178,7 +178,8 @@
         self.departure = Departure::Departed;
     }
 
-    /// Sends a message on a channel to a member that has completed the handshake. The message may be lost.
+    /// Sends a message on a channel to a member that has completed the handshake. The message may be lost;
+    /// sealed, it must not be longer than [`crate::wire::MAX_MESSAGE_LEN`].
     pub fn send(&mut self, now: Micros, to: &MemberName, channel: u8, payload: Vec<u8>) {
         if self.has_proven(to) {
             self.send_body(now, to, Body::Channel { channel, payload }, Delivery::DatagramAndStream);
--- a/crates/replicated-store/src/entry.rs
+++ b/crates/replicated-store/src/entry.rs
@@ -1,13 +1,14 @@
 //! Log entries: an envelope that every program version can decode, around a payload whose format may be newer
 //! than this program.
 //!
-//! An entry of a kind or format version that this program does not know stays in the log, is counted and is
-//! replicated; it is never applied and never dropped, so that an older program in the fleet neither blocks
-//! the log nor loses data.
+//! An entry of a kind or format version that this program does not know is replicated and counted but not
+//! applied, so that an older program in the fleet does not block the log. It stays in the log until a
+//! snapshot replaces the entries up to it.
 
 use serde::{Deserialize, Serialize};
 
-/// Upper bound of one entry's payload in bytes; longer documents are written in parts.
+/// Upper bound of one entry's payload in bytes. [`Entry::document`] keeps to it by writing documents longer
+/// than [`PART_BYTES`] in parts; other entries are not checked against it.
 pub const MAX_ENTRY_BYTES: usize = 32 << 10;
 /// Length of one document part in bytes, and of the longest document that is written in a single entry.
 pub const PART_BYTES: usize = MAX_ENTRY_BYTES / 2;
@@ -16,8 +17,8 @@
 /// Upper bound of a document's name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Id of an entry, drawn at random by its author; an entry that is proposed twice under one id is applied
-/// once.
+/// Id of an entry, drawn at random by its author. An entry that is proposed twice under one id is applied
+/// once, as long as its outcome is remembered ([`crate::State::outcome`]).
 pub type EntryId = u128;
 /// The first 16 bytes of a BLAKE3 hash.
 pub type Digest = [u8; 16];
@@ -99,9 +100,10 @@
     Removed,
 }
 
-const NOTE: u16 = 1;
-const PART: u16 = 2;
-const DOCUMENT: u16 = 3;
+// The values of `Envelope::kind` that this program knows. They are part of the stored format.
+const NOTE_KIND: u16 = 1;
+const PART_KIND: u16 = 2;
+const DOCUMENT_KIND: u16 = 3;
 /// The format version in which this program writes each kind of entry.
 const FORMAT_VERSION: u16 = 1;
 
@@ -109,9 +111,9 @@
     /// Puts the entry into an envelope. `written_at_ms` is Unix time in milliseconds.
     pub fn to_envelope(&self, id: EntryId, author: &str, written_at_ms: u64) -> Envelope {
         let (kind, payload) = match self {
-            Entry::Note(text) => (NOTE, postcard::to_allocvec(text)),
-            Entry::Part(part) => (PART, postcard::to_allocvec(part)),
-            Entry::Document(update) => (DOCUMENT, postcard::to_allocvec(update)),
+            Entry::Note(text) => (NOTE_KIND, postcard::to_allocvec(text)),
+            Entry::Part(part) => (PART_KIND, postcard::to_allocvec(part)),
+            Entry::Document(update) => (DOCUMENT_KIND, postcard::to_allocvec(update)),
         };
         Envelope {
             id,
@@ -148,9 +150,9 @@
     pub fn decode(&self) -> Option<Entry> {
         let payload = &self.payload;
         match (self.kind, self.format_version) {
-            (NOTE, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Note),
-            (PART, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Part),
-            (DOCUMENT, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Document),
+            (NOTE_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Note),
+            (PART_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Part),
+            (DOCUMENT_KIND, FORMAT_VERSION) => postcard::from_bytes(payload).ok().map(Entry::Document),
             _ => None,
         }
     }
@@ -169,9 +171,9 @@
     /// replica: the texts must not change.
     pub fn kind_name(&self) -> &'static str {
         match (self.kind, self.format_version) {
-            (NOTE, FORMAT_VERSION) => "note",
-            (PART, FORMAT_VERSION) => "part of a document",
-            (DOCUMENT, FORMAT_VERSION) => "document",
+            (NOTE_KIND, FORMAT_VERSION) => "note",
+            (PART_KIND, FORMAT_VERSION) => "part of a document",
+            (DOCUMENT_KIND, FORMAT_VERSION) => "document",
             _ => "of a newer program",
         }
     }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -15,7 +15,7 @@
 use crate::store::{Config, Row, Store};
 
 /// Maximum number of batches in one commit.
-const MAX_GROUP_COMMIT: usize = 256;
+const MAX_BATCHES_PER_COMMIT: usize = 256;
 
 /// A job for the thread.
 enum Job {
@@ -89,8 +89,9 @@
         Writer::spawn(queue_capacity, move |jobs| run(store, &jobs, notify))
     }
 
-    /// Starts the thread, which opens the store itself, as that may take long. An existing file is
-    /// quarantined first if it is damaged, or in any case with `quarantine_existing`.
+    /// Starts the thread, which opens the store itself, as that may take long, and reads all rows of
+    /// `spaces`. An existing file is quarantined first if it is damaged, or in any case with
+    /// `quarantine_existing`.
     pub fn open(
         disk: impl Disk + Send + 'static,
         config: Config,
@@ -117,7 +118,8 @@
         Ok(Writer { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    /// Queues a batch for commit. `Err` returns the batch if the queue is full or the thread has ended.
+    /// Queues a batch for commit; `number` must be higher than that of the batch before it. `Err` returns the
+    /// batch if the queue is full or the thread has ended.
     pub fn commit(&self, number: u64, batch: WriteBatch) -> Result<(), WriteBatch> {
         self.enqueue(Job::Commit { number, batch }).map_err(|job| match job {
             Job::Commit { batch, .. } => batch,
@@ -220,11 +222,11 @@
 }
 
 impl GroupCommit {
-    /// Takes waiting batches from the queue, up to the first job of another kind or [`MAX_GROUP_COMMIT`]
-    /// batches.
+    /// Takes waiting batches from the queue, up to the first job of another kind or
+    /// [`MAX_BATCHES_PER_COMMIT`] batches.
     fn collect(number: u64, batch: WriteBatch, jobs: &Receiver<Job>) -> GroupCommit {
         let mut group = GroupCommit { batch, last_number: number, next_job: None };
-        for _ in 1..MAX_GROUP_COMMIT {
+        for _ in 1..MAX_BATCHES_PER_COMMIT {
             match jobs.try_recv() {
                 Ok(Job::Commit { number, batch }) => {
                     group.last_number = number;
