--- a/crates/server/src/admission/arrivals.rs
+++ b/crates/server/src/admission/arrivals.rs
@@ -38,7 +38,7 @@
 /// A cache entry that prevents duplicates from running from the arrival of the first attempt on.
 struct KeyReservation {
     dedup_key: DedupKey,
-    body: BodyDigest,
+    body_digest: BodyDigest,
     expires_at: Micros,
 }
 
@@ -119,16 +119,16 @@
             return Ok(KeyLookup { duplicate_of: cached.map(|original| original.id), reservation: None });
         };
         let expires_at = now + class.idempotency_window;
-        let body = self.idempotency_cache.digest(&request.body);
+        let body_digest = self.idempotency_cache.digest(&request.body);
         match cached {
             // A different request under a key in use is no duplicate: it must neither run nor get the
             // original's result.
-            Some(original) if original.body != body => Err(Response::BadRequest),
+            Some(original) if original.body_digest != body_digest => Err(Response::BadRequest),
             Some(original) => Ok(KeyLookup { duplicate_of: Some(original.id), reservation: None }),
             // Without an entry for the key, nothing would prevent a duplicate from running.
             None if !self.make_room_for_key(now) => Err(REJECTED),
             None => {
-                let reservation = Some(KeyReservation { dedup_key, body, expires_at });
+                let reservation = Some(KeyReservation { dedup_key, body_digest, expires_at });
                 Ok(KeyLookup { duplicate_of: None, reservation })
             }
         }
@@ -167,9 +167,9 @@
             awaits_original: false,
             _charge: charge,
         };
-        if let Err(duplicate_id) = self.requests.insert(Box::new(open_request)) {
+        if let Err(rejected) = self.requests.insert(Box::new(open_request)) {
             // The controller can't distinguish two requests with the same id.
-            if let Some(reply_to) = duplicate_id.reply_to {
+            if let Some(reply_to) = rejected.reply_to {
                 reply_to.respond(Response::BadRequest);
             }
             return;
@@ -179,7 +179,7 @@
         if let Some(reservation) = lookup.reservation {
             let cached = CachedRequest {
                 id: arrival.id.clone(),
-                body: reservation.body,
+                body_digest: reservation.body_digest,
                 expires_at: reservation.expires_at,
                 evictable: false,
             };
@@ -209,10 +209,10 @@
     pub(super) fn retain_key(&mut self, now: Micros, id: &RequestId, expires_at: Micros) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(dedup_key) = request.dedup_key() else { return };
-        let body = self.idempotency_cache.digest(&request.body);
+        let body_digest = self.idempotency_cache.digest(&request.body);
         let evictable = self.class_with_keys(dedup_key.class).is_none();
         if self.make_room_for_key(now) {
-            let cached = CachedRequest { id: id.clone(), body, expires_at, evictable };
+            let cached = CachedRequest { id: id.clone(), body_digest, expires_at, evictable };
             self.idempotency_cache.insert(dedup_key, cached);
         }
     }
--- a/crates/server/src/admission/mod.rs
+++ b/crates/server/src/admission/mod.rs
@@ -49,8 +49,8 @@
 
 /// Maximum number of messages that wait in this actor's mailbox.
 pub const MAILBOX_CAPACITY: usize = 256;
-/// Maximum number of messages that are read before a step.
-const MAX_MESSAGES_PER_STEP: usize = 4 * MAILBOX_CAPACITY;
+/// Maximum number of messages that are taken from the mailbox at once, before timeouts are handled.
+const MAX_MESSAGES_PER_READ: usize = 4 * MAILBOX_CAPACITY;
 
 /// Settings, mailboxes and services that the actor is created with.
 pub struct AdmissionParts {
@@ -174,7 +174,7 @@
     /// Handles the messages in the mailbox and the timeouts that are due.
     fn read_inbox(&mut self) {
         let now = self.clock.now();
-        for _ in 0..MAX_MESSAGES_PER_STEP {
+        for _ in 0..MAX_MESSAGES_PER_READ {
             let Ok(message) = self.inbox.try_recv() else { break };
             self.handle_message(now, message);
         }
--- a/crates/server/src/dependency_calls/status_log.rs
+++ b/crates/server/src/dependency_calls/status_log.rs
@@ -5,26 +5,26 @@
 use umberloom_dependencies::{breaker, load_balancer, DependencyStatus, Engine};
 
 /// Time between two checks for changes.
-const LOG_INTERVAL: Micros = 1_000_000;
+const CHECK_INTERVAL: Micros = 1_000_000;
 
 /// Compares the status of the dependencies with that of the last check, and logs changes.
 pub struct StatusLog {
-    next_log_at: Micros,
+    next_check_at: Micros,
     previous: Vec<DependencyStatus>,
 }
 
 impl StatusLog {
     /// Creates a log whose first check is due one interval from now.
     pub fn new(now: Micros) -> StatusLog {
-        StatusLog { next_log_at: now + LOG_INTERVAL, previous: Vec::new() }
+        StatusLog { next_check_at: now + CHECK_INTERVAL, previous: Vec::new() }
     }
 
     /// Logs the changes since the last check, if a check is due.
     pub fn handle_timeout(&mut self, now: Micros, engine: &Engine, log: &Logger) {
-        if now < self.next_log_at {
+        if now < self.next_check_at {
             return;
         }
-        self.next_log_at = now + LOG_INTERVAL;
+        self.next_check_at = now + CHECK_INTERVAL;
         let current = engine.status(now);
         for dependency in &current {
             if let Some(previous) = self.previous.iter().find(|previous| previous.name == dependency.name) {
--- a/crates/server/src/memory/idempotency_cache.rs
+++ b/crates/server/src/memory/idempotency_cache.rs
@@ -35,7 +35,7 @@
     /// Id of the request.
     pub id: RequestId,
     /// Digest of the request's body.
-    pub body: BodyDigest,
+    pub body_digest: BodyDigest,
     /// When the entry expires.
     pub expires_at: Micros,
     /// Whether the entry may be dropped before it expires.
--- a/crates/server/src/memory/idempotency_cache/tests.rs
+++ b/crates/server/src/memory/idempotency_cache/tests.rs
@@ -7,7 +7,7 @@
 
 /// Creates the request of an entry, which may be evictable.
 fn cached_request(cache: &IdempotencyCache, id: &str, expires_at: Micros, evictable: bool) -> CachedRequest {
-    CachedRequest { id: id.into(), body: cache.digest(b"body"), expires_at, evictable }
+    CachedRequest { id: id.into(), body_digest: cache.digest(b"body"), expires_at, evictable }
 }
 
 /// Makes room for an evictable entry and adds it.
--- a/crates/server/src/peers/ajp.rs
+++ b/crates/server/src/peers/ajp.rs
@@ -28,10 +28,10 @@
 
 /// Whether the peer answers a ping within [`PING_TIMEOUT`].
 pub async fn is_alive(stream: &Async<TcpStream>, ajp: &AjpConfig) -> bool {
-    let mut caller = ClientConnection::new(ajp.packet_bytes);
+    let mut client = ClientConnection::new(ajp.packet_bytes);
     let ping = async {
-        caller.send_ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
-        match next_event(stream, &mut caller, &mut Buffer::new(ajp.packet_bytes)).await? {
+        client.send_ping().map_err(|_| Error::from(ErrorKind::InvalidInput))?;
+        match next_event(stream, &mut client, &mut Buffer::new(ajp.packet_bytes)).await? {
             Event::Pong => Ok(()),
             _ => Err(Error::from(ErrorKind::InvalidData)),
         }
@@ -51,13 +51,13 @@
     request.headers =
         headers.iter().map(|(name, value)| (name.to_ascii_lowercase(), (*value).to_owned())).collect();
     request.secret = ajp.secret.as_ref().map(|secret| secret.clone().into_bytes());
-    let mut caller = ClientConnection::new(ajp.packet_bytes);
-    caller.send_request(&request, body).map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
+    let mut client = ClientConnection::new(ajp.packet_bytes);
+    client.send_request(&request, body).map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
     let mut buffer = Buffer::new(ajp.packet_bytes);
     let mut reply =
         Reply { status: 0, headers: Vec::new(), body: Vec::new(), keep_alive: false, encoded_bytes: 0 };
     loop {
-        match next_event(stream, &mut caller, &mut buffer).await? {
+        match next_event(stream, &mut client, &mut buffer).await? {
             Event::Head(head) => {
                 reply.status = head.status;
                 reply.headers = head.headers;
@@ -79,14 +79,14 @@
 /// Writes the queued packets and reads until the next event.
 async fn next_event(
     stream: &Async<TcpStream>,
-    caller: &mut ClientConnection,
+    client: &mut ClientConnection,
     buffer: &mut Buffer,
 ) -> std::io::Result<Event> {
     loop {
-        let out = std::mem::take(&mut caller.output);
+        let out = std::mem::take(&mut client.output);
         stream::write_all(stream, &out).await?;
         let (used, event) =
-            caller.decode(buffer.unread()).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
+            client.decode(buffer.unread()).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
         buffer.consume(used);
         match event {
             Some(event) => return Ok(event),
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    /// Number of the command in this log; the agent echoes it in the answer to a query.
+    /// Number of the command in this log. A query is sent with it as its tag, which the agent echoes.
     number: u64,
     kind: EntryKind,
     id: RequestId,
@@ -49,7 +49,7 @@
     /// Adds a command.
     pub fn push(&mut self, command: &AgentCommand) {
         let number = self.last_number + 1;
-        let name = number.to_string();
+        let wire_tag = number.to_string();
         let no_request: RequestId = "".into();
         let (kind, id, tag, encoded) = match command {
             AgentCommand::Launch { id, class, body } => {
@@ -64,10 +64,10 @@
                 (EntryKind::Reply, id, 0, Command::Forgo { id, seq: *notice_seq })
             }
             AgentCommand::SampleGauges(tag) => {
-                (EntryKind::Query, &no_request, *tag, Command::Sample { tag: &name })
+                (EntryKind::Query, &no_request, *tag, Command::Sample { tag: &wire_tag })
             }
             AgentCommand::RunHealthCheck(tag) => {
-                (EntryKind::Query, &no_request, *tag, Command::Exercise { tag: &name })
+                (EntryKind::Query, &no_request, *tag, Command::Exercise { tag: &wire_tag })
             }
         };
         let unwritten = || self.entries.iter().skip(self.written);
@@ -107,17 +107,17 @@
         self.entries.retain(|e| !matches!(e.kind, EntryKind::Query | EntryKind::Marker));
         self.written = 0;
         self.last_number += 1;
-        let name = self.last_number.to_string();
-        let line = Command::Sample { tag: &name }.encode();
+        let wire_tag = self.last_number.to_string();
+        let line = Command::Sample { tag: &wire_tag }.encode();
         let entry = Entry { number: self.last_number, kind: EntryKind::Marker, id: "".into(), tag: 0, line };
         self.entries.push_front(entry);
         self.marker = Some(self.last_number);
     }
 
-    /// Handles the answer to sample `name`, which acknowledges all commands written before it. Returns the
-    /// tag of the query if admission made it.
-    pub fn sample_answered(&mut self, name: &str) -> Option<u64> {
-        let number: u64 = name.parse().ok()?;
+    /// Handles the answer to the sample with tag `wire_tag`, which acknowledges all commands written before
+    /// the sample. Returns the tag that admission gave it; `None` if admission did not request it.
+    pub fn sample_answered(&mut self, wire_tag: &str) -> Option<u64> {
+        let number: u64 = wire_tag.parse().ok()?;
         let written = self.entries.iter().take(self.written);
         let index = written.enumerate().find(|(_, e)| e.number == number).map(|(index, _)| index)?;
         if self.marker == Some(number) {
@@ -129,10 +129,10 @@
         tag
     }
 
-    /// Handles the answer to health check `name`. The agent answers these out of order, so it acknowledges no
-    /// other command. Returns the tag of the query.
-    pub fn health_check_answered(&mut self, name: &str) -> Option<u64> {
-        let number: u64 = name.parse().ok()?;
+    /// Handles the answer to the health check with tag `wire_tag`. The agent answers these out of order, so
+    /// the answer acknowledges no other command. Returns the tag that admission gave the health check.
+    pub fn health_check_answered(&mut self, wire_tag: &str) -> Option<u64> {
+        let number: u64 = wire_tag.parse().ok()?;
         let index = self.entries.iter().take(self.written).position(|e| e.number == number)?;
         self.remove(index).map(|e| e.tag)
     }
--- a/crates/server/src/peers/connection/request.rs
+++ b/crates/server/src/peers/connection/request.rs
@@ -30,7 +30,7 @@
     #[error(transparent)]
     Params(#[from] cgi::InvalidParams),
     #[error("arrival time or timeout out of range")]
-    TimesFarOff,
+    TimesOutOfRange,
     #[error("no HTTP_BUDGET_MS")]
     NoTimeout,
     #[error("unknown class")]
@@ -108,7 +108,7 @@
         CgiRequest::Work(request) => request,
     };
     if !request.has_plausible_times(context.clock.unix()) {
-        return Err(InvalidRequest::TimesFarOff);
+        return Err(InvalidRequest::TimesOutOfRange);
     }
     if context.shape.passes_deadline && request.timeout.is_none() {
         return Err(InvalidRequest::NoTimeout);
--- a/crates/server/src/peers/fleet/replication.rs
+++ b/crates/server/src/peers/fleet/replication.rs
@@ -195,9 +195,9 @@
                 self.quarantine_on_open = true;
                 return self.schedule_reopen(now);
             }
-            let unwritten = self.unwritten.len();
+            let unwritten_before = self.unwritten.len();
             self.write_batches(now);
-            if self.unwritten.len() == unwritten && unwritten > 0 {
+            if self.unwritten.len() == unwritten_before && unwritten_before > 0 {
                 return;
             }
         }
--- a/crates/server/src/peers/registration.rs
+++ b/crates/server/src/peers/registration.rs
@@ -27,7 +27,7 @@
 /// Longest delay of a server between two attempts while the service is down, in microseconds.
 const MAX_RETRY_INTERVAL: Micros = 1_050_000;
 /// Number of consecutive unconfirmed reports after which the service counts as unreachable.
-const UNREACHABLE_AFTER: u32 = 4;
+const UNREACHABLE_AFTER_FAILURES: u32 = 4;
 
 /// The actor that reports to the announce service.
 pub struct Registration {
@@ -133,9 +133,9 @@
         }
         let previous_failures = self.failed_reports;
         self.failed_reports = if confirmed { 0 } else { previous_failures.saturating_add(1) };
-        if self.failed_reports == UNREACHABLE_AFTER {
+        if self.failed_reports == UNREACHABLE_AFTER_FAILURES {
             info!(self.log, "announce service unreachable"; "failed_reports" => self.failed_reports);
-        } else if confirmed && previous_failures >= UNREACHABLE_AFTER {
+        } else if confirmed && previous_failures >= UNREACHABLE_AFTER_FAILURES {
             info!(self.log, "announce service reachable"; "failed_reports" => previous_failures);
         }
     }
