--- a/crates/server/src/admission/agent_events.rs
+++ b/crates/server/src/admission/agent_events.rs
@@ -98,7 +98,7 @@
         self.end_without_report(id, Outcome::NotStarted);
     }
 
-    /// Handles an invalid notice from the agent. No further notice about its run will come.
+    /// Handles an invalid notice about a request's run. The agent will send no further notice about that run.
     pub(super) fn handle_invalid_notice(&mut self, id: &str) {
         self.end_without_report(id, Outcome::Error);
     }
--- a/crates/server/src/admission/arrivals.rs
+++ b/crates/server/src/admission/arrivals.rs
@@ -29,13 +29,13 @@
 /// Result of looking up a request's deduplication key in the idempotency cache.
 #[derive(Default)]
 struct KeyLookup {
-    /// The original request, if another one has the key.
+    /// Id of the original, if another request has the key.
     duplicate_of: Option<RequestId>,
     /// The entry to add if the request is accepted, where the key is free and the class has idempotency keys.
     reservation: Option<KeyReservation>,
 }
 
-/// A cache entry that prevents duplicates from running from the arrival of the first attempt on.
+/// A cache entry that, as soon as the first attempt has arrived, prevents duplicates from running.
 struct KeyReservation {
     dedup_key: DedupKey,
     body_digest: BodyDigest,
--- a/crates/server/src/admission/draining.rs
+++ b/crates/server/src/admission/draining.rs
@@ -1,4 +1,4 @@
-//! The notice to drain.
+//! The notice to drain, and the drain event that the controller gets because of it.
 
 use umberloom::interface::{Event, Micros};
 
--- a/crates/server/src/admission/mailboxes.rs
+++ b/crates/server/src/admission/mailboxes.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reports this server's load, as a percentage of its CPU use, to the other servers of the fleet.
+    /// Reports this server's load, which is its CPU use in percent, to the other servers of the fleet.
     pub(super) fn report_load(&self, gauges: &Gauges) {
         let (Some(fleet), Some(cpu)) = (&self.mailboxes.fleet, gauges.cpu) else { return };
         let percent = (cpu.clamp(0.0, 1.0) * 100.0) as u8;
--- a/crates/server/src/admission/tests/idempotency_keys.rs
+++ b/crates/server/src/admission/tests/idempotency_keys.rs
@@ -92,8 +92,7 @@
 }
 
 /// Guards against giving a result to the wrong caller: a request with a key in use and a different body got
-/// the result of the request that had the key. Found in the simulator's brink runs of a site with such a
-/// class, which failed because a faulty client was served.
+/// the result of the request that had the key. Such a request comes from a faulty client.
 #[test]
 fn different_body_under_a_key_in_use_gets_bad_request() {
     let mut fixture = fixture_with_keys();
--- a/crates/server/src/admission/tests/mod.rs
+++ b/crates/server/src/admission/tests/mod.rs
@@ -174,7 +174,7 @@
         self.last_duplicate_of(id)
     }
 
-    /// The original that the last event, which must be the arrival of this request, is linked to.
+    /// The original that this request is linked to. The last event must be the arrival of the request.
     fn last_duplicate_of(&self, id: &str) -> Option<RequestId> {
         match self.actor.events.last() {
             Some(Event::Arrived(arrival)) if &*arrival.id == id => arrival.duplicate_of.clone(),
--- a/crates/server/src/messages/caller.rs
+++ b/crates/server/src/messages/caller.rs
@@ -124,7 +124,7 @@
         /// The response.
         response: Response,
     },
-    /// Closes the connection if no request is in flight.
+    /// Closes the connection if no request is in flight, or if it never carried a complete request.
     CloseIfIdle,
     /// Wakes the connection to check [`ConnectionActivity::closing`].
     Close,
--- a/crates/server/src/peers/agent.rs
+++ b/crates/server/src/peers/agent.rs
@@ -19,11 +19,11 @@
 
 /// Capacity of the mailbox in messages, and of the command log in commands.
 pub const MAILBOX_CAPACITY: usize = 4096;
-/// Bytes of commands taken from the command log at once.
+/// Maximum size in bytes of the commands taken from the command log at once; a longer command is taken alone.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
-/// Delay before the next attempt after one that failed, or after a link that ended before its greeting.
+/// Delay before the next attempt to connect, after a failed one or a link that ended before its greeting.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// Delay before the next attempt after malformed input.
+/// Delay before the next attempt to connect after malformed input.
 const MALFORMED_BACKOFF: Duration = Duration::from_millis(200);
 /// Time limit for one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -258,8 +258,7 @@
                 debug!(self.log, "agent rejected command"; "command" => &command, "request" => &id);
                 AdmissionMessage::AgentRejected { command, id }
             }
-            // The link is not closed because of it: the agent would send the same notice again on the next
-            // one.
+            // An invalid notice does not close the link: the agent would send it again on the next one.
             Notice::Invalid { id } => {
                 warn!(self.log, "invalid notice from agent"; "request" => &id);
                 self.command_log.run_ended(&id);
--- a/crates/server/src/peers/command_log.rs
+++ b/crates/server/src/peers/command_log.rs
@@ -18,7 +18,8 @@
     Reply,
     /// Asks for gauges or a health check. It is not replayed on a new link.
     Query,
-    /// A sample that the log itself requests; its answer marks the end of the missed notices.
+    /// A sample that the log itself requests on a new link. Its answer marks the end of the notices missed
+    /// since the last link broke.
     Marker,
 }
 
--- a/crates/server/src/peers/command_log/tests.rs
+++ b/crates/server/src/peers/command_log/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// The operation and request id of each encoded command.
 fn ops(bytes: &[u8]) -> Vec<String> {
     let text = std::str::from_utf8(bytes).expect("text");
     let op = |line: &str| {
--- a/crates/server/src/peers/connection.rs
+++ b/crates/server/src/peers/connection.rs
@@ -48,7 +48,7 @@
 /// Limit on the bytes read without completing a request: the size of [`MAX_OPEN_REQUESTS`] requests of
 /// maximum length. The connection of a peer that sends more is closed.
 const MAX_BYTES_WITHOUT_REQUEST: usize = MAX_OPEN_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES);
-/// Memory booked for an open request in addition to its parameters and body: its fields, and later its
+/// Memory charged for an open request in addition to its parameters and body: its fields, and later its
 /// result.
 const REQUEST_OVERHEAD_BYTES: usize = 6 * 1024;
 
@@ -116,7 +116,7 @@
     responder: Responder,
     /// Requests that are not answered yet, by their slot on the connection.
     open_requests: BTreeMap<u16, OpenRequest>,
-    /// Memory booked for the connection's buffers.
+    /// Memory charged for the connection's buffers.
     charge: Charge,
     /// Bytes at the front of the responder's output that are written already.
     written_bytes: usize,
@@ -130,7 +130,8 @@
     input_closed: bool,
     /// The connection closes as soon as no request is open on it.
     draining: bool,
-    /// A new connection needs this one's table entry: it closes unless a complete request has arrived by now.
+    /// A new connection needs this one's table entry: this one closes unless a complete request has already
+    /// arrived.
     evicted: bool,
     /// Whether any bytes were written to the peer.
     has_written: bool,
@@ -301,7 +302,8 @@
         self.activity.last_active.set(self.context.clock.now());
     }
 
-    /// Books the memory that the connection's buffers take. If the budget is exceeded, nothing more is read.
+    /// Charges the memory that the connection's buffers take. If the budget is exceeded, nothing more is
+    /// read. Also updates the number of requests in flight that the listener sees.
     fn update_charge(&mut self) {
         let bytes = self.buffer.allocated_bytes()
             + self.responder.buffered_bytes()
--- a/crates/server/src/peers/connection/close.rs
+++ b/crates/server/src/peers/connection/close.rs
@@ -9,8 +9,8 @@
 use crate::peers::stream::{self, ReadResult};
 use crate::wire::buffer::Buffer;
 
-/// How long the peer has to close its side after this server has closed its own. Well over the time in which
-/// a request can cross the close on the network.
+/// How long the peer has to close its side after this server has closed its own. This is well over the time
+/// in which a request can cross the close on the network.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Limit on the bytes read and discarded while waiting for the peer to close.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
@@ -24,7 +24,7 @@
             && (self.input_closed || self.responder.is_close_requested() || (self.draining && input_idle))
     }
 
-    /// Whether its table entry is needed for a new connection and it never sent a complete request.
+    /// Whether a new connection needs the table entry and no complete request has arrived on this one.
     pub(super) fn is_evictable(&self) -> bool {
         self.evicted && self.responder.complete_requests() == 0 && !self.activity.has_requested.get()
     }
--- a/crates/server/src/peers/connection/request.rs
+++ b/crates/server/src/peers/connection/request.rs
@@ -1,4 +1,4 @@
-//! Validates a complete request, books its memory and passes it to admission.
+//! Validates a complete request, charges its memory and passes it to admission.
 
 use slog::debug;
 use umberloom::interface::RequestId;
--- a/crates/server/src/peers/fleet.rs
+++ b/crates/server/src/peers/fleet.rs
@@ -39,8 +39,8 @@
 
 /// Capacity of the mailbox in commands.
 pub const MAILBOX_CAPACITY: usize = 512;
-/// Number of inbound streams allowed beyond one for each peer: for guests, operators, and streams left open
-/// by a restarted peer.
+/// Number of inbound streams allowed beyond one for each peer: for guests (members outside of the roster),
+/// operators, and streams left open by a restarted peer.
 const EXTRA_STREAMS: usize = 8;
 /// Memory of one stream: a frame of maximum length being read, and another one waiting to be handled.
 const STREAM_BYTES: usize = 2 * MAX_CONTENT_BYTES;
@@ -105,7 +105,7 @@
     /// Load of this server.
     load_percent: u8,
     log: Logger,
-    /// Memory booked until the actor ends.
+    /// Memory charged until the actor ends.
     _charge: Charge,
 }
 
--- a/crates/server/src/peers/fleet/replication/requests.rs
+++ b/crates/server/src/peers/fleet/replication/requests.rs
@@ -50,7 +50,7 @@
     entry: Entry,
     /// When it was last proposed.
     proposed_at: Micros,
-    /// Result of proposing it; stays `Ok` once a leader has accepted it.
+    /// Result of proposing it, `None` before the first time; stays `Ok` once a leader has accepted it.
     proposal: Option<Result<(), RequestError>>,
 }
 
--- a/crates/server/src/peers/listener.rs
+++ b/crates/server/src/peers/listener.rs
@@ -315,8 +315,8 @@
     /// that this server already holds. An aborted connection does not stop this. If no descriptor is free,
     /// the socket stays open until connections have ended.
     async fn accept_backlog(&mut self) {
-        // Deregistered from the reactor first, so that the close immediately follows the last accept: a
-        // connection that arrives between the two is reset.
+        // The socket is deregistered from the reactor first, so that the close immediately follows the last
+        // accept: a connection that arrives between the two is reset.
         let Some(Ok(socket)) = self.socket.take().map(Async::into_inner) else { return };
         loop {
             match socket.accept() {
--- a/crates/server/src/peers/listener/tests.rs
+++ b/crates/server/src/peers/listener/tests.rs
@@ -242,7 +242,7 @@
         rejecting: false,
         close_requested_at: Cell::new(None),
     };
-    // Stands for an actor that waits for admission and takes no messages for a long time.
+    // Nothing takes the commands, as if the actor had waited for admission for a long time.
     (0..10_000).for_each(|now| entry.close_if_idle(now));
     entry.mailbox.try_send(ConnectionCommand::Close).expect("room for the end");
     for slot in 0..MAX_OPEN_REQUESTS {
@@ -361,8 +361,8 @@
     });
 }
 
-/// The same without draining: a complete request on a connection that finds the table and its overflow full
-/// is rejected before the close.
+/// Guards against a close without a response: while the server is not draining, a complete request on a
+/// connection that finds the table and its overflow full is rejected before the close.
 #[test]
 fn request_on_a_connection_without_any_place_is_rejected_before_the_close() {
     with_listener(ConnectionTable::new(3, &[1]), 60_000_000, |server| async move {
--- a/crates/server/src/quota_leases.rs
+++ b/crates/server/src/quota_leases.rs
@@ -25,7 +25,7 @@
 pub struct QuotaLeases {
     /// Quotas by the dependency's name.
     quotas: BTreeMap<Rc<str>, SharedQuota>,
-    /// Names of the dependencies whose quota the calls in flight have their permits from.
+    /// The dependency whose quota the permit of a call in flight came from, by the id of the call.
     dependency_by_call: BTreeMap<CallId, Rc<str>>,
     reachability: Reachability,
     /// The origin of this module's monotonic time.
@@ -141,7 +141,7 @@
     }
 
     /// Updates a dependency's quota with its present demand, and performs the quota's actions that are due.
-    /// Returns the number of calls that may be in flight.
+    /// Returns the number of calls that may be in flight, `usize::MAX` without a quota.
     pub fn update(&mut self, dependency: &Rc<str>, demand: Demand) -> usize {
         let now = self.now();
         let Some(quota) = self.quotas.get_mut(dependency) else { return usize::MAX };
