--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -175,7 +175,8 @@
 
     /// Connections to close once the requests on them have ended, so that listeners under their quota get
     /// back the slots that they lent. They are connections of listeners over their quota, the latest first,
-    /// as many as are missing. Empty while the table has free slots.
+    /// as many as are missing. Empty while the table has free slots. `connections` must be in ascending order
+    /// of their ids.
     pub fn borrowed_connections_to_close(&self, connections: &[ConnectionState]) -> Vec<u64> {
         let mut accepted = self.accepted_by_listener(connections);
         let in_table: usize = accepted.iter().sum();
--- a/crates/dependencies/src/config.rs
+++ b/crates/dependencies/src/config.rs
@@ -232,7 +232,8 @@
 pub struct CallConfig {
     /// Name of the dependency.
     pub dependency: String,
-    /// Whether the request fails without a result of this call; otherwise the response is then partial.
+    /// Whether the request fails without a result of this call. If an optional call has no result, the
+    /// response is partial.
     pub required: bool,
 }
 
--- a/crates/dependencies/src/config/validation.rs
+++ b/crates/dependencies/src/config/validation.rs
@@ -7,8 +7,8 @@
     StageConfig, MS,
 };
 
-/// Maximum number of dependencies, of endpoints, of stages and of calls. It is enough for any site, and few
-/// enough for the linear searches of the engine.
+/// Maximum number of dependencies, of endpoints of a dependency, of stages of a plan and of calls of a stage.
+/// It is enough for any site, and few enough for the linear searches of the engine.
 const MAX_NAMED_ITEMS: usize = 64;
 /// Maximum length of a constant in bytes; the same as for a reply.
 const MAX_CONSTANT_BYTES: usize = 4 * 1024;
--- a/crates/dependencies/src/engine.rs
+++ b/crates/dependencies/src/engine.rs
@@ -146,7 +146,8 @@
         self.templates.contains_key(class)
     }
 
-    /// Starts the plan of a request. Does nothing if no plan is configured for its class.
+    /// Starts the plan of a request, after cancelling a plan in flight with the same ID. Starts none if no
+    /// plan is configured for the class of the request; rejects the plan if too many are in flight.
     pub fn start_plan(&mut self, now: Micros, request: &PlanRequest, out: &mut Vec<Action>) {
         self.cancel_plan(now, request.plan, out);
         let Some((class, template)) = self.templates.get_key_value(request.class) else { return };
--- a/crates/dependencies/src/engine/attempts.rs
+++ b/crates/dependencies/src/engine/attempts.rs
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Handles the failure of the last attempt of a call. The call is retried if a retry is safe, the retry
-    /// budget allows it and it is expected to end before the deadline; otherwise the fallbacks are used.
+    /// Handles the failure of the last attempt in flight of a call. The call is retried if a retry is safe,
+    /// the retry budget allows it and it is expected to end before the deadline; otherwise the fallbacks are
+    /// used.
     pub(super) fn retry_or_fall_back(&mut self, now: Micros, call_ref: CallRef, outcome: Outcome) {
         let Some(plan) = self.plans.get_mut(&call_ref.plan) else { return };
         let call_deadline = plan.call_deadline(&plan.calls[call_ref.index]);
--- a/crates/dependencies/src/fallback_cache.rs
+++ b/crates/dependencies/src/fallback_cache.rs
@@ -63,8 +63,8 @@
         self.evict_excess();
     }
 
-    /// Caches a result that was received now. A result that is larger than the whole cache may be is not
-    /// cached.
+    /// Caches a result that was received now. A result that exceeds the maximum size of the whole cache is
+    /// not cached.
     pub fn put(&mut self, now: Micros, key: CacheKey, body: Rc<[u8]>) {
         let size = key.entry_size(&body);
         if size > self.limits.max_bytes || self.limits.max_entries == 0 {
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -20,14 +20,15 @@
 /// Share of its current weight that a recovering endpoint is actually given. The rest is a margin for chance,
 /// because many servers draw independently.
 const RAMP_USED_SHARE: f64 = 0.5;
-/// Latency that a failed call counts as, as a multiple of the median latency, so that an endpoint that fails
-/// fast does not attract calls.
+/// A failed call counts as a call with this multiple of the median latency of the other endpoints, so that an
+/// endpoint that fails fast does not attract calls. If the endpoint's own latency is higher than the median,
+/// it is multiplied instead, but counts as at most this multiple of the median.
 const FAILURE_LATENCY_FACTOR: f64 = 10.0;
 /// Median latency that is assumed while none is known, in microseconds.
 const DEFAULT_LATENCY: f64 = 100_000.0;
 
-/// Chooses among the endpoints of one dependency. Endpoints are identified by their indices, which never
-/// change.
+/// Chooses among the endpoints of one dependency. Endpoints are identified by their indices, which do not
+/// change while an endpoint is configured or has calls in flight.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     config: LoadBalancerConfig,
--- a/crates/dependencies/src/probe_pacing.rs
+++ b/crates/dependencies/src/probe_pacing.rs
@@ -1,8 +1,8 @@
-//! Spaces the probes that many servers make of something that is down or recovering, without communication
+//! Spaces the probes that many servers send to a target that is down or recovering, without communication
 //! between them.
 //!
 //! Each server knows only the number of servers. It spaces its own probes by that number, with random delays:
-//! servers that lost something at the same time must not all return to it at the same time.
+//! servers that lost the target at the same time must not all return to it at the same time.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -12,7 +12,8 @@
 
 /// Share of the allowed probe rate that is used on average. The rest is a margin for random variation.
 const USED_SHARE: f64 = 0.5;
-/// Number of servers from which a delay is spread over its full length again; fewer servers need less spread.
+/// Number of servers from which on a delay is extended by up to its own length; fewer servers need less
+/// spread.
 const FULL_SPREAD_SERVERS: u32 = 10;
 
 /// Maximum rate of the probes of all servers together.
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -10,7 +10,9 @@
 
 use super::simulated_host::{call, config, plan, stage, SimulatedHost, MS};
 
+/// Start and end of the outage.
 const DOWN: (Micros, Micros) = (5_000 * MS, 35_000 * MS);
+/// End of the run.
 const END: Micros = 50_000 * MS;
 
 struct OutageResult {
@@ -21,8 +23,8 @@
     recovery: Option<Micros>,
 }
 
-/// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and
-/// fails each call while it is down, after the time that it needs to fail.
+/// Starts 200 requests a second, each with one call to a dependency that takes 15 to 25 ms for a call and
+/// fails every call during the outage.
 fn run_outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> OutageResult {
     let limit = LimitBounds { initial: 16, min: 4, max: 64 };
     let dependency = DependencyConfig {
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1_000;
 
-/// Long compared with the time to request a lease (a few ms), short compared with an outage.
+/// A lease lasts long compared with the time to request one (a few ms), and is short compared with an outage.
 const DEFAULT_LEASE_DURATION: Micros = 2_000 * MS;
 /// On the known sites, the calls of a request have about one second at most.
 const DEFAULT_MAX_CALL_DURATION: Micros = 1_000 * MS;
--- a/crates/quota/src/quota/borrowing.rs
+++ b/crates/quota/src/quota/borrowing.rs
@@ -107,7 +107,7 @@
     ) {
         let pending = PendingRequest { lender: id.lender.clone(), request_number };
         let Some(requested_at) = self.pending_requests.remove(&pending) else { return };
-        // Counted from before the request was sent, on a clock that may run slow.
+        // The lease counts from before the request was sent, and this server's clock may run slow.
         let duration = duration.min(self.config.lease_duration);
         let until = requested_at + self.config.scale_down_for_drift(duration);
         if now < until && self.ledger.held.len() < MAX_LEASES && !self.fenced {
--- a/crates/quota/src/quota/mod.rs
+++ b/crates/quota/src/quota/mod.rs
@@ -18,7 +18,7 @@
 use crate::usage::RecentPeak;
 use crate::{MemberName, Micros};
 
-/// Maximum number of unanswered requests: two rounds to every server of a large fleet.
+/// Maximum number of unanswered requests: two for each server of a large fleet.
 const MAX_PENDING_REQUESTS: usize = 64;
 /// Maximum number of leases granted, and of leases held. More leases would be of one or two permits each.
 const MAX_LEASES: usize = 256;
@@ -56,6 +56,7 @@
     ledger: Ledger,
     /// Servers that can be asked for a lease.
     reachable: Vec<MemberName>,
+    /// Unanswered requests, with the times when they were sent.
     pending_requests: BTreeMap<PendingRequest, Micros>,
     /// Servers that denied a lease, and until when they are not asked again.
     denied_until: BTreeMap<MemberName, Micros>,
@@ -146,7 +147,8 @@
         self.reachable = reachable.into_iter().map(|(name, _)| name).collect();
         let Some(grows_at) = self.share_grows_at else { return };
         // A share grows at the expense of other servers, so all of them must have shrunk theirs first. After
-        // a start the configured share is this server's own, whether or not others know of this process yet.
+        // a start the configured share is this server's own, whether or not others know of this process yet;
+        // only a server that is known to use other shares delays it.
         if self.settled && !all_agree {
             self.share_grows_at = Some(now + self.config.quarantine());
         }
@@ -237,8 +239,9 @@
     }
 
     /// Acquires a permit for a call that requests time until `until`. Returns the end of the time that the
-    /// call may state, `None` if there is no permit. A lease that lasts for all of the call is preferred.
-    /// Otherwise the own share is used, as it does not expire, and after that a lease that shortens the call.
+    /// call may state; `None` if there is no permit, if this server is fenced or if the call already has a
+    /// permit. A lease that lasts for all of the call is preferred. Otherwise the own share is used, as it
+    /// does not expire, and after that a lease that shortens the call.
     pub fn acquire(&mut self, now: Micros, call: CallId, until: Micros) -> Option<Micros> {
         self.ledger.expire(now);
         if self.fenced || self.ledger.calls.contains_key(&call) {
--- a/src/admission/caller_timeouts.rs
+++ b/src/admission/caller_timeouts.rs
@@ -18,7 +18,8 @@
     votes: u32,
 }
 
-/// Whether a stated timeout is taken for a usual one; both are shares of the class deadline.
+/// Whether a stated timeout is taken for a usual one; both are shares of the class deadline. A timeout that
+/// is longer than the usual one must be closer to it than a shorter one.
 fn is_similar(share: f64, usual: f64) -> bool {
     share < usual + RELATIVE_TOLERANCE / 4.0 && share > usual - RELATIVE_TOLERANCE
 }
@@ -29,8 +30,8 @@
         self.0.iter().filter(|usual| usual.votes >= MAX_VOTES / 8).map(|usual| usual.share_of_deadline)
     }
 
-    /// Votes for the usual timeout that the stated one is similar to, or else against the one with the fewest
-    /// votes.
+    /// Votes for the usual timeout that the stated one is similar to. If there is none, a first attempt votes
+    /// against the one with the fewest votes, or replaces it if that has no votes left.
     pub fn record(&mut self, share: f64, is_first_attempt: bool) {
         // The time left after a first attempt that timed out is not a usual timeout, however often it is
         // stated.
@@ -47,9 +48,10 @@
         }
     }
 
-    /// The share of the class deadline that has passed at least, by a stated timeout. Callers state their
-    /// usual timeout of an attempt or, where that is shorter, what is left of the longest one, that of the
-    /// client's request. A timeout longer than all known ones is what is left of the deadline.
+    /// The least share of the class deadline that has passed, by the timeout that is stated. Callers state
+    /// their usual timeout of an attempt or, where that is shorter, what is left of the timeout of the
+    /// client's request, which is taken to be the longest one known. A timeout longer than all known ones is
+    /// what is left of the class deadline.
     pub fn elapsed_share(&self, share: f64) -> f64 {
         let longest = self.known().fold(share, f64::max);
         // Before one usual timeout is well known, a second, longer one could be mistaken for what is left of
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -5,7 +5,8 @@
 /// CPU use, as a share of all cores, under which free cores are filled (SWDS).
 const BUSY_CPU_SHARE: f64 = 0.8;
 
-/// Hill climbing on completions per control interval; free cores are filled at once (SWDS).
+/// Finds the limit by hill climbing on completions per control interval. Free cores are filled at once
+/// (SWDS).
 #[derive(Default)]
 pub struct ConcurrencyLimit {
     /// The limit: how many requests may run at once.
@@ -14,7 +15,7 @@
     pub step: isize,
     /// Runs that ended with a success or an error in this control interval.
     pub completions: u32,
-    /// The completions of the control interval before; 0 after one in which cores were free.
+    /// The completions of the previous control interval; 0 if cores were free in it.
     pub previous_completions: f64,
     /// Mean number of tasks that want a core.
     pub core_demand: f64,
@@ -29,7 +30,8 @@
         f64::from(settings.cores) * (1.0 + (settings.overload_per_core - 1.0) * speed)
     }
 
-    /// Adjusts the limit at the end of a control interval, within the cores and what the server survives.
+    /// Adjusts the limit at the end of a control interval. It stays between the number of cores and the safe
+    /// share of what the server survives.
     pub fn adjust(&mut self, gauges: Gauges, running: usize, uptime: Micros, settings: &Settings) {
         let (cores, core_count) = (settings.cores as usize, f64::from(settings.cores));
         let max_slots = ((ConcurrencyLimit::survivable(settings, uptime) * SAFE_SHARE) as usize).max(cores);
--- a/src/admission/downstream_calls.rs
+++ b/src/admission/downstream_calls.rs
@@ -78,7 +78,7 @@
     }
 
     /// Learns from the time of a successful call. The limit falls while calls take much longer than the best
-    /// time, and rises slowly once they are quick again.
+    /// time, and rises slowly once they are quick again (additive increase, multiplicative decrease).
     fn record_success(&mut self, call_time: f64, settings: &Settings) {
         self.saw_success = true;
         let typical = self.typical_time.map_or(call_time, |typical| ewma(typical, call_time));
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether an unhealthy server may start a request now: one in each probe interval, with at most one
-    /// other running.
+    /// other running. If it may, the next probe interval begins.
     pub fn may_probe(&mut self, now: Micros, running: usize) -> bool {
         let may_probe = now >= self.probe_at && running < 2;
         self.probe_at = if may_probe { now + PROBE_INTERVAL } else { self.probe_at };
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -33,10 +33,13 @@
 /// Share of the survivable concurrency, of the memory and of the call quota that is used; the rest is a
 /// margin.
 const SAFE_SHARE: f64 = 0.85;
-/// Least share of the expected run time that is assumed for the part of a run after its downstream call, for
-/// a run at another server and for a run of the lowest cost.
+/// Share of the expected run time that is assumed for the part of a run after its downstream call and for a
+/// run at another server. Also the least share of the mean run time that is expected of a run with a low
+/// stated cost.
 const MIN_RUN_SHARE: f64 = 0.5;
-/// Share of its spare time for which a request may wait here rather than be sent to another server.
+/// Share of its spare time for which a request of a middle level may wait here rather than be sent to another
+/// server, and which a Retry-After may take. Also the share of the latency objective that is assumed as the
+/// run time of a class before its first run.
 const WAIT_SHARE: f64 = 0.25;
 /// Weight, from 0 to 1, of the newest sample in moving averages.
 const EWMA_WEIGHT: f64 = 0.1;
@@ -70,7 +73,8 @@
     answer_by: Micros,
     next_adjustment: Micros,
     last_step: Micros,
-    /// When the latest stall ended; times that span a stall are not learned.
+    /// When the latest stall ended. Read delays, caller timeouts, call times and the times of abandoned runs
+    /// are not learned if they span a stall.
     stall_end: Micros,
     is_timer_armed: bool,
 }
@@ -204,6 +208,7 @@
 
     /// The least age of the client's request, in microseconds, by the timeout that the caller states. Behind
     /// the first tier a stated timeout shows no age: it is the time that the caller's own request has left.
+    /// In the first tier the stated timeout is also learned.
     fn estimate_min_age(&mut self, now: Micros, arrival: &Arrival, class: &Class) -> Micros {
         let Some(timeout) = arrival.caller_timeout.filter(|_| self.settings.tier == 0) else {
             // Some server rejected the request that is retried: it is as old as retries of requests rejected
--- a/src/admission/run_time.rs
+++ b/src/admission/run_time.rs
@@ -11,7 +11,9 @@
     mean_cost: Option<f64>,
     /// Mean run time of the runs with a stated cost, in microseconds.
     mean_time: f64,
+    /// Variance of the stated cost.
     cost_variance: f64,
+    /// Covariance of the stated cost and the run time.
     covariance: f64,
 }
 
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -9,8 +9,8 @@
 const MAX_NEW_CALLER_SHARE: f64 = 0.5;
 
 impl AdmissionController {
-    /// Answers requests that are due or whose response would earn nothing any more. Runs that are not
-    /// idempotent go on until their deadline: an earlier failure would invite a second run.
+    /// Answers requests that are due before the next timer or whose response would earn nothing any more.
+    /// Runs that are not idempotent go on until their deadline: an earlier failure would invite a second run.
     pub(super) fn abandon_expired(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (sweep_interval, classes) = (self.sweep_interval(), &self.settings.classes);
         let waiting = self.requests.by_sequence.iter_mut().filter(|(_, request)| !request.abandoned);
@@ -99,6 +99,7 @@
     /// Rejects early the queued requests that, in the order of dispatch, can't be served in time: another
     /// server may still serve them.
     pub(super) fn shed_load(&mut self, now: Micros, out: &mut Vec<Action>) {
+        // An unhealthy server keeps only the oldest queued request, for its next probe.
         if self.health.is_unhealthy {
             let queued = self.requests.wait_queue.clone();
             return queued.into_iter().skip(1).for_each(|sequence| self.abandon(now, sequence, out));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -165,7 +165,7 @@
 impl std::error::Error for InvalidSettings {}
 
 impl Settings {
-    /// Checks the ranges of all values.
+    /// Checks the rules that the values must follow.
     ///
     /// # Errors
     /// The first rule that the settings break.
--- a/tests/shared_dependency.rs
+++ b/tests/shared_dependency.rs
@@ -22,7 +22,7 @@
 /// A fleet in which each server always has requests that need a call.
 struct Fleet {
     servers: Vec<AdmissionController>,
-    /// Calls in flight, in the order in which they end: the end, the index of the server and the request.
+    /// Calls in flight, in the order in which they started: the end, the index of the server and the request.
     in_flight: VecDeque<(Micros, usize, RequestId)>,
     /// Start times of recent calls.
     recent_starts: VecDeque<Micros>,
