--- a/crates/dependencies/src/latency.rs
+++ b/crates/dependencies/src/latency.rs
@@ -10,10 +10,10 @@
 const MIN_SAMPLES: u64 = 20;
 /// Number of calls after which a quantile is computed again.
 const QUANTILE_REFRESH_CALLS: u32 = 32;
-/// Highest recorded latency, in microseconds; longer ones are recorded as this.
-const MAX_RECORDED: u64 = 60_000_000;
-/// Time constant of the exponential decay of a peak, in microseconds.
-const DECAY_TIME: f64 = 5_000_000.0;
+/// Highest recorded latency; longer ones are recorded as this.
+const MAX_RECORDED_US: u64 = 60_000_000;
+/// Time constant of the exponential decay of a peak.
+const DECAY_TIME_US: f64 = 5_000_000.0;
 /// Maximum weight that a peak keeps when a call is recorded, however short the time since the last one.
 const MAX_PEAK_WEIGHT: f64 = 0.9;
 
@@ -38,7 +38,7 @@
     /// Creates a histogram without samples.
     pub fn new(now: Micros) -> LatencyWindow {
         // Constant bounds in ascending order are always accepted.
-        let empty = Histogram::new_with_bounds(1, MAX_RECORDED, 2).expect("valid bounds");
+        let empty = Histogram::new_with_bounds(1, MAX_RECORDED_US, 2).expect("valid bounds");
         LatencyWindow {
             current: empty.clone(),
             previous: empty,
@@ -101,7 +101,7 @@
             self.value = latency;
         } else {
             let elapsed = now.saturating_sub(self.updated_at) as f64;
-            let peak_weight = (-elapsed / DECAY_TIME).exp().min(MAX_PEAK_WEIGHT);
+            let peak_weight = (-elapsed / DECAY_TIME_US).exp().min(MAX_PEAK_WEIGHT);
             self.value = self.value * peak_weight + latency * (1.0 - peak_weight);
         }
         self.updated_at = now;
--- a/crates/dependencies/src/latency/tests.rs
+++ b/crates/dependencies/src/latency/tests.rs
@@ -25,7 +25,7 @@
     let mut latency = LatencyWindow::new(0);
     (0..30).for_each(|n| latency.record(0, if n % 2 == 0 { 0 } else { Micros::MAX }));
     assert_eq!(latency.quantile(0, 0.1), Some(1));
-    assert!(latency.quantile(0, 0.9).is_some_and(|q| q >= MAX_RECORDED));
+    assert!(latency.quantile(0, 0.9).is_some_and(|q| q >= MAX_RECORDED_US));
 }
 
 #[test]
--- a/crates/dependencies/src/load_balancer.rs
+++ b/crates/dependencies/src/load_balancer.rs
@@ -24,8 +24,8 @@
 /// endpoint that fails fast does not attract calls. If the endpoint's own latency is higher than the median,
 /// it is multiplied instead, but counts as at most this multiple of the median.
 const FAILURE_LATENCY_FACTOR: f64 = 10.0;
-/// Median latency that is assumed while none is known, in microseconds.
-const DEFAULT_LATENCY: f64 = 100_000.0;
+/// Median latency that is assumed while none is known.
+const DEFAULT_LATENCY_US: f64 = 100_000.0;
 
 /// Chooses among the endpoints of one dependency. Endpoints are identified by their indices, which do not
 /// change while an endpoint is configured or has calls in flight.
@@ -174,7 +174,7 @@
         let mut latencies: Vec<f64> = known.map(|(_, e)| e.answer_latency.value()).collect();
         latencies.sort_by(f64::total_cmp);
         let middle = latencies.len().saturating_sub(1) / 2;
-        latencies.get(middle).copied().unwrap_or(DEFAULT_LATENCY)
+        latencies.get(middle).copied().unwrap_or(DEFAULT_LATENCY_US)
     }
 
     /// Records the start of a call to this endpoint.
--- a/crates/dependencies/src/time_budget.rs
+++ b/crates/dependencies/src/time_budget.rs
@@ -10,7 +10,7 @@
 /// Weight of the newest sample in the deviation (RFC 6298).
 const DEVIATION_GAIN: f64 = 0.25;
 /// Number of mean deviations that are reserved in addition to the mean.
-const DEVIATIONS: f64 = 2.0;
+const RESERVED_DEVIATIONS: f64 = 2.0;
 /// Share of the remaining time that is reserved while there are no samples.
 const DEFAULT_RESERVE_SHARE: f64 = 0.25;
 /// Minimum share of the remaining time that is left for the calls, whatever the estimate. Samples come only
@@ -90,7 +90,7 @@
     /// calls.
     pub fn reserve(&self, remaining: Micros) -> Micros {
         let remaining = remaining as f64;
-        let estimate = self.mean.map(|mean| mean + DEVIATIONS * self.deviation);
+        let estimate = self.mean.map(|mean| mean + RESERVED_DEVIATIONS * self.deviation);
         let max_reserve = remaining * (1.0 - MIN_CALLS_SHARE);
         estimate.unwrap_or(remaining * DEFAULT_RESERVE_SHARE).min(max_reserve) as Micros
     }
--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -61,13 +61,13 @@
     let total_attempts =
         |c: &umberloom_dependencies::CallCounts| c.first_attempts + c.retries + c.hedged_requests;
     let requests = (DOWN.1 - DOWN.0) / (5 * MS);
-    let served = |from: Micros| {
+    let has_recovered = |from: Micros| {
         let ended: Vec<_> =
             host.ended_plans().filter(|(_, e)| (from..from + 500 * MS).contains(&e.at)).collect();
         let succeeded = ended.iter().filter(|(_, e)| e.outcome == Outcome::Ok).count();
         !ended.is_empty() && succeeded * 20 >= ended.len() * 19
     };
-    let recovery = (0..100).map(|n| n * 100 * MS).find(|after| served(DOWN.1 + after));
+    let recovery = (0..100).map(|n| n * 100 * MS).find(|after| has_recovered(DOWN.1 + after));
     OutageResult {
         attempts: (total_attempts(&during) - total_attempts(&before)) as f64 / requests as f64,
         recovery,
--- a/src/admission/downstream_calls.rs
+++ b/src/admission/downstream_calls.rs
@@ -68,12 +68,12 @@
     fn time_limit(&self, calling: usize, settings: &Settings) -> Micros {
         let quota = safe_quota(settings);
         let in_flight = (calling + self.abandoned_until.len()) as f64;
-        let spare = (if quota < 1.0 { quota / 2.0 } else { quota }) - self.mean_in_flight;
-        let has_room = spare > 0.0 && in_flight + 1.0 <= quota.min(self.limit).max(1.0);
+        let spare_calls = (if quota < 1.0 { quota / 2.0 } else { quota }) - self.mean_in_flight;
+        let has_room = spare_calls > 0.0 && in_flight + 1.0 <= quota.min(self.limit).max(1.0);
         if settings.downstream != Downstream::Shared || (has_room && quota >= 1.0) {
             return Micros::MAX;
         }
-        let time_limit = if has_room { spare * settings.call_window as f64 } else { 0.0 };
+        let time_limit = if has_room { spare_calls * settings.call_window as f64 } else { 0.0 };
         (time_limit as Micros).saturating_sub(settings.abandoned_call_lifetime)
     }
 
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -13,13 +13,13 @@
     /// Runs that are not idempotent go on until their deadline: an earlier failure would invite a second run.
     pub(super) fn abandon_expired(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (sweep_interval, classes) = (self.sweep_interval(), &self.settings.classes);
-        let waiting = self.requests.by_sequence.iter_mut().filter(|(_, request)| !request.abandoned);
-        let expired = waiting.filter_map(|(&sequence, request)| {
+        let unanswered = self.requests.by_sequence.iter_mut().filter(|(_, request)| !request.abandoned);
+        let expired = unanswered.filter_map(|(&sequence, request)| {
             let class = &classes[request.class];
             let is_past_objective = now >= request.objective_end;
             request.is_late |= class.late_weight_share > 0.0 && is_past_objective;
-            let is_unsafe = class.idempotency == Idempotency::NotIdempotent;
-            let may_go_on = request.is_late || (is_unsafe && request.stage == Stage::Running);
+            let is_non_idempotent = class.idempotency == Idempotency::NotIdempotent;
+            let may_go_on = request.is_late || (is_non_idempotent && request.stage == Stage::Running);
             (now + sweep_interval > request.deadline || (is_past_objective && !may_go_on)).then_some(sequence)
         });
         let expired: Vec<u64> = expired.collect();
@@ -31,8 +31,8 @@
     pub(super) fn abandon(&mut self, now: Micros, sequence: u64, out: &mut Vec<Action>) {
         let Some(request) = self.requests.by_sequence.get(&sequence) else { return };
         // A running request that is idempotent may be rejected: a retry is safe even if the run here goes on.
-        let is_safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
-        if request.stage == Stage::Queued || (is_safe && request.stage == Stage::Running) {
+        let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+        if request.stage == Stage::Queued || (is_idempotent && request.stage == Stage::Running) {
             let (retry_after, terminal) = self.rejection(now, request);
             let retry_age = (now.saturating_sub(request.received_at) + retry_after) as f64;
             self.health.retry_age = ewma(self.health.retry_age, retry_age);
@@ -64,13 +64,13 @@
         let has_no_time = now + read_delay + expected * MIN_RUN_SHARE > objective_end;
         let mostly_retries = self.health.retry_share > MAX_RETRY_SHARE;
         let costs_connection = self.connections.new_caller_share > MAX_NEW_CALLER_SHARE;
-        let spare = objective_end - now - read_delay - expected;
-        (self.retry_after(spare), has_no_time || mostly_retries || costs_connection)
+        let spare_time = objective_end - now - read_delay - expected;
+        (self.retry_after(spare_time), has_no_time || mostly_retries || costs_connection)
     }
 
     /// The time in which the wait queue empties, but at most a share of the spare time, so that the retry is
     /// in time. An unhealthy or draining server states the longest time that callers honour.
-    fn retry_after(&self, spare: f64) -> Micros {
+    fn retry_after(&self, spare_time: f64) -> Micros {
         if self.health.is_unhealthy || self.drain_notified_at.is_some() {
             return self.settings.retry_after_max;
         }
@@ -78,7 +78,7 @@
             |sequence| self.run_times.expected(&self.requests.by_sequence[sequence], &self.settings);
         let work: f64 = self.requests.wait_queue.iter().map(expected).sum();
         let wait = (work / self.concurrency.slots as f64).max(self.health.read_delay);
-        let wait = if spare > 0.0 { wait.min(spare * WAIT_SHARE) } else { wait };
+        let wait = if spare_time > 0.0 { wait.min(spare_time * WAIT_SHARE) } else { wait };
         (wait as Micros).max(PROBE_INTERVAL).min(self.settings.retry_after_max)
     }
 
