--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -67,8 +67,7 @@
 }
 
 /// Guards against a handshake for every call: behind the first tier the callers are the servers of the tier
-/// before it, and connections of theirs that are closed early are only opened again (mapas-central, drawn big
-/// day 101).
+/// before it, and connections of theirs that are closed early are only opened again.
 #[test]
 fn the_idle_timeout_stays_behind_the_first_tier() {
     let closes = |tier: u32| {
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -76,8 +76,7 @@
 }
 
 /// Guards against a cascade in a large fleet: where callers only use servers that are ready, servers that
-/// became not ready together because of a long read delay overloaded the others (results-jhb h6afac0,
-/// incident i45ed73).
+/// became not ready together because of a long read delay overloaded the others.
 #[test]
 fn a_long_read_delay_does_not_change_readiness() {
     let mut controller = controller(default_settings());
@@ -127,9 +126,9 @@
     }
 }
 
-/// Guards against health checks that do real work on cores that are in demand (mapas-central i4f6bde:
-/// callers' checks took both cores of a server for the whole day): the server publishes its readiness when
-/// its cores are overloaded, and only then.
+/// Guards against health checks that do real work on cores that are in demand: until a server publishes its
+/// readiness, callers' checks may run such work, and they took both cores of a server for a whole day. So it
+/// publishes its readiness when its cores are overloaded, and only then.
 #[test]
 fn readiness_is_published_once_when_cores_are_overloaded() {
     let mut settings = default_settings();
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -108,9 +108,8 @@
     (controller, now)
 }
 
-/// Guards against rejecting a request for its wait although it can start at once: a run that is expected to
-/// take about as long as its objective has no spare time, so any wait seemed too long (pack-sale on a quiet
-/// day of mapas-central).
+/// Guards against rejecting a request for its wait although it can start at once on an idle core: a run that
+/// is expected to take about as long as its objective has no spare time, so any wait seemed too long.
 #[test]
 fn requests_that_can_start_at_once_are_not_rejected_for_their_wait() {
     let (mut controller, now) = controller_with_idle_cores(1_900 * MS);
@@ -119,9 +118,9 @@
     assert_eq!(admitted(&actions), ["x", "y"]);
 }
 
-/// Guards against runs that are known to end too late before they start: a slow server rejects a request that
-/// is expected to take longer than its objective at once, although a core is free (mapas-central quiet: half
-/// of the servers are slow).
+/// Guards against starting runs that are already expected to end too late, which happens even under little
+/// load where half of the servers are slow: a slow server must reject a request that is expected to take
+/// longer than its objective at once, although a core is free.
 #[test]
 fn requests_that_would_end_too_late_are_rejected_though_a_core_is_free() {
     let (mut controller, now) = controller_with_idle_cores(2_100 * MS);
