--- a/crates/dependencies/tests/engine/outage.rs
+++ b/crates/dependencies/tests/engine/outage.rs
@@ -10,7 +10,9 @@
 
 use super::simulated_host::{call, config, plan, stage, SimulatedHost, MS};
 
+/// Start and end of the outage.
 const DOWN: (Micros, Micros) = (5_000 * MS, 35_000 * MS);
+/// End of the run.
 const END: Micros = 50_000 * MS;
 
 struct OutageResult {
@@ -21,8 +23,8 @@
     recovery: Option<Micros>,
 }
 
-/// 200 requests a second of a dependency that answers 40 calls at once in 20 ms and more of them later, and
-/// fails each call while it is down, after the time that it needs to fail.
+/// Starts 200 requests a second, each with one call to a dependency that takes 15 to 25 ms for a call and
+/// fails every call during the outage.
 fn run_outage(retry: RetryPolicy, breaker: Option<BreakerConfig>) -> OutageResult {
     let limit = LimitBounds { initial: 16, min: 4, max: 64 };
     let dependency = DependencyConfig {
@@ -59,13 +61,13 @@
     let total_attempts =
         |c: &umberloom_dependencies::CallCounts| c.first_attempts + c.retries + c.hedged_requests;
     let requests = (DOWN.1 - DOWN.0) / (5 * MS);
-    let served = |from: Micros| {
+    let has_recovered = |from: Micros| {
         let ended: Vec<_> =
             host.ended_plans().filter(|(_, e)| (from..from + 500 * MS).contains(&e.at)).collect();
         let succeeded = ended.iter().filter(|(_, e)| e.outcome == Outcome::Ok).count();
         !ended.is_empty() && succeeded * 20 >= ended.len() * 19
     };
-    let recovery = (0..100).map(|n| n * 100 * MS).find(|after| served(DOWN.1 + after));
+    let recovery = (0..100).map(|n| n * 100 * MS).find(|after| has_recovered(DOWN.1 + after));
     OutageResult {
         attempts: (total_attempts(&during) - total_attempts(&before)) as f64 / requests as f64,
         recovery,
