--- a/crates/ajp/src/client.rs
+++ b/crates/ajp/src/client.rs
@@ -8,7 +8,7 @@
 /// The packet code of a ping.
 const CPING: u8 = 10;
 /// Bytes of a packet around a chunk of the request body: packet header and length.
-const REQUEST_CHUNK_OVERHEAD: usize = packet::HEADER_BYTES + 2;
+const REQUEST_CHUNK_OVERHEAD_BYTES: usize = packet::HEADER_BYTES + 2;
 
 /// What a decoded packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 
     /// Sends the next chunk of the request body, of at most `requested_bytes`.
     fn send_body_chunk(&mut self, requested_bytes: usize) {
-        let max_chunk_bytes = self.max_packet_bytes - REQUEST_CHUNK_OVERHEAD;
+        let max_chunk_bytes = self.max_packet_bytes - REQUEST_CHUNK_OVERHEAD_BYTES;
         let State::AwaitingResponse { body, sent_bytes, .. } = &mut self.state else { return };
         let unsent = &body[*sent_bytes..];
         let chunk = &unsent[..unsent.len().min(requested_bytes).min(max_chunk_bytes)];
--- a/crates/ajp/src/server.rs
+++ b/crates/ajp/src/server.rs
@@ -12,9 +12,9 @@
 const CPING: u8 = 10;
 /// Bytes of a packet around a chunk of the response body: packet header, code, length and the terminating
 /// zero byte.
-const RESPONSE_CHUNK_OVERHEAD: usize = packet::HEADER_BYTES + 4;
+const RESPONSE_CHUNK_OVERHEAD_BYTES: usize = packet::HEADER_BYTES + 4;
 /// Bytes of a packet around a chunk of the request body: packet header and length.
-const REQUEST_CHUNK_OVERHEAD: usize = packet::HEADER_BYTES + 2;
+const REQUEST_CHUNK_OVERHEAD_BYTES: usize = packet::HEADER_BYTES + 2;
 
 /// What a decoded packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -149,7 +149,7 @@
     /// Requests the next chunk of the request body, unless it was already requested.
     pub fn request_body_chunk(&mut self) {
         if let State::Body { remaining, chunk_requested: false } = self.state {
-            let max_chunk_bytes = (self.max_packet_bytes - REQUEST_CHUNK_OVERHEAD) as u64;
+            let max_chunk_bytes = (self.max_packet_bytes - REQUEST_CHUNK_OVERHEAD_BYTES) as u64;
             let chunk_bytes = remaining.unwrap_or(max_chunk_bytes).min(max_chunk_bytes) as u16;
             let [high, low] = chunk_bytes.to_be_bytes();
             packet::write_packet(&mut self.output, Sender::Server, &[code::GET_BODY, high, low]);
@@ -181,8 +181,8 @@
             return Err(EncodeError::TooLong);
         }
         packet::write_packet(&mut self.output, Sender::Server, &head);
-        for chunk in body.chunks(self.max_packet_bytes - RESPONSE_CHUNK_OVERHEAD) {
-            let mut content = Vec::with_capacity(chunk.len() + RESPONSE_CHUNK_OVERHEAD);
+        for chunk in body.chunks(self.max_packet_bytes - RESPONSE_CHUNK_OVERHEAD_BYTES) {
+            let mut content = Vec::with_capacity(chunk.len() + RESPONSE_CHUNK_OVERHEAD_BYTES);
             response::write_body(&mut content, chunk);
             packet::write_packet(&mut self.output, Sender::Server, &content);
         }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -118,8 +118,8 @@
         timing,
     };
     for mistake in membership.validate() {
-        let peer = mistake.peer_index().and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
-        reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.to_string());
+        let peer_offset = mistake.peer_index().and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
+        reader.report(peer_offset.copied().unwrap_or(node.span().offset()), mistake.to_string());
     }
     let record = reader.single(children, "record").map(|node| {
         let others: Vec<&str> = membership.peers.iter().map(|peer| &*peer.name).collect();
@@ -244,10 +244,10 @@
 
 /// Reports mistakes in the quotas of shared dependencies. Mistakes in the roster have been reported already,
 /// at the nodes that they concern.
-fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
+fn check_quotas(reader: &mut Reader, document: &KdlDocument, fleet_node: &KdlNode, fleet: &Fleet) {
     for (name, calls) in &fleet.shared {
         for reason in fleet.quota_config(*calls).validate() {
-            let reported_node = survives_node(document, name).unwrap_or(node);
+            let reported_node = survives_node(document, name).unwrap_or(fleet_node);
             reader.report_node(reported_node, format!("{name:?}: {reason}"));
         }
     }
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -129,7 +129,7 @@
 
     /// Returns a reader of the properties of a node.
     pub fn properties<'r, 'd>(&'r mut self, node: &'d KdlNode) -> Properties<'r, 'a, 'd> {
-        Properties { reader: self, node, read_names: Vec::new(), has_arguments: false }
+        Properties { reader: self, node, read_names: Vec::new(), arguments_read: false }
     }
 }
 
@@ -140,13 +140,13 @@
     /// The names of the properties that were read, whether or not they are present.
     read_names: Vec<&'static str>,
     /// Whether the arguments of the node were read already, so that they are not reported.
-    has_arguments: bool,
+    arguments_read: bool,
 }
 
 impl<'d> Properties<'_, '_, 'd> {
     /// States that the arguments of the node were read already.
     pub fn with_arguments(mut self) -> Self {
-        self.has_arguments = true;
+        self.arguments_read = true;
         self
     }
 
@@ -224,7 +224,7 @@
     pub fn finish(self) {
         for entry in self.node.entries() {
             let Some(name) = entry.name().map(KdlIdentifier::value) else {
-                if !self.has_arguments {
+                if !self.arguments_read {
                     let reason = format!("found {}, expected NAME=VALUE", format_value(entry.value()));
                     self.reader.report_entry(entry, reason);
                 }
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -123,10 +123,10 @@
 
 /// Writes entries one after the other, and returns the text to print about the outcome of the last one.
 pub fn write(client: &AdminClient, entries: Vec<Entry>, as_json: bool) -> Result<String, AdminError> {
-    let id = entry_id();
+    let first_id = entry_id();
     let mut last_outcome = None;
     for (index, entry) in (0u128..).zip(entries) {
-        match request(client, StoreRequest::Write { id: id + (index << 96), entry })? {
+        match request(client, StoreRequest::Write { id: first_id + (index << 96), entry })? {
             StoreResponse::WriteOutcome(outcome) => last_outcome = Some(outcome),
             _ => return Err(client.unexpected_response()),
         }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -269,14 +269,19 @@
     }
 
     /// The context that all connections of balancers share.
-    fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> ConnectionContext {
+    fn connection_context(
+        &self,
+        load_hint: &LoadHint,
+        max_connections: usize,
+        budget: &Budget,
+    ) -> ConnectionContext {
         ConnectionContext {
             admission: self.senders.admission.clone(),
             classes: Rc::new(self.config.classes.clone()),
             tenants: Rc::new(self.config.tenants.clone()),
-            load_hint: hint.clone(),
+            load_hint: load_hint.clone(),
             shape: self.config.shape,
-            max_connections: connections,
+            max_connections,
             last_serial: Rc::default(),
             budget: budget.clone(),
             clock: self.clock.clone(),
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -59,25 +59,33 @@
 pub fn parse_reply(bytes: &[u8], ended: bool) -> Result<Option<Reply>, MalformedInput> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
-    let size = match head.parse(bytes).map_err(|_| MalformedInput::InvalidReply)? {
-        httparse::Status::Complete(size) => size,
+    let head_bytes = match head.parse(bytes).map_err(|_| MalformedInput::InvalidReply)? {
+        httparse::Status::Complete(head_bytes) => head_bytes,
         httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => return Err(MalformedInput::HeadTooLong),
         httparse::Status::Partial => return Ok(None),
     };
     let status = head.code.unwrap_or(0);
     if (100..200).contains(&status) {
-        let after = parse_reply(&bytes[size..], ended)?;
-        return Ok(after.map(|r| Reply { encoded_bytes: r.encoded_bytes + size, ..r }));
+        let final_reply = parse_reply(&bytes[head_bytes..], ended)?;
+        return Ok(
+            final_reply.map(|reply| Reply { encoded_bytes: reply.encoded_bytes + head_bytes, ..reply })
+        );
     }
-    let text =
-        |h: &httparse::Header| (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned());
-    let headers: Vec<_> = head.headers.iter().map(text).collect();
-    let mut reply =
-        Reply { status, headers, body: Vec::new(), keep_alive: head.version == Some(1), encoded_bytes: size };
+    let owned_header = |header: &httparse::Header| {
+        (header.name.to_ascii_lowercase(), String::from_utf8_lossy(header.value).into_owned())
+    };
+    let headers: Vec<_> = head.headers.iter().map(owned_header).collect();
+    let mut reply = Reply {
+        status,
+        headers,
+        body: Vec::new(),
+        keep_alive: head.version == Some(1),
+        encoded_bytes: head_bytes,
+    };
     if reply.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")) {
         reply.keep_alive = false;
     }
-    let body = parse_body(&reply, &bytes[size..], ended)?;
+    let body = parse_body(&reply, &bytes[head_bytes..], ended)?;
     Ok(body.map(|body| Reply {
         body: body.bytes,
         keep_alive: reply.keep_alive && body.keep_alive,
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -194,20 +194,20 @@
     }
 
     fn handle_stream_data(&mut self, kind: u8, slot: u16, content: &[u8]) -> Option<Incoming> {
-        let open = self.slots.get_mut(&slot).filter(|request| !request.complete)?;
+        let request = self.slots.get_mut(&slot).filter(|request| !request.complete)?;
         if kind == kind::PARAMS && content.is_empty() {
-            open.params_done = true;
+            request.params_done = true;
         } else if kind == kind::STDIN && content.is_empty() {
             // `params_done` is not required: a request without parameters may have no such stream.
-            open.complete = true;
-            let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
-            return Some(Incoming::Request { slot, params, body, too_long: open.too_long });
-        } else if kind == kind::STDIN || !open.params_done {
-            open.append(kind, content);
-            if open.too_long {
+            request.complete = true;
+            let (params, body) = (std::mem::take(&mut request.params), std::mem::take(&mut request.body));
+            return Some(Incoming::Request { slot, params, body, too_long: request.too_long });
+        } else if kind == kind::STDIN || !request.params_done {
+            request.append(kind, content);
+            if request.too_long {
                 // The peer exceeds the limits, so the connection is closed after the response.
-                (open.complete, open.keep_connection) = (true, false);
-                (open.params, open.body) = Default::default();
+                (request.complete, request.keep_connection) = (true, false);
+                (request.params, request.body) = Default::default();
                 let (params, body) = Default::default();
                 return Some(Incoming::Request { slot, params, body, too_long: true });
             }
