--- a/crates/ajp/src/codes.rs
+++ b/crates/ajp/src/codes.rs
@@ -68,7 +68,8 @@
     "www-authenticate",
 ];
 
-/// The upper byte of a header code, in place of the length of a name, which is always less than this.
+/// The bits that every header code has in its upper byte. A code is sent in place of the length of a header's
+/// name; they differ because that length is always less than this.
 pub const CODED_HEADER_PREFIX: u16 = 0xa000;
 
 /// Returns the method with this code.
--- a/crates/ajp/src/lib.rs
+++ b/crates/ajp/src/lib.rs
@@ -19,12 +19,18 @@
 //! use umberloom_ajp::server::{Event, ServerConnection};
 //!
 //! let (mut client, mut server) = (ClientConnection::new(8192), ServerConnection::new(8192));
-//! client.send_request(&Request::new("GET", "/desks"), b"").expect("fits a packet"); let (used, event) =
-//! server.decode(&client.output).expect("valid"); assert_eq!(used, client.output.len()); let
-//! Some(Event::Request(request)) = event else { panic!("a request") }; assert_eq!(request.uri, "/desks");
-//! server.send_response(200, "OK", &[("Content-Type", "text/plain")], b"two desks", true).expect("a request
-//! is open"); let (mut position, mut body) = (0, Vec::new()); while let (used @ 1.., event) =
-//! client.decode(&server.output[position..]).expect("valid") {
+//! client.send_request(&Request::new("GET", "/desks"), b"").expect("fits a packet");
+//!
+//! let (used, event) = server.decode(&client.output).expect("valid");
+//! assert_eq!(used, client.output.len());
+//! let Some(Event::Request(request)) = event else { panic!("a request") };
+//! assert_eq!(request.uri, "/desks");
+//! server
+//!     .send_response(200, "OK", &[("Content-Type", "text/plain")], b"two desks", true)
+//!     .expect("a request is open");
+//!
+//! let (mut position, mut body) = (0, Vec::new());
+//! while let (used @ 1.., event) = client.decode(&server.output[position..]).expect("valid") {
 //!     position += used;
 //!     if let Some(client::Event::Body(chunk)) = event {
 //!         body.extend(chunk);
--- a/crates/ajp/src/packet.rs
+++ b/crates/ajp/src/packet.rs
@@ -1,4 +1,4 @@
-//! Framing: a packet consists of two magic bytes, which tell the side that sent it, the length of the
+//! Framing: a packet consists of two magic bytes, which identify the side that sent it, the length of the
 //! content, and the content (reference, "Packet Structure").
 
 use std::ops::Range;
--- a/crates/operator-config/src/dependencies/dependency.rs
+++ b/crates/operator-config/src/dependencies/dependency.rs
@@ -68,7 +68,7 @@
     (dependency, Service { name, path, endpoints, ajp })
 }
 
-/// Reads endpoints and path. For the platform's records service neither may be stated: both are given.
+/// Reads endpoints and path. For the platform's records service neither may be stated: both are fixed.
 fn endpoints_and_path(
     reader: &mut Reader,
     node: &KdlNode,
@@ -262,6 +262,7 @@
         match node.name().value() {
             "kept" => {
                 let mut properties = reader.properties(node);
+                // Reports an absent property, for which `integer` only returns its default.
                 properties.required_number("max-age-ms");
                 let max_age_ms = properties.integer("max-age-ms", 0, 0..=MAX_CACHE_AGE_MS);
                 properties.finish();
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -38,7 +38,8 @@
     pub position: Position,
 }
 
-/// The times of quota leases, in microseconds; see [`quota::Config`].
+/// The durations of quota leases, in microseconds, and the clock drift that they allow for; see
+/// [`quota::Config`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
     /// The duration of a lease.
@@ -79,7 +80,7 @@
     }
 
     /// Describes the settings that must be equal on two servers for them to compute the same quota shares.
-    /// Servers compare digests of this text.
+    /// Servers, also of different versions, compare digests of this text, so its format must not change.
     pub fn basis(&self) -> String {
         let line =
             |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -62,8 +62,8 @@
 /// The endpoint that represents the records service of the platform's configuration.
 pub const PLATFORM: &str = "platform";
 
-/// How a dependency is reached. Servers compare digests of the debug form of this type, so the names of its
-/// fields must not change.
+/// How a dependency is reached. Servers compare digests of the debug form of this type, so the names and the
+/// order of its fields, and of those of [`Ajp`], must not change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     /// The name of the dependency.
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader of this text without mistakes.
+    /// Creates a reader of this text. No mistakes are recorded yet.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, mistakes: Vec::new() }
     }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Reads a number that must be present.
+    /// Reads a number that must be present. Returns 1 if it is absent or invalid.
     pub fn required_number(&mut self, name: &'static str) -> f64 {
         if self.node.entries().iter().all(|e| e.name().is_none_or(|n| n.value() != name)) {
             let node_name = self.node.name().value();
--- a/crates/server/src/admin_client/client.rs
+++ b/crates/server/src/admin_client/client.rs
@@ -13,7 +13,8 @@
     HEADER_BYTES,
 };
 
-/// Time limit for connecting, for each read and write, and for the whole wait for a response.
+/// Time limit for connecting and for each read and write. If the response has not arrived after this time, no
+/// further frame is read.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Sends requests to one server of a fleet.
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -145,7 +145,8 @@
     }
 }
 
-/// A unique entry identifier, made of the time and the process id.
+/// A unique entry identifier, made of the time and the process id. Its bits from 96 on are 0: the index of an
+/// entry within a write is added there.
 fn entry_id() -> u128 {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
     nanos << 32 | u128::from(std::process::id())
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -132,8 +132,8 @@
         let is_path_segment = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
             (self.tenants.iter().all(|name| !name.is_empty()), "a tenant has no name"),
-            // The next tier is reached at `records` too, through a balancer of the platform. Servers with a
-            // next tier once failed to start because every next tier was rejected.
+            // The next tier is valid too: it is reached at `records`, through a balancer of the platform. A
+            // rule that rejected it once kept servers with a next tier from starting.
             (
                 self.settings.downstream == Downstream::None || self.records.is_some(),
                 "downstream calls are configured, but `records` is absent",
@@ -157,8 +157,8 @@
     }
 
     /// Checks whether a running server can apply `new`: only the addresses of peers and the time from a
-    /// shutdown request to the end of the process may differ. The error names the first field that may not.
-    /// `seed` and `fresh_start` are not compared: they matter only when a process starts.
+    /// shutdown request to the end of the process may differ. The error names the first other field that
+    /// differs. `seed` and `fresh_start` are not compared: they matter only when a process starts.
     pub fn check_reload(&self, new: &Config) -> Result<(), ImmutableFieldError> {
         let mut settings = new.settings.clone();
         settings.seed = self.settings.seed;
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -28,7 +28,8 @@
         mut operator: Operator,
     ) -> Result<DependencySettings, FallbackCacheMemoryError> {
         for dependency in &mut operator.dependencies.dependencies {
-            // All servers balance over the same endpoints, and see them fail and recover at the same time.
+            // Probes are spread by this number: all servers call the same endpoints, and see them fail and
+            // recover at the same time.
             dependency.load_balancing.servers = self.config.settings.servers;
         }
         let bytes = operator.dependencies.fallback_cache.max_bytes;
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -96,6 +96,7 @@
     let dependencies = digest_form::dependencies_text(operator);
     let quota_basis = operator.fleet.as_ref().map_or_else(String::new, FleetConfig::basis);
     BuildInfo {
+        // Set by the membership protocol, which knows the zone from its own configuration.
         zone: String::new(),
         program: env!("CARGO_PKG_VERSION").to_owned(),
         config: digest(&settings),
--- a/crates/server/src/lifecycle/known_config_keys.rs
+++ b/crates/server/src/lifecycle/known_config_keys.rs
@@ -96,7 +96,8 @@
     paths.extend(unknown.map(|key| if path.is_empty() { key.clone() } else { format!("{path}.{key}") }));
 }
 
-/// Adds the paths of the unknown keys of each object in the list `field`.
+/// Adds the paths of the unknown keys of each object in the list `field`. `prefix` is the path of `object`
+/// with a dot at its end; empty for the top level.
 fn check_list(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     let list = object.get(field).and_then(Value::as_array).into_iter().flatten();
     for (index, item) in list.enumerate() {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Adds the paths of the unknown keys of the object `field`.
+/// Adds the paths of the unknown keys of the object `field`. `prefix` is as in [`check_list`].
 fn check_member(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     if let Some(inner) = object.get(field).and_then(Value::as_object) {
         check_object(inner, known, &format!("{prefix}{field}"), paths);
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -31,7 +31,8 @@
 impl Server<'_> {
     /// Applies the present contents of the files if both are valid and change nothing that can't change while
     /// the server runs; otherwise all of the old configuration stays in force, so that a broken or
-    /// half-written file does not affect the requests being served.
+    /// half-written file does not affect the requests being served. If the memory that is left
+    /// does not suffice for the new cache of fallback results, only the new dependencies are rejected.
     pub async fn reload(&mut self) {
         match self.load_changed() {
             Ok(config) => self.apply(config).await,
--- a/crates/server/src/lifecycle/stall_detector.rs
+++ b/crates/server/src/lifecycle/stall_detector.rs
@@ -34,8 +34,9 @@
     }
 }
 
-/// Runs until the process ends. Each log line has the duration of the stall, and how much of it the process
-/// ran or waited for a core; if both are far less, the process was stopped from outside.
+/// Runs until the process ends. Each log line has the duration of the stall, and for how long the process ran
+/// and waited for a core since the previous check; if both are far less than the stall, the process was
+/// stopped from outside.
 pub async fn watch(log: Logger) {
     let mut previous = SchedulerStats::now();
     loop {
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -296,6 +296,7 @@
         context: ConnectionContext,
         inbox: Receiver<ListenerCommand>,
     ) -> Task<()> {
+        // The table is not divided among listeners: there is only one.
         let socket_and_table = (socket, ConnectionTable::new(context.max_connections, &[1]));
         let idle_timeout = self.config.settings.idle_timeout_max;
         let actor = Listener::new(self.executor.clone(), socket_and_table, context, inbox, idle_timeout);
--- a/crates/server/src/wire/fleet.rs
+++ b/crates/server/src/wire/fleet.rs
@@ -70,7 +70,7 @@
 /// An operator's request with its number, which the response repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRequest {
-    /// The request number, chosen at random by the sender.
+    /// The request number. The sender chooses it, and it should differ from those of other senders.
     pub number: u64,
     /// The request itself.
     pub kind: FleetRequestKind,
--- a/crates/server/src/wire/jsonl.rs
+++ b/crates/server/src/wire/jsonl.rs
@@ -17,7 +17,7 @@
 pub enum Command<'a> {
     /// Begin a link.
     Subscribe {
-        /// Number of the last notice that was read.
+        /// Number of the last notice that was read; 0 before the first.
         seq: u64,
     },
     /// Run a request.
--- a/crates/server/src/wire/responder.rs
+++ b/crates/server/src/wire/responder.rs
@@ -17,7 +17,7 @@
 /// The flag of a begin-request record that keeps the connection open after the response.
 const KEEP_CONNECTION_FLAG: u8 = 1;
 
-/// What the records received on a connection amount to.
+/// An event decoded from the records received on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Incoming {
     /// A complete request.
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Ends an incomplete request at once. A complete one has been handed out and must be released there
-    /// first, so the abort is passed on.
+    /// Ends an incomplete request at once. A complete one has been handed out, so its abort is passed on, and
+    /// it stays open until it is answered or [`Responder::end_aborted`] is called.
     fn handle_abort(&mut self, slot: u16) -> Option<Incoming> {
         if self.slots.get(&slot)?.complete {
             return Some(Incoming::Abort(slot));
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -28,6 +28,7 @@
         let empty = Object::new();
         let section = |name| optional(options, name, "an object", Value::as_object);
         let load_report = text_or(section("load_report")?.unwrap_or(&empty), "how", "")?;
+        // How load is reported is checked for validity only: the value is not used.
         if !LOAD_REPORT_VALUES.contains(&load_report) {
             return Err(SettingsError::unexpected("load_report.how", "silent or pull or piggyback"));
         }
