--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -38,7 +38,8 @@
     pub position: Position,
 }
 
-/// The times of quota leases, in microseconds; see [`quota::Config`].
+/// The durations of quota leases, in microseconds, and the clock drift that they allow for; see
+/// [`quota::Config`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTimes {
     /// The duration of a lease.
@@ -79,7 +80,7 @@
     }
 
     /// Describes the settings that must be equal on two servers for them to compute the same quota shares.
-    /// Servers compare digests of this text.
+    /// Servers, also of different versions, compare digests of this text, so its format must not change.
     pub fn basis(&self) -> String {
         let line =
             |(name, calls): &(String, u32)| format!("{name:?} {}\n", self.quota_config(*calls).basis());
@@ -118,8 +119,8 @@
         timing,
     };
     for mistake in membership.validate() {
-        let peer = mistake.peer_index().and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
-        reader.report(peer.copied().unwrap_or(node.span().offset()), mistake.to_string());
+        let peer_offset = mistake.peer_index().and_then(|peer| peers.offsets.get(peer.min(MAX_PEERS)));
+        reader.report(peer_offset.copied().unwrap_or(node.span().offset()), mistake.to_string());
     }
     let record = reader.single(children, "record").map(|node| {
         let others: Vec<&str> = membership.peers.iter().map(|peer| &*peer.name).collect();
@@ -244,10 +245,10 @@
 
 /// Reports mistakes in the quotas of shared dependencies. Mistakes in the roster have been reported already,
 /// at the nodes that they concern.
-fn check_quotas(reader: &mut Reader, document: &KdlDocument, node: &KdlNode, fleet: &Fleet) {
+fn check_quotas(reader: &mut Reader, document: &KdlDocument, fleet_node: &KdlNode, fleet: &Fleet) {
     for (name, calls) in &fleet.shared {
         for reason in fleet.quota_config(*calls).validate() {
-            let reported_node = survives_node(document, name).unwrap_or(node);
+            let reported_node = survives_node(document, name).unwrap_or(fleet_node);
             reader.report_node(reported_node, format!("{name:?}: {reason}"));
         }
     }
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader of this text without mistakes.
+    /// Creates a reader of this text. No mistakes are recorded yet.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, mistakes: Vec::new() }
     }
@@ -129,7 +129,7 @@
 
     /// Returns a reader of the properties of a node.
     pub fn properties<'r, 'd>(&'r mut self, node: &'d KdlNode) -> Properties<'r, 'a, 'd> {
-        Properties { reader: self, node, read_names: Vec::new(), has_arguments: false }
+        Properties { reader: self, node, read_names: Vec::new(), arguments_read: false }
     }
 }
 
@@ -140,13 +140,13 @@
     /// The names of the properties that were read, whether or not they are present.
     read_names: Vec<&'static str>,
     /// Whether the arguments of the node were read already, so that they are not reported.
-    has_arguments: bool,
+    arguments_read: bool,
 }
 
 impl<'d> Properties<'_, '_, 'd> {
     /// States that the arguments of the node were read already.
     pub fn with_arguments(mut self) -> Self {
-        self.has_arguments = true;
+        self.arguments_read = true;
         self
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Reads a number that must be present.
+    /// Reads a number that must be present. Returns 1 if it is absent or invalid.
     pub fn required_number(&mut self, name: &'static str) -> f64 {
         if self.node.entries().iter().all(|e| e.name().is_none_or(|n| n.value() != name)) {
             let node_name = self.node.name().value();
@@ -224,7 +224,7 @@
     pub fn finish(self) {
         for entry in self.node.entries() {
             let Some(name) = entry.name().map(KdlIdentifier::value) else {
-                if !self.has_arguments {
+                if !self.arguments_read {
                     let reason = format!("found {}, expected NAME=VALUE", format_value(entry.value()));
                     self.reader.report_entry(entry, reason);
                 }
--- a/crates/server/src/admin_client/store/documents.rs
+++ b/crates/server/src/admin_client/store/documents.rs
@@ -123,10 +123,10 @@
 
 /// Writes entries one after the other, and returns the text to print about the outcome of the last one.
 pub fn write(client: &AdminClient, entries: Vec<Entry>, as_json: bool) -> Result<String, AdminError> {
-    let id = entry_id();
+    let first_id = entry_id();
     let mut last_outcome = None;
     for (index, entry) in (0u128..).zip(entries) {
-        match request(client, StoreRequest::Write { id: id + (index << 96), entry })? {
+        match request(client, StoreRequest::Write { id: first_id + (index << 96), entry })? {
             StoreResponse::WriteOutcome(outcome) => last_outcome = Some(outcome),
             _ => return Err(client.unexpected_response()),
         }
@@ -145,7 +145,8 @@
     }
 }
 
-/// A unique entry identifier, made of the time and the process id.
+/// A unique entry identifier, made of the time and the process id. Its bits from 96 on are 0: the index of an
+/// entry within a write is added there.
 fn entry_id() -> u128 {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
     nanos << 32 | u128::from(std::process::id())
