--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -1,14 +1,14 @@
 //! One server of a fleet: its process, its files and the stand-ins for its own peers.
 
-use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
 use umberloom_protocol_fakes::dependency::Behaviour;
 use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::loopback::{free_address, unique_host};
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
 use crate::history::{Event, History};
@@ -18,22 +18,6 @@
 /// The time budget of a request by class, in milliseconds.
 pub const CLASS_BUDGETS_MS: [(&str, u64); 2] = [("desk-search", 800), ("book-room", 1_000)];
 
-/// A loopback address that nothing else on this machine uses, derived from the process id and a counter.
-pub fn unique_loopback_host() -> Ipv4Addr {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let [_, upper, high, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, 20 + (number % 75) as u8, high ^ (upper << 6) ^ (number / 75) as u8, low.max(1))
-}
-
-/// Finds a free port from `from` on. `from` is below the system's ephemeral ports: relays connect from this
-/// host, and one of their connections could take an ephemeral port that was free a moment before.
-fn free_address(host: Ipv4Addr, from: u16) -> std::io::Result<SocketAddr> {
-    let free = |port: &u16| TcpListener::bind((host, *port)).is_ok();
-    let port = (from..from + 500).find(free).ok_or(std::io::ErrorKind::AddrInUse)?;
-    Ok(SocketAddr::from((host, port)))
-}
-
 /// One server. Its addresses and files stay while its process is stopped and started again.
 pub struct Server {
     pub name: String,
@@ -68,7 +52,7 @@
 impl Server {
     /// Prepares a server's addresses, folder and stand-ins; no process runs yet.
     pub fn new(name: &str, program: &Path, folder: &Path, history: History) -> std::io::Result<Server> {
-        let host = unique_loopback_host();
+        let host = unique_host();
         let folder = folder.join(name);
         std::fs::create_dir_all(&folder)?;
         let work = Work {
@@ -81,8 +65,8 @@
         Ok(Server {
             name: name.to_owned(),
             host,
-            listen: free_address(host, 10_080)?,
-            fleet_address: free_address(host, 12_080)?,
+            listen: free_address(host)?,
+            fleet_address: free_address(host)?,
             farm: Farm::start(work),
             records: Dependency::start(Behaviour::quick(b"booked")),
             config_overrides: Vec::new(),
--- a/crates/loadtest/src/demo_environment.rs
+++ b/crates/loadtest/src/demo_environment.rs
@@ -8,6 +8,7 @@
 use serde_json::json;
 use umberloom_protocol_fakes::dependency::Behaviour;
 use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::loopback::{free_address, unique_host};
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
 /// The body of each answer of a healthy records service or dependency.
@@ -46,7 +47,8 @@
             call_timeout: Duration::from_millis(700),
         };
         let (farm, announce) = (Farm::start(work), Announce::start());
-        let listen = free_address()?;
+        let listen =
+            free_address(unique_host()).map_err(|e| format!("cannot bind a port on loopback: {e}"))?;
         let folder = std::env::temp_dir().join(format!("umberloom-loadtest-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let server_config = server_config(listen, &farm, &announce, &records);
@@ -142,11 +144,6 @@
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn free_address() -> Result<SocketAddr, String> {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-    listener.map_err(|e| format!("cannot bind a port on loopback: {e}"))
-}
-
 /// The configuration of the server, as JSON.
 fn server_config(listen: SocketAddr, farm: &Farm, announce: &Announce, records: &Dependency) -> String {
     let class = |name: &str, budget_ms: u64, credit: f64| {
--- a/crates/protocol-fakes/src/lib.rs
+++ b/crates/protocol-fakes/src/lib.rs
@@ -9,7 +9,8 @@
 //! - [`Records`] is the records service and [`Announce`] the announce service;
 //! - [`Dependency`] is a service that can be slow, hang, reject, send invalid replies and recover;
 //! - [`AjpServer`] answers calls over AJP, and [`ajp::FrontEnd`] sends them;
-//! - [`TestEnvironment`] runs a real server process with stand-ins for its peers.
+//! - [`TestEnvironment`] runs a real server process with stand-ins for its peers;
+//! - [`loopback`] hands out addresses for such processes.
 //!
 //! Nothing here depends on the machine's speed: every wait is for something that must happen, and has a limit
 //! only so that a failing test ends. All addresses are on loopback.
@@ -21,6 +22,7 @@
 pub mod dependency;
 pub mod farm;
 pub mod http;
+pub mod loopback;
 pub mod test_environment;
 
 pub use agent::Agent;
--- a/crates/protocol-fakes/src/test_environment.rs
+++ b/crates/protocol-fakes/src/test_environment.rs
@@ -1,6 +1,6 @@
 //! Runs a real server process on loopback with a stand-in for each of its peers.
 
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,6 +8,7 @@
 
 use serde_json::{json, Value};
 
+use crate::loopback::{free_address, unique_host};
 use crate::{Agent, Announce, Balancer, Records, Request};
 
 /// Upper bound of every wait.
@@ -34,24 +35,10 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// A number that is unique in this process.
-fn unique_number() -> u32 {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    NEXT.fetch_add(1, Ordering::Relaxed)
-}
-
-/// A free address for a server, on a loopback host of its own so that no other test can take the port before
-/// the server does.
-fn free_address() -> SocketAddr {
-    let [_, _, high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, 100 + (unique_number() % 100) as u8, high, low.max(1));
-    let listener = TcpListener::bind((host, 0)).expect("a port");
-    listener.local_addr().expect("an address")
-}
-
 /// Creates a temporary folder.
 fn create_temp_folder() -> PathBuf {
-    let number = unique_number();
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("umberloom-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
@@ -80,7 +67,8 @@
     })
 }
 
-/// A server process with stand-ins for its peers. Dropping it kills the server and removes its files.
+/// A server process with stand-ins for its peers. Dropping it kills the server and removes its files; if the
+/// thread panics, it prints the server's log to stderr first.
 pub struct TestEnvironment {
     /// The render farm agent.
     pub agent: Agent,
@@ -137,7 +125,7 @@
         descriptor_limit: Option<usize>,
     ) -> TestEnvironment {
         let (agent, records, announce) = (Agent::start(), Records::start(), Announce::start());
-        let listen = free_address();
+        let listen = free_address(unique_host()).expect("a free address");
         let mut config = json!({
             "name": "n3", "listen": listen, "agent": agent.address, "announce": announce.address,
             "records": records.address, "seed": "8c1f30d27a5be964", "stop_ms": 5_000,
@@ -278,6 +266,9 @@
     fn drop(&mut self) {
         let _ = self.server.kill();
         let _ = self.server.wait();
+        if std::thread::panicking() {
+            eprintln!("log of the server at {}:\n{}", self.listen, self.log());
+        }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
