--- a/crates/fault-harness/src/script.rs
+++ b/crates/fault-harness/src/script.rs
@@ -57,22 +57,22 @@
 
 impl fmt::Display for FaultAction {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let n = |server: &usize| format!("n{}", server + 1);
+        let name = |server: &usize| format!("n{}", server + 1);
         match self {
-            FaultAction::Cut(a, b) => write!(f, "cut {} {}", n(a), n(b)),
+            FaultAction::Cut(a, b) => write!(f, "cut {} {}", name(a), name(b)),
             FaultAction::Partition(group) => {
-                write!(f, "part {}", group.iter().map(n).collect::<Vec<_>>().join(" "))
+                write!(f, "part {}", group.iter().map(name).collect::<Vec<_>>().join(" "))
             }
             FaultAction::LinkFaults { drop, double, damage, reorder, late_ms } => {
                 write!(f, "weather {drop} {double} {damage} {reorder} {late_ms}")
             }
             FaultAction::NoDatagrams => f.write_str("no-datagrams"),
             FaultAction::Heal => f.write_str("heal"),
-            FaultAction::CutSharedDependency(a) => write!(f, "cut-shared {}", n(a)),
-            FaultAction::Kill(a) => write!(f, "kill {}", n(a)),
-            FaultAction::Start(a) => write!(f, "start {}", n(a)),
-            FaultAction::Pause(a, ms) => write!(f, "pause {} {ms}", n(a)),
-            FaultAction::Terminate(a) => write!(f, "term {}", n(a)),
+            FaultAction::CutSharedDependency(a) => write!(f, "cut-shared {}", name(a)),
+            FaultAction::Kill(a) => write!(f, "kill {}", name(a)),
+            FaultAction::Start(a) => write!(f, "start {}", name(a)),
+            FaultAction::Pause(a, ms) => write!(f, "pause {} {ms}", name(a)),
+            FaultAction::Terminate(a) => write!(f, "term {}", name(a)),
         }
     }
 }
@@ -84,12 +84,12 @@
         let words: Vec<&str> = text.split_whitespace().collect();
         let error =
             || format!("found {text:?}, expected an action such as \"cut n1 n2\" or \"pause n3 2000\"");
-        let n = |word: &str| word.strip_prefix('n')?.parse::<usize>().ok()?.checked_sub(1);
+        let index = |word: &str| word.strip_prefix('n')?.parse::<usize>().ok()?.checked_sub(1);
         let percent = |word: &str| word.parse::<u8>().ok().filter(|p| *p <= 100);
         let parsed = match words.as_slice() {
-            ["cut", a, b] => n(a).zip(n(b)).map(|(a, b)| FaultAction::Cut(a, b)),
+            ["cut", a, b] => index(a).zip(index(b)).map(|(a, b)| FaultAction::Cut(a, b)),
             ["part", group @ ..] if !group.is_empty() => {
-                group.iter().map(|w| n(w)).collect::<Option<_>>().map(FaultAction::Partition)
+                group.iter().map(|word| index(word)).collect::<Option<_>>().map(FaultAction::Partition)
             }
             ["weather", drop, double, damage, reorder, late_ms] => (|| {
                 let (drop, double) = (percent(drop)?, percent(double)?);
@@ -104,11 +104,11 @@
             })(),
             ["no-datagrams"] => Some(FaultAction::NoDatagrams),
             ["heal"] => Some(FaultAction::Heal),
-            ["cut-shared", a] => n(a).map(FaultAction::CutSharedDependency),
-            ["kill", a] => n(a).map(FaultAction::Kill),
-            ["start", a] => n(a).map(FaultAction::Start),
-            ["pause", a, ms] => n(a).zip(ms.parse().ok()).map(|(a, ms)| FaultAction::Pause(a, ms)),
-            ["term", a] => n(a).map(FaultAction::Terminate),
+            ["cut-shared", a] => index(a).map(FaultAction::CutSharedDependency),
+            ["kill", a] => index(a).map(FaultAction::Kill),
+            ["start", a] => index(a).map(FaultAction::Start),
+            ["pause", a, ms] => index(a).zip(ms.parse().ok()).map(|(a, ms)| FaultAction::Pause(a, ms)),
+            ["term", a] => index(a).map(FaultAction::Terminate),
             _ => None,
         };
         parsed.ok_or_else(error)
--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 use umberloom_protocol_fakes::dependency::Behaviour;
-use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::farm::{Farm, FarmConfig};
 use umberloom_protocol_fakes::loopback::{free_address, unique_host};
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
@@ -33,7 +33,7 @@
     pub records: Dependency,
     /// Configuration fields that differ from the defaults, by JSON pointer.
     pub config_overrides: Vec<(&'static str, Value)>,
-    _announce: Announce,
+    announce: Announce,
     /// The folder of the server's files.
     pub folder: PathBuf,
     program: PathBuf,
@@ -55,7 +55,7 @@
         let host = unique_host();
         let folder = folder.join(name);
         std::fs::create_dir_all(&folder)?;
-        let work = Work {
+        let farm_config = FarmConfig {
             cores: 4,
             median_ms: 4.0,
             sigma: 0.3,
@@ -67,10 +67,10 @@
             host,
             listen: free_address(host)?,
             fleet_address: free_address(host)?,
-            farm: Farm::start(work),
+            farm: Farm::start(farm_config),
             records: Dependency::start(Behaviour::quick(b"booked")),
             config_overrides: Vec::new(),
-            _announce: Announce::start(),
+            announce: Announce::start(),
             folder,
             program: program.to_owned(),
             child: None,
@@ -84,13 +84,13 @@
 
     /// The server's configuration.
     pub fn config(&self) -> Value {
-        let class = |(name, budget): (&str, u64), worth: f64| {
-            json!({"name": name, "aim_us": budget * 1_000, "hard_limit_us": budget * 1_000, "credit": worth,
+        let class = |(name, budget): (&str, u64), credit: f64| {
+            json!({"name": name, "aim_us": budget * 1_000, "hard_limit_us": budget * 1_000, "credit": credit,
                    "late_worth": 0.0, "effect": "read_like", "repeat_window_us": 5_000_000})
         };
         let mut config = json!({
             "name": self.name, "listen": self.listen, "agent": self.farm.address,
-            "announce": self._announce.address, "records": self.records.address,
+            "announce": self.announce.address, "records": self.records.address,
             "seed": format!("8c1f30d27a5b{:04x}", self.start_count), "stop_ms": 2_000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": {
--- a/crates/fault-harness/src/virtual_replicated_store.rs
+++ b/crates/fault-harness/src/virtual_replicated_store.rs
@@ -479,8 +479,10 @@
         let status_text = |n: usize| {
             let Some(replica) = self.nodes[n].replica.as_ref() else { return format!("m{n} is down") };
             let s = replica.status(self.now);
-            let replicas =
-                s.replicas.iter().map(|c| format!("{}{}", c.server, if c.is_voter { "*" } else { "" }));
+            let replicas = s
+                .replicas
+                .iter()
+                .map(|replica| format!("{}{}", replica.server, if replica.is_voter { "*" } else { "" }));
             let replicas: Vec<String> = replicas.collect();
             format!(
                 "m{n} {} of {:04x} term {} leader {:?} applied {} commit {} last {} frozen {} fetching {:?}: {}",
@@ -503,7 +505,7 @@
         let replicas: Vec<&Replica> = self.nodes.iter().filter_map(|node| node.replica.as_ref()).collect();
         let Some(leader) = self.leader().and_then(|n| self.replica(n)) else { return false };
         let status = leader.status(self.now);
-        let voter_count = status.replicas.iter().filter(|c| c.is_voter).count();
+        let voter_count = status.replicas.iter().filter(|replica| replica.is_voter).count();
         let same = |r: &&Replica| {
             r.state().applied == leader.state().applied
                 && r.state().rolling_digest == leader.state().rolling_digest
--- a/crates/loadtest/src/demo_environment.rs
+++ b/crates/loadtest/src/demo_environment.rs
@@ -7,7 +7,7 @@
 
 use serde_json::json;
 use umberloom_protocol_fakes::dependency::Behaviour;
-use umberloom_protocol_fakes::farm::{Farm, Work};
+use umberloom_protocol_fakes::farm::{Farm, FarmConfig};
 use umberloom_protocol_fakes::loopback::{free_address, unique_host};
 use umberloom_protocol_fakes::{Announce, Balancer, Dependency, Request};
 
@@ -39,14 +39,14 @@
         let (records, notes) = (healthy_dependency(), healthy_dependency());
         let (billing, equipment) =
             ([healthy_dependency(), healthy_dependency()], [healthy_dependency(), healthy_dependency()]);
-        let work = Work {
+        let farm_config = FarmConfig {
             cores: FARM_CORES,
             median_ms: 8.0,
             sigma: 0.4,
             without_calls: vec![],
             call_timeout: Duration::from_millis(700),
         };
-        let (farm, announce) = (Farm::start(work), Announce::start());
+        let (farm, announce) = (Farm::start(farm_config), Announce::start());
         let listen =
             free_address(unique_host()).map_err(|e| format!("cannot bind a port on loopback: {e}"))?;
         let folder = std::env::temp_dir().join(format!("umberloom-loadtest-{}", std::process::id()));
--- a/crates/protocol-fakes/src/ajp.rs
+++ b/crates/protocol-fakes/src/ajp.rs
@@ -12,11 +12,25 @@
 const REQUEST_MAGIC: [u8; 2] = [0x12, 0x34];
 /// The first bytes of a packet from the server.
 const ANSWER_MAGIC: [u8; 2] = [0x41, 0x42];
+// The codes of packets.
+const FORWARD_REQUEST: u8 = 2;
+const SEND_BODY_CHUNK: u8 = 3;
+const SEND_HEADERS: u8 = 4;
+const END_RESPONSE: u8 = 5;
+const GET_BODY_CHUNK: u8 = 6;
+const PONG: u8 = 9;
+const PING: u8 = 10;
+/// The coded name of the header `Content-Length`.
+const CONTENT_LENGTH: [u8; 2] = [0xa0, 0x08];
+// The codes of a request's attributes, which follow its headers.
+const QUERY_STRING: u8 = 5;
+const SECRET: u8 = 12;
+const END_OF_ATTRIBUTES: u8 = 0xff;
 /// Largest number of body bytes in one packet.
 const MAX_BODY_CHUNK: usize = 8_192 - 6;
 
 /// Encodes a packet.
-fn packet(magic: [u8; 2], content: &[u8]) -> Vec<u8> {
+fn encode_packet(magic: [u8; 2], content: &[u8]) -> Vec<u8> {
     let mut out = magic.to_vec();
     out.extend((content.len() as u16).to_be_bytes());
     out.extend(content);
@@ -24,7 +38,7 @@
 }
 
 /// Appends a string with its length and its terminating zero.
-fn string(out: &mut Vec<u8>, text: &[u8]) {
+fn encode_string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend((text.len() as u16).to_be_bytes());
     out.extend(text);
     out.push(0);
@@ -93,32 +107,32 @@
 
     /// The first packet, with the headers.
     pub fn first_packet(&self) -> Vec<u8> {
-        let mut out = vec![2, self.method];
+        let mut out = vec![FORWARD_REQUEST, self.method];
         for text in ["HTTP/1.1", &self.uri, "10.0.0.9", "client", "desks.example"] {
-            string(&mut out, text.as_bytes());
+            encode_string(&mut out, text.as_bytes());
         }
         out.extend([0, 80, 0]);
         let stated = self.stated_length.unwrap_or(self.body.len());
         let count = self.headers.len() + usize::from(stated > 0);
         out.extend((count as u16).to_be_bytes());
         for (name, value) in &self.headers {
-            string(&mut out, name.as_bytes());
-            string(&mut out, value.as_bytes());
+            encode_string(&mut out, name.as_bytes());
+            encode_string(&mut out, value.as_bytes());
         }
         if stated > 0 {
-            out.extend([0xa0, 0x08]);
-            string(&mut out, stated.to_string().as_bytes());
+            out.extend(CONTENT_LENGTH);
+            encode_string(&mut out, stated.to_string().as_bytes());
         }
         if let Some(query) = &self.query {
-            out.push(5);
-            string(&mut out, query.as_bytes());
+            out.push(QUERY_STRING);
+            encode_string(&mut out, query.as_bytes());
         }
         if let Some(secret) = &self.secret {
-            out.push(12);
-            string(&mut out, secret.as_bytes());
+            out.push(SECRET);
+            encode_string(&mut out, secret.as_bytes());
         }
-        out.push(0xff);
-        packet(REQUEST_MAGIC, &out)
+        out.push(END_OF_ATTRIBUTES);
+        encode_packet(REQUEST_MAGIC, &out)
     }
 
     /// The packet with the next bytes of the body from `from` on, at most `max`.
@@ -130,7 +144,7 @@
             content.extend((chunk.len() as u16).to_be_bytes());
             content.extend(chunk);
         }
-        packet(REQUEST_MAGIC, &content)
+        encode_packet(REQUEST_MAGIC, &content)
     }
 }
 
@@ -180,7 +194,7 @@
     }
 
     /// The content of the next packet, or `None` at the end of the connection.
-    pub fn packet(&mut self) -> Option<Vec<u8>> {
+    pub fn next_packet(&mut self) -> Option<Vec<u8>> {
         loop {
             if let [first, second, high, low, rest @ ..] = self.unread.as_slice() {
                 assert_eq!([*first, *second], ANSWER_MAGIC, "the start of an answer's packet");
@@ -210,20 +224,20 @@
         let mut sent = request.body.len().min(MAX_BODY_CHUNK);
         let mut answer = AjpAnswer { status: 0, headers: vec![], body: vec![], reuse: false };
         loop {
-            let content = self.packet()?;
+            let content = self.next_packet()?;
             match content[0] {
-                4 => (answer.status, answer.headers) = parse_headers(&content[1..]),
-                3 => {
+                SEND_HEADERS => (answer.status, answer.headers) = parse_headers(&content[1..]),
+                SEND_BODY_CHUNK => {
                     let length = usize::from(u16::from_be_bytes([content[1], content[2]]));
                     answer.body.extend(&content[3..3 + length]);
                 }
-                6 => {
+                GET_BODY_CHUNK => {
                     let max = usize::from(u16::from_be_bytes([content[1], content[2]]));
                     let chunk = request.body_packet(sent, max);
                     sent += chunk.len().saturating_sub(6);
                     self.send_bytes(&chunk);
                 }
-                5 => {
+                END_RESPONSE => {
                     answer.reuse = content[1] == 1;
                     return Some(answer);
                 }
@@ -245,8 +259,8 @@
 
     /// Sends a ping. Returns whether it is answered; `false` if the connection ends instead.
     pub fn ping(&mut self) -> bool {
-        self.send_bytes(&[0x12, 0x34, 0, 1, 10]);
-        self.packet().is_some_and(|content| content == [9])
+        self.send_bytes(&encode_packet(REQUEST_MAGIC, &[PING]));
+        self.next_packet().is_some_and(|content| content == [PONG])
     }
 }
 
@@ -357,7 +371,7 @@
 
 /// The stated body length of a forward request: the value that follows the coded name of its header.
 fn stated_length(content: &[u8]) -> usize {
-    let at = content.windows(2).position(|w| w == [0xa0, 0x08]);
+    let at = content.windows(2).position(|w| w == CONTENT_LENGTH);
     at.map_or(0, |at| take_string(&mut &content[at + 2..]).parse().unwrap_or(0))
 }
 
@@ -365,8 +379,9 @@
 fn serve(mut stream: TcpStream, behaviour: &Mutex<AjpBehaviour>, calls: &Mutex<Vec<Vec<u8>>>) {
     while let Some(content) = read_packet(&mut stream) {
         let current = behaviour.lock().expect("no panic").clone();
-        if content == [10] {
-            if current != AjpBehaviour::IgnorePings && stream.write_all(&packet(ANSWER_MAGIC, &[9])).is_err()
+        if content == [PING] {
+            if current != AjpBehaviour::IgnorePings
+                && stream.write_all(&encode_packet(ANSWER_MAGIC, &[PONG])).is_err()
             {
                 return;
             }
@@ -375,7 +390,7 @@
         let (length, mut body) = (stated_length(&content), Vec::new());
         while body.len() < length {
             if !body.is_empty() {
-                let _ = stream.write_all(&packet(ANSWER_MAGIC, &[6, 0x1f, 0xfa]));
+                let _ = stream.write_all(&encode_packet(ANSWER_MAGIC, &[GET_BODY_CHUNK, 0x1f, 0xfa]));
             }
             let Some(chunk) = read_packet(&mut stream).filter(|p| p.len() > 2) else { return };
             body.extend(&chunk[2..]);
@@ -390,7 +405,7 @@
                 return;
             }
             AjpBehaviour::TruncatedAnswer => {
-                let _ = stream.write_all(&packet(ANSWER_MAGIC, &[4, 0, 200])[..5]);
+                let _ = stream.write_all(&encode_packet(ANSWER_MAGIC, &[SEND_HEADERS, 0, 200])[..5]);
                 return;
             }
             AjpBehaviour::InvalidBytes => {
@@ -398,21 +413,21 @@
                 return;
             }
         };
-        let mut head = vec![4];
+        let mut head = vec![SEND_HEADERS];
         head.extend(status.to_be_bytes());
-        string(&mut head, b"x");
+        encode_string(&mut head, b"x");
         head.extend([0, u8::from(not_begun)]);
         if not_begun {
-            string(&mut head, b"Op-Not-Begun");
-            string(&mut head, b"1");
+            encode_string(&mut head, b"Op-Not-Begun");
+            encode_string(&mut head, b"1");
         }
-        let mut out = packet(ANSWER_MAGIC, &head);
+        let mut out = encode_packet(ANSWER_MAGIC, &head);
         for chunk in reply.chunks(8_000) {
-            let mut content = vec![3];
-            string(&mut content, chunk);
-            out.extend(packet(ANSWER_MAGIC, &content));
+            let mut content = vec![SEND_BODY_CHUNK];
+            encode_string(&mut content, chunk);
+            out.extend(encode_packet(ANSWER_MAGIC, &content));
         }
-        out.extend(packet(ANSWER_MAGIC, &[5, 1]));
+        out.extend(encode_packet(ANSWER_MAGIC, &[END_RESPONSE, 1]));
         if stream.write_all(&out).is_err() {
             return;
         }
--- a/crates/protocol-fakes/src/balancer.rs
+++ b/crates/protocol-fakes/src/balancer.rs
@@ -6,6 +6,13 @@
 
 use crate::test_environment::{eventually, unix_ms, WAIT_TIMEOUT};
 
+// The types of FastCGI records.
+const BEGIN_REQUEST: u8 = 1;
+const END_REQUEST: u8 = 3;
+const PARAMS: u8 = 4;
+const STDIN: u8 = 5;
+const STDOUT: u8 = 6;
+
 /// Encodes bytes in base64, as the agent protocol does.
 pub fn base64(bytes: &[u8]) -> String {
     use base64::engine::general_purpose::STANDARD;
@@ -14,7 +21,7 @@
 }
 
 /// Encodes one FastCGI record.
-pub fn record(kind: u8, slot: u16, content: &[u8]) -> Vec<u8> {
+pub fn encode_record(kind: u8, slot: u16, content: &[u8]) -> Vec<u8> {
     let mut out = vec![1, kind];
     out.extend_from_slice(&slot.to_be_bytes());
     out.extend_from_slice(&(content.len() as u16).to_be_bytes());
@@ -96,13 +103,13 @@
     pub fn bytes(&self) -> Vec<u8> {
         let mut params = Vec::new();
         self.fields.iter().for_each(|(name, value)| encode_pair(&mut params, name, value));
-        let mut out = record(1, self.slot, &[0, 1, self.flags, 0, 0, 0, 0, 0]);
-        out.extend(record(4, self.slot, &params));
-        out.extend(record(4, self.slot, &[]));
+        let mut out = encode_record(BEGIN_REQUEST, self.slot, &[0, 1, self.flags, 0, 0, 0, 0, 0]);
+        out.extend(encode_record(PARAMS, self.slot, &params));
+        out.extend(encode_record(PARAMS, self.slot, &[]));
         if !self.body.is_empty() {
-            out.extend(record(5, self.slot, &self.body));
+            out.extend(encode_record(STDIN, self.slot, &self.body));
         }
-        out.extend(record(5, self.slot, &[]));
+        out.extend(encode_record(STDIN, self.slot, &[]));
         out
     }
 }
@@ -156,7 +163,7 @@
     }
 
     /// The type, request id and content of the next record, or `None` at the end of the connection.
-    pub fn record(&mut self) -> Option<(u8, u16, Vec<u8>)> {
+    pub fn next_record(&mut self) -> Option<(u8, u16, Vec<u8>)> {
         loop {
             if let [1, kind, id_high, id_low, length_high, length_low, padding, _, rest @ ..] =
                 self.unread.as_slice()
@@ -185,10 +192,10 @@
     /// The next complete answer, or `None` at the end of the connection.
     pub fn try_answer(&mut self) -> Option<Answer> {
         loop {
-            let (kind, slot, content) = self.record()?;
+            let (kind, slot, content) = self.next_record()?;
             match kind {
-                6 => self.streams.entry(slot).or_default().extend(content),
-                3 => {
+                STDOUT => self.streams.entry(slot).or_default().extend(content),
+                END_REQUEST => {
                     let stream = self.streams.remove(&slot).unwrap_or_default();
                     return Some(parse(slot, content[4], &stream));
                 }
--- a/crates/protocol-fakes/src/farm.rs
+++ b/crates/protocol-fakes/src/farm.rs
@@ -18,7 +18,7 @@
 
 /// Configuration of a [`Farm`].
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct FarmConfig {
     /// Number of runs that make progress at the same time.
     pub cores: usize,
     /// Median time of each phase of a run, before and after its call, in milliseconds. Times are log-normal.
@@ -67,8 +67,9 @@
 
 /// The state of the agent's thread.
 struct FarmState {
-    work: Work,
-    times: LogNormal<f64>,
+    config: FarmConfig,
+    /// The distribution of the duration of a phase, in milliseconds.
+    phase_ms: LogNormal<f64>,
     random: ChaCha8Rng,
     link: Option<TcpStream>,
     /// The number of the latest notice.
@@ -84,16 +85,16 @@
 
 impl Farm {
     /// Starts on a free port.
-    pub fn start(work: Work) -> Farm {
+    pub fn start(config: FarmConfig) -> Farm {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, incoming) = channel();
         let link_sender = sender.clone();
         thread::spawn(move || listen(&listener, &link_sender));
-        let times = LogNormal::new(work.median_ms.ln(), work.sigma).expect("a valid distribution");
+        let phase_ms = LogNormal::new(config.median_ms.ln(), config.sigma).expect("a valid distribution");
         let state = FarmState {
-            work,
-            times,
+            config,
+            phase_ms,
             random: ChaCha8Rng::seed_from_u64(5),
             link: None,
             seq: 0,
@@ -158,11 +159,11 @@
             Some("subscribe") => self.send(&json!({"op": "greeting", "end": "running", "ms": 1_000})),
             Some("launch") if !self.runs.contains_key(&id) => {
                 let class = line["class"].as_str().unwrap_or_default().to_owned();
-                let calls = !self.work.without_calls.contains(&class);
+                let calls = !self.config.without_calls.contains(&class);
                 let result = line["body"].as_str().unwrap_or_default().to_owned();
                 self.runs
                     .insert(id.clone(), Run { calls, started: Instant::now(), pending_call: None, result });
-                self.call_timeouts.push_back((Instant::now() + self.work.call_timeout, id.clone()));
+                self.call_timeouts.push_back((Instant::now() + self.config.call_timeout, id.clone()));
                 self.ready.push_back(id);
             }
             Some("deliver") => {
@@ -178,7 +179,7 @@
             }
             Some("freeze") => self.break_off(&id),
             Some("sample") => {
-                let busy = self.on_cores.len() as f64 / self.work.cores as f64;
+                let busy = self.on_cores.len() as f64 / self.config.cores as f64;
                 let demand = (self.on_cores.len() + self.ready.len()) as f64;
                 self.send(
                     &json!({"op": "sampled", "tag": line["tag"], "values": [busy.min(1.0), demand, 0.1, 3]}),
@@ -209,10 +210,10 @@
             let Some(Reverse((_, id))) = self.on_cores.pop() else { return };
             self.end_phase(&id);
         }
-        while self.on_cores.len() < self.work.cores {
+        while self.on_cores.len() < self.config.cores {
             let Some(id) = self.ready.pop_front() else { return };
             let duration =
-                Duration::from_secs_f64(self.times.sample(&mut self.random).min(5_000.0) / 1_000.0);
+                Duration::from_secs_f64(self.phase_ms.sample(&mut self.random).min(5_000.0) / 1_000.0);
             self.on_cores.push(Reverse((now + duration, id)));
         }
     }
--- a/crates/protocol-fakes/src/test_environment.rs
+++ b/crates/protocol-fakes/src/test_environment.rs
@@ -46,8 +46,8 @@
 
 /// Settings with deadlines that no test exceeds, so that results do not depend on the machine's speed.
 pub fn settings() -> Value {
-    let class = |name: &str, worth: f64| {
-        json!({"name": name, "aim_us": 100_000_000, "hard_limit_us": 200_000_000, "credit": worth,
+    let class = |name: &str, credit: f64| {
+        json!({"name": name, "aim_us": 100_000_000, "hard_limit_us": 200_000_000, "credit": credit,
                "late_worth": 0.0, "effect": "read_like", "repeat_window_us": 5_000_000})
     };
     json!({
--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use common::balancer::record;
+use common::balancer::encode_record;
 use common::{Balancer, Request, TestEnvironment, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 
@@ -28,7 +28,7 @@
 
 /// A FastCGI record that begins a request and asks for the connection to be kept open.
 fn begin_request_record(slot: u16) -> Vec<u8> {
-    record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0])
+    encode_record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0])
 }
 
 #[test]
@@ -39,9 +39,9 @@
         Vec::new(),
         request[..5].to_vec(),
         request[..request.len() / 2].to_vec(),
-        [begin_request_record(1), record(4, 1, b"")].concat(),
+        [begin_request_record(1), encode_record(4, 1, b"")].concat(),
         // A record that belongs to no request.
-        record(11, 0, &[0; 8]),
+        encode_record(11, 0, &[0; 8]),
     ];
     let connect_and_send = |bytes: &Vec<u8>| {
         let mut stream = TcpStream::connect(env.listen).expect("connected");
@@ -91,7 +91,7 @@
 #[test]
 fn endless_records_outside_a_request_close_the_connection() {
     let env = TestEnvironment::start_registered(with_long_idle_timeout);
-    for flood in [record(9, 0, &[]), record(5, 7, &[0; 4096]), record(11, 0, &[0; 8])] {
+    for flood in [encode_record(9, 0, &[]), encode_record(5, 7, &[0; 4096]), encode_record(11, 0, &[0; 8])] {
         let mut stream = TcpStream::connect(env.listen).expect("connected");
         let flood = flood.repeat((1 << 20) / flood.len());
         let mut sent_mb = 0;
@@ -111,7 +111,7 @@
     // All but the record that ends the body (8 bytes of header, 3 of padding), then a record that makes the
     // body longer than allowed and does not end it.
     balancer.send_bytes(&request[..request.len() - 11]);
-    balancer.send_bytes(&record(5, 1, &[7; 65_000]));
+    balancer.send_bytes(&encode_record(5, 1, &[7; 65_000]));
     assert_eq!(balancer.answer().status, 400);
     assert_eq!(balancer.try_answer(), None);
     assert!(env.memory_kb() < memory_before_kb + 4_096);
--- a/crates/server/tests/dependencies.rs
+++ b/crates/server/tests/dependencies.rs
@@ -242,7 +242,7 @@
     env.agent.send_call_request("a", b"what");
     let mut call = env.records.next_call();
     eventually("the call", || (extra.call_count() == 1).then_some(()));
-    balancer.send_bytes(&common::balancer::record(2, 1, &[]));
+    balancer.send_bytes(&common::balancer::encode_record(2, 1, &[]));
     assert_eq!(balancer.answer().status, 0);
     call.wait_for_close();
     assert!(env.is_alive());
--- a/crates/server/tests/rules.rs
+++ b/crates/server/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use common::balancer::record;
+use common::balancer::encode_record;
 use common::{eventually, Balancer, Request, TestEnvironment};
 
 /// Pseudo-random bytes; the same seed gives the same bytes.
@@ -125,8 +125,8 @@
     let mut env = TestEnvironment::start_registered(|_| ());
     let mut balancer = env.launch_request("a");
     // The malformed bytes follow a valid record in the same write.
-    balancer.send_bytes(&[record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
-    assert_eq!(balancer.record().map(|(kind, ..)| kind), Some(10));
+    balancer.send_bytes(&[encode_record(9, 0, &[]), b"GET / HTTP/1.1\r\n\r\n".to_vec()].concat());
+    assert_eq!(balancer.next_record().map(|(kind, ..)| kind), Some(10));
     env.agent.send_outcome("a", "fine", b"r");
     assert_eq!(balancer.answer().body, b"r");
     assert_eq!(balancer.try_answer(), None);
@@ -148,7 +148,7 @@
 fn an_aborted_request_ends_and_its_run_is_stopped() {
     let mut env = TestEnvironment::start_registered(|_| ());
     let mut balancer = env.launch_request("a");
-    balancer.send_bytes(&record(2, 1, &[]));
+    balancer.send_bytes(&encode_record(2, 1, &[]));
     assert_eq!(balancer.answer().status, 0);
     assert_eq!(env.agent.expect_command("freeze").0, "a");
     env.agent.send_outcome("a", "broken_off", b"");
@@ -168,7 +168,7 @@
     let env = TestEnvironment::start_registered(|_| ());
     let mut balancer = env.balancer();
     for slot in 1..=33 {
-        balancer.send_bytes(&record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]));
+        balancer.send_bytes(&encode_record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]));
     }
     let answer = balancer.answer();
     assert_eq!((answer.slot, answer.protocol_status), (33, 2));
@@ -195,7 +195,7 @@
     let mut env = TestEnvironment::start_registered(|_| ());
     let mut non_reading = env.balancer();
     non_reading.stream.set_write_timeout(Some(std::time::Duration::from_millis(300))).expect("a time limit");
-    let get_values = record(9, 0, b"\x0f\x00FCGI_MPXS_CONNS");
+    let get_values = encode_record(9, 0, b"\x0f\x00FCGI_MPXS_CONNS");
     let flood = get_values.repeat(1_000);
     // Writes until the server accepts no more: the unread answers fill all buffers between the two.
     let mut sent_bytes = 0;
@@ -229,7 +229,9 @@
     let mut env = TestEnvironment::start_registered(|config| config["limits"]["memory_mb"] = 32.into());
     let memory_before_kb = env.memory_kb();
     let partial_requests: Vec<u8> = (1..=32)
-        .flat_map(|slot| [record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, slot, &[0; 16_000])].concat())
+        .flat_map(|slot| {
+            [encode_record(1, slot, &[0, 1, 1, 0, 0, 0, 0, 0]), encode_record(4, slot, &[0; 16_000])].concat()
+        })
         .collect();
     // Ten times as much as may be buffered; the server may close some connections while they send.
     let mut connections = Vec::new();
@@ -250,7 +252,7 @@
     let (mut owner, mut other) = (env.balancer(), env.balancer());
     owner.send(&Request::new(1, "a"));
     env.agent.expect_command("launch");
-    other.send_bytes(&[Request::new(1, "a").bytes(), record(2, 1, &[])].concat());
+    other.send_bytes(&[Request::new(1, "a").bytes(), encode_record(2, 1, &[])].concat());
     assert!(matches!(other.answer().status, 0 | 400));
     drop(other);
     env.agent.send_outcome("a", "fine", b"r");
