--- a/crates/fault-harness/src/check.rs
+++ b/crates/fault-harness/src/check.rs
@@ -42,6 +42,7 @@
         let unsure = event.details["to"] == "unsure" || event.details["from"] == "unsure";
         let process = (event.source.as_str(), start_counts.get(event.source.as_str()).copied().unwrap_or(0));
         let previous = last_changes.insert(process, ms);
+        // Both times are rounded down, so the interval may have been up to 1 ms longer than their difference.
         if let Some(previous) =
             previous.filter(|previous| !unsure && ms >= *previous && ms - previous + 1 < damp_ms)
         {
--- a/crates/fault-harness/src/fleet.rs
+++ b/crates/fault-harness/src/fleet.rs
@@ -201,7 +201,8 @@
         Ok(fleet)
     }
 
-    /// Does the same, then waits until every partition status is `whole` and every server has a quota share.
+    /// Like [`Fleet::start`], and waits until every partition status is `whole` and every server has a quota
+    /// share.
     pub fn start_converged(options: Options) -> Result<Fleet, String> {
         let fleet = Fleet::start(options)?;
         fleet.wait_for_partition_status_everywhere("whole")?;
@@ -447,7 +448,8 @@
         self.check_invariants(&requests)
     }
 
-    /// Does the same for requests that have ended already.
+    /// Reads all logs and returns every violated invariant. `requests` are those of traffic that has ended
+    /// already.
     pub fn check_invariants(&mut self, requests: &[RequestOutcome]) -> Vec<String> {
         let mut violations = Vec::new();
         for server in &mut self.servers {
--- a/crates/fault-harness/src/golden.rs
+++ b/crates/fault-harness/src/golden.rs
@@ -21,7 +21,7 @@
 ///
 /// # Panics
 ///
-/// Panics if a case is not.
+/// Panics if a case is encoded to other bytes, or if the numbers of lines and cases differ.
 pub fn assert_encoded<T>(cases: &[(&str, T)], golden: &str, encode: impl Fn(&T) -> Vec<u8>) {
     let line = |(name, value): &(&str, T)| format!("{name} {}", to_hex(&encode(value)));
     let lines: Vec<String> = cases.iter().map(line).collect();
@@ -32,7 +32,7 @@
 ///
 /// # Panics
 ///
-/// Panics if a line is not, or if the numbers of lines and cases differ.
+/// Panics if a line is decoded to anything else, or if the numbers of lines and cases differ.
 pub fn assert_decoded<T>(cases: &[(&str, T)], golden: &str, decode: impl Fn(&[u8]) -> Option<T>)
 where
     T: Debug + PartialEq,
--- a/crates/fault-harness/src/server.rs
+++ b/crates/fault-harness/src/server.rs
@@ -256,7 +256,7 @@
         self.log_bytes_read += last as u64 + 1;
     }
 
-    /// CPU time of the process in microseconds, if the system counts it.
+    /// CPU time of the process's main thread in microseconds, if the system counts it.
     pub fn cpu_time_us(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok().map(|ns| ns / 1_000)
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -17,7 +17,7 @@
 pub enum Outcome {
     /// Answered with status 200.
     Served,
-    /// Rejected by the protocol or with status 503.
+    /// Rejected with a FastCGI protocol status other than 0, or with HTTP status 503.
     Refused,
     /// Answered with any other status.
     Failed,
--- a/crates/fault-harness/src/virtual_fleet.rs
+++ b/crates/fault-harness/src/virtual_fleet.rs
@@ -107,7 +107,7 @@
         self.start_with_boot_id(n, boot_id);
     }
 
-    /// Does the same with a given boot id, the Unix time of the start in microseconds.
+    /// Like [`VirtualFleet::start`], with a given boot id, the Unix time of the start in microseconds.
     pub fn start_with_boot_id(&mut self, n: usize, boot_id: u64) {
         let others: Vec<&str> =
             self.names.iter().enumerate().filter(|(o, _)| *o != n).map(|(_, s)| s.as_str()).collect();
--- a/crates/loadtest/src/caller.rs
+++ b/crates/loadtest/src/caller.rs
@@ -212,7 +212,8 @@
     format!("{:08x}{request_index:08x}", u32::from(resent))
 }
 
-/// The outcome for an answer, by its HTTP status, the status of the link protocol and the body.
+/// The outcome for an answer, by its HTTP status, its FastCGI protocol status (2 stands for overload) and its
+/// body.
 fn classify(status: u16, protocol_status: u8, body: &[u8]) -> RequestOutcome {
     match (status, protocol_status) {
         (200, _) if AggregateResponse::decode(body).is_ok_and(|response| !response.is_complete()) => {
--- a/crates/loadtest/src/emulate.rs
+++ b/crates/loadtest/src/emulate.rs
@@ -1,5 +1,5 @@
-//! Runs the dependency engine on virtual time: calls end as a model says, without sockets, and minutes of
-//! load take moments.
+//! Runs the dependency engine on virtual time. No call is made over a socket: a model gives its duration and
+//! outcome.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/loadtest/src/fleet_measures.rs
+++ b/crates/loadtest/src/fleet_measures.rs
@@ -30,10 +30,11 @@
     Virtual(Vec<usize>, u64),
     /// The effect of leases of quota under uneven load: seconds.
     Leases(u64),
-    /// Processor time per request with the fleet on and off, measured in pairs: pairs, seconds per
-    /// measurement.
+    /// Processor time of the servers' main threads per request with the fleet on and off, measured in pairs:
+    /// pairs, seconds per measurement.
     Cost(u64, u64),
-    /// Processor time and traffic of a fleet without requests: fleet sizes, seconds.
+    /// Processor time of the servers' main threads and traffic of a fleet without requests: fleet sizes,
+    /// seconds.
     Idle(Vec<usize>, u64),
     /// Suspicions while one server runs for only a part of the time: servers, percentages of the time,
     /// seconds.
@@ -334,7 +335,7 @@
     Ok(())
 }
 
-/// Compares the processor time per request with the fleet on and off.
+/// Compares the processor time of the servers' main threads per request with the fleet on and off.
 fn cost(server: &std::path::Path, pairs: u64, seconds: u64) -> Result<(), String> {
     let mut results = table(&["pair", "off, µs per request", "on, µs per request", "on relative to off, %"]);
     let mut overheads_percent = Vec::new();
@@ -380,7 +381,7 @@
     Ok(())
 }
 
-/// Measures the processor time and the traffic of each member while there are no requests.
+/// Measures the processor time of the main thread and the traffic of each member while there are no requests.
 fn idle(server: &std::path::Path, server_counts: &[usize], seconds: u64) -> Result<(), String> {
     let mut results = table(&["servers", "fleet", "% of a core per member", "KB/s sent per member"]);
     for &count in server_counts {
--- a/crates/protocol-fakes/src/agent.rs
+++ b/crates/protocol-fakes/src/agent.rs
@@ -16,8 +16,8 @@
     Line(Value),
 }
 
-/// The agent's end of the link. Sample requests are answered in their order among the commands, while a test
-/// waits for a message.
+/// The agent's end of the link. Messages from the server are processed only while a test waits for one;
+/// sample requests are answered then, in their order among the commands.
 pub struct Agent {
     pub address: SocketAddr,
     incoming: Receiver<Incoming>,
@@ -74,6 +74,7 @@
             Incoming::Line(line) => match line["op"].as_str() {
                 Some("subscribe") => self.subscribed_seqs.push(line["seq"].as_u64().expect("a number")),
                 Some("sample") if !self.answers_samples => {}
+                // One value for each of the `meters` in the settings.
                 Some("sample") => {
                     self.send(&json!({"op": "sampled", "tag": line["tag"], "values": [0.5, 1, 0.1, 3]}));
                 }
@@ -152,13 +153,14 @@
         self.seq
     }
 
-    /// Sends the outcome of a run with its result, as the notice with this number.
+    /// Sends the outcome of a run with its result, as the notice with this number. `end` says how the run
+    /// ended: `fine`, `fault`, `late` or `broken_off`.
     pub fn send_outcome_with_seq(&mut self, seq: u64, id: &str, end: &str, body: &[u8]) {
         let body = crate::balancer::base64(body);
         self.send(&json!({"op": "outcome", "seq": seq, "id": id, "end": end, "ms": 18.5, "body": body}));
     }
 
-    /// Sends the outcome of a run with its result, as the next notice.
+    /// Sends the outcome of a run as the next notice, like [`Agent::send_outcome_with_seq`].
     pub fn send_outcome(&mut self, id: &str, end: &str, body: &[u8]) {
         let seq = self.next_seq();
         self.send_outcome_with_seq(seq, id, end, body);
--- a/crates/protocol-fakes/src/ajp.rs
+++ b/crates/protocol-fakes/src/ajp.rs
@@ -108,9 +108,11 @@
     /// The first packet, with the headers.
     pub fn first_packet(&self) -> Vec<u8> {
         let mut out = vec![FORWARD_REQUEST, self.method];
+        // The protocol, the path, the client's address and name, and the name of the server.
         for text in ["HTTP/1.1", &self.uri, "10.0.0.9", "client", "desks.example"] {
             encode_string(&mut out, text.as_bytes());
         }
+        // The port 80, and that the client used no TLS.
         out.extend([0, 80, 0]);
         let stated = self.stated_length.unwrap_or(self.body.len());
         let count = self.headers.len() + usize::from(stated > 0);
@@ -234,6 +236,7 @@
                 GET_BODY_CHUNK => {
                     let max = usize::from(u16::from_be_bytes([content[1], content[2]]));
                     let chunk = request.body_packet(sent, max);
+                    // The packet's header and the length of the chunk take six bytes.
                     sent += chunk.len().saturating_sub(6);
                     self.send_bytes(&chunk);
                 }
@@ -390,6 +393,7 @@
         let (length, mut body) = (stated_length(&content), Vec::new());
         while body.len() < length {
             if !body.is_empty() {
+                // 0x1ffa is `MAX_BODY_CHUNK`.
                 let _ = stream.write_all(&encode_packet(ANSWER_MAGIC, &[GET_BODY_CHUNK, 0x1f, 0xfa]));
             }
             let Some(chunk) = read_packet(&mut stream).filter(|p| p.len() > 2) else { return };
--- a/crates/protocol-fakes/src/balancer.rs
+++ b/crates/protocol-fakes/src/balancer.rs
@@ -20,7 +20,7 @@
     STANDARD.encode(bytes)
 }
 
-/// Encodes one FastCGI record.
+/// Encodes one FastCGI record, with three bytes of padding.
 pub fn encode_record(kind: u8, slot: u16, content: &[u8]) -> Vec<u8> {
     let mut out = vec![1, kind];
     out.extend_from_slice(&slot.to_be_bytes());
@@ -52,6 +52,7 @@
     /// The FastCGI flags; 1 keeps the connection open.
     pub flags: u8,
     pub body: Vec<u8>,
+    /// The FastCGI parameters.
     pub fields: BTreeMap<&'static str, String>,
 }
 
@@ -81,13 +82,13 @@
         Request { slot, flags: 1, body: Vec::new(), fields: BTreeMap::from(fields) }
     }
 
-    /// Sets a field.
+    /// Sets a FastCGI parameter.
     pub fn with(mut self, field: &'static str, value: &str) -> Request {
         self.fields.insert(field, value.to_owned());
         self
     }
 
-    /// Removes a field.
+    /// Removes a FastCGI parameter.
     pub fn without(mut self, field: &str) -> Request {
         self.fields.remove(field);
         self
--- a/crates/protocol-fakes/src/test_environment.rs
+++ b/crates/protocol-fakes/src/test_environment.rs
@@ -95,7 +95,7 @@
         TestEnvironment::start_registered_with(program, change, None)
     }
 
-    /// Does the same with an operator configuration.
+    /// Like [`TestEnvironment::start_registered`], with an operator configuration.
     pub fn start_registered_with(
         program: &Path,
         change: ConfigChange,
@@ -112,12 +112,12 @@
         TestEnvironment::start_with(program, change, None)
     }
 
-    /// Does the same with an operator configuration.
+    /// Like [`TestEnvironment::start`], with an operator configuration.
     pub fn start_with(program: &Path, change: ConfigChange, operator: Option<&str>) -> TestEnvironment {
         TestEnvironment::start_with_descriptor_limit(program, change, operator, None)
     }
 
-    /// Does the same with a limit of the system on the descriptors of the process.
+    /// Like [`TestEnvironment::start_with`], with a limit of the system on the descriptors of the process.
     pub fn start_with_descriptor_limit(
         program: &Path,
         change: ConfigChange,
@@ -273,7 +273,7 @@
     }
 }
 
-/// A command that is independent of the caller's environment and input.
+/// A command that inherits neither the variable `BALANCER_CONFIG` nor the standard input.
 fn command(program: &Path) -> Command {
     let mut command = Command::new(program);
     command.env_remove("BALANCER_CONFIG").stdin(Stdio::null());
--- a/crates/server/tests/bad_clients.rs
+++ b/crates/server/tests/bad_clients.rs
@@ -58,6 +58,7 @@
     let mut balancer = env.launch_request("a");
     let second_request = Request::new(2, "half").bytes();
     balancer.send_bytes(&second_request[..second_request.len() / 2]);
+    // Longer than the 2 s in which the second request must be complete.
     std::thread::sleep(Duration::from_millis(2_200));
     // The request in flight on the connection is still answered.
     env.agent.send_outcome("a", "fine", b"r");
--- a/crates/server/tests/command_line.rs
+++ b/crates/server/tests/command_line.rs
@@ -141,8 +141,8 @@
 }
 
 /// Guards against a typing error that leaves a setting at its default unnoticed (`wirte` for `write`): a
-/// warning names the line of the unknown key. The key is not rejected, as files may carry keys of their own
-/// (the fleet's `admin`).
+/// warning names the line of the unknown key. The key is not rejected, as the fleet's files may have keys of
+/// their own, such as `admin`.
 #[test]
 fn unknown_keys_are_warned_about_with_their_line() {
     let mut config = config();
