--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,4 +1,4 @@
-//! The system's Unix clock, made monotonic.
+//! A monotonic clock derived from the system's Unix clock.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,26 +6,27 @@
 
 use umberloom::interface::Micros;
 
-/// A clock in microseconds that follows the Unix clock but never goes back: where the system's is set back, this one
-/// goes on from where it was, ahead of the Unix clock from then on. Waiting until the other has caught up would stop all
-/// timers. Clones share their state.
+/// A clock in microseconds that follows the Unix clock but never goes back. When the system clock is set
+/// back, this one continues from its last reading and stays ahead by that difference; standing still until
+/// the system clock has caught up would stop all timers. Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Clock(Rc<Cell<Reading>>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Reading {
+    /// The last time returned.
     last: Micros,
-    /// How far it is ahead of the Unix clock.
+    /// How far the clock is ahead of the Unix clock.
     ahead: Micros,
 }
 
 impl Clock {
-    /// The monotonic time, for spans between moments of this process.
+    /// The monotonic time, for intervals within this process.
     pub fn now(&self) -> Micros {
         self.advance(system_time())
     }
 
-    /// The Unix time, for comparison with moments that others have stated.
+    /// The Unix time, for comparison with timestamps from other processes.
     pub fn unix(&self) -> Micros {
         self.now() - self.0.get().ahead
     }
--- a/crates/server/src/lifecycle/clock/tests.rs
+++ b/crates/server/src/lifecycle/clock/tests.rs
@@ -5,9 +5,9 @@
     let clock = Clock::default();
     let other = clock.clone();
     assert_eq!((clock.advance(50), other.advance(60)), (50, 60));
-    // Set back by 40: it goes on from 60, as fast as the other.
+    // The Unix clock is set back by 40: the clock continues from 60 at the same rate.
     assert_eq!((clock.advance(20), clock.advance(25), clock.advance(70)), (60, 65, 110));
-    // Set forward, it follows.
+    // The Unix clock is set forward: the clock follows and stays 40 ahead.
     assert_eq!(clock.advance(500), 540);
     assert_eq!(clock.0.get().ahead, 40);
 }
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -15,59 +15,59 @@
 use super::known_config_keys;
 pub use error::{ConfigError, ImmutableFieldError, InvalidConfig, Location};
 
-/// The smallest memory limit, in bytes.
+/// The smallest accepted memory limit, in bytes.
 const MIN_MEMORY: usize = 16 << 20;
-/// The smallest limit on descriptors.
+/// The smallest accepted limit on file descriptors.
 const MIN_SOCKETS: usize = 32;
 
-/// Limits of the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Processor cores; may be a fraction.
     pub cores: f64,
-    /// Bytes of memory.
+    /// Memory, in bytes.
     pub memory: usize,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// All that the platform's configuration says.
+/// The contents of the platform's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The server's name.
     pub name: String,
-    /// Where balancers connect.
+    /// Address on which balancers connect.
     pub listen: SocketAddr,
-    /// The render farm agent.
+    /// Address of the render farm agent.
     pub agent: SocketAddr,
-    /// The announce service.
+    /// Address of the announce service.
     pub announce: SocketAddr,
-    /// The records service; absent where nothing is called.
+    /// Address of the records service; `None` where no downstream calls are made.
     pub records: Option<SocketAddr>,
-    /// From the request to shut down to the end of the process, in microseconds.
+    /// Time from the request to shut down to the end of the process, in microseconds.
     pub stop: u64,
-    /// Limits of the process.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Settings of the admission controller.
     pub settings: Settings,
     /// Which fields requests carry.
     pub shape: Shape,
-    /// Names of the classes, in their order.
+    /// Names of the classes, in the order of the configuration.
     pub classes: Vec<String>,
-    /// Names of the tenants, in their order; may be empty.
+    /// Names of the tenants, in the order of the configuration; may be empty.
     pub tenants: Vec<String>,
-    /// Names of the gauges, in their order.
+    /// Names of the gauges, in the order of the configuration.
     pub gauges: GaugeNames,
-    /// Keys that no configuration is known to have. They are reported and otherwise ignored.
+    /// Keys that this program does not know. They are reported and otherwise ignored.
     pub unknown_keys: Vec<UnknownKey>,
 }
 
-/// A key that no configuration is known to have.
+/// A configuration key that this program does not know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownKey {
-    /// Where it stands.
+    /// File and line of the key.
     pub location: Location,
-    /// Its path, such as `settings.classes[0].wirte`.
+    /// Path of the key, such as `settings.classes[0].wirte`.
     pub key: String,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Config {
-    /// Reads and checks the configuration in a file. Errors name the line of the field that they are about.
+    /// Reads and validates the configuration in a file. Errors name the line of the invalid field.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let file = path.display().to_string();
         let bytes =
@@ -101,7 +101,7 @@
         Ok(config)
     }
 
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
         let value: Value = serde_json::from_slice(bytes).map_err(InvalidConfig::NotJson)?;
         let Value::Object(top) = value else { return Err(InvalidConfig::NotAnObject) };
@@ -132,8 +132,8 @@
         let is_path_segment = |name: &String| !name.is_empty() && !name.contains('/');
         let rules = [
             (self.tenants.iter().all(|name| !name.is_empty()), "a tenant has no name"),
-            // The next tier too is reached there, through a balancer of the platform's: guards against refusing to start
-            // for a customer who has one.
+            // The next tier is reached at `records` too, through a balancer of the platform. Servers with a
+            // next tier once failed to start because every next tier was rejected.
             (
                 self.settings.downstream == Downstream::None || self.records.is_some(),
                 "calls are made, but `records` is absent",
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Whether a running server can change over to `new`: only addresses of peers and the time to the stop may differ.
-    /// The error names the first field that may not. What describes a start (`seed`, `fresh_start`) is not compared, as
-    /// it says nothing of a process that has started.
+    /// Checks whether a running server can apply `new`: only the addresses of peers and the time from a
+    /// shutdown request to the end of the process may differ. The error names the first field that may not.
+    /// `seed` and `fresh_start` are not compared: they matter only when a process starts.
     pub fn check_reload(&self, new: &Config) -> Result<(), ImmutableFieldError> {
         let mut settings = new.settings.clone();
         settings.seed = self.settings.seed;
--- a/crates/server/src/lifecycle/config/error.rs
+++ b/crates/server/src/lifecycle/config/error.rs
@@ -5,12 +5,12 @@
 use thiserror::Error;
 use umberloom_settings::SettingsError;
 
-/// A file, and the line in it if that is known.
+/// A position in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The file's name.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, from 1; `None` if it is not known.
     pub line: Option<usize>,
 }
 
@@ -23,39 +23,39 @@
     }
 }
 
-/// Why the configuration can't be used, with the place.
+/// An error in the platform's configuration, with its location.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[error("configuration {file}: {source}")]
     Unreadable { file: String, source: std::io::Error },
-    /// What it says is invalid.
+    /// The content of the file is invalid.
     #[error("configuration {location}: {source}")]
     Invalid { location: Location, source: InvalidConfig },
 }
 
-/// What is invalid in a configuration.
+/// The reason why the content of a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum InvalidConfig {
-    /// It is no JSON.
+    /// The content is not JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// It is JSON, but no object.
+    /// The content is JSON, but not an object.
     #[error("expected an object")]
     NotAnObject,
-    /// An address can't be read.
+    /// A field is not an address with a port.
     #[error("field `{field}`: expected an address and a port")]
     Address { field: &'static str },
-    /// The seed is no number in hexadecimal digits.
+    /// The seed is not a hexadecimal number.
     #[error("field `seed`: expected hex digits")]
     Seed,
-    /// A field is missing or has the wrong type; the text names it.
+    /// A field is missing or has the wrong type; the message names it.
     #[error(transparent)]
     Field(#[from] SettingsError),
     /// Settings of the admission controller contradict each other.
     #[error("{0}")]
     Settings(String),
-    /// A rule of this server does not hold.
+    /// A rule of this server is violated.
     #[error("{0}")]
     Rule(&'static str),
 }
--- a/crates/server/src/lifecycle/config_files.rs
+++ b/crates/server/src/lifecycle/config_files.rs
@@ -9,10 +9,10 @@
 use super::fleet::{self, FleetLimitError};
 use super::PEER_MEMORY_DIVISOR;
 
-/// The part of the memory for peers that cached fallback results may have at most: one in so many.
+/// Cached fallback results may use at most `1 / FALLBACK_CACHE_DIVISOR` of the memory for peers.
 const FALLBACK_CACHE_DIVISOR: usize = 4;
 
-/// Where the configuration files are.
+/// Paths of the configuration files.
 #[derive(Clone, Debug)]
 pub struct ConfigFiles {
     /// The platform's configuration, in JSON.
@@ -21,7 +21,7 @@
     pub operator: Option<PathBuf>,
 }
 
-/// What the configuration files say, each valid by itself and together.
+/// The contents of the configuration files, validated individually and against each other.
 #[derive(Clone, Debug)]
 pub struct LoadedConfig {
     /// The platform's configuration.
@@ -30,13 +30,13 @@
     pub operator: Option<Operator>,
 }
 
-/// Why the configuration files can't be used; the text names the file and the place in it.
+/// The reason why the configuration files can't be used; the message names the file and the position in it.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
     /// The platform's configuration is invalid.
     #[error(transparent)]
     Server(#[from] ConfigError),
-    /// The operator's file is invalid by itself.
+    /// The operator's file on its own is invalid.
     #[error(transparent)]
     Operator(#[from] operator_config::ConfigError),
     /// The fallback cache does not fit the memory limit of the platform's configuration.
@@ -51,12 +51,12 @@
 }
 
 impl ConfigFiles {
-    /// The operator's file as messages name it; empty if there is none.
+    /// The path of the operator's file for use in messages; empty if there is none.
     pub fn operator_name(&self) -> String {
         self.operator.as_ref().map_or_else(String::new, |path| path.display().to_string())
     }
 
-    /// Reads both files.
+    /// Reads and validates both files.
     pub fn load(&self) -> Result<LoadedConfig, ConfigFileError> {
         let server = Config::load(&self.server)?;
         let operator = self.operator.as_deref().map(|path| load_operator(path, Some(&server))).transpose()?;
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -1,4 +1,4 @@
-//! The actors through which the dependencies of the operator's file are called.
+//! Starts and replaces the actors that call the dependencies of the operator's file.
 
 use std::rc::Rc;
 
@@ -13,21 +13,22 @@
 
 /// The running actor of one dependency.
 pub struct DependencyHandle {
-    /// How it is reached.
+    /// How the dependency is reached.
     pub target: CallTarget,
-    /// Its mailbox.
+    /// The actor's mailbox.
     pub mailbox: Sender<DependencyCommand>,
 }
 
 impl Server<'_> {
-    /// Sees to it that an actor runs for each dependency of the operator's file. A dependency that is reached as before
-    /// keeps its actor; actors of those that the file no longer names end with their last call.
+    /// Ensures that an actor runs for each dependency of the operator's file. A dependency whose target is
+    /// unchanged keeps its actor; the actor of a dependency that the file no longer names ends with its last
+    /// call.
     pub fn connect_dependencies(
         &mut self,
         mut operator: Operator,
     ) -> Result<DependencySettings, FallbackCacheMemoryError> {
         for dependency in &mut operator.dependencies.dependencies {
-            // The others route to the same endpoints and see them fail and come back when this one does.
+            // All servers balance over the same endpoints, and see them fail and recover at the same time.
             dependency.load_balancing.servers = self.config.settings.servers;
         }
         let bytes = operator.dependencies.fallback_cache.max_bytes;
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's part in the life of the process: its limits, its start, and what may change on reload.
+//! Lifecycle of the fleet actor: checks its limits, starts it, and decides what may change on reload.
 
 mod digest_form;
 
@@ -20,46 +20,46 @@
 use crate::messages::AdmissionMessage;
 use crate::peers::fleet::{descriptor_count, memory_bytes, FleetActor, FleetSockets, MAILBOX_CAPACITY};
 
-/// The part of the descriptors, and of the memory for peers, that a fleet may have at most: one in so many.
+/// A fleet may use at most `1 / FLEET_DIVISOR` of the descriptors, and of the memory for peers.
 const FLEET_DIVISOR: usize = 4;
 
-/// The running fleet actor.
+/// Handle of the running fleet actor.
 pub struct FleetHandle {
-    /// Its mailbox.
+    /// The actor's mailbox.
     pub mailbox: Sender<FleetCommand>,
     /// The configuration in force.
     pub config: FleetConfig,
 }
 
-/// A fleet does not fit the limits of the platform's configuration.
+/// The reason why a fleet does not fit the limits of the platform's configuration.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FleetLimitError {
-    /// Its connections take too many descriptors.
+    /// The fleet's connections need too many descriptors.
     #[error(
         "{position}: found {peers} peers, which take {descriptors} descriptors, expected {max} at most under this \
          limit of sockets"
     )]
     Descriptors { position: Position, peers: usize, descriptors: usize, max: usize },
-    /// Its connections take too much memory.
+    /// The fleet's connections need too much memory.
     #[error(
         "{position}: found {peers} peers, which take {memory_kb} kb, expected {max_kb} at most under this memory limit"
     )]
     Memory { position: Position, peers: usize, memory_kb: usize, max_kb: usize },
-    /// It listens where balancers connect.
+    /// The fleet listens on the address where balancers connect.
     #[error("{position}: found listen {address}, where balancers connect")]
     ListenAddress { position: Position, address: std::net::SocketAddr },
 }
 
-/// A change of the fleet that a running server can't make.
+/// A change of the fleet's configuration that needs a restart of the server.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FleetReloadError {
-    /// There was no fleet before.
+    /// The new file has a fleet, the configuration in force has none.
     #[error("{file}:{position}: found a fleet, which needs a new start")]
     Added { file: String, position: Position },
-    /// There is no fleet any more.
+    /// The new file has no fleet, the configuration in force has one.
     #[error("{file}: found no fleet, and there was one: to leave it out needs a new start")]
     Removed { file: String },
-    /// A field differs that can't change.
+    /// A field has changed that can't change while the server runs.
     #[error("{file}:{position}: the fleet's {field} has changed, which needs a new start")]
     Changed { file: String, position: Position, field: &'static str },
 }
@@ -87,8 +87,8 @@
     Ok(())
 }
 
-/// The program's version and digests of its configuration, by which operators compare servers. Names and addresses,
-/// which differ from server to server, are left out.
+/// The program's version and digests of its configuration, which operators use to compare servers. Names and
+/// addresses differ between servers and are left out.
 pub fn build_info(server: &Config, operator: &Operator) -> BuildInfo {
     let settings = digest_form::settings_text(&server.settings);
     let dependencies = digest_form::dependencies_text(operator);
@@ -102,25 +102,25 @@
     }
 }
 
-/// What the fleet actor is started with.
+/// Arguments of [`start`].
 pub struct FleetStart<'s> {
-    /// Its sockets.
+    /// The fleet's bound sockets.
     pub sockets: FleetSockets,
-    /// Its configuration.
+    /// The fleet's configuration.
     pub config: FleetConfig,
-    /// What this server runs.
+    /// The version and configuration digests of this server.
     pub build_info: BuildInfo,
-    /// Seed of its random draws.
+    /// Seed of the fleet's random numbers.
     pub seed: u64,
-    /// Where its events go.
+    /// The mailbox to which the fleet's events are sent.
     pub admission: &'s Sender<AdmissionMessage>,
-    /// What its streams take memory from.
+    /// The budget to which the memory of the fleet's streams is charged.
     pub budget: &'s Budget,
-    /// The log.
+    /// The server's log.
     pub log: &'s Logger,
 }
 
-/// Starts the fleet actor.
+/// Starts the fleet actor on `executor`.
 pub fn start<'a>(
     executor: &Rc<LocalExecutor<'a>>,
     start: FleetStart<'_>,
@@ -146,7 +146,7 @@
     Ok(FleetHandle { mailbox, config })
 }
 
-/// What the fleet actor is told of a configuration.
+/// The part of the fleet's configuration that the fleet actor needs.
 pub fn actor_config(fleet: &FleetConfig, build_info: BuildInfo) -> FleetActorConfig {
     FleetActorConfig {
         membership: fleet.membership.clone(),
@@ -156,14 +156,15 @@
     }
 }
 
-/// The time of the start by the system's clock: a later process under this name has a later one, even where
-/// [`Clock`](super::clock::Clock) runs ahead.
+/// The start time by the system's clock, in microseconds. A later process under the same name gets a greater
+/// one even where [`Clock`](super::clock::Clock) ran ahead of the system's clock.
 fn boot_id() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64)
 }
 
-/// Whether a running server can change over to this: peers and shared quotas may change; that there is a fleet, its
-/// name, secret, times and address may not. `file` is the operator's file.
+/// Checks whether a running server can apply a new fleet configuration: peers and shared quotas may change;
+/// whether there is a fleet, and its name, secret, zone, timing and address, may not. Of the replicated
+/// store's configuration, only the peers may change. `file` names the operator's file in errors.
 pub fn check_reload(
     file: &str,
     before: Option<&FleetConfig>,
@@ -191,7 +192,7 @@
     }
 }
 
-/// The other members of a replicated store may change; all else is fixed at the start.
+/// Compares configurations of a replicated store without its peers: all else is fixed at startup.
 fn same_record(old: Option<&Record>, new: Option<&Record>) -> bool {
     let without_peers = |record: &Record| {
         let mut record = record.clone();
--- a/crates/server/src/lifecycle/fleet/digest_form.rs
+++ b/crates/server/src/lifecycle/fleet/digest_form.rs
@@ -1,18 +1,20 @@
-//! The text that the digests of a server's configuration are taken of.
+//! The text from which the digests of a server's configuration are computed.
 //!
-//! Members compare these digests, so servers of different versions must take them of the same text: the debug form of the
-//! types as version 0.2.0 named them. The types here keep those names and are used for nothing else.
+//! Members compare these digests, so servers of different versions must compute them from the same text: the
+//! `Debug` form of the types as version 0.2.0 named them. The types here keep those names and are used for
+//! nothing else.
 
 use umberloom::interface::{self, Downstream, Idempotency, LoadHintKind};
 use umberloom_dependencies::config;
 use umberloom_operator_config::Operator;
 
-/// The text of the settings object. Seed and cold start differ from process to process and are left out.
+/// The text of the settings object. The seed and whether the server starts cold differ from process to
+/// process: both have a fixed value in the text.
 pub fn settings_text(settings: &interface::Settings) -> String {
     format!("{:?}", Settings::from(settings))
 }
 
-/// The text of dependencies, plans and services of the operator's file.
+/// The text of the dependencies, call plans and services of the operator's file.
 pub fn dependencies_text(operator: &Operator) -> String {
     format!("{:?}", (Config::from(&operator.dependencies), &operator.services))
 }
--- a/crates/server/src/lifecycle/known_config_keys.rs
+++ b/crates/server/src/lifecycle/known_config_keys.rs
@@ -1,8 +1,9 @@
-//! The keys that a configuration is known to have.
+//! Finds keys of the platform's configuration that this program does not know.
 //!
-//! Another key may be a typing error, such as `wirte` for `write`, that leaves a setting at its default unnoticed. It is
-//! reported and never rejected: the protocol says that further keys may come and are to be ignored, and the fleet's own
-//! files have keys of their own (`admin`), which a rejection once kept from starting.
+//! An unknown key may be a typing error, such as `wirte` for `write`, that leaves a setting at its default
+//! unnoticed. It is reported and never rejected: the protocol says that further keys may be added and are to
+//! be ignored, and the fleet's own files have additional keys (`admin`). Rejecting unknown keys once kept
+//! servers with such files from starting.
 
 use serde_json::Value;
 use umberloom_settings::fields::Object;
@@ -10,7 +11,7 @@
 const TOP: &[&str] =
     &["name", "listen", "agent", "announce", "records", "seed", "stop_ms", "limits", "settings"];
 const LIMITS: &[&str] = &["cores", "memory_mb", "sockets"];
-/// The settings object, as the simulator's protocol names it (`power_on` in `WIRE-umberloom.md`).
+/// Keys of the settings object, as the simulator's protocol names them (`power_on` in `WIRE-umberloom.md`).
 const SETTINGS: &[&str] = &[
     "servers",
     "classes",
@@ -72,7 +73,7 @@
 const SETTINGS_LIMITS: &[&str] = &["cpu_us_per_request", "cpu_us_per_s", "max_retry_after_us", "retry_after"];
 const REALM: &[&str] = &["name", "quota_rps", "share"];
 
-/// The paths of the unknown keys of a configuration, in the order of the checks.
+/// The paths of all unknown keys of a configuration, in the order of the checks.
 pub fn unknown(top: &Object) -> Vec<String> {
     let mut paths = Vec::new();
     in_object(top, TOP, "", &mut paths);
@@ -88,13 +89,13 @@
     paths
 }
 
-/// Adds the unknown keys of `object`, which stands at `path`.
+/// Adds the paths of the unknown keys of `object`, whose own path is `path`.
 fn in_object(object: &Object, known: &[&str], path: &str, paths: &mut Vec<String>) {
     let unknown = object.keys().filter(|key| !known.contains(&key.as_str()));
     paths.extend(unknown.map(|key| if path.is_empty() { key.clone() } else { format!("{path}.{key}") }));
 }
 
-/// Adds the unknown keys of each object in the list `field`.
+/// Adds the paths of the unknown keys of each object in the list `field`.
 fn in_list(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     let list = object.get(field).and_then(Value::as_array).into_iter().flatten();
     for (n, item) in list.enumerate() {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Adds the unknown keys of the object `field`.
+/// Adds the paths of the unknown keys of the object `field`.
 fn in_member(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     if let Some(inner) = object.get(field).and_then(Value::as_object) {
         in_object(inner, known, &format!("{prefix}{field}"), paths);
--- a/crates/server/src/lifecycle/log.rs
+++ b/crates/server/src/lifecycle/log.rs
@@ -1,4 +1,4 @@
-//! Log lines, written by a thread of their own so that a slow reader never blocks the executor.
+//! Logging to standard error, by a thread of its own so that a slow reader never blocks the executor.
 
 use std::sync::Mutex;
 
@@ -7,25 +7,25 @@
 use slog_term::{FullFormat, PlainSyncDecorator};
 use thiserror::Error;
 
-/// Lines that may wait to be written; what comes on top is counted and dropped.
+/// Maximum number of lines waiting to be written; further lines are dropped and counted.
 const MAX_PENDING_LINES: usize = 1024;
 
-/// Keeps the log's thread running; the last lines are written when it is dropped.
+/// Keeps the log's thread running; dropping it writes the last lines.
 pub struct LogGuard {
     _guard: Mutex<AsyncGuard>,
 }
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line, with `ts`, `level` and `msg`.
+    /// One JSON object per line, with `ts`, `level` and `msg`.
     Json,
 }
 
-/// A word that names no format.
+/// The given word is not the name of a log format.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("found {found:?}, expected \"text\" or \"json\"")]
 pub struct UnknownLogFormat {
@@ -46,7 +46,8 @@
 
 type LineDrain = Box<dyn Drain<Ok = (), Err = slog::Never> + Send>;
 
-/// A log on standard error that shows lines of `level` and above; `server` is a field of each line.
+/// Starts a log on standard error with the lines of `level` and above; each line has the server's name as the
+/// field `server`.
 pub fn start(server: &str, level: Level, format: LogFormat) -> (Logger, LogGuard) {
     let lines: LineDrain = match format {
         LogFormat::Text => {
--- a/crates/server/src/lifecycle/log_throttle.rs
+++ b/crates/server/src/lifecycle/log_throttle.rs
@@ -1,11 +1,11 @@
-//! Limits log lines about what may happen thousands of times a second to one a second.
+//! Limits log lines about an event that may occur thousands of times a second to one line a second.
 
 use std::time::{Duration, Instant};
 
-/// Time between two lines about the same thing.
+/// Minimum time between two lines about the same event.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Decides when a line about one repeated event is due.
+/// Decides when a log line about a repeated event is due.
 #[derive(Debug, Default)]
 pub struct LogThrottle {
     last_logged: Option<Instant>,
@@ -13,7 +13,8 @@
 }
 
 impl LogThrottle {
-    /// Counts an event at `now`. `Some` if a line is due, with the number of events since the last line that had none.
+    /// Counts an event at `now`. Returns `Some` if a line is due, with the number of events suppressed since
+    /// the last line.
     pub fn record(&mut self, now: Instant) -> Option<u64> {
         if self.last_logged.is_some_and(|last| now < last + INTERVAL) {
             self.suppressed += 1;
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,8 +1,8 @@
-//! The life of the server process, from the command line to its exit.
+//! The lifecycle of the server process, from the parsed command line to its exit.
 //!
-//! [`serve`] binds the sockets, starts an actor for each peer ([`startup`]), runs them until a signal asks for the end
-//! ([`server`], [`phase`]), and applies changed configuration files on SIGHUP ([`reload`]).
-//! [`config_files`] reads the two files that a server is configured by.
+//! [`serve`] binds the sockets, starts an actor for each peer ([`startup`]), runs them until a signal
+//! requests a shutdown ([`server`], [`phase`]), and applies changed configuration files on SIGHUP
+//! ([`reload`]). [`config_files`] reads the two files that configure a server.
 
 pub mod clock;
 pub mod config;
@@ -33,10 +33,11 @@
 use startup::ListenSockets;
 pub use startup::StartupError;
 
-/// The part of the memory limit that peers can make this process take: one in so many.
+/// Peers can make this process use at most `1 / PEER_MEMORY_DIVISOR` of its memory limit.
 const PEER_MEMORY_DIVISOR: usize = 2;
 
-/// Serves until a signal ends the process. Errors come before anything is served. `files` are read again on SIGHUP.
+/// Serves until a signal ends the process. Errors are returned only before anything is served. `files` are
+/// read again on SIGHUP.
 pub fn serve(
     config: LoadedConfig,
     files: ConfigFiles,
--- a/crates/server/src/lifecycle/phase.rs
+++ b/crates/server/src/lifecycle/phase.rs
@@ -5,16 +5,16 @@
 use slog::{info, Logger};
 use umberloom::interface::Micros;
 
-/// What the process does at present.
+/// A phase of the process. Phases are passed in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// The configuration is read; nothing is served.
     Starting,
-    /// Balancers may connect; the render farm agent is not up yet.
+    /// Balancers may connect; the render farm agent is not available yet.
     WaitingForAgent,
     /// Requests are served.
     Serving,
-    /// A shutdown was requested: all that arrives is still answered.
+    /// A shutdown was requested; everything that arrives is still answered.
     Draining,
     /// No new connections; existing ones close as their requests are answered.
     Closing,
@@ -28,20 +28,20 @@
     }
 }
 
-/// Closing begins so long before the stop.
+/// The closing phase begins this long before the stop time.
 const CLOSE_BEFORE_STOP: Micros = 350_000;
-/// The process exits so long before the stop.
+/// The process exits this long before the stop time.
 const EXIT_BEFORE_STOP: Micros = 15_000;
-/// Closing lasts so long where the stop has passed already, as after a stall: what lay unread meanwhile is to be answered
-/// as long as nobody kills the process.
+/// Minimum duration of the closing phase where the stop time has passed already, as after a stall: requests
+/// that lay unread during the stall are answered as long as the process is not killed.
 const MIN_CLOSING_AFTER_STALL: Micros = 500_000;
 
-/// The present phase, and when the next one is due.
+/// Tracks the current phase, and when the next one is due.
 pub struct PhaseTracker {
     phase: Phase,
-    /// When the process is killed from outside, once a shutdown was requested.
+    /// The stop time, when the process is killed from outside; `None` until a shutdown is requested.
     stop_at: Option<Micros>,
-    /// After a stall, closing lasts until then at least.
+    /// Earliest end of the closing phase after a stall past the stop time; 0 without such a stall.
     closing_until: Micros,
     log: Logger,
 }
@@ -52,7 +52,7 @@
         PhaseTracker { phase: Phase::Starting, stop_at: None, closing_until: 0, log }
     }
 
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A shutdown was requested at `now`: the process is killed `stop_after` later. Whether this is the first request;
-    /// later ones are ignored.
+    /// Handles a shutdown request at `now`: the process will be killed `stop_after` later. Returns whether
+    /// this is the first request; later ones are ignored.
     pub fn begin_drain(&mut self, now: Micros, stop_after: Micros) -> bool {
         let first = self.stop_at.is_none();
         if first {
@@ -76,7 +76,7 @@
         first
     }
 
-    /// When the next phase begins by itself.
+    /// The time at which the next phase begins, if it begins by time alone.
     pub fn next_timeout(&self) -> Option<Micros> {
         let stop_at = self.stop_at?;
         match self.phase {
--- a/crates/server/src/lifecycle/phase/tests.rs
+++ b/crates/server/src/lifecycle/phase/tests.rs
@@ -30,8 +30,8 @@
     assert_eq!(tracker.phase(), Phase::Stopped);
 }
 
-/// Guards against an exit without an answer to what lay unread during a stall over the stop: closing and exit were due
-/// at once then.
+/// Guards against an exit that leaves requests unanswered which lay unread during a stall past the stop time:
+/// closing and exit were both due at once after such a stall.
 #[test]
 fn closing_lasts_its_minimum_after_a_stall_over_the_stop() {
     let mut tracker = tracker();
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration files are read again.
+//! Reloads the configuration files on SIGHUP.
 
 use slog::{error, info};
 use thiserror::Error;
@@ -14,24 +14,24 @@
 use crate::messages::registration::RegistrationCommand;
 use crate::messages::AdmissionMessage;
 
-/// Why the configuration in force stays.
+/// The reason why a reload is rejected and the configuration in force stays.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// A file is missing or invalid.
     #[error(transparent)]
     Files(#[from] ConfigFileError),
-    /// The platform's configuration changes what can't change while running.
+    /// The platform's configuration has changed in a field that can't change while the server runs.
     #[error(transparent)]
     Server(#[from] ImmutableFieldError),
-    /// The operator's file changes what can't change while running.
+    /// The operator's file has changed the fleet in a way that needs a restart.
     #[error(transparent)]
     Fleet(#[from] FleetReloadError),
 }
 
 impl Server<'_> {
-    /// Changes over to what the files say now, if both are valid and change nothing that can't change while running;
-    /// else all of the old configuration stays in force. A file that is broken or half written must not cost what is
-    /// being served.
+    /// Applies the present contents of the files if both are valid and change nothing that can't change while
+    /// the server runs; otherwise all of the old configuration stays in force, so that a broken or
+    /// half-written file does not affect the requests being served.
     pub async fn reload(&mut self) {
         match self.load_changed() {
             Ok(config) => self.apply(config).await,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Tells each actor whose peer has another address; the others notice nothing.
+    /// Notifies each actor whose peer has a new address; the other actors are not affected.
     ///
-    /// Sending fails only if the actor has ended, which none does before the process.
+    /// Sending fails only if the actor has ended, and no actor ends before the process.
     async fn move_peers(&mut self, new: &Config) {
         if new.agent != self.config.agent {
             let _ = self.senders.agent.send(AgentActorMessage::SetAddress(new.agent)).await;
@@ -87,7 +87,7 @@
         handle.config = new.clone();
         let build_info = fleet::build_info(&self.config, operator);
         let config = fleet::actor_config(new, build_info);
-        // Fails only if the fleet actor has ended, which it does not before the process.
+        // Fails only if the fleet actor has ended, and it does not end before the process.
         let _ = handle.mailbox.send(FleetCommand::Reconfigure(Box::new(config))).await;
     }
 
@@ -98,7 +98,7 @@
                 let dependencies = self.dependencies.len();
                 info!(self.log, "dependencies reloaded"; "plans" => plans, "dependencies" => dependencies);
                 let reconfigured = AdmissionMessage::DependenciesReconfigured(Box::new(settings));
-                // Fails only if the admission actor has ended; then nothing is called any more.
+                // Fails only if the admission actor has ended; no calls are made after that.
                 let _ = self.senders.admission.send(reconfigured).await;
             }
             Err(error) => error!(self.log, "dependency reload rejected"; "reason" => %error),
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -1,4 +1,4 @@
-//! The running server: waits for what may change its phase, up to the exit.
+//! The running server: handles the events that may change its phase, until the exit.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,42 +25,42 @@
 use crate::messages::AdmissionMessage;
 use crate::peers::dependency::SocketBudget;
 
-/// What may change the phase.
+/// An event that the running server waits for.
 enum ServerEvent {
-    /// The agent has greeted.
+    /// The render farm agent has sent its greeting.
     AgentUp,
-    /// A signal has come.
+    /// A signal was received.
     Signal(SignalRequest),
     /// The next phase may be due.
     Timeout,
-    /// The last connection is closed.
+    /// The last connection of a balancer is closed.
     ConnectionsClosed,
 }
 
-/// The server as its actors' supervisor sees it.
+/// The state of the running server: its configuration and handles to its actors.
 pub struct Server<'a> {
     pub(super) executor: Rc<LocalExecutor<'a>>,
     /// The configuration in force.
     pub(super) config: Config,
     pub(super) files: ConfigFiles,
-    /// Memory that peers can make this process take.
+    /// Budget of the memory that peers can make this process use.
     pub(super) budget: Budget,
-    /// Sockets for calls to dependencies.
+    /// Budget of the sockets for calls to dependencies.
     pub(super) call_sockets: SocketBudget,
     /// Dependencies of the operator's file, by name.
     pub(super) dependencies: BTreeMap<Rc<str>, DependencyHandle>,
     pub(super) senders: Senders,
     pub(super) fleet: Option<FleetHandle>,
-    /// Receives once when the agent has greeted.
+    /// Receives one message when the agent has sent its greeting.
     pub(super) agent_up: Receiver<()>,
-    /// Ends with the last connection of a balancer.
+    /// Completes when the last connection of a balancer is closed.
     pub(super) connections: Task<()>,
     pub(super) clock: Clock,
     pub(super) log: Logger,
 }
 
 impl Server<'_> {
-    /// Passes through the phases up to the exit.
+    /// Handles events until the process is to exit.
     pub async fn run(mut self, mut phase: PhaseTracker, mut signals: SignalListener) {
         while phase.phase() != Phase::Stopped {
             match self.next_event(phase.next_timeout(), &mut signals).await {
@@ -79,7 +79,8 @@
         if !phase.begin_drain(noticed_at, stop_after) {
             return;
         }
-        // Before the drain begins, and without waiting for it: the fleet learns that this server leaves.
+        // The fleet is notified that this server leaves before the drain begins, and without waiting for the
+        // fleet.
         self.notify_fleet(FleetCommand::Leave);
         let drain = AdmissionMessage::Drain { noticed_at, stop_at: noticed_at.saturating_add(stop_after) };
         // Fails only if the admission actor has ended; then there is nothing to drain.
@@ -96,12 +97,14 @@
 
     fn notify_fleet(&self, command: FleetCommand) {
         if let Some(fleet) = &self.fleet {
-            // A full mailbox loses it: the others find out by their probes, and the shutdown waits for nobody.
+            // If the mailbox is full, the command is lost: the shutdown does not wait, and the other members
+            // detect the departure by their probes.
             let _ = fleet.mailbox.try_send(command);
         }
     }
 
-    /// Waits for the next event; earlier variants of [`ServerEvent`] come first where several are ready.
+    /// Waits for the next event. If several are ready, the earliest variant of [`ServerEvent`] is returned
+    /// first.
     async fn next_event(&mut self, timeout: Option<Micros>, signals: &mut SignalListener) -> ServerEvent {
         let Server { agent_up, connections, clock, .. } = self;
         let agent_up = async {
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,9 +1,9 @@
-//! Signals of the operating system.
+//! Receives the signals of the operating system.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// What a signal asks of the process.
+/// The request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
     /// SIGTERM or SIGINT: drain, then exit.
@@ -16,15 +16,16 @@
 pub struct SignalListener(Signals);
 
 impl SignalListener {
-    /// Starts to listen. Without a listener each of these signals would end the process.
+    /// Starts to listen for SIGTERM, SIGINT and SIGHUP. Without a listener each of these would end the
+    /// process.
     pub fn new() -> std::io::Result<SignalListener> {
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map(SignalListener)
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub async fn next(&mut self) -> SignalRequest {
         loop {
-            // The stream has no end; were reading it to fail, no signal could come any more.
+            // The stream never ends. If reading it failed, no further signal could be received.
             match self.0.next().await {
                 Some(Ok(Signal::Hup)) => return SignalRequest::Reload,
                 Some(Ok(_)) => return SignalRequest::Shutdown,
--- a/crates/server/src/lifecycle/stall_detector.rs
+++ b/crates/server/src/lifecycle/stall_detector.rs
@@ -1,16 +1,17 @@
-//! Logs when this process was not run for a while: no answer can be in time then, and nothing else shows it.
+//! Logs when this process was not run for a while: no response can be in time then, and nothing else reveals
+//! it.
 
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
 use slog::{warn, Logger};
 
-/// Time between two looks at the clock.
+/// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A look that comes later than this is logged as a stall.
+/// A check that is more than this overdue is logged as a stall.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// What the kernel's scheduler has counted for this process's first thread, in nanoseconds.
+/// Times that the kernel's scheduler has counted for this process's first thread, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct SchedulerStats {
     /// Time on a core.
@@ -20,7 +21,7 @@
 }
 
 impl SchedulerStats {
-    /// Reads the form of `/proc/PID/schedstat`; all zero where the system has none.
+    /// Parses the text of `/proc/PID/schedstat`; all zero where the system has no such file.
     fn parse(text: &str) -> SchedulerStats {
         let mut numbers = text.split_whitespace().map(|n| n.parse().unwrap_or(0));
         let running_ns = numbers.next().unwrap_or(0);
@@ -33,8 +34,8 @@
     }
 }
 
-/// Runs for as long as the program does. Each line tells how long the stall was, and how much of that the process ran
-/// or waited for a core: where both are far less, it was stopped from outside.
+/// Runs until the process ends. Each log line has the duration of the stall, and how much of it the process
+/// ran or waited for a core; if both are far less, the process was stopped from outside.
 pub async fn watch(log: Logger) {
     let mut before = SchedulerStats::now();
     loop {
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the server: binds its sockets, and starts and connects its actors.
+//! Starts the server: binds its sockets, starts its actors and connects their mailboxes.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -36,13 +36,13 @@
 use crate::peers::registration::{self, Registration};
 use crate::quota_leases::QuotaLeases;
 
-/// Why the server can't start.
+/// The reason why the server can't start.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The address for balancers can't be bound.
     #[error("listen on {address}: {source}")]
     Listen { address: SocketAddr, source: std::io::Error },
-    /// The fleet's sockets or its membership can't be started; the text says why.
+    /// The fleet's sockets can't be bound or its actor can't be created; the text is the reason.
     #[error("{0}")]
     Fleet(String),
     /// The memory limit leaves no room for the fleet's streams.
@@ -57,15 +57,15 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("no memory for {bytes} bytes of kept results")]
 pub struct FallbackCacheMemoryError {
-    /// What the cache would take.
+    /// Size of the cache.
     pub bytes: usize,
 }
 
 /// The sockets that are bound before anything is served.
 pub struct ListenSockets {
-    /// Where balancers connect.
+    /// The socket on which balancers connect.
     pub balancers: Async<TcpListener>,
-    /// Where other servers of the fleet reach this one, if it belongs to a fleet.
+    /// The sockets on which other servers of the fleet reach this one; `None` if it belongs to no fleet.
     pub fleet: Option<FleetSockets>,
 }
 
@@ -75,7 +75,7 @@
     listener.map_err(|source| StartupError::Listen { address, source })
 }
 
-/// Binds the fleet's address, if the operator's file names a fleet.
+/// Binds the fleet's address, if the operator's file has a fleet.
 pub fn bind_fleet(operator: Option<&Operator>) -> Result<Option<FleetSockets>, StartupError> {
     let Some(fleet) = operator.and_then(|operator| operator.fleet.as_ref()) else { return Ok(None) };
     let sockets = FleetSockets::bind(fleet.listen).map_err(|e| StartupError::Fleet(e.to_string()))?;
@@ -120,7 +120,7 @@
 }
 
 impl<'a> Server<'a> {
-    /// Starts all actors on `executor`. They run once the executor does.
+    /// Starts all actors on `executor`. They run when the executor is run.
     pub fn start(
         executor: &Rc<LocalExecutor<'a>>,
         config: LoadedConfig,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Divides the descriptors that the system allows, and warns where these are fewer than configured.
+/// Divides the descriptors that the system allows, and logs a warning if these are fewer than configured.
 fn divide_descriptors(config: &Config, operator: Option<&Operator>, log: &Logger) -> DescriptorBudget {
     let configured = config.limits.sockets;
     let allowed = descriptor_limit::effective_limit(configured);
@@ -207,7 +207,7 @@
     DescriptorBudget::divide(allowed, for_fleet)
 }
 
-/// Starts one actor after the other.
+/// The values that actors are started with.
 struct ActorStarter<'s, 'a> {
     executor: &'s Rc<LocalExecutor<'a>>,
     config: &'s Config,
@@ -263,7 +263,7 @@
         self.executor.spawn(actor.run()).detach();
     }
 
-    /// What all connections of balancers have in common.
+    /// The context that all connections of balancers share.
     fn connection_context(&self, hint: &LoadHint, connections: usize, budget: &Budget) -> ConnectionContext {
         ConnectionContext {
             admission: self.senders.admission.clone(),
@@ -279,7 +279,7 @@
         }
     }
 
-    /// The task ends once the listener has closed its last connection.
+    /// Starts the listener. The task completes once the listener has closed its last connection.
     fn listener(
         &self,
         socket: Async<TcpListener>,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,7 +1,8 @@
-//! One real server: balancers in front, the render farm agent and the records service behind, and
-//! umberloom's admission controller between them.
+//! The umberloom server: it accepts requests from balancers, decides with umberloom's admission controller,
+//! and has admitted requests run by the render farm agent and their calls made to the records service.
 //!
-//! [`cli`] reads the command line; [`lifecycle`] runs the server; [`admin_client`] asks a running server about its fleet.
+//! [`cli`] parses the command line; [`lifecycle`] runs the server; [`admin_client`] queries a running server
+//! about its fleet.
 
 mod admin_client;
 mod admission;
