--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -10,14 +10,14 @@
 /// back, this one continues from its last reading and stays ahead by that difference; standing still until
 /// the system clock has caught up would stop all timers. Clones share their state.
 #[derive(Clone, Debug, Default)]
-pub struct Clock(Rc<Cell<Reading>>);
+pub struct Clock(Rc<Cell<ClockState>>);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Reading {
+struct ClockState {
     /// The last time returned.
-    last: Micros,
+    last_time: Micros,
     /// How far the clock is ahead of the Unix clock.
-    ahead: Micros,
+    offset: Micros,
 }
 
 impl Clock {
@@ -28,13 +28,13 @@
 
     /// The Unix time, for comparison with timestamps from other processes.
     pub fn unix(&self) -> Micros {
-        self.now() - self.0.get().ahead
+        self.now() - self.0.get().offset
     }
 
-    fn advance(&self, unix: Micros) -> Micros {
-        let Reading { last, ahead } = self.0.get();
-        let now = (unix + ahead).max(last);
-        self.0.set(Reading { last: now, ahead: now - unix });
+    fn advance(&self, unix_time: Micros) -> Micros {
+        let ClockState { last_time, offset } = self.0.get();
+        let now = (unix_time + offset).max(last_time);
+        self.0.set(ClockState { last_time: now, offset: now - unix_time });
         now
     }
 }
--- a/crates/server/src/lifecycle/config.rs
+++ b/crates/server/src/lifecycle/config.rs
@@ -16,7 +16,7 @@
 pub use error::{ConfigError, ImmutableFieldError, InvalidConfig, Location};
 
 /// The smallest accepted memory limit, in bytes.
-const MIN_MEMORY: usize = 16 << 20;
+const MIN_MEMORY_BYTES: usize = 16 << 20;
 /// The smallest accepted limit on file descriptors.
 const MIN_SOCKETS: usize = 32;
 
@@ -26,7 +26,7 @@
     /// Processor cores; may be a fraction.
     pub cores: f64,
     /// Memory, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Number of file descriptors.
     pub sockets: usize,
 }
@@ -45,7 +45,7 @@
     /// Address of the records service; `None` where no downstream calls are made.
     pub records: Option<SocketAddr>,
     /// Time from the request to shut down to the end of the process, in microseconds.
-    pub stop: u64,
+    pub shutdown_time: u64,
     /// Resource limits of the process.
     pub limits: Limits,
     /// Settings of the admission controller.
@@ -94,7 +94,7 @@
         })?;
         let value: Option<Value> = serde_json::from_slice(&bytes).ok();
         if let Some(Value::Object(top)) = value {
-            let unknown = known_config_keys::unknown(&top).into_iter();
+            let unknown = known_config_keys::unknown_paths(&top).into_iter();
             config.unknown_keys =
                 unknown.map(|key| UnknownKey { location: location_of(&key), key }).collect();
         }
@@ -105,21 +105,21 @@
     pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
         let value: Value = serde_json::from_slice(bytes).map_err(InvalidConfig::NotJson)?;
         let Value::Object(top) = value else { return Err(InvalidConfig::NotAnObject) };
-        let options = object(&top, "settings")?;
-        let settings = settings(options, seed(&top)?)?;
+        let settings_object = object(&top, "settings")?;
+        let settings = settings(settings_object, seed(&top)?)?;
         let config = Config {
             name: text(&top, "name")?.to_owned(),
             listen: address(&top, "listen")?,
             agent: address(&top, "agent")?,
             announce: address(&top, "announce")?,
             records: if top.contains_key("records") { Some(address(&top, "records")?) } else { None },
-            stop: integer(&top, "stop_ms")?.saturating_mul(1_000),
+            shutdown_time: integer(&top, "stop_ms")?.saturating_mul(1_000),
             limits: limits(&top)?,
-            shape: Shape::read(options)?,
+            shape: Shape::read(settings_object)?,
             settings,
-            classes: class_names(options)?,
-            tenants: tenant_names(options)?,
-            gauges: GaugeNames::read(options)?,
+            classes: class_names(settings_object)?,
+            tenants: tenant_names(settings_object)?,
+            gauges: GaugeNames::read(settings_object)?,
             unknown_keys: Vec::new(),
         };
         config.validate()?;
@@ -146,11 +146,11 @@
                 !self.name.is_empty() && self.name.bytes().all(is_unreserved),
                 "`name` must be a path segment of letters, digits, '-', '_' and '.'",
             ),
-            (self.limits.memory >= MIN_MEMORY, "`limits.memory_mb` must be at least 16"),
+            (self.limits.memory_bytes >= MIN_MEMORY_BYTES, "`limits.memory_mb` must be at least 16"),
             (self.limits.sockets >= MIN_SOCKETS, "`limits.sockets` must be at least 32"),
-            (self.stop > 0, "`stop_ms` must be above 0"),
+            (self.shutdown_time > 0, "`stop_ms` must be above 0"),
         ];
-        match rules.iter().find(|(holds, _)| !holds) {
+        match rules.iter().find(|(valid, _)| !valid) {
             Some((_, reason)) => Err(InvalidConfig::Rule(reason)),
             None => Ok(()),
         }
@@ -163,7 +163,7 @@
         let mut settings = new.settings.clone();
         settings.seed = self.settings.seed;
         settings.starts_cold = self.settings.starts_cold;
-        let same_settings = self.settings == settings
+        let settings_unchanged = self.settings == settings
             && self.shape == new.shape
             && self.classes == new.classes
             && self.tenants == new.tenants
@@ -172,9 +172,9 @@
             (self.name == new.name, "name"),
             (self.listen == new.listen, "listen"),
             (self.limits == new.limits, "limits"),
-            (same_settings, "settings"),
+            (settings_unchanged, "settings"),
         ];
-        match fields.iter().find(|(same, _)| !same) {
+        match fields.iter().find(|(unchanged, _)| !unchanged) {
             Some((_, field)) => Err(ImmutableFieldError { field }),
             None => Ok(()),
         }
@@ -197,7 +197,7 @@
 fn limits(top: &Object) -> Result<Limits, InvalidConfig> {
     let limits = object(top, "limits")?;
     Ok(Limits {
-        memory: integer(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
+        memory_bytes: integer(limits, "memory_mb")?.saturating_mul(1 << 20) as usize,
         cores: number_or(limits, "cores", 1.0)?,
         sockets: integer_or(limits, "sockets", 1024)? as usize,
     })
--- a/crates/server/src/lifecycle/config_files.rs
+++ b/crates/server/src/lifecycle/config_files.rs
@@ -80,7 +80,7 @@
 fn check_against_server(operator: &Operator, server: &Config, file: &str) -> Result<(), ConfigFileError> {
     let file = || file.to_owned();
     let found_bytes = operator.dependencies.fallback_cache.max_bytes;
-    let max_bytes = server.limits.memory / PEER_MEMORY_DIVISOR / FALLBACK_CACHE_DIVISOR;
+    let max_bytes = server.limits.memory_bytes / PEER_MEMORY_DIVISOR / FALLBACK_CACHE_DIVISOR;
     if found_bytes > max_bytes {
         return Err(ConfigFileError::FallbackCacheTooLarge {
             file: file(),
--- a/crates/server/src/lifecycle/dependencies.rs
+++ b/crates/server/src/lifecycle/dependencies.rs
@@ -50,17 +50,17 @@
     }
 
     fn replace_dependencies(&mut self, services: &[Service]) {
-        let mut before = std::mem::take(&mut self.dependencies);
+        let mut previous = std::mem::take(&mut self.dependencies);
         for service in services {
-            let target = self.target(service);
+            let target = self.call_target(service);
             let name: Rc<str> = service.name.as_str().into();
-            let unchanged = before.remove(&name).filter(|dependency| dependency.target == target);
+            let unchanged = previous.remove(&name).filter(|dependency| dependency.target == target);
             let dependency = unchanged.unwrap_or_else(|| self.start_dependency(target));
             self.dependencies.insert(name, dependency);
         }
     }
 
-    fn target(&self, service: &Service) -> CallTarget {
+    fn call_target(&self, service: &Service) -> CallTarget {
         let ajp = service
             .ajp
             .as_ref()
--- a/crates/server/src/lifecycle/fleet.rs
+++ b/crates/server/src/lifecycle/fleet.rs
@@ -78,7 +78,7 @@
     }
 
     let memory_kb = memory_bytes(peers, fleet.record.is_some()) >> 10;
-    let max_kb = (server.limits.memory / PEER_MEMORY_DIVISOR / FLEET_DIVISOR) >> 10;
+    let max_kb = (server.limits.memory_bytes / PEER_MEMORY_DIVISOR / FLEET_DIVISOR) >> 10;
     if memory_kb > max_kb {
         return Err(FleetLimitError::Memory { position, peers, memory_kb, max_kb });
     }
@@ -179,23 +179,23 @@
         (Some(_), None) => return Err(FleetReloadError::Removed { file: file() }),
         (None, None) => return Ok(()),
     };
-    let (a, b) = (&old.membership, &new.membership);
+    let (old_membership, new_membership) = (&old.membership, &new.membership);
     let fields = [
         ("listen", old.listen == new.listen),
-        ("name", a.fleet == b.fleet),
-        ("secret", a.secret == b.secret),
-        ("zone", a.zone == b.zone),
-        ("timing", a.timing == b.timing),
-        ("record", same_record(old.record.as_ref(), new.record.as_ref())),
+        ("name", old_membership.fleet == new_membership.fleet),
+        ("secret", old_membership.secret == new_membership.secret),
+        ("zone", old_membership.zone == new_membership.zone),
+        ("timing", old_membership.timing == new_membership.timing),
+        ("record", same_store_config(old.record.as_ref(), new.record.as_ref())),
     ];
-    match fields.into_iter().find(|(_, same)| !same) {
+    match fields.into_iter().find(|(_, unchanged)| !unchanged) {
         Some((field, _)) => Err(FleetReloadError::Changed { file: file(), position: new.position, field }),
         None => Ok(()),
     }
 }
 
 /// Compares configurations of a replicated store without its peers: all else is fixed at startup.
-fn same_record(old: Option<&Record>, new: Option<&Record>) -> bool {
+fn same_store_config(old: Option<&Record>, new: Option<&Record>) -> bool {
     let without_peers = |record: &Record| {
         let mut record = record.clone();
         record.config.peers.clear();
--- a/crates/server/src/lifecycle/known_config_keys.rs
+++ b/crates/server/src/lifecycle/known_config_keys.rs
@@ -8,11 +8,11 @@
 use serde_json::Value;
 use umberloom_settings::fields::Object;
 
-const TOP: &[&str] =
+const TOP_LEVEL_KEYS: &[&str] =
     &["name", "listen", "agent", "announce", "records", "seed", "stop_ms", "limits", "settings"];
-const LIMITS: &[&str] = &["cores", "memory_mb", "sockets"];
+const LIMITS_KEYS: &[&str] = &["cores", "memory_mb", "sockets"];
 /// Keys of the settings object, as the simulator's protocol names them (`power_on` in `WIRE-umberloom.md`).
-const SETTINGS: &[&str] = &[
+const SETTINGS_KEYS: &[&str] = &[
     "servers",
     "classes",
     "client_habits",
@@ -33,7 +33,7 @@
     "locality",
     "failure_domains",
 ];
-const CLASS: &[&str] = &[
+const CLASS_KEYS: &[&str] = &[
     "name",
     "aim_us",
     "aim_stretch",
@@ -44,7 +44,7 @@
     "repeat_window_us",
     "write",
 ];
-const FAMILY_INFO: &[&str] = &[
+const FAMILY_INFO_KEYS: &[&str] = &[
     "downstream",
     "callers",
     "dep_share",
@@ -68,47 +68,48 @@
     "say",
     "cancel_seen",
 ];
-const GUARANTEES: &[&str] =
+const GUARANTEES_KEYS: &[&str] =
     &["grace_to_answer_us", "cold_from", "cold_us", "drain_grace_us", "fall_multiple", "fall_us"];
-const SETTINGS_LIMITS: &[&str] = &["cpu_us_per_request", "cpu_us_per_s", "max_retry_after_us", "retry_after"];
-const REALM: &[&str] = &["name", "quota_rps", "share"];
+const SETTINGS_LIMITS_KEYS: &[&str] =
+    &["cpu_us_per_request", "cpu_us_per_s", "max_retry_after_us", "retry_after"];
+const REALM_KEYS: &[&str] = &["name", "quota_rps", "share"];
 
 /// The paths of all unknown keys of a configuration, in the order of the checks.
-pub fn unknown(top: &Object) -> Vec<String> {
+pub fn unknown_paths(top: &Object) -> Vec<String> {
     let mut paths = Vec::new();
-    in_object(top, TOP, "", &mut paths);
-    in_member(top, "limits", LIMITS, "", &mut paths);
+    check_object(top, TOP_LEVEL_KEYS, "", &mut paths);
+    check_member(top, "limits", LIMITS_KEYS, "", &mut paths);
     if let Some(settings) = top.get("settings").and_then(Value::as_object) {
-        in_object(settings, SETTINGS, "settings", &mut paths);
-        in_list(settings, "classes", CLASS, "settings.", &mut paths);
-        in_list(settings, "realms", REALM, "settings.", &mut paths);
-        in_member(settings, "family_info", FAMILY_INFO, "settings.", &mut paths);
-        in_member(settings, "guarantees", GUARANTEES, "settings.", &mut paths);
-        in_member(settings, "limits", SETTINGS_LIMITS, "settings.", &mut paths);
+        check_object(settings, SETTINGS_KEYS, "settings", &mut paths);
+        check_list(settings, "classes", CLASS_KEYS, "settings.", &mut paths);
+        check_list(settings, "realms", REALM_KEYS, "settings.", &mut paths);
+        check_member(settings, "family_info", FAMILY_INFO_KEYS, "settings.", &mut paths);
+        check_member(settings, "guarantees", GUARANTEES_KEYS, "settings.", &mut paths);
+        check_member(settings, "limits", SETTINGS_LIMITS_KEYS, "settings.", &mut paths);
     }
     paths
 }
 
 /// Adds the paths of the unknown keys of `object`, whose own path is `path`.
-fn in_object(object: &Object, known: &[&str], path: &str, paths: &mut Vec<String>) {
+fn check_object(object: &Object, known: &[&str], path: &str, paths: &mut Vec<String>) {
     let unknown = object.keys().filter(|key| !known.contains(&key.as_str()));
     paths.extend(unknown.map(|key| if path.is_empty() { key.clone() } else { format!("{path}.{key}") }));
 }
 
 /// Adds the paths of the unknown keys of each object in the list `field`.
-fn in_list(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
+fn check_list(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     let list = object.get(field).and_then(Value::as_array).into_iter().flatten();
-    for (n, item) in list.enumerate() {
+    for (index, item) in list.enumerate() {
         if let Some(item) = item.as_object() {
-            in_object(item, known, &format!("{prefix}{field}[{n}]"), paths);
+            check_object(item, known, &format!("{prefix}{field}[{index}]"), paths);
         }
     }
 }
 
 /// Adds the paths of the unknown keys of the object `field`.
-fn in_member(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
+fn check_member(object: &Object, field: &str, known: &[&str], prefix: &str, paths: &mut Vec<String>) {
     if let Some(inner) = object.get(field).and_then(Value::as_object) {
-        in_object(inner, known, &format!("{prefix}{field}"), paths);
+        check_object(inner, known, &format!("{prefix}{field}"), paths);
     }
 }
 
--- a/crates/server/src/lifecycle/phase/tests.rs
+++ b/crates/server/src/lifecycle/phase/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn stop_within_the_closing_margins_closes_at_once() {
+fn stop_time_within_the_closing_margins_closes_at_once() {
     let mut tracker = tracker();
     tracker.begin_drain(1_000_000, 5_000);
     assert!(tracker.handle_timeout(1_000_000) && tracker.handle_timeout(1_000_000));
@@ -33,7 +33,7 @@
 /// Guards against an exit that leaves requests unanswered which lay unread during a stall past the stop time:
 /// closing and exit were both due at once after such a stall.
 #[test]
-fn closing_lasts_its_minimum_after_a_stall_over_the_stop() {
+fn closing_lasts_its_minimum_after_a_stall_past_the_stop_time() {
     let mut tracker = tracker();
     assert!(tracker.begin_drain(0, 1_000_000));
     assert!(tracker.handle_timeout(5_000_000));
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -43,8 +43,8 @@
         let new = self.files.load()?;
         self.config.check_reload(&new.server)?;
         if let Some(operator) = &new.operator {
-            let before = self.fleet.as_ref().map(|fleet| &fleet.config);
-            fleet::check_reload(&self.files.operator_name(), before, operator.fleet.as_ref())?;
+            let current = self.fleet.as_ref().map(|fleet| &fleet.config);
+            fleet::check_reload(&self.files.operator_name(), current, operator.fleet.as_ref())?;
         }
         Ok(new)
     }
@@ -52,7 +52,7 @@
     async fn apply(&mut self, new: LoadedConfig) {
         let LoadedConfig { server, operator } = new;
         info!(self.log, "configuration reloaded"; "agent" => %server.agent, "announce" => %server.announce);
-        self.move_peers(&server).await;
+        self.update_peer_addresses(&server).await;
         self.config = server;
         if let Some(operator) = operator {
             self.reconfigure_fleet(&operator).await;
@@ -63,16 +63,16 @@
     /// Notifies each actor whose peer has a new address; the other actors are not affected.
     ///
     /// Sending fails only if the actor has ended, and no actor ends before the process.
-    async fn move_peers(&mut self, new: &Config) {
+    async fn update_peer_addresses(&mut self, new: &Config) {
         if new.agent != self.config.agent {
             let _ = self.senders.agent.send(AgentActorMessage::SetAddress(new.agent)).await;
         }
         if let Some(address) = new.records.filter(|_| new.records != self.config.records) {
             let _ = self.senders.records.send(DependencyCommand::SetAddress(address)).await;
-            let on_platform = |dependency: &&mut super::dependencies::DependencyHandle| {
+            let uses_records_service = |dependency: &&mut super::dependencies::DependencyHandle| {
                 dependency.target.platform.is_some()
             };
-            for dependency in self.dependencies.values_mut().filter(on_platform) {
+            for dependency in self.dependencies.values_mut().filter(uses_records_service) {
                 dependency.target.platform = Some(address);
                 let _ = dependency.mailbox.send(DependencyCommand::SetAddress(address)).await;
             }
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -75,7 +75,7 @@
 
     async fn begin_drain(&self, phase: &mut PhaseTracker) {
         let noticed_at = self.clock.now();
-        let stop_after = self.config.stop;
+        let stop_after = self.config.shutdown_time;
         if !phase.begin_drain(noticed_at, stop_after) {
             return;
         }
--- a/crates/server/src/lifecycle/stall_detector.rs
+++ b/crates/server/src/lifecycle/stall_detector.rs
@@ -37,19 +37,19 @@
 /// Runs until the process ends. Each log line has the duration of the stall, and how much of it the process
 /// ran or waited for a core; if both are far less, the process was stopped from outside.
 pub async fn watch(log: Logger) {
-    let mut before = SchedulerStats::now();
+    let mut previous = SchedulerStats::now();
     loop {
         let due = Instant::now() + CHECK_INTERVAL;
         Timer::at(due).await;
-        let late = due.elapsed();
-        let now = SchedulerStats::now();
-        if late > STALL_THRESHOLD {
+        let delay = due.elapsed();
+        let current = SchedulerStats::now();
+        if delay > STALL_THRESHOLD {
             warn!(log, "process stalled";
-                "stall_ms" => late.as_millis() as u64,
-                "ran_ms" => millis_between(before.running_ns, now.running_ns),
-                "waited_ms" => millis_between(before.waiting_ns, now.waiting_ns));
+                "stall_ms" => delay.as_millis() as u64,
+                "ran_ms" => millis_between(previous.running_ns, current.running_ns),
+                "waited_ms" => millis_between(previous.waiting_ns, current.waiting_ns));
         }
-        before = now;
+        previous = current;
     }
 }
 
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -133,10 +133,10 @@
         let descriptors = divide_descriptors(&config, operator.as_ref(), log);
         let (senders, inboxes) = open_mailboxes();
         let (agent_up_sender, agent_up) = bounded(1);
-        let budget = Budget::new(config.limits.memory / PEER_MEMORY_DIVISOR);
+        let budget = Budget::new(config.limits.memory_bytes / PEER_MEMORY_DIVISOR);
         let call_sockets = SocketBudget::new(descriptors.calls);
         let starter = ActorStarter { executor, config: &config, senders: &senders, clock, log };
-        let fleet = starter.fleet(operator.as_ref(), sockets.fleet, &budget)?;
+        let fleet = starter.start_fleet(operator.as_ref(), sockets.fleet, &budget)?;
         let mailboxes = Mailboxes {
             fleet: fleet.as_ref().map(|handle| handle.mailbox.clone()),
             agent: senders.agent.clone(),
@@ -146,11 +146,11 @@
             agent_up: agent_up_sender,
             load_hint: LoadHint::default(),
         };
-        starter.agent(inboxes.agent);
-        starter.registration(inboxes.registration);
-        starter.records_service(inboxes.records, &call_sockets);
+        starter.start_agent(inboxes.agent);
+        starter.start_registration(inboxes.registration);
+        starter.start_records_client(inboxes.records, &call_sockets);
         let context = starter.connection_context(&mailboxes.load_hint, descriptors.connections, &budget);
-        let connections = starter.listener(sockets.balancers, context, inboxes.listener);
+        let connections = starter.start_listener(sockets.balancers, context, inboxes.listener);
         let mut server = Server {
             executor: executor.clone(),
             config,
@@ -203,8 +203,8 @@
         warn!(log, "fewer descriptors than configured"; "configured" => configured, "allowed" => allowed);
     }
     let fleet = operator.and_then(|operator| operator.fleet.as_ref());
-    let for_fleet = fleet.map_or(0, |fleet| descriptor_count(fleet.membership.peers.len()));
-    DescriptorBudget::divide(allowed, for_fleet)
+    let fleet_descriptors = fleet.map_or(0, |fleet| descriptor_count(fleet.membership.peers.len()));
+    DescriptorBudget::divide(allowed, fleet_descriptors)
 }
 
 /// The values that actors are started with.
@@ -217,7 +217,7 @@
 }
 
 impl<'a> ActorStarter<'_, 'a> {
-    fn fleet(
+    fn start_fleet(
         &self,
         operator: Option<&Operator>,
         sockets: Option<FleetSockets>,
@@ -237,20 +237,25 @@
         fleet::start(self.executor, start).map(Some)
     }
 
-    fn agent(&self, inbox: Receiver<AgentActorMessage>) {
+    fn start_agent(&self, inbox: Receiver<AgentActorMessage>) {
         let actor =
             AgentActor::new(self.config.agent, inbox, self.senders.admission.clone(), self.log.clone());
         self.executor.spawn(actor.run()).detach();
     }
 
-    fn registration(&self, inbox: Receiver<RegistrationCommand>) {
-        let among = (self.config.settings.servers, self.config.settings.seed);
-        let actor =
-            Registration::new(self.config.announce, &self.config.name, among, inbox, self.log.clone());
+    fn start_registration(&self, inbox: Receiver<RegistrationCommand>) {
+        let servers_and_seed = (self.config.settings.servers, self.config.settings.seed);
+        let actor = Registration::new(
+            self.config.announce,
+            &self.config.name,
+            servers_and_seed,
+            inbox,
+            self.log.clone(),
+        );
         self.executor.spawn(actor.run()).detach();
     }
 
-    fn records_service(&self, inbox: Receiver<DependencyCommand>, sockets: &SocketBudget) {
+    fn start_records_client(&self, inbox: Receiver<DependencyCommand>, sockets: &SocketBudget) {
         let Some(address) = self.config.records else { return };
         let actor = DependencyClient::new(
             self.executor.clone(),
@@ -280,15 +285,15 @@
     }
 
     /// Starts the listener. The task completes once the listener has closed its last connection.
-    fn listener(
+    fn start_listener(
         &self,
         socket: Async<TcpListener>,
         context: ConnectionContext,
         inbox: Receiver<ListenerCommand>,
     ) -> Task<()> {
-        let from = (socket, ConnectionTable::new(context.max_connections, &[1]));
+        let socket_and_table = (socket, ConnectionTable::new(context.max_connections, &[1]));
         let idle_timeout = self.config.settings.idle_timeout_max;
-        let actor = Listener::new(self.executor.clone(), from, context, inbox, idle_timeout);
+        let actor = Listener::new(self.executor.clone(), socket_and_table, context, inbox, idle_timeout);
         self.executor.spawn(actor.run())
     }
 }
